--- a/pathsaddle/charter/check.py
+++ b/pathsaddle/charter/check.py
@@ -203,8 +203,10 @@
         if not isinstance(told, dict):
             faults.append(WrongKind(file, path, shown=shown(told), may="a table of tables"))
             return {}
-        return {name: _form(get_args(plain)[1], item, f"{path}.{name}", file, faults)
-                for name, item in told.items()}
+        return {
+            name: _form(get_args(plain)[1], item, f"{path}.{name}", file, faults)
+            for name, item in told.items()
+        }
     try:
         made = msgspec.convert(told, kind, dec_hook=hook)
     except (msgspec.ValidationError, ValueError):
@@ -214,12 +216,22 @@
         of, texts = get_args(plain)[0], [(f"{path}[{i}]", one) for i, one in enumerate(told)]
     else:
         of, texts = kind, [(path, told)]
-    if (place := _more(of).get("path")) and made is not None and (
-            "\0" in made or place == "file" and (not made or made.endswith(("/", "/.", "/..")) or made in (".", ".."))):
+    if (
+        (place := _more(of).get("path"))
+        and made is not None
+        and (
+            "\0" in made
+            or place == "file"
+            and (not made or made.endswith(("/", "/.", "/..")) or made in (".", ".."))
+        )
+    ):
         faults.append(NoPath(file, path, shown=shown(told), kind=place))
     if address := _more(of).get("address"):
-        faults += [NoAddress(file, key, shown=shown(one), why=fault, may=may_stand(of))
-                   for key, one in texts if one is not None and (fault := no_address(one, address == "IPv4"))]
+        faults += [
+            NoAddress(file, key, shown=shown(one), why=fault, may=may_stand(of))
+            for key, one in texts
+            if one is not None and (fault := no_address(one, address == "IPv4"))
+        ]
     return made
 
 
@@ -229,10 +241,15 @@
     # A secret is not shown: faults go to logs, and are pasted where help is asked for.
     if _more(kind).get("secret") and isinstance(told, str):
         seen = "a text"
-    metas = [meta for meta in get_args(plain)[1:] if isinstance(meta, msgspec.Meta)] if (
-        get_origin(plain) is typing.Annotated) else []
+    metas = (
+        [meta for meta in get_args(plain)[1:] if isinstance(meta, msgspec.Meta)]
+        if (get_origin(plain) is typing.Annotated)
+        else []
+    )
     inner = bare(get_args(plain)[0]) if metas else plain
-    if isinstance(told, (str, list)) and (inner is str if isinstance(told, str) else get_origin(inner) is list):
+    if isinstance(told, (str, list)) and (
+        inner is str if isinstance(told, str) else get_origin(inner) is list
+    ):
         unit = "characters" if isinstance(told, str) else "values"
         for meta in metas:
             if meta.min_length is not None and len(told) < meta.min_length:
@@ -333,8 +350,13 @@
 
 
 NAMES: dict[Any, str] = {
-    str: "a text", int: "a whole number", float: "a number", bool: "true or false",
-    Duration: 'a duration such as "250ms"', Size: 'a size such as "64MiB"'}
+    str: "a text",
+    int: "a whole number",
+    float: "a number",
+    bool: "true or false",
+    Duration: 'a duration such as "250ms"',
+    Size: 'a size such as "64MiB"',
+}
 
 
 def may_stand(kind: Any) -> str:
@@ -349,14 +371,27 @@
         for meta in more:
             if isinstance(meta, msgspec.Meta) and meta.min_length and meta.min_length == meta.max_length:
                 return f"{may_stand(inner)}, {meta.min_length} of them"
-        if counts := [f"{word} {count}" for meta in more if isinstance(meta, msgspec.Meta)
-                      for word, count in (("at least", meta.min_length), ("at most", meta.max_length))
-                      if count is not None]:
+        if counts := [
+            f"{word} {count}"
+            for meta in more
+            if isinstance(meta, msgspec.Meta)
+            for word, count in (("at least", meta.min_length), ("at most", meta.max_length))
+            if count is not None
+        ]:
             unit = "characters" if inner is str else "values"
             return f"{may_stand(inner)}, {' and '.join(counts)} {unit}"
-        bounds = [f"{word} {value:g}" for meta in more if isinstance(meta, msgspec.Meta)
-                  for word, value in (("at least", meta.ge), ("above", meta.gt), ("at most", meta.le),
-                                      ("below", meta.lt)) if value is not None]
+        bounds = [
+            f"{word} {value:g}"
+            for meta in more
+            if isinstance(meta, msgspec.Meta)
+            for word, value in (
+                ("at least", meta.ge),
+                ("above", meta.gt),
+                ("at most", meta.le),
+                ("below", meta.lt),
+            )
+            if value is not None
+        ]
         return " ".join([may_stand(inner), *bounds])
     if get_origin(kind) is Literal:
         return " or ".join(f'"{value}"' for value in get_args(kind))
@@ -397,8 +432,10 @@
         if get_origin(plain) is list and is_form(get_args(plain)[0]):
             inner, name = get_args(plain)[0], name + "[]"
         if is_form(inner):
-            below += [(name, "a table each" if inner is not plain else "a table", "", told[field.encode_name]),
-                      *explain(inner, name)]
+            below += [
+                (name, "a table each" if inner is not plain else "a table", "", told[field.encode_name]),
+                *explain(inner, name),
+            ]
             continue
         if field.required:
             default = "must be given"
--- a/pathsaddle/charter/form.py
+++ b/pathsaddle/charter/form.py
@@ -17,7 +17,9 @@
 Count = Annotated[int, Meta(ge=1)]
 Some = Annotated[float, Meta(ge=0)]
 Address = Annotated[str, Meta(extra={"address": "any", "words": 'an address such as "127.0.0.1:8080"'})]
-Reached = Annotated[str, Meta(extra={"address": "IPv4", "words": 'host:port of IPv4, such as "127.0.0.1:7100"'})]
+Reached = Annotated[
+    str, Meta(extra={"address": "IPv4", "words": 'host:port of IPv4, such as "127.0.0.1:7100"'})
+]
 File = Annotated[str, Meta(extra={"path": "file", "words": "the path of a file"})]
 Folder = Annotated[str, Meta(extra={"path": "folder", "words": "the path of a folder"})]
 Secret = Annotated[str, Meta(min_length=16, extra={"secret": True})]
@@ -43,7 +45,7 @@
 class NotLoopback(Fault):
     name = "charter.not-loopback"
     what = "{shown} stands there, which others reach, and nobody signs in there"
-    do = "write an address of the loopback, such as \"127.0.0.1:7199\", at {path}"
+    do = 'write an address of the loopback, such as "127.0.0.1:7199", at {path}'
 
 
 class NotReached(Fault):
@@ -60,7 +62,7 @@
 
 class NeedsName(Fault):
     name = "charter.needs-name"
-    what = "with a fleet each dispatcher needs a name of its own, and \"pathsaddle\" is what all have"
+    what = 'with a fleet each dispatcher needs a name of its own, and "pathsaddle" is what all have'
     do = "write a name that no other member has at {path}"
 
 
@@ -111,8 +113,13 @@
 
     def amiss(self) -> Iterator[Amiss]:
         if not re.fullmatch(r"[A-Za-z0-9._~-]+", self.name) or self.name in ("ready", "callback"):
-            yield Amiss("name", NotAmong, shown=shown(self.name), may="letters, digits and ._~- "
-                        "(a call's path begins with it; `ready` and `callback` are taken)")
+            yield Amiss(
+                "name",
+                NotAmong,
+                shown=shown(self.name),
+                may="letters, digits and ._~- "
+                "(a call's path begins with it; `ready` and `callback` are taken)",
+            )
         if self.semantics == "referenced" and not self.window:
             yield Amiss("window", NeedsWindow, scheme=self.name)
         if not self.expiry:
@@ -286,10 +293,17 @@
         if not re.fullmatch(NAME, self.name):
             yield Amiss("name", NotAmong, shown=shown(self.name), may="1 to 64 letters, digits and ._-")
         if self.control.endswith(":0"):
-            yield Amiss("control", OutOfBounds, shown=shown(self.control), may="a port above 0, which can be asked at,")
+            yield Amiss(
+                "control",
+                OutOfBounds,
+                shown=shown(self.control),
+                may="a port above 0, which can be asked at,",
+            )
         for i, seed in enumerate(self.seeds):
             if seed.endswith(":0"):
-                yield Amiss(f"seeds[{i}]", OutOfBounds, shown=shown(seed), may="fleet.address of another member")
+                yield Amiss(
+                    f"seeds[{i}]", OutOfBounds, shown=shown(seed), may="fleet.address of another member"
+                )
         where = self.address or self.listen
         if where.startswith("0.0.0.0:") or where.endswith(":0"):
             yield Amiss("address", NotReached, shown=shown(where))
@@ -303,13 +317,24 @@
             yield Amiss("budgets", TooLong, shown="a table", count=len(self.budgets), unit="budgets", most=16)
         for name in self.budgets:
             if not re.fullmatch(r"[A-Za-z0-9_.-]{1,32}", name):
-                yield Amiss("budgets", NotAmong, shown=shown(name), may="names of 1 to 32 letters, digits and ._-")
+                yield Amiss(
+                    "budgets", NotAmong, shown=shown(name), may="names of 1 to 32 letters, digits and ._-"
+                )
         for name, part in self.parts.items():
             if name not in self.budgets:
-                yield Amiss(f"parts.{name}", NotAmong, shown=shown(name),
-                            may=f"a name of budgets ({', '.join(self.budgets) or 'none is there'})")
+                yield Amiss(
+                    f"parts.{name}",
+                    NotAmong,
+                    shown=shown(name),
+                    may=f"a name of budgets ({', '.join(self.budgets) or 'none is there'})",
+                )
             elif part > self.budgets[name]:
-                yield Amiss(f"parts.{name}", OutOfBounds, shown=shown(part), may=f"at most budgets.{name} ({self.budgets[name]})")
+                yield Amiss(
+                    f"parts.{name}",
+                    OutOfBounds,
+                    shown=shown(part),
+                    may=f"at most budgets.{name} ({self.budgets[name]})",
+                )
         if not 2 * S <= self.lease <= 600 * S:
             yield Amiss("lease", OutOfBounds, shown=shown(self.lease), may="2s to 10min")
 
@@ -425,12 +450,20 @@
         if not re.fullmatch(r"[0-9a-fA-F]{1,64}", self.seed):
             yield Amiss("seed", NotAmong, shown=shown(self.seed), may="1 to 64 hexadecimal digits")
         if self.number >= self.dispatchers:
-            yield Amiss("number", OutOfBounds, shown=shown(self.number),
-                        may=f"less than dispatchers ({self.dispatchers})")
+            yield Amiss(
+                "number",
+                OutOfBounds,
+                shown=shown(self.number),
+                may=f"less than dispatchers ({self.dispatchers})",
+            )
         if not self.schemes:
             yield Amiss("schemes", Missing, may="at least one table, [[schemes]],")
-        for key, names in (("schemes", [s.name for s in self.schemes]), ("zones", self.zones),
-                           ("customers", [c.name for c in self.customers]), ("machines", self.machines)):
+        for key, names in (
+            ("schemes", [s.name for s in self.schemes]),
+            ("zones", self.zones),
+            ("customers", [c.name for c in self.customers]),
+            ("machines", self.machines),
+        ):
             for name, times in Counter(names).items():  # of hundreds: not a count of all for each
                 if times > 1:
                     yield Amiss(key, Twice, shown=shown(name))
@@ -443,29 +476,63 @@
                 if not re.fullmatch(NAME, name):
                     yield Amiss(key, NotAmong, shown=shown(name), may="1 to 64 letters, digits and ._-")
         if self.jobs is not None and self.federation is not None:
-            yield Amiss("federation", Fault, "stands beside jobs, and durable jobs don't leave their region",
-                        "take [jobs] or [federation] out")
+            yield Amiss(
+                "federation",
+                Fault,
+                "stands beside jobs, and durable jobs don't leave their region",
+                "take [jobs] or [federation] out",
+            )
         if self.jobs is not None and any(scheme.name == "jobs" for scheme in self.schemes):
-            yield Amiss("schemes", NotAmong, shown='the name "jobs"', may="another name for that scheme, since /jobs/ "
-                        "is the path of durable jobs,")
+            yield Amiss(
+                "schemes",
+                NotAmong,
+                shown='the name "jobs"',
+                may="another name for that scheme, since /jobs/ is the path of durable jobs,",
+            )
         if self.zone is not None and self.zone not in self.zones:
-            yield Amiss("zone", NotAmong, shown=shown(self.zone), may=f"one of zones ({', '.join(self.zones)})")
+            yield Amiss(
+                "zone", NotAmong, shown=shown(self.zone), may=f"one of zones ({', '.join(self.zones)})"
+            )
         for i, scheme in enumerate(self.schemes):
             if scheme.machine is not None and scheme.machine not in self.machines:
-                yield Amiss(f"schemes[{i}].machine", NotAmong, shown=shown(scheme.machine),
-                            may=f"one of machines ({', '.join(self.machines) or 'none is named there'})")
+                yield Amiss(
+                    f"schemes[{i}].machine",
+                    NotAmong,
+                    shown=shown(scheme.machine),
+                    may=f"one of machines ({', '.join(self.machines) or 'none is named there'})",
+                )
 
 
 # What may change in service; `charter/service.py` has the few cases in which one of these may not.
-IN_SERVICE = frozenset((
-    "discovery", "log.level", "zones", "schemes", "customers", "rules.answer_slack", "rules.drain_grace",
-    "rules.dropped_stay_open", "rules.cold_share", "rules.cold_time", "rules.fall_multiple", "rules.fall_time",
-    "allowed.postings", "allowed.cancel", "allowed.come_back", "prices.cross", "prices.over_share", "fleet.budgets",
-    "control.core", "control.bytes"))
+IN_SERVICE = frozenset(
+    (
+        "discovery",
+        "log.level",
+        "zones",
+        "schemes",
+        "customers",
+        "rules.answer_slack",
+        "rules.drain_grace",
+        "rules.dropped_stay_open",
+        "rules.cold_share",
+        "rules.cold_time",
+        "rules.fall_multiple",
+        "rules.fall_time",
+        "allowed.postings",
+        "allowed.cancel",
+        "allowed.come_back",
+        "prices.cross",
+        "prices.over_share",
+        "fleet.budgets",
+        "control.core",
+        "control.bytes",
+    )
+)
 
 
 def changes(before: Charter, after: Charter) -> list[str]:
     """The key paths at which two charters differ."""
+
     def flat(form: Struct, path: str) -> dict[str, object]:
         rows: dict[str, object] = {}
         for name in form.__struct_fields__:
--- a/pathsaddle/charter/ground.py
+++ b/pathsaddle/charter/ground.py
@@ -57,6 +57,7 @@
         for a restart was given one. Raises Faulty where the rows don't fit this charter: to serve without them would go back
         behind what it has said to have."""
         from pathsaddle.settings.serving import Sharing
+
         shared = self.charter.settings
         assert shared is not None
         self._sharing = Sharing(shared.ground, shared.member, self._applies)
@@ -69,6 +70,7 @@
         """As `net` asks for it: terms, words, seed, clock, workers, counters, the asking for the list."""
         if self.charter.control.meter:
             from pathsaddle.charter.metered import Metered, MeteredWords
+
             self._metered = Metered(self.charter.control, told[3], self.memory_mb)
             self._metered.begins()
             self.open_log()
@@ -82,12 +84,14 @@
         if self._metered is None:
             return super().watch(address, index, service, counters)
         from pathsaddle.charter.metered import MeteredWatch
+
         return MeteredWatch(self._metered.meter, address, index, service, counters, self.stream)
 
     def _made(self, *told: Any) -> TxnService:
         if self.charter.federation is not None:
             from pathsaddle.federation.driver import MemberProcess, ground_of
             from pathsaddle.federation.txn_service import FederatedTxnService
+
             regions = self.charter.federation
             member = MemberProcess(ground_of(regions.ground), regions.member, serving=True)
             if self._metered is not None:
@@ -97,12 +101,23 @@
             return TxnService(*told)
         from pathsaddle.jobs.store import Store, ThreadWriter, Unusable
         from pathsaddle.jobs.txn_service import DurableTxnService, Ways
+
         jobs = self.charter.jobs
         try:
-            return DurableTxnService(*told, store=Store(Path(jobs.path), ThreadWriter()), ways=Ways(
-                jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin,
-                self.charter.limits.memory // ENDED_PART, self.charter.limits.memory // OPEN_PART),
-                chance=Random(self.charter.seed))
+            return DurableTxnService(
+                *told,
+                store=Store(Path(jobs.path), ThreadWriter()),
+                ways=Ways(
+                    jobs.lease,
+                    jobs.retention,
+                    jobs.longest_poll,
+                    jobs.recover_within,
+                    jobs.margin,
+                    self.charter.limits.memory // ENDED_PART,
+                    self.charter.limits.memory // OPEN_PART,
+                ),
+                chance=Random(self.charter.seed),
+            )
         except Unusable as fault:  # the store knows its file alone
             raise type(fault)(f"{self.path}: jobs.path: {fault.what}", fault.do) from None
 
@@ -124,13 +139,23 @@
         from pathsaddle.charter.fellows import told as fellow
         from pathsaddle.fleet.driver import Fellows
         from pathsaddle.fleet.lives import Lives
+
         folder = self.charter.fleet.folder
         told = fellow(self.charter, self.file())
         if self.charter.fleet.owners is not None:
             from pathsaddle.ownership.fellows import OwningFellows
-            return OwningFellows(self.charter, told, self, Lives(Path(folder) if folder else None, told.name), SystemRandom(),
-                                 counters)
-        return Fellows(told, self, Lives(Path(folder) if folder else None, told.name), SystemRandom(), counters)
+
+            return OwningFellows(
+                self.charter,
+                told,
+                self,
+                Lives(Path(folder) if folder else None, told.name),
+                SystemRandom(),
+                counters,
+            )
+        return Fellows(
+            told, self, Lives(Path(folder) if folder else None, told.name), SystemRandom(), counters
+        )
 
     def open_log(self) -> None:
         sink = [self._metered.writes] if self._metered is not None else []
@@ -150,6 +175,7 @@
     def _with(self, file: Charter, rows: Mapping[str, bytes]) -> Charter:
         """The file's charter with the rows in place of its own. Raises Faulty."""
         from pathsaddle.settings.applied import NAMED, charter_with
+
         stands = {key: value for key, value in self._rows.items() if key.partition(".")[0] in NAMED}
         if stands:  # hundreds of rows aren't read again for one that has changed
             file = replace(file, customers=self.charter.customers, schemes=self.charter.schemes)
@@ -166,6 +192,7 @@
             if not acting.offers or acting.terms is None:
                 raise
             from pathsaddle.settings.serving import logged
+
             logged(fault)
             self._takes(acting.terms.rows(), f"revision {acting.revision}")
 
@@ -176,8 +203,12 @@
         _, stays = in_service(self.charter, wanted)
         if stays:
             from pathsaddle.settings.faults import Unfit
-            raise Unfit(f"{which} of shared settings can't come into service: "
-                        + "; ".join(f"{key}: {why}" for key, why in stays.items()), f"restart the dispatcher of {self.path}")
+
+            raise Unfit(
+                f"{which} of shared settings can't come into service: "
+                + "; ".join(f"{key}: {why}" for key, why in stays.items()),
+                f"restart the dispatcher of {self.path}",
+            )
         self.retune(wanted)
         self._rows = dict(rows)
 
@@ -189,6 +220,7 @@
             retune(self._service, before, self.charter)
         if self._fellows is not None:
             from pathsaddle.charter.fellows import dealt
+
             self._fellows.retune(dealt(self.charter))
         if self._metered is not None:
             self._metered.budget = self.charter.control
--- a/pathsaddle/charter/metered.py
+++ b/pathsaddle/charter/metered.py
@@ -23,15 +23,24 @@
 from pathsaddle.net.wire.terms import Peer
 from pathsaddle.trade import Report, Worker
 
-MINUTE = 60  # seconds whose mean of processor time is held against the budget, and between two lines of one kind
+MINUTE = (
+    60  # seconds whose mean of processor time is held against the budget, and between two lines of one kind
+)
 STATUS_LINE = len("HTTP/1.1 200 OK\r\n\r\n")  # of a look's answer: its phrase isn't kept
 
 
 class MeteredWatch(DiscoveryWatch):
     """The list: each step of its reader, from the socket's bytes to the decisions' own part, and what crosses there."""
 
-    def __init__(self, meter: ControlMeter, address: str, index: int, service: TxnService, counters: Counters,
-                 opening: Opening) -> None:
+    def __init__(
+        self,
+        meter: ControlMeter,
+        address: str,
+        index: int,
+        service: TxnService,
+        counters: Counters,
+        opening: Opening,
+    ) -> None:
         super().__init__(address, index, service, counters, self._opens)
         self.meter, self._real_opening = meter, opening
         self._sock: Tallied | None = None
@@ -73,8 +82,12 @@
 
     def report_in(self, answer: Message) -> Report | None:
         if self.meter.within("looks"):
-            self.meter.came("looks", STATUS_LINE + len(answer.body)
-                            + sum(len(name) + len(value) + 4 for name, value in answer.lines))
+            self.meter.came(
+                "looks",
+                STATUS_LINE
+                + len(answer.body)
+                + sum(len(name) + len(value) + 4 for name, value in answer.lines),
+            )
         return super().report_in(answer)
 
 
@@ -104,13 +117,21 @@
         look, workers, request = service.looks, service.workers, Calling()
 
         def looks(worker: Worker) -> Coroutine[Any, Any, None]:
-            self.meter.went("looks", len(request.ask("GET", service.look_target, workers.addresses.get(worker.tag, ""), [])))
+            self.meter.went(
+                "looks",
+                len(request.ask("GET", service.look_target, workers.addresses.get(worker.tag, ""), [])),
+            )
             return self.meter.steps("looks", look(worker))
+
         service.looks = looks
 
     def view(self) -> dict[str, Any]:
-        return {**self.meter.view(), "memory_mb": round(self.memory_mb(), 1), "memory_mb_at_start": round(self.bare_mb, 1),
-                "budget": {"core": self.budget.core, "bytes": self.budget.bytes}}
+        return {
+            **self.meter.view(),
+            "memory_mb": round(self.memory_mb(), 1),
+            "memory_mb_at_start": round(self.bare_mb, 1),
+            "budget": {"core": self.budget.core, "bytes": self.budget.bytes},
+        }
 
     # Each second.
 
@@ -123,8 +144,11 @@
                     self.counters.add(f"control.{purpose}.{name}", count - had)
         for at, way in ((1, "received"), (2, "sent")):
             if self.budget.bytes is not None and (took := self.meter.all.last[at]) > self.budget.bytes:
-                self._over(way, f"{took} bytes {way} in one second of {self.budget.bytes}",
-                           {purpose: one.last[at] for purpose, one in self.meter.bound()})
+                self._over(
+                    way,
+                    f"{took} bytes {way} in one second of {self.budget.bytes}",
+                    {purpose: one.last[at] for purpose, one in self.meter.bound()},
+                )
         if self.meter.second >= self._minute + MINUTE:
             took_ns = {purpose: one.ns - self._spent_by[purpose] for purpose, one in self.meter.bound()}
             core = sum(took_ns.values()) / 1e9 / (self.meter.second - self._minute)
@@ -137,5 +161,7 @@
         self.counters.add(f"control.over.{what}")
         if self.meter.second >= self._said.get(what, -MINUTE) + MINUTE:
             self._said[what] = self.meter.second
-            most = sorted((purpose for purpose, size in parts.items() if size), key=lambda purpose: -parts[purpose])
+            most = sorted(
+                (purpose for purpose, size in parts.items() if size), key=lambda purpose: -parts[purpose]
+            )
             logbook.control_over(how=how, most=", ".join(most[:3]))
--- a/pathsaddle/charter/owners.py
+++ b/pathsaddle/charter/owners.py
@@ -34,9 +34,15 @@
 
     def __post_init__(self) -> None:
         from pathsaddle.net.wire.terms import peer_of
+
         if len(self.voters) not in (3, 5):
-            raise ValueError(f"voters: {len(self.voters)} stand there; 3 or 5 may, since a majority of them keeps each key")
-        for key, told in (("listen", self.listen), *((f"voters.{name}", told) for name, told in self.voters.items())):
+            raise ValueError(
+                f"voters: {len(self.voters)} stand there; 3 or 5 may, since a majority of them keeps each key"
+            )
+        for key, told in (
+            ("listen", self.listen),
+            *((f"voters.{name}", told) for name, told in self.voters.items()),
+        ):
             try:
                 if ":" in peer_of(told)[0]:
                     raise ValueError
--- a/pathsaddle/charter/service.py
+++ b/pathsaddle/charter/service.py
@@ -28,15 +28,25 @@
 Row = TypeVar("Row", Scheme, Customer)
 WHY = {  # by table or key, the longest that fits
     "listen": "the address is had at the start",
-    "name": "others and the log know the process by it", "seed": "all chance was drawn from it at the start",
-    "number": "the cold workers' turns are dealt by it", "dispatchers": "shares are dealt by it",
-    "zone": "the process does not move", "machines": "workers' kinds are told apart by its order",
-    "tick": "timers count in it", "limits": "the machine's means are shared out at the start",
-    "allowed.two_at_once": "open txns were withdrawn under the old rule", "allowed.probe": "looks are dealt out at the start",
-    "rules.ask_within": "the list's clock runs by it", "reports": "what workers have told was read by it",
-    "prices": "what was learnt was weighed by it", "reach": "connections stand by it", "log": "the log is open in its form",
+    "name": "others and the log know the process by it",
+    "seed": "all chance was drawn from it at the start",
+    "number": "the cold workers' turns are dealt by it",
+    "dispatchers": "shares are dealt by it",
+    "zone": "the process does not move",
+    "machines": "workers' kinds are told apart by its order",
+    "tick": "timers count in it",
+    "limits": "the machine's means are shared out at the start",
+    "allowed.two_at_once": "open txns were withdrawn under the old rule",
+    "allowed.probe": "looks are dealt out at the start",
+    "rules.ask_within": "the list's clock runs by it",
+    "reports": "what workers have told was read by it",
+    "prices": "what was learnt was weighed by it",
+    "reach": "connections stand by it",
+    "log": "the log is open in its form",
     "control": "the meter hangs where it was hung at the start",
-    "jobs": "the store is open", "fleet": "others know this member by it", "federation": "other regions know this member by it",
+    "jobs": "the store is open",
+    "fleet": "others know this member by it",
+    "federation": "other regions know this member by it",
     "settings": "keepers know this member by it",
 }
 
@@ -49,12 +59,15 @@
             parts = key.split(".")
             found[key] = next(WHY[at] for n in range(len(parts), 0, -1) if (at := ".".join(parts[:n])) in WHY)
     if bool(before.customers) != bool(after.customers):
-        found["customers"] = ("without any customer anybody may send, with one nobody else: calls under way can't be told "
-                              "which")
+        found["customers"] = (
+            "without any customer anybody may send, with one nobody else: calls under way can't be told which"
+        )
     if home(before) != home(after):
         found["zone" if before.zone != after.zone else "zones"] = WHY["zone"]
     if before.federation is not None and _kinds(before) != _kinds(after):
-        found["schemes"] = "names and semantics stand in the federation's spec too, which is held against them at the start"
+        found["schemes"] = (
+            "names and semantics stand in the federation's spec too, which is held against them at the start"
+        )
     if before.fleet is not None and after.fleet is not None:
         if bool(before.fleet.budgets) < bool(after.fleet.budgets):
             found["fleet.budgets"] = "a member that began without any carries nothing shared"
@@ -119,13 +132,26 @@
 def retune(service: TxnService, before: Charter, after: Charter) -> None:
     """Takes `after` into service where txns are served by `before`: as `in_service` has made it, so that nothing
     in it asks for a restart."""
-    schemes, customers = differing(before.schemes, after.schemes), differing(before.customers, after.customers)
-    made = terms.terms(settings(replace(after, schemes=[one for one in schemes.values() if one is not None],
-                                        customers=[one for one in customers.values() if one is not None])))
+    schemes, customers = (
+        differing(before.schemes, after.schemes),
+        differing(before.customers, after.customers),
+    )
+    made = terms.terms(
+        settings(
+            replace(
+                after,
+                schemes=[one for one in schemes.values() if one is not None],
+                customers=[one for one in customers.values() if one is not None],
+            )
+        )
+    )
     kinds: dict[str, Kind | None] = dict.fromkeys(schemes)
     kinds |= dict(zip((name for name, one in schemes.items() if one is not None), made.schemes, strict=True))
     owners: dict[str, Known | None] = dict.fromkeys(customers)
-    owners |= dict(zip((name for name, one in customers.items() if one is not None), made.customers, strict=True))
+    owners |= dict(
+        zip((name for name, one in customers.items() if one is not None), made.customers, strict=True)
+    )
     words = service.words.retuned(kinds, owners, after.zones)
-    service.retune(replaced(made, schemes=list(words.schemes.values()),
-                            customers=list(words.customers.values())), words)
+    service.retune(
+        replaced(made, schemes=list(words.schemes.values()), customers=list(words.customers.values())), words
+    )
--- a/pathsaddle/charter/units.py
+++ b/pathsaddle/charter/units.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 UNITS = {"us": 0.01, "ms": 10, "s": 10_000, "min": 600_000, "h": 36_000_000}
-SIZES = {"B": 1, "kB": 1000, "KiB": 1 << 10, "MB": 1000_000, "MiB": 1 << 20, "GB": 10 ** 9, "GiB": 1 << 30}
+SIZES = {"B": 1, "kB": 1000, "KiB": 1 << 10, "MB": 1000_000, "MiB": 1 << 20, "GB": 10**9, "GiB": 1 << 30}
 QUANTITY = re.compile(r"([0-9]{1,12}(?:[.][0-9]{1,6})?) ?([A-Za-z]+)")
 
 
@@ -21,7 +21,7 @@
 def _read(text: Any, units: dict[str, float], example: str) -> float:
     match = QUANTITY.fullmatch(text) if isinstance(text, str) else None
     if match is None or match[2] not in units:
-        raise ValueError(f"a number with a unit ({', '.join(units)}), such as \"{example}\"")
+        raise ValueError(f'a number with a unit ({", ".join(units)}), such as "{example}"')
     return float(match[1]) * units[match[2]]
 
 
--- a/pathsaddle/choice.py
+++ b/pathsaddle/choice.py
@@ -23,9 +23,32 @@
 from pathsaddle.beliefs import FAR, Account, Book, Type, Usual
 
 from pathsaddle.trade import (  # isort: skip  # as many to a line as fit: these names are most of the trade
-    LIST_ANSWER, LIST_MOVED, LIST_SILENT, LIST_SLACK, LIST_SURE, MILLISECOND, SECOND, Cancel, Decline, Door,
-    Gate, Group, ListNews, Order, Outcome, Post, Posting, Report, Reverse, Scheme, Semantics, Standing, Terms,
-    Txn, Wait, Worker,
+    LIST_ANSWER,
+    LIST_MOVED,
+    LIST_SILENT,
+    LIST_SLACK,
+    LIST_SURE,
+    MILLISECOND,
+    SECOND,
+    Cancel,
+    Decline,
+    Door,
+    Gate,
+    Group,
+    ListNews,
+    Order,
+    Outcome,
+    Post,
+    Posting,
+    Report,
+    Reverse,
+    Scheme,
+    Semantics,
+    Standing,
+    Terms,
+    Txn,
+    Wait,
+    Worker,
 )
 
 FEW_TURNED_AWAY = 0.3  # doubt below which a try without prompt word is better than holding
@@ -61,8 +84,11 @@
         self.cold_step = pow(apart, -1, self.dispatchers)
         self.part = self.even_part = 1.0 / terms.dispatchers  # what of the tier's traffic seems to be ours
         self.reserve = 1.5  # slots kept free of what is over its customer's share
-        self.probe_every = 0 if not (terms.may_probe and terms.reports_in_probes) else (
-            SECOND // 2 if not terms.reports_in_answers else SECOND // 10)
+        self.probe_every = (
+            0
+            if not (terms.may_probe and terms.reports_in_probes)
+            else (SECOND // 2 if not terms.reports_in_answers else SECOND // 10)
+        )
         # Probes may cost one point in a hundred of what is asked for, and no more.
         self.probe_price = terms.price_probe
         self.probe_income = min(100.0, 0.01 / max(0.0001, terms.price_probe))
@@ -129,13 +155,18 @@
         self.runs = {s: learnt.get(s.index, deque(maxlen=48)) for s in (*terms.schemes, *still)}
         for book in self.books.values():
             book.mute = {now_by[s.index]: mute for s, mute in book.mute.items() if s.index in now_by}
-        self.accounts = {customer: self.accounts.get(customer) or Account(0.0, self.now, HANDFUL)
-                         for customer in terms.customers if customer.allowance > 0}
+        self.accounts = {
+            customer: self.accounts.get(customer) or Account(0.0, self.now, HANDFUL)
+            for customer in terms.customers
+            if customer.allowance > 0
+        }
         for customer, account in self.accounts.items():
             account.allowance = customer.allowance / SECOND  # of which ours is a part
-        self.for_trials = (list(filter(self.runs_again_anywhere, terms.schemes))
-                           or [s for s in terms.schemes if s.semantics is Semantics.REFERENCED]
-                           or terms.schemes)
+        self.for_trials = (
+            list(filter(self.runs_again_anywhere, terms.schemes))
+            or [s for s in terms.schemes if s.semantics is Semantics.REFERENCED]
+            or terms.schemes
+        )
         self.all_at_risk = not any(map(self.runs_again_anywhere, self.for_trials))
         self.looks_around = self.probe_every and (self.probe_always or self.all_at_risk and self.silence)
         self.max_postings, self.two_at_once = terms.max_postings, terms.two_at_once
@@ -209,21 +240,30 @@
 
     def may_post_again(self, txn: Txn) -> bool:
         """Rule 2, the first half: whether another posting, to some worker, can do no harm now."""
-        return (self.now < min(self.last(txn), self.may_go_on_until(txn))
-                and (self.two_at_once or not any(p.out and p.may_have_run for p in txn.postings)))
+        return self.now < min(self.last(txn), self.may_go_on_until(txn)) and (
+            self.two_at_once or not any(p.out and p.may_have_run for p in txn.postings)
+        )
 
     def may_post(self, txn: Txn, worker: Worker) -> bool:
         """And whether to this worker; what is the same for all workers is asked once, for the CPU's sake."""
-        return not any(p.out and p.worker is worker
-                       or p.may_have_run and not self.same_group(txn.scheme, p.worker, worker)
-                       for p in txn.postings)
+        return not any(
+            p.out
+            and p.worker is worker
+            or p.may_have_run
+            and not self.same_group(txn.scheme, p.worker, worker)
+            for p in txn.postings
+        )
 
     def may_begin(self, posting: Posting) -> bool:
         """The same again at its first byte: coming up, a connection took time."""
         txn, worker = posting.txn, posting.worker
-        return (not txn.closed and worker.may_get(self.dropped_stay_open)
-                and worker.started == posting.incarnation and not self.list_unsure(self.now)
-                and self.now < min(self.last(txn), self.may_go_on_until(txn, posting)))
+        return (
+            not txn.closed
+            and worker.may_get(self.dropped_stay_open)
+            and worker.started == posting.incarnation
+            and not self.list_unsure(self.now)
+            and self.now < min(self.last(txn), self.may_go_on_until(txn, posting))
+        )
 
     def may_go_on_until(self, txn: Txn, but: Posting | None = None) -> int:
         """Until when another posting, to some worker, could yet do no harm; `but` is one decided already."""
@@ -247,8 +287,11 @@
         return sum(p.outcome is Outcome.UNUSABLE for p in txn.postings) > 1
 
     def runs_again_anywhere(self, scheme: Scheme) -> bool:
-        return (scheme.semantics is Semantics.REPEATABLE
-                or scheme.semantics is Semantics.REFERENCED and scheme.group is Group.ALL)
+        return (
+            scheme.semantics is Semantics.REPEATABLE
+            or scheme.semantics is Semantics.REFERENCED
+            and scheme.group is Group.ALL
+        )
 
     def same_group(self, scheme: Scheme, one: Worker, other: Worker) -> bool:
         if scheme.semantics is not Semantics.REFERENCED or scheme.group is Group.ALL:
@@ -337,8 +380,9 @@
 
     def in_order(self, key: str) -> list[Book]:
         """The workers in the order in which they are to keep the key's data, alike at every dispatcher."""
-        return sorted(self.books.values(),
-                      key=lambda book: blake2b(f"{book.worker.lot} {key}".encode()).digest())
+        return sorted(
+            self.books.values(), key=lambda book: blake2b(f"{book.worker.lot} {key}".encode()).digest()
+        )
 
     def keepers(self, txn: Txn) -> dict[Book, float]:
         """The workers that keep the data of the txn's key: the first that are open to it in the key's order,
@@ -356,7 +400,7 @@
         left = KEEPERS + len(txn.postings) + int(1.25 * txn.fair * (share if wide else 1.0 - share))
         order, kept, soonest = self.order(txn.key), {}, FAR
         # The first few are mostly enough; the rest is looked at only when it comes to that.
-        parts = (self.rooms(part) for part in (order[:2 * left], order[2 * left:]))
+        parts = (self.rooms(part) for part in (order[: 2 * left], order[2 * left :]))
         for book, room in chain.from_iterable(map(dict.items, parts)):
             if ((book in self.wide) == wide or mixes) and self.eligible(book, txn):
                 soonest = min(soonest, again := book.full_at + int(self.usual_run / 4))
@@ -381,7 +425,7 @@
         whole = sum(work for _, work in self.works)
         part = sum(work for slots, work in self.works if slots >= self.wide_from) / whole
         ready = [book for book in self.order("") if book.worker.standing is Standing.READY]
-        for book in ready[:int(1.25 * part * len(ready) + 0.5)]:
+        for book in ready[: int(1.25 * part * len(ready) + 0.5)]:
             self.wide[book] = None
 
     def doubt(self) -> float:
@@ -399,21 +443,31 @@
     def eligible(self, book: Book, txn: Txn) -> bool:
         worker = book.worker
         machine = txn.scheme.machine
-        return ((machine is None or worker.machine == machine)
-                and (not txn.postings or self.may_post(txn, worker))
-                and (not book.mute or self.now >= book.mute.get(txn.scheme, (0, 0))[0])
-                # Only what can be posted again anywhere is risked on a suspect; where no scheme can, what may
-                # run again somewhere, else whatever comes, once a look was answered: or it stays for good.
-                and (not book.suspect or txn.scheme in self.for_trials
-                     and (not self.all_at_risk or not self.probe_every or book.reported > book.doubted))
-                # And what one error loses is not risked where one has lately failed.
-                and (self.now >= book.erred_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
-                and not (txn.over and self.tells_start and self.crowded(book))
-                and (not book.wary or self.cold_allows(book, txn)))
+        return (
+            (machine is None or worker.machine == machine)
+            and (not txn.postings or self.may_post(txn, worker))
+            and (not book.mute or self.now >= book.mute.get(txn.scheme, (0, 0))[0])
+            # Only what can be posted again anywhere is risked on a suspect; where no scheme can, what may
+            # run again somewhere, else whatever comes, once a look was answered: or it stays for good.
+            and (
+                not book.suspect
+                or txn.scheme in self.for_trials
+                and (not self.all_at_risk or not self.probe_every or book.reported > book.doubted)
+            )
+            # And what one error loses is not risked where one has lately failed.
+            and (self.now >= book.erred_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
+            and not (txn.over and self.tells_start and self.crowded(book))
+            and (not book.wary or self.cold_allows(book, txn))
+        )
 
     def need(self, txn: Txn) -> float:
-        return (self.reserve if txn.over else 0.0) + txn.slots - 1.0 + ENOUGH + (
-            0.25 + self.doubt() / 2) * len(txn.postings)
+        return (
+            (self.reserve if txn.over else 0.0)
+            + txn.slots
+            - 1.0
+            + ENOUGH
+            + (0.25 + self.doubt() / 2) * len(txn.postings)
+        )
 
     def blind(self, rooms: dict[Book, float]) -> bool:
         """Word is late and most jobs are others': a try tells more than the expected room that holding
@@ -429,11 +483,20 @@
         if txn.key is not None:
             rooms, need = self.keepers(txn), -float(FAR)
         plain = not txn.postings and not txn.over and txn.scheme.machine is None
-        loads = [(self.load(book, room, txn), book) for book, room in rooms.items()
-                 if (room >= need or blind and self.now - book.full_at > self.usual_run / 2)
-                 # What nearly all workers pass at once, against a call for each of them.
-                 and (plain and not book.wary and not book.suspect and not book.mute
-                      and self.now >= book.erred_until or self.eligible(book, txn))]
+        loads = [
+            (self.load(book, room, txn), book)
+            for book, room in rooms.items()
+            if (room >= need or blind and self.now - book.full_at > self.usual_run / 2)
+            # What nearly all workers pass at once, against a call for each of them.
+            and (
+                plain
+                and not book.wary
+                and not book.suspect
+                and not book.mute
+                and self.now >= book.erred_until
+                or self.eligible(book, txn)
+            )
+        ]
         self.ranked = loads
         if txn.scheme.semantics is Semantics.ONCE_ONLY and txn.key is None:
             # What an error loses goes where we have lately seen one end well: each of forty dispatchers
@@ -504,8 +567,11 @@
             tried = blind or txn.key is not None or most >= self.need(txn)
             book = self.best(txn, rooms or {}, blind) if tried else None
             looks = self.look(txn, book, rooms or {})
-            if (book is not None and not looks
-                    and (not self.gate or self.gate.goes_out(txn, book.worker, self))):
+            if (
+                book is not None
+                and not looks
+                and (not self.gate or self.gate.goes_out(txn, book.worker, self))
+            ):
                 self.granted = True
                 return txn, book.worker
             if book is None and not any(p.may_have_run for p in txn.postings):
@@ -518,20 +584,26 @@
         # Whoever has not answered a look in the time that looks take may be gone: not now.
         overdue = -FAR if self.probe_always else now - 2 * max(self.probe_times) - self.tick
         dark = [zone for zone, until in self.dark_until.items() if now < until]
-        return {book: book.believed if now < book.believed_until else self.room(book)
-                for book in books
-                if ((worker := book.worker).standing is Standing.READY or self.outlives(book))
-                and now >= book.shut_until and not (dark and worker.zone in dark)
-                and not (book.suspect and self.trial_runs(book))
-                and not (book.probing and book.asked < overdue)}
+        return {
+            book: book.believed if now < book.believed_until else self.room(book)
+            for book in books
+            if ((worker := book.worker).standing is Standing.READY or self.outlives(book))
+            and now >= book.shut_until
+            and not (dark and worker.zone in dark)
+            and not (book.suspect and self.trial_runs(book))
+            and not (book.probing and book.asked < overdue)
+        }
 
     def trial_runs(self, book: Book) -> bool:
         """Whether a suspect has a posting that may yet tell. Where none can be withdrawn and none run again,
         one that it swallowed stays out until its expiry: the next waits as long as those before were mute."""
         if not self.all_at_risk:
             return bool(book.out)
-        return (book.trial is not None and book.trial.out
-                and self.now < book.trial.sent + (self.silence << min(book.trials, 2)))
+        return (
+            book.trial is not None
+            and book.trial.out
+            and self.now < book.trial.sent + (self.silence << min(book.trials, 2))
+        )
 
     def outlives(self, book: Book) -> bool:
         """Listed as gone without having drained, where that does not bind: its own sign of life decides."""
@@ -550,11 +622,20 @@
         if chosen is None and (self.now < txn.looks_until + self.keep_for or self.probe_purse < 2 * FEW):
             return False  # all full: what a wait may spend must not be missing when there is a choice
         home = chosen is None or chosen.worker.zone == self.home
-        loads = self.ranked if chosen is not None else [
-            (self.load(book, room, txn), book) for book, room in rooms.items() if self.eligible(book, txn)]
-        ranked = [(load, self.random(), book) for load, book in loads
-                  if self.now - book.reported >= self.probe_every and not book.probing
-                  and (self.cross_price <= 0 or (book.worker.zone == self.home) == home)]
+        loads = (
+            self.ranked
+            if chosen is not None
+            else [
+                (self.load(book, room, txn), book) for book, room in rooms.items() if self.eligible(book, txn)
+            ]
+        )
+        ranked = [
+            (load, self.random(), book)
+            for load, book in loads
+            if self.now - book.reported >= self.probe_every
+            and not book.probing
+            and (self.cross_price <= 0 or (book.worker.zone == self.home) == home)
+        ]
         ranked.sort(key=lambda entry: entry[:2])
         may = (book for _, _, book in ranked if not self.gate or self.gate.may_look(book.worker, self))
         txn.looks = list(islice(may, min(FEW, int(self.probe_purse))))
@@ -680,8 +761,11 @@
         if untaken and not posting.cancelled:
             _, times = book.mute.get(txn.scheme, (0, 0))
             book.mute[txn.scheme] = (self.now + (2 * SECOND << min(times, 3)), times + 1)
-        return ((book.suspect or untaken) and (self.two_at_once or self.may_cancel)
-                and self.now < self.worth_posting_until(txn))
+        return (
+            (book.suspect or untaken)
+            and (self.two_at_once or self.may_cancel)
+            and self.now < self.worth_posting_until(txn)
+        )
 
     def take_due(self, posting: Posting) -> int:
         """Workers say at once that they have it. One may serve all schemes but this, and by those look alive:
@@ -875,8 +959,14 @@
         book.others = (self.now, others)
         book.readings.append(load - book.own_at(self.now - self.age))
         self.usual.setdefault(book.worker.zone, Usual()).learns(self.now, book.readings[-1])
-        book.sizes.append(report.free + (report.held - (report.waiting or 0.0) if report.held is not None
-                                         else book.own_at(self.now - self.age)))
+        book.sizes.append(
+            report.free
+            + (
+                report.held - (report.waiting or 0.0)
+                if report.held is not None
+                else book.own_at(self.now - self.age)
+            )
+        )
         book.size, book.believed_until = max(book.sizes), 0
         if self.now - self.age >= book.seen:
             book.report, book.reported = report, self.now
@@ -967,9 +1057,11 @@
             # A refusal that came late had waited among too many. Each call costs the list service as much as
             # one that it answers, waited for or not: where all came again within 6 s nobody was answered.
             late = self.list_strict and news is ListNews.FAILED and took > LIST_ANSWER
-            wait = min(max(SECOND // 2, self.list_spread) << min(self.list_failures - had, 8),
-                       by if soon else self.list_rarest if late else LIST_SURE,
-                       self.list_rarest if had else FAR)
+            wait = min(
+                max(SECOND // 2, self.list_spread) << min(self.list_failures - had, 8),
+                by if soon else self.list_rarest if late else LIST_SURE,
+                self.list_rarest if had else FAR,
+            )
             if news is ListNews.FAILED and self.now >= self.list_by:
                 sure = min(sure, self.now - took + self.list_grace)
             # What had been missed before, by a birth or while we stood still, no failed call takes back.
@@ -1013,8 +1105,11 @@
             book.failed = book.shut_until = book.believed_until = 0
 
     def mean_backlog(self) -> dict[Type, float]:
-        others = [book for worker, book in self.books.items()
-                  if worker.started == book.started and worker.standing is Standing.READY]
+        others = [
+            book
+            for worker, book in self.books.items()
+            if worker.started == book.started and worker.standing is Standing.READY
+        ]
         kinds = dict.fromkeys(kind for book in others for kind in book.owed)
         return {kind: sum(book.owed.get(kind, 0) for book in others) / len(others) for kind in kinds}
 
@@ -1023,8 +1118,9 @@
         if self.must_ask:
             if self.now >= self.list_due:
                 # The call before is given up: it has failed.
-                if (self.list_due == self.list_asked + self.ask_again
-                        and (self.list_had or not self.list_strict)):
+                if self.list_due == self.list_asked + self.ask_again and (
+                    self.list_had or not self.list_strict
+                ):
                     self.list_sure = max(self.list_sure, self.list_asked + min(LIST_SURE, self.list_grace))
                 self.list_asked, self.list_due = self.now, self.now + self.ask_again
                 self.door.subscribe()
@@ -1037,8 +1133,9 @@
             self.usual_run = self.mean_run()
             self.mean_job = sum(self.hints) / len(self.hints) if self.hints else self.usual_run
             # What a probe takes of a worker is not told; no more than the shortest of the last ones took.
-            self.probe_income = min(100.0, 0.01 / max(
-                0.0001, self.probe_price + min(self.probe_times) / self.usual_run))
+            self.probe_income = min(
+                100.0, 0.01 / max(0.0001, self.probe_price + min(self.probe_times) / self.usual_run)
+            )
             self.keep_for = max(LOOK, int(self.usual_run / 16))
             self.best_pace = min((b.pace for b in self.books.values()), default=1.0)
             self.least_slots = min((b.size for b in self.books.values() if b.size > 0), default=1.0)
@@ -1058,8 +1155,11 @@
         every = self.probe_every if self.probe_always else self.silence
         due = self.now + every
         for book in sorted(self.books.values(), key=lambda b: (b.worker.zone != self.home, b.asked)):
-            if (book.probing or not (self.probe_always or book.suspect)
-                    or not book.worker.may_get(self.dropped_stay_open)):
+            if (
+                book.probing
+                or not (self.probe_always or book.suspect)
+                or not book.worker.may_get(self.dropped_stay_open)
+            ):
                 continue
             next_look = max(book.asked, book.reported) + every
             if self.now < next_look:
--- a/pathsaddle/cli/jobs.py
+++ b/pathsaddle/cli/jobs.py
@@ -15,12 +15,32 @@
 
 
 def _shown(told: Any, job: Any) -> dict[str, Any]:
-    return {"id": job.tag, "owner": told.owner, "key": told.key, "semantics": job.semantics.name.lower(),
-            "state": job.end.value if job.end else "cancelling" if job.cancel else
-            "leased" if job.leases else "accepted", "accepted": job.accepted / 1e4, "expires": job.expires / 1e4,
-            "leases": [{"number": lease.number, "worker": lease.worker, "at": lease.at / 1e4,
-                        "never_ran": lease.never_ran} for lease in job.leases],
-            "status": job.status, "bytes": len(job.result)}
+    return {
+        "id": job.tag,
+        "owner": told.owner,
+        "key": told.key,
+        "semantics": job.semantics.name.lower(),
+        "state": job.end.value
+        if job.end
+        else "cancelling"
+        if job.cancel
+        else "leased"
+        if job.leases
+        else "accepted",
+        "accepted": job.accepted / 1e4,
+        "expires": job.expires / 1e4,
+        "leases": [
+            {
+                "number": lease.number,
+                "worker": lease.worker,
+                "at": lease.at / 1e4,
+                "never_ran": lease.never_ran,
+            }
+            for lease in job.leases
+        ],
+        "status": job.status,
+        "bytes": len(job.result),
+    }
 
 
 @jobs.command("list")
@@ -29,6 +49,7 @@
 def list_(store: str, open_: bool) -> None:
     """All jobs in a STORE, one JSON object a line."""
     from pathsaddle.jobs.store import rows
+
     for told, job in rows(Path(store)):
         if not open_ or job.open:
             click.echo(json.dumps(_shown(told, job)))
@@ -40,6 +61,7 @@
 def show(store: str, job: str) -> None:
     """One JOB of a STORE, with its result."""
     from pathsaddle.jobs.store import NoJob, rows
+
     found = [(told, one) for told, one in rows(Path(store)) if one.tag == job]
     if not found:
         raise NoJob(path=store, job=job)
@@ -54,6 +76,7 @@
     import sys
 
     from pathsaddle.jobs.store import verify as look
+
     found = look(Path(store))
     for text in found:
         click.echo(text)
@@ -67,6 +90,7 @@
 def backup(store: str, copy: str) -> None:
     """Copy a STORE to COPY while it is in use; COPY is there whole or not at all."""
     from pathsaddle.jobs.store import backup as make
+
     make(Path(store), Path(copy))
     click.echo(copy)
 
@@ -81,5 +105,6 @@
     asked for at its worker, and reversed where that can't say.
     """
     from pathsaddle.jobs.store import restore as put
+
     put(Path(copy), Path(store))
     click.echo(store)
--- a/pathsaddle/cli/main.py
+++ b/pathsaddle/cli/main.py
@@ -33,6 +33,7 @@
     """Serve by the operator's CHARTER, in the foreground, until SIGTERM or Ctrl-C. SIGHUP rereads it."""
     from pathsaddle.charter.ground import CharterGround
     from pathsaddle.net.service import logbook, start
+
     ground = CharterGround(Path(charter), log_form)
     ground.open_log()
     try:
@@ -44,7 +45,9 @@
 
 @cli.command()
 @click.argument("file", type=click.Path(dir_okay=False), required=False)
-@click.option("--explain", is_flag=True, help="Print every key with what may stand there, default and meaning.")
+@click.option(
+    "--explain", is_flag=True, help="Print every key with what may stand there, default and meaning."
+)
 @click.option("--plan", is_flag=True, help="FILE is a plan of an experiment; with --explain: a plan's keys.")
 def check(file: str | None, explain: bool, plan: bool) -> None:
     """Check a charter, or a plan, and say all that is wrong in it, one line a fault."""
@@ -53,10 +56,12 @@
     from pathsaddle.charter.told import read
     from pathsaddle.cli.show import explained
     from pathsaddle.emulator import plan as plans
+
     if explain:
         click.echo(explained(rows(plans.Plan)) if plan else explained(rows(Charter), IN_SERVICE))
         if plan:
             from pathsaddle.experiment import scale
+
             click.echo(f"\nOf the ground scale:\n\n{explained(rows(scale.Plan))}")
     if file is None:
         if not explain:
@@ -64,13 +69,16 @@
         return
     if plan:
         from pathsaddle.experiment import grounds
+
         grounds.read(file)
     else:
         read(file)
     click.echo(f"{file}: nothing is wrong")
 
 
-def _one(path: Path, ground: str, seed: int, events: str | None, seconds: float | None, log: str | None) -> int:
+def _one(
+    path: Path, ground: str, seed: int, events: str | None, seconds: float | None, log: str | None
+) -> int:
     """One run of a plan, shown."""
     from rich.console import Console
 
@@ -79,6 +87,7 @@
     from pathsaddle.emulator import stage
     from pathsaddle.emulator.judges.judge import judge
     from pathsaddle.experiment.run import SLACK
+
     console = Console(width=None if sys.stdout.isatty() else 110)
     plan = plans.read(str(path))
     keep_events = writable("--events", events)
@@ -86,18 +95,26 @@
     if seconds is not None:
         plan.seconds = seconds
     begun = time.perf_counter()
-    what = "nothing but the fleet" if plan.only else (
-        f"{len(plans.worker_names(plan))} workers, {plan.load.rate:g} jobs a second")
-    console.print(f"{plan.name}: {plan.fleet.dispatchers} dispatchers, {what}, for {plan.seconds:g} s, ground {ground}, "
-                  f"seed {seed}")
+    what = (
+        "nothing but the fleet"
+        if plan.only
+        else (f"{len(plans.worker_names(plan))} workers, {plan.load.rate:g} jobs a second")
+    )
+    console.print(
+        f"{plan.name}: {plan.fleet.dispatchers} dispatchers, {what}, for {plan.seconds:g} s, ground {ground}, "
+        f"seed {seed}"
+    )
     try:
         if ground == "virtual":
             outcome = stage.virtual(plan, seed, keep_log)
         else:
             outcome = stage.sockets(plan, seed, keep_log)
     except KeyboardInterrupt:
-        raise Interrupted(at=f"after {time.perf_counter() - begun:.1f} s of the run; its dispatchers are ended, "
-                          "nothing is judged", rest="the same command runs it anew") from None
+        raise Interrupted(
+            at=f"after {time.perf_counter() - begun:.1f} s of the run; its dispatchers are ended, "
+            "nothing is judged",
+            rest="the same command runs it anew",
+        ) from None
     took = time.perf_counter() - begun
     verdict = judge(plans.charter_of(plan), outcome.events.rows, SLACK[ground])
     if plan.only != "fleet":
@@ -123,10 +140,13 @@
 @click.option("--seconds", type=SECONDS, help="Shorter or longer than the plan's.")
 @click.option("--events", type=click.Path(dir_okay=False), help="Keep the event log here.")
 @click.option("--log", type=click.Path(), help="Keep the dispatchers' logs: a file, or on sockets a folder.")
-def demo(virtual: bool, fleet: bool, seed: int, seconds: float | None, events: str | None, log: str | None) -> None:
+def demo(
+    virtual: bool, fleet: bool, seed: int, seconds: float | None, events: str | None, log: str | None
+) -> None:
     """Four dispatchers, twelve workers, clients and discovery, with a frozen worker, a drained one and a
     killed dispatcher; prints what became of the jobs and whether each rule was kept."""
     import pathsaddle.emulator
+
     path = Path(pathsaddle.emulator.__file__).parent / ("demo-fleet.toml" if fleet else "demo.toml")
     sys.exit(_one(path, "virtual" if virtual else "sockets", seed, events, seconds, log))
 
@@ -138,13 +158,28 @@
 @click.option("--seconds", type=SECONDS)
 @click.option("--events", type=click.Path(dir_okay=False), help="Keep the event log here.")
 @click.option("--log", type=click.Path(), help="Keep the dispatchers' logs: a file, or on sockets a folder.")
-def emulate(plan: str, ground: str | None, seed: int | None, seconds: float | None, events: str | None,
-            log: str | None) -> None:
+def emulate(
+    plan: str,
+    ground: str | None,
+    seed: int | None,
+    seconds: float | None,
+    events: str | None,
+    log: str | None,
+) -> None:
     """Run a PLAN once, and show what became of it."""
     from pathsaddle.emulator import plan as plans
+
     told = plans.read(plan)
-    sys.exit(_one(Path(plan), ground or told.ground, told.all_seeds[0] if seed is None else seed, events, seconds,
-                  log))
+    sys.exit(
+        _one(
+            Path(plan),
+            ground or told.ground,
+            told.all_seeds[0] if seed is None else seed,
+            events,
+            seconds,
+            log,
+        )
+    )
 
 
 @cli.group()
@@ -154,25 +189,35 @@
 
 def _store(folder: str | None, name: str) -> Any:
     from pathsaddle.experiment.keep import Store
+
     return Store(Path(folder or "runs") / f"{name}.jsonl")
 
 
-FOLDER = click.option("--folder", help="Where results are kept: by default `runs`, for the ground scale `kept` beside "
-                                       "the plan.")
+FOLDER = click.option(
+    "--folder", help="Where results are kept: by default `runs`, for the ground scale `kept` beside the plan."
+)
 
 
 @experiment.command("run")
 @click.argument("plan", type=click.Path(dir_okay=False))
 @FOLDER
-@click.option("--ground", type=click.Choice(["sockets", "virtual"]), help="Instead of what a plan of these two says.")
-@click.option("--jobs", type=click.IntRange(min=1),
-              help="Runs side by side; by default one a core, on sockets and the ground scale one.")
+@click.option(
+    "--ground", type=click.Choice(["sockets", "virtual"]), help="Instead of what a plan of these two says."
+)
+@click.option(
+    "--jobs",
+    type=click.IntRange(min=1),
+    help="Runs side by side; by default one a core, on sockets and the ground scale one.",
+)
 @click.option("--seeds", help="Instead of the plan's: such as 1..20 or 3,5.")
 @click.option("--fresh", is_flag=True, help="Run again what is kept already.")
-@click.option("--short", is_flag=True, help="On the ground scale: its short points, once each, for its bounds.")
+@click.option(
+    "--short", is_flag=True, help="On the ground scale: its short points, once each, for its bounds."
+)
 def run(plan: str, **said: Any) -> None:
     """Run a PLAN, whatever its ground; exit 1 unless every rule is kept and the plan's bounds hold."""
     from pathsaddle.experiment import grounds
+
     table, ground = grounds.told(plan)
     unfit = [f"--{name}" for name, value in said.items() if value and name not in grounds.OPTIONS[ground]]
     if unfit:
@@ -182,12 +227,17 @@
     if ground in grounds.PROGRAMS:
         program = grounds.PROGRAMS[ground]()
         sys.exit(program.play(program.read(plan)))
-    sys.exit(_emulated(plan, said["folder"] or "runs", said["ground"], said["jobs"], said["seeds"], said["fresh"]))
+    sys.exit(
+        _emulated(plan, said["folder"] or "runs", said["ground"], said["jobs"], said["seeds"], said["fresh"])
+    )
 
 
-def _scale(path: str, table: dict[str, Any], folder: str | None, jobs: int | None, fresh: bool, short: bool) -> int:
+def _scale(
+    path: str, table: dict[str, Any], folder: str | None, jobs: int | None, fresh: bool, short: bool
+) -> int:
     """A plan of the scale rig; slopes last."""
     from pathsaddle.experiment import scale
+
     told = scale.of(table, path)
     name = told.plan.name
     if short and not told.plan.short:
@@ -202,14 +252,19 @@
         click.echo(f"{kept} of {len(rig.tasks)} plays are kept from before")
 
     def tell(one: scale.Kept) -> None:
-        click.echo(f"{len(rig.results)}/{len(rig.tasks)} {one.point} {told.plan.against}, seed {one.seed}: "
-                   f"{one.took:.1f} s{', ' + one.fault.splitlines()[0] if one.fault else ''}")
+        click.echo(
+            f"{len(rig.results)}/{len(rig.tasks)} {one.point} {told.plan.against}, seed {one.seed}: "
+            f"{one.took:.1f} s{', ' + one.fault.splitlines()[0] if one.fault else ''}"
+        )
+
     try:
         results = rig.go(tell)
     except KeyboardInterrupt:
-        raise Interrupted(at=f"{len(rig.results)} of {len(rig.tasks)} plays have ended"
-                          f"{' and are kept' if store is not None else ''}, nothing of the others goes on",
-                          rest="the same command plays the rest") from None
+        raise Interrupted(
+            at=f"{len(rig.results)} of {len(rig.tasks)} plays have ended"
+            f"{' and are kept' if store is not None else ''}, nothing of the others goes on",
+            rest="the same command plays the rest",
+        ) from None
     found = scale.failings(told, results)
     bounds = [grows.bound.point for grows in told.plan.slopes if grows.bound is not None]
     checked = sum(point in [one.point for one in results] for point in bounds)
@@ -217,12 +272,16 @@
         click.echo(text)
     for line in scale.slope_lines(told, results):
         click.echo(line)
-    click.echo(f"{name}{', short form' if short else ''}: {len(results)} plays in {time.perf_counter() - begun:.1f} s, "
-               f"{checked} of {len(bounds)} bounds checked: {f'{len(found)} findings' if found else 'every one held'}")
+    click.echo(
+        f"{name}{', short form' if short else ''}: {len(results)} plays in {time.perf_counter() - begun:.1f} s, "
+        f"{checked} of {len(bounds)} bounds checked: {f'{len(found)} findings' if found else 'every one held'}"
+    )
     return 1 if found else 0
 
 
-def _emulated(path: str, folder: str, ground: str | None, jobs: int | None, seeds: str | None, fresh: bool) -> int:
+def _emulated(
+    path: str, folder: str, ground: str | None, jobs: int | None, seeds: str | None, fresh: bool
+) -> int:
     """A plan of the emulator, over its seeds and variants."""
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
@@ -230,10 +289,12 @@
     from pathsaddle.emulator import plan as plans
     from pathsaddle.experiment.report import groups, quantiles, spread
     from pathsaddle.experiment.run import Run, failings, whole_digest
+
     told = plans.read(path)
     writable("--folder", folder, folder=True)
     if told.throughput is not None:
         from pathsaddle.experiment import throughput
+
         return throughput.run(told, _store(folder, told.name).path)
     begun = time.perf_counter()
     console = Console(width=None if sys.stdout.isatty() else 110)
@@ -242,20 +303,30 @@
     if kept:
         console.print(f"{kept} of {len(whole.tasks)} runs are kept from before")
     try:
-        with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(),
-                      console=console, disable=not sys.stdout.isatty()) as bar:
+        with Progress(
+            TextColumn("{task.description}"),
+            BarColumn(),
+            MofNCompleteColumn(),
+            TimeElapsedColumn(),
+            console=console,
+            disable=not sys.stdout.isatty(),
+        ) as bar:
             line = bar.add_task(told.name, total=len(whole.tasks), completed=kept)
             results = whole.go(lambda result: bar.update(line, advance=1))
     except KeyboardInterrupt:
-        raise Interrupted(at=f"{len(whole.results)} of {len(whole.tasks)} runs are kept",
-                          rest=f"the same command runs the other {len(whole.left)}") from None
+        raise Interrupted(
+            at=f"{len(whole.results)} of {len(whole.tasks)} runs are kept",
+            rest=f"the same command runs the other {len(whole.left)}",
+        ) from None
     took = time.perf_counter() - begun
     for variant, rs in groups(results).items():
-        click.echo(f"{variant}: {len(rs)} runs, value {spread([r.verdict['part'] for r in rs])}, p99 ms "
-                   f"{spread([r.verdict['whole']['p99'] for r in rs], '.0f')}, postings a try "
-                   f"{spread([r.verdict['postings'] / max(1, r.verdict['tries']) for r in rs], '.2f')}, faults "
-                   f"{sum(sum(r.verdict['faults'].values()) for r in rs)}, runs with a broken rule "
-                   f"{sum(not r.kept for r in rs)}")
+        click.echo(
+            f"{variant}: {len(rs)} runs, value {spread([r.verdict['part'] for r in rs])}, p99 ms "
+            f"{spread([r.verdict['whole']['p99'] for r in rs], '.0f')}, postings a try "
+            f"{spread([r.verdict['postings'] / max(1, r.verdict['tries']) for r in rs], '.2f')}, faults "
+            f"{sum(sum(r.verdict['faults'].values()) for r in rs)}, runs with a broken rule "
+            f"{sum(not r.kept for r in rs)}"
+        )
         spent = [1e3 * r.verdict["cpu"] / max(1, r.verdict["tries"]) for r in rs if r.verdict.get("cpu")]
         if spent:
             click.echo(f"{variant}: processor ms a try, start included {spread(spent)}")
@@ -263,18 +334,22 @@
         if seen:
             known = sorted(ms for one in seen for ms in one["known"])
             first = sorted(ms for one in seen for ms in one["first"])
-            click.echo(f"{variant}: fleet: {sum(one['deaths'] for one in seen)} deaths, {sum(one['unaware'] for one in seen)} "
-                       f"not known to all before the return; first seen ms {quantiles(first)}, known to all ms "
-                       f"{quantiles(known)}; accused wrongly a run {spread([float(one['false']) for one in seen], '.0f')}"
-                       f", bytes a second and member {spread([one['rate'] for one in seen], '.0f')}, in the worst "
-                       f"second {max(one['most_bytes'] for one in seen)}")
+            click.echo(
+                f"{variant}: fleet: {sum(one['deaths'] for one in seen)} deaths, {sum(one['unaware'] for one in seen)} "
+                f"not known to all before the return; first seen ms {quantiles(first)}, known to all ms "
+                f"{quantiles(known)}; accused wrongly a run {spread([float(one['false']) for one in seen], '.0f')}"
+                f", bytes a second and member {spread([one['rate'] for one in seen], '.0f')}, in the worst "
+                f"second {max(one['most_bytes'] for one in seen)}"
+            )
     found = failings(told, results)
     for text in found[:20]:
         click.echo(text)
     if len(found) > 20:
         click.echo(f"... and {len(found) - 20} more")
-    click.echo(f"{told.name}: {len(results)} runs in {took:.1f} s, digest {whole_digest(results)}: "
-               + ("every rule kept, every bound held" if not found else f"{len(found)} findings"))
+    click.echo(
+        f"{told.name}: {len(results)} runs in {took:.1f} s, digest {whole_digest(results)}: "
+        + ("every rule kept, every bound held" if not found else f"{len(found)} findings")
+    )
     return 1 if found else 0
 
 
@@ -296,12 +371,19 @@
 
 @experiment.command()
 @click.argument("target", type=click.Path(dir_okay=False))
-@click.option("--kept", type=click.Path(file_okay=False), help="Where results are kept; by default `kept` beside TARGET.")
+@click.option(
+    "--kept",
+    type=click.Path(file_okay=False),
+    help="Where results are kept; by default `kept` beside TARGET.",
+)
 @click.option("--partial", is_flag=True, help="List rows without results as not measured, instead of ending.")
-@click.option("--page", type=click.Path(dir_okay=False), help="Write the tables into this page, between its two marks.")
+@click.option(
+    "--page", type=click.Path(dir_okay=False), help="Write the tables into this page, between its two marks."
+)
 def capacity(target: str, kept: str | None, partial: bool, page: str | None) -> None:
     """What each role costs at the size that TARGET tells, from kept results: tables, worst fit first."""
     from pathsaddle.experiment import capacity as rows
+
     made, notes = rows.tables(target, kept, partial)
     for note in notes:
         click.echo(note, err=True)
@@ -318,16 +400,24 @@
 @experiment.command()
 @click.argument("a")
 @click.argument("b")
-@click.option("--loss", type=click.FloatRange(min=0), default=0.03, show_default=True,
-              help="Of value that B may have less than A.")
+@click.option(
+    "--loss",
+    type=click.FloatRange(min=0),
+    default=0.03,
+    show_default=True,
+    help="Of value that B may have less than A.",
+)
 def compare(a: str, b: str, loss: float) -> None:
     """Paired differences of B against A, each FILE or FILE:VARIANT; exit 1 where B loses more than --loss."""
     from pathsaddle.experiment.compare import choose
     from pathsaddle.experiment.compare import compare as paired
+
     found = paired(choose(a), choose(b))
     for d in found:
-        click.echo(f"{d.figure:16} {d.a:10.3f} {d.b:10.3f}  {d.mean:+.4f} [{d.low:+.4f} to {d.high:+.4f}] "
-                   f"over {d.seeds} seeds")
+        click.echo(
+            f"{d.figure:16} {d.a:10.3f} {d.b:10.3f}  {d.mean:+.4f} [{d.low:+.4f} to {d.high:+.4f}] "
+            f"over {d.seeds} seeds"
+        )
     if found[0].mean < -loss:
         click.echo(f"B loses {-found[0].mean:.3f} of value, more than {loss:g}")
         sys.exit(1)
@@ -336,11 +426,14 @@
 @experiment.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), help="By default beside FILE, as .html")
-@click.option("--png", type=click.Path(dir_okay=False), help="The plots as files too, numbered: NAME-1.png ...")
+@click.option(
+    "--png", type=click.Path(dir_okay=False), help="The plots as files too, numbered: NAME-1.png ..."
+)
 def report(file: str, out: str | None, png: str | None) -> None:
     """One HTML page with tables and plots of the results in FILE; of the last commit that each variant ran on."""
     from pathsaddle.experiment.keep import NoResults, Store
     from pathsaddle.experiment.report import groups, write
+
     results = Store(Path(file)).read(must=True)
     last: dict[tuple[str, int], Any] = {}
     for result in results:
@@ -361,6 +454,7 @@
 def list_(folder: str, plans: str) -> None:
     """The plans that are here, and what is kept of each."""
     from pathsaddle.experiment import grounds, scale
+
     found = [*sorted(Path(plans).glob("*.toml")), *sorted(Path(plans).glob("scale/*.toml"))]
     if not found:
         raise NoPlans(folder=plans)
@@ -386,6 +480,7 @@
     from pathsaddle.cli.fleet import fleet
     from pathsaddle.cli.jobs import jobs
     from pathsaddle.cli.settings import settings
+
     cli.add_command(jobs)
     cli.add_command(fleet)
     cli.add_command(settings)
@@ -402,6 +497,7 @@
         return _ended(fault)
     except Exception as fault:  # noqa: BLE001  # a defect of ours: with its trace, and by its name
         import traceback
+
         traceback.print_exc()
         return _ended(Defect(command=_command(None), why=f"{type(fault).__name__}: {fault}"))
     return 0
--- a/pathsaddle/cli/settings.py
+++ b/pathsaddle/cli/settings.py
@@ -19,8 +19,13 @@
 
 def _options(call: F) -> F:
     call = click.option("--json", "as_json", is_flag=True, help="All that it says, as one JSON object.")(call)
-    return click.option("--at", envvar="PATHSADDLE_SETTINGS", required=True, metavar="FILE|HOST:PORT",
-                        help="The file of keepers, or the control address of one. [env: PATHSADDLE_SETTINGS]")(call)
+    return click.option(
+        "--at",
+        envvar="PATHSADDLE_SETTINGS",
+        required=True,
+        metavar="FILE|HOST:PORT",
+        help="The file of keepers, or the control address of one. [env: PATHSADDLE_SETTINGS]",
+    )(call)
 
 
 def _addresses(at: str) -> list[str]:
@@ -28,6 +33,7 @@
         return [at]
     from pathsaddle.settings.faults import BadFile
     from pathsaddle.settings.ground import ground_of
+
     found = [row.control for row in ground_of(at).keepers.values() if row.control]
     if not found:
         raise BadFile(f"{at}: no keeper has a control address", f"write one at keepers.NAME.control in {at}")
@@ -38,6 +44,7 @@
     """Of the first keeper that answers; who it is."""
     from pathsaddle.settings.asking import ask
     from pathsaddle.settings.faults import Unreached
+
     addresses = _addresses(at)
     for address in addresses:
         try:
@@ -74,7 +81,11 @@
 
 def _proved(told: dict[str, Any]) -> str:
     ago = told.get("proved_ms")
-    return "no majority of voters has proved that it is the latest" if ago is None else f"proved the latest {ago / 1000:.1f} s ago"
+    return (
+        "no majority of voters has proved that it is the latest"
+        if ago is None
+        else f"proved the latest {ago / 1000:.1f} s ago"
+    )
 
 
 @settings.command()
@@ -85,27 +96,45 @@
 @click.option("--wait/--no-wait", default=False, help="Until it is in force everywhere.")
 @click.option("--within", default=30.0, help="Seconds that it may take to be in force, with --wait.")
 @_options
-def apply(file: str, expect: int | None, reason: str, author: str, wait: bool, within: float, at: str, as_json: bool) -> None:
+def apply(
+    file: str, expect: int | None, reason: str, author: str, wait: bool, within: float, at: str, as_json: bool
+) -> None:
     """Commit the rows of FILE, all or none: [customers.NAME], [schemes.NAME], [budgets], [members.NAME], zones, [rules],
     and `remove = [keys]`."""
     from pathsaddle.charter.check import load
     from pathsaddle.settings.changes import puts_of, written
     from pathsaddle.settings.faults import Waits
+
     rows, remove = written(load(file))
     puts_of(rows, remove)
     begun = time.monotonic()
-    address, told = _asked(at, "apply", 20.0, rows=rows, remove=remove, expect=expect, reason=reason,
-                           author=author or getpass.getuser())
+    address, told = _asked(
+        at,
+        "apply",
+        20.0,
+        rows=rows,
+        remove=remove,
+        expect=expect,
+        reason=reason,
+        author=author or getpass.getuser(),
+    )
     if not as_json:
-        click.echo(f"revision {told['revision']} is committed, {told['digest']}" if told["changed"] else
-                   f"nothing changes: revision {told['revision']} has it")
+        click.echo(
+            f"revision {told['revision']} is committed, {told['digest']}"
+            if told["changed"]
+            else f"nothing changes: revision {told['revision']} has it"
+        )
     if wait:
         state = _forced(address, told["revision"], begun + within, not as_json)
         told |= {"in_force": state["in_force"], "waits_for": state["waits_for"]}
         if as_json:
             click.echo(json.dumps(told))
         if not state["in_force"]:
-            raise Waits(revision=told["revision"], within=within, names=", ".join(state["waits_for"]) or "leases to end")
+            raise Waits(
+                revision=told["revision"],
+                within=within,
+                names=", ".join(state["waits_for"]) or "leases to end",
+            )
         if not as_json:
             click.echo(f"in force after {time.monotonic() - begun:.2f} s")
     elif as_json:
@@ -114,6 +143,7 @@
 
 def _forced(address: str, revision: int, until: float, shows: bool) -> dict[str, Any]:
     from pathsaddle.settings.asking import ask
+
     shown: list[str] | None = None
     while True:
         state = ask(address, "status", revision=revision)
@@ -121,7 +151,9 @@
             return state
         if shows and state["waits_for"] != shown:
             shown = state["waits_for"]
-            click.echo(f"waits for {', '.join(shown[:16]) or 'leases to end'}{f' and {len(shown) - 16} more' if len(shown) > 16 else ''}")
+            click.echo(
+                f"waits for {', '.join(shown[:16]) or 'leases to end'}{f' and {len(shown) - 16} more' if len(shown) > 16 else ''}"
+            )
         time.sleep(PAUSE)
 
 
@@ -136,7 +168,9 @@
         return
     for group in told["groups"]:
         when = time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(group["at"] / 1000))
-        click.echo(f"{group['revision']}  {when}  {group['author']}  {group['reason'] or '-'}  {group['digest']}")
+        click.echo(
+            f"{group['revision']}  {when}  {group['author']}  {group['reason'] or '-'}  {group['digest']}"
+        )
         for key, value in group["puts"].items():
             click.echo(f"    {key} {'goes' if value is None else '= ' + json.dumps(value)}")
 
@@ -150,11 +184,19 @@
         click.echo(json.dumps(told))
         return
     if "force" not in told:  # a member's
-        left = f"leased for {told['left_ms'] / 1000:.1f} s more" if told["leased"] else "alone: it has no lease"
-        click.echo(f"member {told['name']} acts by revision {told['revision']} of {told['known']}, {left}, asks {told['keeper']}")
+        left = (
+            f"leased for {told['left_ms'] / 1000:.1f} s more" if told["leased"] else "alone: it has no lease"
+        )
+        click.echo(
+            f"member {told['name']} acts by revision {told['revision']} of {told['known']}, {left}, asks {told['keeper']}"
+        )
         return
-    click.echo(f"keeper {told['name']}: revision {told['revision']} of {told['known']}, in force: {told['force']}, {_proved(told)}")
-    click.echo(f"{len(told['members'])} members, {len(told['clients'])} ask here, {told['queue']} wait for what they lack")
+    click.echo(
+        f"keeper {told['name']}: revision {told['revision']} of {told['known']}, in force: {told['force']}, {_proved(told)}"
+    )
+    click.echo(
+        f"{len(told['members'])} members, {len(told['clients'])} ask here, {told['queue']} wait for what they lack"
+    )
     if told["waits_for"]:
         click.echo(f"revision {told['known']} waits for:")
         for name in told["waits_for"]:
--- a/pathsaddle/drill/codec.py
+++ b/pathsaddle/drill/codec.py
@@ -8,8 +8,16 @@
 from pathsaddle.net.wire.terms import passed
 from pathsaddle.trade import ListNews, Outcome, Report, Standing, Worker
 
-OUTCOMES = {"1": Outcome.SETTLED, "2": Outcome.ERROR, "3": Outcome.FULL, "4": Outcome.TIMED_OUT,
-            "5": Outcome.UNCONNECTED, "6": Outcome.RESET, "7": Outcome.CANCELLED, "8": Outcome.MOOT}
+OUTCOMES = {
+    "1": Outcome.SETTLED,
+    "2": Outcome.ERROR,
+    "3": Outcome.FULL,
+    "4": Outcome.TIMED_OUT,
+    "5": Outcome.UNCONNECTED,
+    "6": Outcome.RESET,
+    "7": Outcome.CANCELLED,
+    "8": Outcome.MOOT,
+}
 NEWS = {"D": ListNews.CHANGES, "F": ListNews.WHOLE, "C": ListNews.REMEMBERED, "X": ListNews.FAILED}
 STANDINGS = {"Ready": Standing.READY, "Terminating": Standing.DRAINING, "Gone": Standing.GONE}
 
@@ -30,6 +38,13 @@
     """ROW share boot type locality block health address"""
     share, boot, kind, zone, cell, health, tag = parts[1:8]
     started = int(optional(boot) or 0)
-    return Worker(tag, int(optional(zone) or 0), int(optional(cell) or 0), int(optional(kind) or 0),
-                  float(optional(share) or 1), passed(started) if started > 0 else None, STANDINGS[health],
-                  crc32(tag.encode()))
+    return Worker(
+        tag,
+        int(optional(zone) or 0),
+        int(optional(cell) or 0),
+        int(optional(kind) or 0),
+        float(optional(share) or 1),
+        passed(started) if started > 0 else None,
+        STANDINGS[health],
+        crc32(tag.encode()),
+    )
--- a/pathsaddle/drill/stand.py
+++ b/pathsaddle/drill/stand.py
@@ -83,11 +83,17 @@
         work = codec.optional(hint)
         amount = codec.optional(memory)
         txn = Txn(
-            tag, self.terms.schemes[int(kind)], customers[payer] if payer < len(customers) else None,
-            now, now + limit(int(ttl)),
+            tag,
+            self.terms.schemes[int(kind)],
+            customers[payer] if payer < len(customers) else None,
+            now,
+            now + limit(int(ttl)),
             hint=max(1, passed(int(work))) if work is not None and int(work) > 0 else None,
-            slots=float(codec.optional(width) or 1), memory=float(amount) if amount is not None else None,
-            key=codec.optional(entity), repeat=bool(options & 2))
+            slots=float(codec.optional(width) or 1),
+            memory=float(amount) if amount is not None else None,
+            key=codec.optional(entity),
+            repeat=bool(options & 2),
+        )
         self.txns[tag] = txn
         decide(self.loop.arrive, txn)
 
@@ -97,8 +103,14 @@
         posting = txn.postings[int(number)] if txn is not None and int(number) < len(txn.postings) else None
         if txn is None or posting is None or not posting.out:
             raise codec.Malformed("an outcome for a posting that is not out")
-        decide(self.loop.ended, posting, codec.OUTCOMES[outcome],
-               passed(int(codec.optional(spent) or 0)), closes == "1", codec.report(row, self.fields))
+        decide(
+            self.loop.ended,
+            posting,
+            codec.OUTCOMES[outcome],
+            passed(int(codec.optional(spent) or 0)),
+            closes == "1",
+            codec.report(row, self.fields),
+        )
         self._forget(txn)
 
     def hangup(self, parts: list[str]) -> None:
@@ -121,9 +133,13 @@
             decide(self.loop.woken)
 
     def ping_result(self, parts: list[str]) -> None:
-        decide(self.loop.probed, self.workers[parts[2]], codec.OUTCOMES[parts[3]],
-               passed(int(codec.optional(parts[4]) or 0)),
-               codec.report(parts[5] if len(parts) > 5 else "-", self.fields))
+        decide(
+            self.loop.probed,
+            self.workers[parts[2]],
+            codec.OUTCOMES[parts[3]],
+            passed(int(codec.optional(parts[4]) or 0)),
+            codec.report(parts[5] if len(parts) > 5 else "-", self.fields),
+        )
 
     def list_news(self, parts: list[str], rows: list[Worker]) -> None:
         told = []
@@ -149,9 +165,13 @@
 
 
 HANDLERS: dict[str, tuple[int, Callable[[Instance, list[str]], None]]] = {
-    "ASK": (11, Instance.ask), "SETTLED": (10, Instance.settled), "HANGUP": (3, Instance.hangup),
-    "NOTICE": (6, Instance.notice), "ELAPSED": (3, Instance.elapsed),
-    "PING_RESULT": (5, Instance.ping_result), "HEADERS": (6, Instance.ignore),
+    "ASK": (11, Instance.ask),
+    "SETTLED": (10, Instance.settled),
+    "HANGUP": (3, Instance.hangup),
+    "NOTICE": (6, Instance.notice),
+    "ELAPSED": (3, Instance.elapsed),
+    "PING_RESULT": (5, Instance.ping_result),
+    "HEADERS": (6, Instance.ignore),
     "NEIGHBOUR_SAYS": (4, Instance.ignore),
 }
 
--- a/pathsaddle/emulator/faults/faults.py
+++ b/pathsaddle/emulator/faults/faults.py
@@ -43,9 +43,15 @@
 class Faults:
     """When what strikes whom; and what strikes dispatchers, what they tell one another, and the network."""
 
-    def __init__(self, world: World, start: Callable[[Coroutine[Any, Any, None]], object], dispatchers: Dispatchers,
-                 air: Air, died: Callable[[int], None] = lambda dispatcher: None,
-                 parted: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        world: World,
+        start: Callable[[Coroutine[Any, Any, None]], object],
+        dispatchers: Dispatchers,
+        air: Air,
+        died: Callable[[int], None] = lambda dispatcher: None,
+        parted: Callable[[], None] = lambda: None,
+    ) -> None:
         """`start`: begins a task of the ground's. `died`: tells whoever deals out connections. `parted`: the
         weather's cuts have changed."""
         self.world = world
@@ -89,7 +95,11 @@
         names = self._names(trouble)
         if names:
             chance = self.chances[number]
-            whom = names if trouble.of and trouble.at is not None and "*" in trouble.of else [chance.choice(names)]
+            whom = (
+                names
+                if trouble.of and trouble.at is not None and "*" in trouble.of
+                else [chance.choice(names)]
+            )
             for name in whom:
                 self.start(self._strike(trouble, name))
 
@@ -100,8 +110,11 @@
     def _names(self, trouble: Trouble) -> list[str]:
         """Whom it may strike now: nobody who is struck already by what can't come twice."""
         of = FAULTS[trouble.kind]
-        names = {"worker": list(self.workers), "dispatcher": [f"d{d}" for d in self.dispatchers.numbers],
-                 "zone": list(self.world.charter.zones)}.get(of, [trouble.of])
+        names = {
+            "worker": list(self.workers),
+            "dispatcher": [f"d{d}" for d in self.dispatchers.numbers],
+            "zone": list(self.world.charter.zones),
+        }.get(of, [trouble.of])
         if of in ("worker", "dispatcher", "zone") and trouble.of:
             names = fnmatch.filter(names, trouble.of)
         return [name for name in names if (of, name) not in self.busy]
@@ -190,11 +203,20 @@
 
     async def _blight(self, trouble: Trouble, name: str, **more: float) -> None:
         plan, charter = self.world.plan, self.world.charter
-        one = named(plan, charter, trouble.of) if trouble.of else [f"d{self.chance.choice(self.dispatchers.numbers)}"]
-        other = named(plan, charter, trouble.among) if trouble.among else [
-            f"d{d}" for d in self.dispatchers.numbers if f"d{d}" not in one]
+        one = (
+            named(plan, charter, trouble.of)
+            if trouble.of
+            else [f"d{self.chance.choice(self.dispatchers.numbers)}"]
+        )
+        other = (
+            named(plan, charter, trouble.among)
+            if trouble.among
+            else [f"d{d}" for d in self.dispatchers.numbers if f"d{d}" not in one]
+        )
         blight = Blight(frozenset(one), frozenset(other), trouble.oneway, **more)
-        self.world.add("blight", kind=trouble.kind, one=sorted(one), other=sorted(other), oneway=trouble.oneway)
+        self.world.add(
+            "blight", kind=trouble.kind, one=sorted(one), other=sorted(other), oneway=trouble.oneway
+        )
         self.air.blights[blight] = None
         await self._lasts(trouble)
         self.air.blights.pop(blight)
@@ -252,9 +274,19 @@
 class ServedFaults(Faults):
     """Also what strikes those whom dispatchers serve and who serve for them: workers, discovery, load."""
 
-    def __init__(self, world: World, start: Callable[[Coroutine[Any, Any, None]], object], dispatchers: Dispatchers,
-                 air: Air, died: Callable[[int], None], parted: Callable[[], None], workers: dict[str, Worker],
-                 discovery: DiscoveryServer, clients: Clients, moved: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        start: Callable[[Coroutine[Any, Any, None]], object],
+        dispatchers: Dispatchers,
+        air: Air,
+        died: Callable[[int], None],
+        parted: Callable[[], None],
+        workers: dict[str, Worker],
+        discovery: DiscoveryServer,
+        clients: Clients,
+        moved: Callable[[int], None],
+    ) -> None:
         """`moved`: a dispatcher's operator writes where discovery is."""
         super().__init__(world, start, dispatchers, air, died, parted)
         self.workers, self.discovery, self.clients, self.moved = workers, discovery, clients, moved
@@ -367,8 +399,11 @@
     async def _one_sided(self, trouble: Trouble, name: str) -> None:
         """Bad for some dispatchers, and as usual for the rest."""
         worker, numbers = self.workers[name], self.dispatchers.numbers
-        among = ([d for d in numbers if fnmatch.fnmatch(f"d{d}", trouble.among)] if trouble.among
-                 else self.chance.sample(numbers, max(1, len(numbers) // 2)))
+        among = (
+            [d for d in numbers if fnmatch.fnmatch(f"d{d}", trouble.among)]
+            if trouble.among
+            else self.chance.sample(numbers, max(1, len(numbers) // 2))
+        )
         side = OneSided(trouble.how or "loss", among, trouble.strength)
         way = Way(name, tuple(f"d{d}" for d in among), int(trouble.extra), 0.0)
         if side.how == "slow":
--- a/pathsaddle/emulator/federation/ground.py
+++ b/pathsaddle/emulator/federation/ground.py
@@ -43,8 +43,10 @@
     cuts: list[tuple[int, int, int]] = field(default_factory=list)
 
     def up(self, now: int) -> bool:
-        return not any(since <= now < until and (not period or (now - since) // period % 2 == 0)
-                       for since, until, period in self.cuts)
+        return not any(
+            since <= now < until and (not period or (now - since) // period % 2 == 0)
+            for since, until, period in self.cuts
+        )
 
 
 class Ground:
@@ -53,8 +55,12 @@
         self.chance = Random(seed)
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
-        self.paths = {(a, b): Path(30 * MILLISECOND + 10 * MILLISECOND * (i + j), 6 * MILLISECOND)
-                      for i, a in enumerate(regions) for j, b in enumerate(regions) if a != b}
+        self.paths = {
+            (a, b): Path(30 * MILLISECOND + 10 * MILLISECOND * (i + j), 6 * MILLISECOND)
+            for i, a in enumerate(regions)
+            for j, b in enumerate(regions)
+            if a != b
+        }
 
     def at(self, moment: int, call: Callable[..., None], *told: Any) -> None:
         self._count += 1
--- a/pathsaddle/emulator/federation/judge.py
+++ b/pathsaddle/emulator/federation/judge.py
@@ -88,8 +88,10 @@
                 found["loosened-early"] += 1  # it goes by what nobody has committed
             elif mine is not None:
                 if to not in versions.may[mine[0]].get(scheme, [to]) or any(
-                        to not in versions.may[one].get(scheme, [to]) for one in versions.offered.get(by, ())
-                        if one in versions.may):
+                    to not in versions.may[one].get(scheme, [to])
+                    for one in versions.offered.get(by, ())
+                    if one in versions.may
+                ):
                     found["tightening-ignored"] += 1
                 if mine[1] + 2 * skew < now and to != versions.home[mine[0]].get(scheme, to):
                     found["beyond-lease"] += 1
@@ -157,9 +159,18 @@
         if event.what == "client.began":
             if since <= event.at < until:
                 began[more["txn"]] = (event.at, more["home"], more["scheme"])
-                row = regions.setdefault(more["home"], {"offered": 0.0, "settled": 0.0, "declared": 0.0,
-                                                        "of_declared": 0.0, "jobs": 0.0, "own": 0.0,
-                                                        "of_own": 0.0})
+                row = regions.setdefault(
+                    more["home"],
+                    {
+                        "offered": 0.0,
+                        "settled": 0.0,
+                        "declared": 0.0,
+                        "of_declared": 0.0,
+                        "jobs": 0.0,
+                        "own": 0.0,
+                        "of_own": 0.0,
+                    },
+                )
                 value = values[more["scheme"].split("-")[0]]
                 row["offered"] += value
                 if not more["scheme"].startswith("vault"):
@@ -186,8 +197,12 @@
         elif event.what == "data.read":
             counts["fetched"] += bool(more.get("fetched")) and since <= event.at < until
     whole = {key: sum(row[key] for row in regions.values()) for key in ("offered", "settled")}
-    return {"regions": regions, "counts": counts, "share": whole["settled"] / max(1.0, whole["offered"]),
-            "in_vain": sum(post not in settled for post in sent)}
+    return {
+        "regions": regions,
+        "counts": counts,
+        "share": whole["settled"] / max(1.0, whole["offered"]),
+        "in_vain": sum(post not in settled for post in sent),
+    }
 
 
 def lent(events: Iterable[Event], slots: int, since: int, until: int) -> dict[str, tuple[float, float, int]]:
@@ -201,6 +216,7 @@
         start, region, is_own = began.pop(post)
         table = own if is_own else foreign
         table[region] = table.get(region, 0) + max(0, min(at, until) - max(start, since))
+
     last = 0
     runs: Counter[str] = Counter()
     for event in events:
@@ -220,8 +236,10 @@
     for post in list(began):
         ended(post, last)
     whole = slots * (min(until, last) - since)
-    return {region: (foreign.get(region, 0) / SECOND, (whole - own.get(region, 0)) / SECOND, runs[region])
-            for region in sorted(own)}
+    return {
+        region: (foreign.get(region, 0) / SECOND, (whole - own.get(region, 0)) / SECOND, runs[region])
+        for region in sorted(own)
+    }
 
 
 def turned(events: Iterable[Event], region: str, lost: int, back: int) -> tuple[float, float]:
--- a/pathsaddle/emulator/federation/keepers.py
+++ b/pathsaddle/emulator/federation/keepers.py
@@ -44,10 +44,11 @@
                     if not self.up:
                         return
                     # Texts of lower numbers are kept beside the register.
-                    for one in world.register[:version.number]:
+                    for one in world.register[: version.number]:
                         self.core = self.core.reads(one.number, one.digest, one, ground.now)
                     if then is not None:
                         then()
+
                 ground.after(late, at_register)
                 return
 
@@ -61,6 +62,7 @@
             if known < told.number:
                 ground.carries(self.region, member.region, member.gets, member.offered, self.core.history[-1])
             ground.carries(self.region, member.region, member.gets, member.renewed, told)
+
         self.read(then)
 
     def hears(self, have: Have) -> None:
@@ -79,8 +81,14 @@
                 for name in behind[:40]:
                     member = world.members[name]
                     ground.carries(self.region, member.region, member.gets, member.offered, version)
-                    ground.carries(self.region, member.region, member.gets, member.told,
-                                   Commit(version.number, version.digest), self)
+                    ground.carries(
+                        self.region,
+                        member.region,
+                        member.gets,
+                        member.told,
+                        Commit(version.number, version.digest),
+                        self,
+                    )
             if not late:
                 self.core = self.core.judged(ground.now)
                 if self.core.force > world.forced:
--- a/pathsaddle/emulator/federation/member.py
+++ b/pathsaddle/emulator/federation/member.py
@@ -94,6 +94,7 @@
 
     def when(self, own: int, call: Callable[..., None], *told: Any) -> None:
         """At a moment of its own clock, if that life still is."""
+
         def go(life: int) -> None:
             if not self.up or life != self.life:
                 return
@@ -101,6 +102,7 @@
                 self.world.waiting.setdefault(self.name, []).append((life, go))
                 return
             call(*told)
+
         self.world.ground.at(self.clock.true(own) + 1, go, self.life)
 
     def gets(self, call: Callable[..., None], *told: Any) -> None:
@@ -109,7 +111,8 @@
             return
         if self.stopped:
             self.world.waiting.setdefault(self.name, []).append(
-                (self.life, lambda life: call(*told) if self.up and life == self.life else None))
+                (self.life, lambda life: call(*told) if self.up and life == self.life else None)
+            )
             return
         call(*told)
 
@@ -155,8 +158,13 @@
 
     def held(self) -> None:
         self.shown = self.holder.base.number, self.holder.ends()
-        self.world.log("spec.version", who=self.name, state="held", version=self.shown[0],
-                       until=self.clock.true(self.shown[1]))
+        self.world.log(
+            "spec.version",
+            who=self.name,
+            state="held",
+            version=self.shown[0],
+            until=self.clock.true(self.shown[1]),
+        )
 
     # Evidence, and shares among fellows.
 
@@ -194,12 +202,14 @@
             world.ground.carries(
                 region, self.region, self.gets, answer, pool.wait(), pool.spare(), world.ages(region)
             )
+
         world.ground.carries(self.region, region, other.gets, heard)
 
         def late() -> None:
             if asked[0]:
                 asked[0] = False
                 self.ways.silent(region, now, self.now())
+
         self.when(now + self.ways.ways[region].patience() + MILLISECOND * 20, late)
 
     def word(self, fellow: str, word: dict[str, tuple[int, int]]) -> None:
@@ -231,8 +241,14 @@
         told = (self.lender.usable(now), until)
         if told != self.rights:
             self.rights = told
-            self.world.log("share.rights", who=self.name, budget=f"lend-{self.region}", units=told[0],
-                           until=min(1 << 60, self.clock.true(until) + 2), floor=floor)
+            self.world.log(
+                "share.rights",
+                who=self.name,
+                budget=f"lend-{self.region}",
+                units=told[0],
+                until=min(1 << 60, self.clock.true(until) + 2),
+                floor=floor,
+            )
 
     # Txns.
 
@@ -243,8 +259,17 @@
         left = self.clock.own(world.ground.now + ON_TIME) - 50 * MILLISECOND
         work = world.work[tag]
         txn = Txn(tag, scheme, kind, work, expires, Job(tag, scheme, WORK, left, self.region), answer, home)
-        world.log("txn.taken", who=self.name, txn=tag, scheme=scheme, kind=kind, expiry=expires, home=home,
-                  region=self.region, value=KINDS[scheme.split("-")[0]][2])
+        world.log(
+            "txn.taken",
+            who=self.name,
+            txn=tag,
+            scheme=scheme,
+            kind=kind,
+            expiry=expires,
+            home=home,
+            region=self.region,
+            value=KINDS[scheme.split("-")[0]][2],
+        )
         self.txns[txn] = None
         self.when(self.clock.own(expires) - 50 * MILLISECOND, self.expired, txn)
         self.consider(txn)
@@ -268,8 +293,11 @@
         for post in txn.tries.values():
             self.cancel(post)
         reason = txn.reason
-        told = {} if reason is None else {"code": reason.code, "key": reason.key, "line": reason.line,
-                                          "version": reason.version}
+        told = (
+            {}
+            if reason is None
+            else {"code": reason.code, "key": reason.key, "line": reason.line, "version": reason.version}
+        )
         txn.answer(outcome, told)
 
     def hung_up(self, txn: Txn) -> None:
@@ -340,8 +368,9 @@
                     self.answers(txn, "declined")
                     return
                 txn.job.again[self.region] = now + SOON
-                place = Place("hold", why, until=now + SOON, key=place.key, line=place.line,
-                              version=place.version)
+                place = Place(
+                    "hold", why, until=now + SOON, key=place.key, line=place.line, version=place.version
+                )
             else:
                 self.tell_rights()
                 world.log("share.spend", who=self.name, budget=f"lend-{self.region}", units=1)
@@ -389,9 +418,18 @@
             if rule.data is not None and world.plan.how == "on":
                 ages = world.ages(self.region)
                 age = 0 if place.fetch else ages.get(rule.data, 0)
-                world.log("data.read", who=self.name, region=self.region, data=rule.data, scheme=txn.scheme,
-                          txn=txn.tag, version=self.holder.base.number, age=age, fetched=place.fetch,
-                          staleness=rule.staleness if rule.staleness is not None else 1 << 60)
+                world.log(
+                    "data.read",
+                    who=self.name,
+                    region=self.region,
+                    data=rule.data,
+                    scheme=txn.scheme,
+                    txn=txn.tag,
+                    version=self.holder.base.number,
+                    age=age,
+                    fetched=place.fetch,
+                    staleness=rule.staleness if rule.staleness is not None else 1 << 60,
+                )
             return True
 
         def ends() -> None:
@@ -410,9 +448,21 @@
         post = Post(f"{txn.tag}/{self.name}/{number}", region, other.name, now, region != txn.home)
         txn.tries[post.post] = post
         self.ways.opened(region, post.lent)
-        world.log("abroad.sent", who=self.name, post=post.post, txn=txn.tag, scheme=txn.scheme, kind=txn.kind,
-                  origin=txn.job.origin, to=region, version=place.version, code=place.code, line=place.line,
-                  home=txn.home, **{"from": self.region})
+        world.log(
+            "abroad.sent",
+            who=self.name,
+            post=post.post,
+            txn=txn.tag,
+            scheme=txn.scheme,
+            kind=txn.kind,
+            origin=txn.job.origin,
+            to=region,
+            version=place.version,
+            code=place.code,
+            line=place.line,
+            home=txn.home,
+            **{"from": self.region},
+        )
         way = self.ways.ways[region]
         # Time left is told as a span, less half the way: no two clocks need be equal.
         left = int((txn.job.left - now - (way.trip + way.off) / 2) / (1 + DRIFT)) - 10 * MILLISECOND
@@ -430,11 +480,31 @@
         def answer(outcome: str, told: dict[str, Any]) -> None:
             self.lent[post] = outcome
             pool = world.pools[self.region]
-            world.ground.carries(self.region, sender.region, sender.gets, sender.answered, txn, post, outcome,
-                                 self.now() - began[0], pool.wait(), pool.spare(), world.ages(self.region))
+            world.ground.carries(
+                self.region,
+                sender.region,
+                sender.gets,
+                sender.answered,
+                txn,
+                post,
+                outcome,
+                self.now() - began[0],
+                pool.wait(),
+                pool.spare(),
+                world.ages(self.region),
+            )
+
         origin = txn.job.origin
-        lent = Txn(txn.tag, txn.scheme, txn.kind, txn.work, txn.expires,
-                   Job(txn.tag, txn.scheme, WORK, now + left, origin), answer, txn.home)
+        lent = Txn(
+            txn.tag,
+            txn.scheme,
+            txn.kind,
+            txn.work,
+            txn.expires,
+            Job(txn.tag, txn.scheme, WORK, now + left, origin),
+            answer,
+            txn.home,
+        )
         self.lent[post] = lent
         if txn.home == self.region and now + world.pools[self.region].wait() + WORK > now + left:
             self.answers(lent, "declined")
@@ -452,8 +522,9 @@
             lent.done = True
             self.lent[post] = "reversed" if ran else "declined"
 
-    def answered(self, txn: Txn, post: str, outcome: str, took: int, wait: int, free: int,
-                 ages: dict[str, int]) -> None:
+    def answered(
+        self, txn: Txn, post: str, outcome: str, took: int, wait: int, free: int, ages: dict[str, int]
+    ) -> None:
         tried = txn.tries.get(post)
         if tried is None or tried.state in ("settled", "declined", "gone"):
             return
@@ -503,8 +574,19 @@
             ground.carries(self.region, sender.region, sender.gets, sender.never, txn, post, age)
         elif isinstance(lent, str):
             pool = self.world.pools[self.region]
-            ground.carries(self.region, sender.region, sender.gets, sender.answered, txn, post, lent, 0,
-                           pool.wait(), pool.spare(), self.world.ages(self.region))
+            ground.carries(
+                self.region,
+                sender.region,
+                sender.gets,
+                sender.answered,
+                txn,
+                post,
+                lent,
+                0,
+                pool.wait(),
+                pool.spare(),
+                self.world.ages(self.region),
+            )
 
     def never(self, txn: Txn, post: str, age: int) -> None:
         """It was never heard of by a life that was there before it was sent: it never ran, and never will."""
--- a/pathsaddle/emulator/federation/mutants.py
+++ b/pathsaddle/emulator/federation/mutants.py
@@ -24,9 +24,14 @@
 
 def _loosened_on_arrival() -> Patches:
     """What is offered counts as if it were committed."""
+
     def offered(self: Holder, version: Version) -> Holder:
-        return self if version.number <= self.known[0] else replace(
-            self, base=version, known=(version.number, version.digest))
+        return (
+            self
+            if version.number <= self.known[0]
+            else replace(self, base=version, known=(version.number, version.digest))
+        )
+
     return [mock.patch.object(Holder, "offered", offered)]
 
 
@@ -37,6 +42,7 @@
 
 def _force_by_offer() -> Patches:
     """A member's word of having the text counts, though it doesn't know of any commit."""
+
     def has(self: Holder) -> Have | None:
         last = max((self.base, *self.offers), key=lambda one: one.number)
         return Have(self.name, last.number, last.digest)
@@ -46,25 +52,30 @@
         rows[have.name] = max(have.number, rows.get(have.name, 0))
         after = tuple(sorted(rows.items()))
         return self if after == self.rows else replace(self, rows=after)
+
     return [mock.patch.object(Holder, "has", has), mock.patch.object(Keeper, "hears", hears)]
 
 
 def _lease_by_arrival() -> Patches:
     """A lease counts from when the answer comes."""
+
     def renewed(self: Holder, told: Renewed, now: int) -> Holder:
         if (told.name, told.life) != (self.name, self.life) or told.number < self.known[0]:
             return self
         return replace(self.committed(told.number, told.digest), until=max(self.until, now + self.lease))
+
     return [mock.patch.object(Holder, "renewed", renewed)]
 
 
 def _widest() -> Patches:
     """Who hears nothing goes by the widest that it knows."""
+
     def rule(self: Holder, scheme: str, now: int) -> Rule:
         found = self.base.spec.rule(scheme, self.here)
         for offer in self.offers:
             found = replace(found, may=found.may | offer.spec.rule(scheme, self.here).may)
         return found
+
     return [mock.patch.object(Holder, "rule", rule)]
 
 
@@ -74,17 +85,20 @@
 
     def choose(self: Ways, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
         return whole(self, replace(job, origin=self.here), rule, spec, version, now)
+
     return [mock.patch.object(Ways, "choose", choose)]
 
 
 def _foreigners_first() -> Patches:
     """Whoever comes from abroad is taken on and begun, whether own jobs wait or not."""
+
     def asked(self: Lender, scheme: str, rule: Rule, here: str, free: Free, now: int) -> str:
         return "" if here in rule.may else "residency"
 
     def pop(self: Pool) -> Piece | None:
         queue = self.foreign or self.own
         return queue.popleft() if queue else None
+
     return [mock.patch.object(Lender, "asked", asked), mock.patch.object(Pool, "next", pop)]
 
 
@@ -94,6 +108,7 @@
 
     def choose(self: Ways, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
         return whole(self, job, replace(rule, semantics="repeatable"), spec, version, now)
+
     return [mock.patch.object(Ways, "choose", choose)]
 
 
--- a/pathsaddle/emulator/federation/plans.py
+++ b/pathsaddle/emulator/federation/plans.py
@@ -15,8 +15,12 @@
 LEASE = 8 * SECOND  # on the spec
 COLD = 3  # so many jobs a slot until a pool is warm
 # kind of scheme: semantics, part of all, value, whether it may leave home
-KINDS = {"lookup": ("repeatable", 0.5, 2.0, True), "sign": ("referenced", 0.2, 1.0, True),
-         "charge": ("once-only", 0.2, 3.0, True), "vault": ("repeatable", 0.1, 1.0, False)}
+KINDS = {
+    "lookup": ("repeatable", 0.5, 2.0, True),
+    "sign": ("referenced", 0.2, 1.0, True),
+    "charge": ("once-only", 0.2, 3.0, True),
+    "vault": ("repeatable", 0.1, 1.0, False),
+}
 
 
 @dataclass(frozen=True)
--- a/pathsaddle/emulator/federation/smoke.py
+++ b/pathsaddle/emulator/federation/smoke.py
@@ -100,9 +100,15 @@
     touched = {one.region for one in troubles} | {one.to for one in troubles}
     regions = {region: row["of_own"] / max(1.0, row["own"]) for region, row in sorted(got["regions"].items())}
     figures: dict[str, Any] = {
-        "share": got["share"], "regions": regions, "counts": got["counts"], "in_vain": got["in_vain"],
-        "broken": judged(rows) if how == "on" else Counter(), "touched": touched, "lost": lost,
-        "turns": sum(member.ways.turns for member in world.members.values()) / len(world.members)}
+        "share": got["share"],
+        "regions": regions,
+        "counts": got["counts"],
+        "in_vain": got["in_vain"],
+        "broken": judged(rows) if how == "on" else Counter(),
+        "touched": touched,
+        "lost": lost,
+        "turns": sum(member.ways.turns for member in world.members.values()) / len(world.members),
+    }
     if len(lost) == 1 and course == "lost":
         slots = 4 * plan.members
         first = troubles[0]
@@ -145,9 +151,12 @@
             told += [f"value {how} {spread([row['share'] for row in table[how]])}" for how in plan.hows]
             on = table.get("on", [])
             for how in plan.hows if "off" in table else ():
-                losses = [off["regions"][region] - row["regions"][region]
-                          for off, row in zip(table["off"], table[how], strict=True)
-                          for region in sorted(row["regions"]) if region not in row["touched"]]
+                losses = [
+                    off["regions"][region] - row["regions"][region]
+                    for off, row in zip(table["off"], table[how], strict=True)
+                    for region in sorted(row["regions"])
+                    if region not in row["touched"]
+                ]
                 if losses and how != "off":
                     told.append(f"lenders lose {how} {spread(losses, 4)}")
                     if how == "on" and sum(losses) / len(losses) > bounds.lenders:
@@ -156,10 +165,12 @@
                         )
             if on and "of_free" in on[0]:
                 figures = [row["of_free"] for row in on]
-                told += [f"of what free capacity could serve {spread(figures)}",
-                         f"of its time used {spread([row['used'] for row in on])}",
-                         f"failing over {spread([row['over'] for row in on], 2)} s",
-                         f"home {spread([row['home'] for row in on], 1)} s"]
+                told += [
+                    f"of what free capacity could serve {spread(figures)}",
+                    f"of its time used {spread([row['used'] for row in on])}",
+                    f"failing over {spread([row['over'] for row in on], 2)} s",
+                    f"home {spread([row['home'] for row in on], 1)} s",
+                ]
                 if sum(figures) / len(figures) < bounds.of_free:
                     wrong.append(
                         f"{course} at {at}: {sum(figures) / len(figures):.3f} of what free capacity could serve"
@@ -169,16 +180,22 @@
                 if any(not 0 <= row["home"] <= bounds.home for row in on):
                     wrong.append(f"{course} at {at}: going home took more than {bounds.home} s")
             if on:
-                told += [f"crossings {spread([row['counts']['abroad'] for row in on], 0)}",
-                         f"in vain {spread([row['in_vain'] for row in on], 0)}",
-                         f"fetches {spread([row['counts']['fetched'] for row in on], 0)}",
-                         f"turns {spread([row['turns'] for row in on], 1)}"]
+                told += [
+                    f"crossings {spread([row['counts']['abroad'] for row in on], 0)}",
+                    f"in vain {spread([row['in_vain'] for row in on], 0)}",
+                    f"fetches {spread([row['counts']['fetched'] for row in on], 0)}",
+                    f"turns {spread([row['turns'] for row in on], 1)}",
+                ]
                 if sum(row["turns"] for row in on) / len(on) > bounds.turns:
                     wrong.append(f"{course} at {at}: regions are taken for lost and back too often")
             says("  ".join(told))
     for seed in [*range(1, plan.any + 1), *plan.kept]:
-        world = World(Plan(seconds=50, members=3 + seed % 4, load=(0.5, 0.7, 0.85)[seed % 3],
-                           troubles=any_course(seed)), seed)
+        world = World(
+            Plan(
+                seconds=50, members=3 + seed % 4, load=(0.5, 0.7, 0.85)[seed % 3], troubles=any_course(seed)
+            ),
+            seed,
+        )
         for name, count in sorted(judged(world.run().rows).items()):
             wrong.append(f"any course, seed {seed}: {name}, {count} times")
     if plan.any:
@@ -225,9 +242,12 @@
 def read(path: str) -> SmokeForm:
     """A plan, checked whole. Raises Faulty."""
     plan = check(SmokeForm, load(path), path)
-    if unknown := [NotAmong(path, key, shown=repr(name), may=f"some of {', '.join(known)}")
-                   for key, told, known in (("courses", plan.courses, COURSES), ("hows", plan.hows, HOWS))
-                   for name in told if name not in known]:
+    if unknown := [
+        NotAmong(path, key, shown=repr(name), may=f"some of {', '.join(known)}")
+        for key, told, known in (("courses", plan.courses, COURSES), ("hows", plan.hows, HOWS))
+        for name in told
+        if name not in known
+    ]:
         raise Faulty([*unknown])
     return plan
 
--- a/pathsaddle/emulator/federation/world.py
+++ b/pathsaddle/emulator/federation/world.py
@@ -80,8 +80,9 @@
         for name, form in self.spec().data.items():
             if region in form.copies:
                 since = self.frozen.get(region)
-                found[name] = int(form.copies[region]) + (self.ground.now - since if since is not None and
-                                                     form.copies[region] else 0)
+                found[name] = int(form.copies[region]) + (
+                    self.ground.now - since if since is not None and form.copies[region] else 0
+                )
         return found
 
     def run(self) -> Events:
@@ -148,6 +149,7 @@
 
         def take() -> None:
             kept.append(member.takes(tag, scheme, home, answer))
+
         member.gets(take)
         if hang < 0.005:
             self.ground.after(SECOND // 4, lambda: member.hung_up(kept[0]) if kept and member.up else None)
@@ -163,9 +165,11 @@
                 if it.region in (a, b) and (not it.to or (a, b) == (it.region, it.to)):
                     path.cuts.append((at, end, period))
         elif it.kind == "slow":
+
             def slow(loss: float, factor: float) -> None:
                 for path in ground.paths.values():
                     path.loss, path.slow = loss, factor
+
             ground.at(at, slow, it.more or 0.1, 3.0)
             ground.at(end, slow, 0.0, 1.0)
         elif it.kind == "lost":
@@ -178,11 +182,13 @@
             ground.at(at, self.surge.__setitem__, it.region, it.more or 1.6)
             ground.at(end, self.surge.__setitem__, it.region, 1.0)
         elif it.kind == "stale":
+
             def freeze(on: bool) -> None:
                 if on:
                     self.frozen[it.region] = ground.now
                 else:
                     self.frozen.pop(it.region, None)
+
             ground.at(at, freeze, True)
             ground.at(end, freeze, False)
         elif it.kind == "spec":
@@ -230,4 +236,5 @@
             if killed:
                 self.keepers["north"].up = False
                 self.ground.after(3 * SECOND, self.keepers["north"].began)
+
         self.ground.after(SECOND // 2, commits)
--- a/pathsaddle/emulator/ground/air.py
+++ b/pathsaddle/emulator/ground/air.py
@@ -30,8 +30,13 @@
     shuffle: float = 0.0
 
     def meets(self, sender: str, taker: str) -> bool:
-        return (sender in self.one and taker in self.other
-                or not self.oneway and taker in self.one and sender in self.other)
+        return (
+            sender in self.one
+            and taker in self.other
+            or not self.oneway
+            and taker in self.one
+            and sender in self.other
+        )
 
 
 class Meter:
@@ -50,8 +55,10 @@
 
     def most(self, which: int) -> int:
         """Over any `BINS` neighbouring bins: what lies in a second, if it begins with a bin."""
-        return max((sum(self.bins.get(first + i, (0, 0))[which] for i in range(BINS)) for first in self.bins),
-                   default=0)
+        return max(
+            (sum(self.bins.get(first + i, (0, 0))[which] for i in range(BINS)) for first in self.bins),
+            default=0,
+        )
 
 
 class Air:
--- a/pathsaddle/emulator/ground/datagrams.py
+++ b/pathsaddle/emulator/ground/datagrams.py
@@ -88,7 +88,7 @@
             finally:
                 self.reader = None
         data = self.recv(len(buf))
-        buf[:len(data)] = data
+        buf[: len(data)] = data
         return len(data)
 
     def close(self) -> None:
--- a/pathsaddle/emulator/ground/links.py
+++ b/pathsaddle/emulator/ground/links.py
@@ -96,7 +96,9 @@
         self.digest = hashlib.blake2b(digest_size=16)
         self.ports = 20_000
         self.connections = 0
-        self.datagram: Callable[[Host], Linked] | None = None  # a new socket for them, where there is a way to talk
+        self.datagram: Callable[[Host], Linked] | None = (
+            None  # a new socket for them, where there is a way to talk
+        )
         self.parted: Callable[[Host, Host], bool] = lambda one, other: False  # no new connection comes up
 
     def stream(self, host: Host) -> LinkedSocket:
@@ -356,16 +358,20 @@
             self.net.digest.update(part)
             side.peer.inbound += part
             self.given += len(part)
-            rest = rest[len(part):]
+            rest = rest[len(part) :]
             side.peer.stir()
 
 
 class VirtualGround(Ground):
     """What an emulated process takes from its host."""
 
-    def __init__(self, host: Host, told: Callable[[], str] = lambda: "",
-                 service: Callable[..., TxnService] = TxnService,
-                 fellows: Callable[[VirtualGround, Counters], Fellows | None] = lambda ground, counters: None) -> None:
+    def __init__(
+        self,
+        host: Host,
+        told: Callable[[], str] = lambda: "",
+        service: Callable[..., TxnService] = TxnService,
+        fellows: Callable[[VirtualGround, Counters], Fellows | None] = lambda ground, counters: None,
+    ) -> None:
         loop = host.net.loop
         super().__init__(Clock(loop.wall, loop.time))
         self.host = host
--- a/pathsaddle/emulator/ground/moments.py
+++ b/pathsaddle/emulator/ground/moments.py
@@ -24,6 +24,7 @@
 PATIENCE = 20  # seconds of real time in one step, beyond which it is taken never to yield
 EPOCH = 1_700_000_000.0  # what the emulated machines' one clock says at the start, Unix seconds
 
+
 class OwnClock:
     """A machine's monotonic clock that runs `rate` times as fast as it should, from some moment on."""
 
@@ -116,30 +117,49 @@
         host = HOST.get()
         return EPOCH + self._ns / NANO + (host.wall_off if host is not None else 0.0)
 
-    def call_soon(self, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                  context: contextvars.Context | None = None) -> asyncio.Handle:
+    def call_soon(  # type: ignore[override]
+        self,
+        callback: Callable[..., object],
+        *args: Any,
+        context: contextvars.Context | None = None,
+    ) -> asyncio.Handle:
         handle = asyncio.Handle(callback, args, self, context)
         self._ready.append(handle)
         return handle
 
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                   context: contextvars.Context | None = None) -> asyncio.TimerHandle:
+    def call_later(  # type: ignore[override]
+        self,
+        delay: float,
+        callback: Callable[..., object],
+        *args: Any,
+        context: contextvars.Context | None = None,
+    ) -> asyncio.TimerHandle:
         host = HOST.get() if context is None else context.get(HOST)
         if host is not None and host.clock is not None:
             delay /= host.clock.rate
         return self._at(self._ns + max(0, round(delay * NANO)), callback, args, context)
 
-    def call_at(self, when: float, callback: Callable[..., object], *args: Any,  # type: ignore[override]
-                context: contextvars.Context | None = None) -> asyncio.TimerHandle:
+    def call_at(  # type: ignore[override]
+        self,
+        when: float,
+        callback: Callable[..., object],
+        *args: Any,
+        context: contextvars.Context | None = None,
+    ) -> asyncio.TimerHandle:
         host = HOST.get() if context is None else context.get(HOST)
         if host is not None and host.clock is not None:
             when = host.clock.true(when)
         return self._at(max(self._ns, round(when * NANO)), callback, args, context)
 
-    def _at(self, due: int, callback: Callable[..., object], args: tuple[Any, ...],
-            context: contextvars.Context | None) -> asyncio.TimerHandle:
+    def _at(
+        self,
+        due: int,
+        callback: Callable[..., object],
+        args: tuple[Any, ...],
+        context: contextvars.Context | None,
+    ) -> asyncio.TimerHandle:
         handle = asyncio.TimerHandle(due / NANO, callback, args, self, context)
         self._order += 1
         heapq.heappush(self._timers, (due, self._order, handle))
@@ -152,7 +172,9 @@
         """A host that stood still runs what has become due meanwhile: its alarms first, then what has come for it.
         Real loops do either; this is the worse for who judges others by alarms."""
         host.stands = False
-        self._ready.extend(sorted(host.waiting, key=lambda handle: not isinstance(handle, asyncio.TimerHandle)))
+        self._ready.extend(
+            sorted(host.waiting, key=lambda handle: not isinstance(handle, asyncio.TimerHandle))
+        )
         host.waiting.clear()
 
     def run_forever(self) -> None:
@@ -246,8 +268,9 @@
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro: Any, *, name: str | None = None,
-                    context: contextvars.Context | None = None) -> asyncio.Task[Any]:
+    def create_task(
+        self, coro: Any, *, name: str | None = None, context: contextvars.Context | None = None
+    ) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
         host = HOST.get() if context is None else context.get(HOST)
         if host is not None:
@@ -261,8 +284,12 @@
 
     # A process's signals: they reach the host that the handler was added on.
 
-    def add_signal_handler(self, sig: int, callback: Callable[..., object],  # type: ignore[override]
-                           *args: Any) -> None:
+    def add_signal_handler(  # type: ignore[override]
+        self,
+        sig: int,
+        callback: Callable[..., object],
+        *args: Any,
+    ) -> None:
         host = HOST.get()
         if host is None:
             raise ValueError("signals reach hosts alone")
@@ -286,7 +313,7 @@
 
     async def sock_recv(self, sock: Any, nbytes: int) -> bytes:
         room = bytearray(nbytes)
-        return bytes(room[:await self._linked(sock).recv_into(memoryview(room))])
+        return bytes(room[: await self._linked(sock).recv_into(memoryview(room))])
 
     async def sock_sendall(self, sock: Any, data: Any) -> None:
         await self._linked(sock).sendall(data)
--- a/pathsaddle/emulator/ground/ports.py
+++ b/pathsaddle/emulator/ground/ports.py
@@ -31,7 +31,9 @@
     """
     most = int(RANGE.read_text(encoding="ascii").split()[0]) - 1 if RANGE.exists() else 32_767
     found: list[int] = []
-    first = Random(os.getpid()).randrange(LEAST, most + 1)  # which ones they are decides nothing: processes look apart
+    first = Random(os.getpid()).randrange(
+        LEAST, most + 1
+    )  # which ones they are decides nothing: processes look apart
     for port in (*range(first, most + 1), *range(LEAST, first)):
         if len(found) == count:
             break
--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -39,15 +39,31 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "met": ("part", ("emulated: of the units wanted beyond the own part, one member wanting of each budget and as many lending as "
-                    "are idle, how many of those that may be lent it had at the end")),
+    "met": (
+        "part",
+        (
+            "emulated: of the units wanted beyond the own part, one member wanting of each budget and as many lending as "
+            "are idle, how many of those that may be lent it had at the end"
+        ),
+    ),
     "met_told": ("part", "emulated: the same for the first 16 budgets, whose spare units are told to all"),
     "met_last": ("part", "emulated: the same for the last 8 budgets"),
-    "first_s": ("s", ("emulated: from the first want until a unit of another's is usable, the middle budget; the length of "
-                     "the run where none ever is")),
+    "first_s": (
+        "s",
+        (
+            "emulated: from the first want until a unit of another's is usable, the middle budget; the length of "
+            "the run where none ever is"
+        ),
+    ),
     "bytes_s": ("bytes/s", "emulated: that a member sent on the mean for records and shares"),
-    "spare_bytes": ("bytes", "emulated: the longest record by which a member tells what it would lend, 400 at most"),
-    "cpu_us_s": ("us/s", "emulated: processor time of a member's cores for each second, without what uses themselves take"),
+    "spare_bytes": (
+        "bytes",
+        "emulated: the longest record by which a member tells what it would lend, 400 at most",
+    ),
+    "cpu_us_s": (
+        "us/s",
+        "emulated: processor time of a member's cores for each second, without what uses themselves take",
+    ),
     "take_us": ("us", "emulated: processor time of one use, asked for just before it"),
 }
 COUNTED = frozenset(FIGURES) - {"cpu_us_s", "take_us"}
@@ -63,18 +79,36 @@
     names = [f"d{i}" for i in range(setting.members)]
     budgets = [f"b{i:04d}" for i in range(point)]
     rate, lease = setting.part * setting.members, int(setting.lease * SECOND)
-    cores = {name: Shared(name, 1, "scale", b"0123456789abcdef", Purse(setting.bytes, 60, 0), SECOND,
-                          {budget: Dealt(rate, setting.part, lease) for budget in budgets},
-                          Random(f"{seed} {name}"), 0) for name in names}
+    cores = {
+        name: Shared(
+            name,
+            1,
+            "scale",
+            b"0123456789abcdef",
+            Purse(setting.bytes, 60, 0),
+            SECOND,
+            {budget: Dealt(rate, setting.part, lease) for budget in budgets},
+            Random(f"{seed} {name}"),
+            0,
+        )
+        for name in names
+    }
     for name, core in cores.items():
         for other in names:
             if other != name:
                 core.joined(other, 1, other)
     rest = int(1.02 * (lease + 1.02 * SECOND)) + 2 * SECOND  # a new life lends nothing before that
-    end, step, way = rest + int(setting.seconds * SECOND), int(setting.step * SECOND), int(setting.way * SECOND)
-    busy = names[:len(names) - setting.idle]
+    end, step, way = (
+        rest + int(setting.seconds * SECOND),
+        int(setting.step * SECOND),
+        int(setting.way * SECOND),
+    )
+    busy = names[: len(names) - setting.idle]
     uses = [(budget, busy[i % len(busy)]) for i, budget in enumerate(budgets)]  # who wants twice its part
-    wanted, many = min(setting.part, setting.idle * ((setting.part + 1) // 2)), max(1, round(setting.part * setting.step))
+    wanted, many = (
+        min(setting.part, setting.idle * ((setting.part + 1) // 2)),
+        max(1, round(setting.part * setting.step)),
+    )
     due, now, count, sent, spare_bytes, spent = dict.fromkeys(names, 0), 0, 0, 0, 0, 0.0
     first: dict[str, int] = {}
     heap: list[tuple[int, int, str, bytes]] = []
@@ -120,12 +154,25 @@
                 spare_bytes = max(spare_bytes, len(record.body))
         if now >= rest:
             spent += time.process_time() - before
-    had = [min(1.0, max(0, cores[who].limiter.budgets[budget].state.usable(end) - setting.part) / wanted)
-           for budget, who in uses]
+    had = [
+        min(1.0, max(0, cores[who].limiter.budgets[budget].state.usable(end) - setting.part) / wanted)
+        for budget, who in uses
+    ]
     shares = setting.seconds * setting.members
-    return {"met": statistics.fmean(had), "met_told": statistics.fmean(had[:TOLD]),
-            "met_last": statistics.fmean(had[-8:]),
-            "first_s": statistics.median(first.get(budget, end - rest) for budget in budgets) / SECOND,
-            "bytes_s": sent / shares, "spare_bytes": float(spare_bytes), "cpu_us_s": 1e6 * spent / shares,
-            "take_us": 1e6 * taking / sum(budget.taken + budget.refused for core in cores.values()
-                                          for budget in core.limiter.budgets.values()) * many}
+    return {
+        "met": statistics.fmean(had),
+        "met_told": statistics.fmean(had[:TOLD]),
+        "met_last": statistics.fmean(had[-8:]),
+        "first_s": statistics.median(first.get(budget, end - rest) for budget in budgets) / SECOND,
+        "bytes_s": sent / shares,
+        "spare_bytes": float(spare_bytes),
+        "cpu_us_s": 1e6 * spent / shares,
+        "take_us": 1e6
+        * taking
+        / sum(
+            budget.taken + budget.refused
+            for core in cores.values()
+            for budget in core.limiter.budgets.values()
+        )
+        * many,
+    }
--- a/pathsaddle/emulator/hollow/changes.py
+++ b/pathsaddle/emulator/hollow/changes.py
@@ -52,8 +52,13 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "kinds_by_restart": ("kinds", ("of quota, scheme, budget and limit, how many a reread file leaves as they were at a "
-                                  "real dispatcher, so that only a restart brings them")),
+    "kinds_by_restart": (
+        "kinds",
+        (
+            "of quota, scheme, budget and limit, how many a reread file leaves as they were at a "
+            "real dispatcher, so that only a restart brings them"
+        ),
+    ),
     "reread_s": ("s", "SIGHUP to all real dispatchers until the last has said that it read its file again"),
     "end_s": ("s", "mean over real dispatchers with clients at work: SIGTERM until the process has ended"),
     "ready_s": ("s", "mean over real dispatchers: start of the new process until it says that it is ready"),
@@ -64,27 +69,69 @@
     "unserved": ("txns", "of these not settled: declined, refused, broken or turned away by all"),
     "declined": ("txns", "of the unserved those answered 429 or 503, whose clients may try again elsewhere"),
     "broken": ("txns", "of the unserved those taken and left without a whole answer"),
-    "moved": ("txns", "of these sent to another dispatcher than the client's own, since that one took no connection"),
+    "moved": (
+        "txns",
+        "of these sent to another dispatcher than the client's own, since that one took no connection",
+    ),
     "unserved_a_restart": ("txns", "unserved for each restart of a real dispatcher"),
-    "restarts_a_day": ("restarts", "reckoned: changes a day times the members of the fleet, each change by itself"),
-    "in_force_s": ("s", ("reckoned: from the first SIGTERM of a round until all members run the change, a part of them "
-                        "at a time, each part as long as the longest real restart")),
-    "in_force_worst_s": ("s", ("reckoned: the same for a change that just missed a round, all waiting changes taken by the "
-                              "next one")),
-    "rounds_under_way": ("rounds", ("reckoned: changes a day times the length of a round over a day; above 1 they can't be "
-                                   "brought in one by one at all")),
-    "out_part": ("part", "reckoned: of its time that each dispatcher spends on ending and starting, each change by itself"),
-    "unserved_part": ("part", ("reckoned: of a day's txns those unserved, each change by itself, at the run's rate for each "
-                              "dispatcher")),
+    "restarts_a_day": (
+        "restarts",
+        "reckoned: changes a day times the members of the fleet, each change by itself",
+    ),
+    "in_force_s": (
+        "s",
+        (
+            "reckoned: from the first SIGTERM of a round until all members run the change, a part of them "
+            "at a time, each part as long as the longest real restart"
+        ),
+    ),
+    "in_force_worst_s": (
+        "s",
+        (
+            "reckoned: the same for a change that just missed a round, all waiting changes taken by the "
+            "next one"
+        ),
+    ),
+    "rounds_under_way": (
+        "rounds",
+        (
+            "reckoned: changes a day times the length of a round over a day; above 1 they can't be "
+            "brought in one by one at all"
+        ),
+    ),
+    "out_part": (
+        "part",
+        "reckoned: of its time that each dispatcher spends on ending and starting, each change by itself",
+    ),
+    "unserved_part": (
+        "part",
+        (
+            "reckoned: of a day's txns those unserved, each change by itself, at the run's rate for each "
+            "dispatcher"
+        ),
+    ),
     "peak_s": ("s", "reckoned: until the last change of the worst minute is in force, each by itself"),
-    "document_s": ("s", "emulated: until the last taker has the whole settings as a document from one member"),
+    "document_s": (
+        "s",
+        "emulated: until the last taker has the whole settings as a document from one member",
+    ),
     "record_s": ("s", "emulated: until the last taker has the record that names it"),
-    "document_bytes_s": ("bytes/s", ("reckoned: what each member would be sent, at the mean, if each change came as the whole "
-                                    "settings")),
+    "document_bytes_s": (
+        "bytes/s",
+        ("reckoned: what each member would be sent, at the mean, if each change came as the whole settings"),
+    ),
     "peak_document_bytes_s": ("bytes/s", "reckoned: the same in the worst minute"),
 }
-COUNTED = frozenset({"kinds_by_restart", "restarts_a_day", "document_s", "record_s", "document_bytes_s",
-                     "peak_document_bytes_s"})
+COUNTED = frozenset(
+    {
+        "kinds_by_restart",
+        "restarts_a_day",
+        "document_s",
+        "record_s",
+        "document_bytes_s",
+        "peak_document_bytes_s",
+    }
+)
 
 
 def needs(point: int, setting: Setting) -> tuple[int, float]:
@@ -105,21 +152,35 @@
     """What follows from the restarts that were run, for a larger fleet and so many changes a day."""
     parts = -(-setting.members // max(1, int(setting.members * setting.part)))
     round_s = parts * found["restart_most_s"]
-    return {"restarts_a_day": float(point * setting.members), "in_force_s": round_s, "in_force_worst_s": 2 * round_s,
-            "rounds_under_way": point * round_s / DAY, "out_part": point * found["restart_s"] / DAY,
-            "unserved_part": point * found["unserved_a_restart"] / (setting.rate * DAY), "peak_s": setting.peak * round_s,
-            "document_bytes_s": setting.document * point / DAY,
-            "peak_document_bytes_s": setting.document * setting.peak / 60.0}
+    return {
+        "restarts_a_day": float(point * setting.members),
+        "in_force_s": round_s,
+        "in_force_worst_s": 2 * round_s,
+        "rounds_under_way": point * round_s / DAY,
+        "out_part": point * found["restart_s"] / DAY,
+        "unserved_part": point * found["unserved_a_restart"] / (setting.rate * DAY),
+        "peak_s": setting.peak * round_s,
+        "document_bytes_s": setting.document * point / DAY,
+        "peak_document_bytes_s": setting.document * setting.peak / 60.0,
+    }
 
 
 def charter(setting: Setting, seed: int, number: int, listen: str, discovery: str) -> dict[str, Any]:
     """One dispatcher's file, as a table."""
     return {
-        "name": f"d{number}", "listen": listen, "discovery": discovery, "seed": f"{seed:x}", "number": number,
-        "dispatchers": setting.dispatchers, "zones": ["here"],
+        "name": f"d{number}",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": f"{seed:x}",
+        "number": number,
+        "dispatchers": setting.dispatchers,
+        "zones": ["here"],
         "schemes": [{"name": "render", "semantics": "repeatable", "sla": "2s", "expiry": "5s"}],
-        "customers": [{"name": f"t{i}", "allowance": 1000.0, "portion": 1.0 / setting.teams}
-                      for i in range(setting.teams)]}
+        "customers": [
+            {"name": f"t{i}", "allowance": 1000.0, "portion": 1.0 / setting.teams}
+            for i in range(setting.teams)
+        ],
+    }
 
 
 def changed(table: dict[str, Any], kind: str) -> dict[str, Any]:
@@ -129,14 +190,27 @@
     if kind == "scheme":
         return {**table, "schemes": [{**table["schemes"][0], "sla": "1s"}]}
     if kind == "budget":
-        return {**table, "fleet": {"name": "scale", "key": "0123456789abcdef", "listen": "127.0.0.1:0",
-                                   "address": "127.0.0.1:9", "budgets": {"looks": 10}}}
+        return {
+            **table,
+            "fleet": {
+                "name": "scale",
+                "key": "0123456789abcdef",
+                "listen": "127.0.0.1:0",
+                "address": "127.0.0.1:9",
+                "budgets": {"looks": 10},
+            },
+        }
     return {**table, "limits": {"open": 77}}
 
 
 async def _restarts(folder: Path, seed: int, setting: Setting) -> dict[str, float]:
-    ground = Ground(folder, setting.dispatchers, setting.workers, setting.run,
-                    lambda number, listen, discovery: charter(setting, seed, number, listen, discovery))
+    ground = Ground(
+        folder,
+        setting.dispatchers,
+        setting.workers,
+        setting.run,
+        lambda number, listen, discovery: charter(setting, seed, number, listen, discovery),
+    )
     clients: list[asyncio.Task[None]] = []
     chance = Random(seed)
     try:
@@ -150,8 +224,11 @@
         every = setting.clients / setting.rate
         for number in range(setting.clients * setting.dispatchers):
             client_of = chance.randrange(setting.teams)
-            clients.append(asyncio.get_running_loop().create_task(
-                Client(ground, number, "render", f"t{client_of}", every).run()))
+            clients.append(
+                asyncio.get_running_loop().create_task(
+                    Client(ground, number, "render", f"t{client_of}", every).run()
+                )
+            )
         await asyncio.sleep(1.0)
         ground.ends.clear()
         spans = [await ground.restart(one) for one in ground.dispatchers]
@@ -165,10 +242,17 @@
     whole = [sum(span) for span in spans]
     unserved = sum(ends.get(how, 0) for how in ("declined", "refused", "broken", "turned_away"))
     return found | {
-        "end_s": sum(end for end, _ in spans) / len(spans), "ready_s": sum(ready for _, ready in spans) / len(spans),
-        "restart_s": sum(whole) / len(whole), "restart_most_s": max(whole),
-        "asked": float(ends.get("asked", 0)), "unserved": float(unserved), "declined": float(ends.get("declined", 0)),
-        "broken": float(ends.get("broken", 0)), "moved": float(ends.get("moved", 0)), "unserved_a_restart": unserved / len(spans)}
+        "end_s": sum(end for end, _ in spans) / len(spans),
+        "ready_s": sum(ready for _, ready in spans) / len(spans),
+        "restart_s": sum(whole) / len(whole),
+        "restart_most_s": max(whole),
+        "asked": float(ends.get("asked", 0)),
+        "unserved": float(unserved),
+        "declined": float(ends.get("declined", 0)),
+        "broken": float(ends.get("broken", 0)),
+        "moved": float(ends.get("moved", 0)),
+        "unserved_a_restart": unserved / len(spans),
+    }
 
 
 async def _kinds(ground: Ground) -> int:
@@ -200,8 +284,19 @@
     """Emulated seconds until the last member has the document, and the record that names it: the carrying layer's
     own cores and purses, every datagram on its way for as long, none lost. `most`: given up after so long."""
     names = [f"d{i:03d}" for i in range(setting.takers)]
-    cores = {name: Carry(name, 1, "scale", b"0123456789abcdef", Purse(setting.bytes, 60, 0), SECOND,
-                         Random(f"{seed} {name}"), 0) for name in names}
+    cores = {
+        name: Carry(
+            name,
+            1,
+            "scale",
+            b"0123456789abcdef",
+            Purse(setting.bytes, 60, 0),
+            SECOND,
+            Random(f"{seed} {name}"),
+            0,
+        )
+        for name in names
+    }
     for name, core in cores.items():
         for other in names:
             if other != name:
--- a/pathsaddle/emulator/hollow/control.py
+++ b/pathsaddle/emulator/hollow/control.py
@@ -45,7 +45,10 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "rest_core": ("part", "of a core that control takes of a real dispatcher at rest, by its meter; hollow peers"),
+    "rest_core": (
+        "part",
+        "of a core that control takes of a real dispatcher at rest, by its meter; hollow peers",
+    ),
     "rest_process_core": ("part", "of a core that the whole process takes at rest, by the kernel"),
     "rest_metered_part": ("part", "of the process's time at rest that purposes of control explain"),
     "rest_in_s": ("bytes/s", "received for control at rest, by its meter, real datagrams"),
@@ -63,7 +66,10 @@
     "process_us_per_txn": ("us", "of the whole process, by the kernel, a settled txn, less the rest's"),
     "txns": ("", "settled in the steady part"),
     "meter_calls_per_txn": ("", "calls through the meter in the steady part, a settled txn"),
-    "meter_us_per_call": ("us", "what the meter itself takes a call, in a loop of empty ones beside the play"),
+    "meter_us_per_call": (
+        "us",
+        "what the meter itself takes a call, in a loop of empty ones beside the play",
+    ),
     "meter_part": ("part", "reckoned: of the process's time in the steady part that the meter itself takes"),
     "over_the_process": ("", "parts in which purposes took more than the process: the meter would be wrong"),
     "memory_mb": ("MB", "the process's own memory at the end, by its own word"),
@@ -71,7 +77,9 @@
     "faults": ("", "faults that it counted"),
     **{f"{purpose}_us": ("us", f"for {purpose} in the whole play, by the meter") for purpose in PURPOSES},
 }
-COUNTED = frozenset({"list_in", "list_bytes_whole", "list_bytes_rest", "list_bytes_untold", "over_the_process", "faults"})
+COUNTED = frozenset(
+    {"list_in", "list_bytes_whole", "list_bytes_rest", "list_bytes_untold", "over_the_process", "faults"}
+)
 
 
 class NoMeter(Error):
@@ -120,8 +128,14 @@
     async def play(self) -> dict[str, float]:
         setting = self.setting
         zones = [f"z{i:02}" for i in range(setting.zones)]
-        self.workers = Workers(workers.charter(setting, "127.0.0.1:1", "127.0.0.1:1"), self.point, setting.slots,
-                               setting.waiting, setting.run, zones)
+        self.workers = Workers(
+            workers.charter(setting, "127.0.0.1:1", "127.0.0.1:1"),
+            self.point,
+            setting.slots,
+            setting.waiting,
+            setting.run,
+            zones,
+        )
         try:
             await self.workers.open()
             self.list = HollowList(self.workers.rows)
@@ -138,8 +152,11 @@
             return []
         addresses = [f"127.0.0.1:{port}" for port in udp_ports(self.setting.members)]
         told = sockets_members.Setting(shard=len(addresses), budgets=self.setting.budgets)
-        shard = Shard(self.ends, self.space, {"first": 0, "addresses": addresses, "seed": self.seed,
-                                              "setting": msgspec.to_builtins(told)})
+        shard = Shard(
+            self.ends,
+            self.space,
+            {"first": 0, "addresses": addresses, "seed": self.seed, "setting": msgspec.to_builtins(told)},
+        )
         shard.says(shard.hears())
         shard.hears()
         return addresses
@@ -154,12 +171,22 @@
         count = len(addresses) + 1
         kept = ("listen", "discovery", "zones", "zone", "machines")
         charter: dict[str, Any] = {key: getattr(told, key) for key in kept} | {
-            "name": "real", "dispatchers": max(self.setting.dispatchers, count), "number": count - 1,
-            "limits": {"sockets": self.setting.sockets}, "control": {"meter": self.setting.meter},
+            "name": "real",
+            "dispatchers": max(self.setting.dispatchers, count),
+            "number": count - 1,
+            "limits": {"sockets": self.setting.sockets},
+            "control": {"meter": self.setting.meter},
             "schemes": [{"name": "task", "semantics": "repeatable", "sla": "2s", "expiry": "10s"}],
-            "fleet": {"name": "hollow", "key": KEY.decode(), "listen": f"127.0.0.1:{udp_ports(1)[0]}",
-                      "seeds": addresses[:3], "control": self.control, "lease": "2s",
-                      "budgets": {f"budget-{n:03}": 10 * count for n in range(self.setting.budgets)}}}
+            "fleet": {
+                "name": "hollow",
+                "key": KEY.decode(),
+                "listen": f"127.0.0.1:{udp_ports(1)[0]}",
+                "seeds": addresses[:3],
+                "control": self.control,
+                "lease": "2s",
+                "budgets": {f"budget-{n:03}": 10 * count for n in range(self.setting.budgets)},
+            },
+        }
         file = self.space / "real.json"
         file.write_text(json.dumps(charter), encoding="utf-8")
         return file
@@ -168,8 +195,16 @@
         addresses = await asyncio.get_running_loop().run_in_executor(None, self._members)
         file, log = self._charter(discovery, addresses), self.space / "real.log"
         with log.open("wb") as out:
-            process = await asyncio.create_subprocess_exec(sys.executable, "-m", "pathsaddle", "serve", str(file), stdout=out,
-                                                           stderr=out, preexec_fn=ends_with_us)
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "pathsaddle",
+                "serve",
+                str(file),
+                stdout=out,
+                stderr=out,
+                preexec_fn=ends_with_us,
+            )
         self.pid = process.pid
         try:
             await self._until("ask for the list", lambda: bool(self.list.watched), log)
@@ -207,15 +242,22 @@
         before, after, took, span = await self._part(asyncio.sleep(setting.rest))
         control = after["control"]["us"] - before["control"]["us"]
         rest_us_s = took / span
-        found |= {"rest_core": control / 1e6 / span, "rest_process_core": took / 1e6 / span,
-                  "rest_metered_part": control / max(1.0, took),
-                  "rest_in_s": (after["control"]["in"] - before["control"]["in"]) / span,
-                  "rest_out_s": (after["control"]["out"] - before["control"]["out"]) / span}
+        found |= {
+            "rest_core": control / 1e6 / span,
+            "rest_process_core": took / 1e6 / span,
+            "rest_metered_part": control / max(1.0, took),
+            "rest_in_s": (after["control"]["in"] - before["control"]["in"]) / span,
+            "rest_out_s": (after["control"]["out"] - before["control"]["out"]) / span,
+        }
 
         before, after, took, span = await self._part(self._changes())
         found["list_us_per_change"] = (_us(after, "list") - _us(before, "list")) / setting.changes
         told = await self._list_heard()
-        found |= {"list_in": float(told), "list_bytes_whole": first, "list_bytes_rest": self.list.written - first}
+        found |= {
+            "list_in": float(told),
+            "list_bytes_whole": first,
+            "list_bytes_rest": self.list.written - first,
+        }
         before, after, took, span = await self._part(self._whole())
         found["list_whole_us"] = float(_us(after, "list") - _us(before, "list"))
 
@@ -232,26 +274,43 @@
         calls = sum(_calls(after, purpose) - _calls(before, purpose) for purpose in PURPOSES)
         each = max(1, settled)
         cost = meter_us()
-        found |= {"txns": float(settled), "process_us_per_txn": (took - rest_us_s * span) / each,
-                  "reports_us_per_txn": (_us(after, "reports") - _us(before, "reports")) / each,
-                  "log_us_per_txn": (_us(after, "log") - _us(before, "log")) / each,
-                  "meter_calls_per_txn": calls / each, "meter_us_per_call": cost, "meter_part": calls * cost / max(1.0, took)}
+        found |= {
+            "txns": float(settled),
+            "process_us_per_txn": (took - rest_us_s * span) / each,
+            "reports_us_per_txn": (_us(after, "reports") - _us(before, "reports")) / each,
+            "log_us_per_txn": (_us(after, "log") - _us(before, "log")) / each,
+            "meter_calls_per_txn": calls / each,
+            "meter_us_per_call": cost,
+            "meter_part": calls * cost / max(1.0, took),
+        }
 
         told = await self._list_heard()
         found["list_bytes_untold"] = float(self.list.written - told)
         last = await self._asked("control")
         found |= {f"{purpose}_us": float(_us(last, purpose)) for purpose in PURPOSES}
-        found |= {"most_in": float(last["control"]["most_in"]), "most_out": float(last["control"]["most_out"]),
-                  "memory_mb": last["memory_mb"], "memory_over_start_mb": last["memory_mb"] - last["memory_mb_at_start"],
-                  "over_the_process": float(self.over), "faults": float(log.read_text(errors="replace").count("fault "))}
+        found |= {
+            "most_in": float(last["control"]["most_in"]),
+            "most_out": float(last["control"]["most_out"]),
+            "memory_mb": last["memory_mb"],
+            "memory_over_start_mb": last["memory_mb"] - last["memory_mb_at_start"],
+            "over_the_process": float(self.over),
+            "faults": float(log.read_text(errors="replace").count("fault ")),
+        }
         return found
 
     async def _met(self, log: Path) -> None:
         end = time.monotonic() + LONGEST
-        while sum(row["state"] == "alive" and row["name"] != "real" for row in (
-                await self._asked("members"))["members"]) < self.setting.members:
+        while (
+            sum(
+                row["state"] == "alive" and row["name"] != "real"
+                for row in (await self._asked("members"))["members"]
+            )
+            < self.setting.members
+        ):
             if time.monotonic() > end:
-                raise NoMeter(step="meet all members", seconds=LONGEST, last=log.read_text(errors="replace")[-200:])
+                raise NoMeter(
+                    step="meet all members", seconds=LONGEST, last=log.read_text(errors="replace")[-200:]
+                )
             await asyncio.sleep(MARK)
 
     async def _list_heard(self) -> int:
--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -119,6 +119,7 @@
             finally:
                 self.ns[whose] += time.thread_time_ns() - begun
                 self.inside = False
+
         return timed
 
     def clear(self) -> None:
@@ -154,8 +155,9 @@
         self.members = [Member(place) for place in places(count)]
         self.by_name = {member.place.name: member for member in self.members}
         self.net = Net(loop)
-        self.air = Air(Random(f"{seed}/air"),
-                       lambda one, other: self.by_name[one].place.way(self.by_name[other].place))
+        self.air = Air(
+            Random(f"{seed}/air"), lambda one, other: self.by_name[one].place.way(self.by_name[other].place)
+        )
         self.datagrams = Metered(loop, self.air)
         self.net.datagram = self.datagrams.socket
         everybody = frozenset(self.by_name)
@@ -172,24 +174,48 @@
         setting, place = self.setting, member.place
         member.lives += 1
         host = member.host = Host(self.net, place.name, place.zone)
-        ways = Ways("hollow", KEY, int(setting.beat * SECOND), int(setting.wait_for_answer * SECOND),
-                    setting.most_bytes)
+        ways = Ways(
+            "hollow",
+            KEY,
+            int(setting.beat * SECOND),
+            int(setting.wait_for_answer * SECOND),
+            setting.most_bytes,
+        )
         count = len(self.members)
-        dealt = {f"budget-{n:03}": Dealt(10 * count, 10, int(setting.lease * SECOND)) for n in range(setting.budgets)}
+        dealt = {
+            f"budget-{n:03}": Dealt(10 * count, 10, int(setting.lease * SECOND))
+            for n in range(setting.budgets)
+        }
         seeds = [one.place.address for one in self.members[:3]]
         told = Told(place.name, place.zone, place.address, place.address, seeds, "", ways, budgets=dealt)
 
         def begun() -> Fellows:
-            fellows = Fellows(told, VirtualGround(host), member.disk,
-                              Random(f"{self.seed}/{place.name}/{member.lives}"), Counters())
+            fellows = Fellows(
+                told,
+                VirtualGround(host),
+                member.disk,
+                Random(f"{self.seed}/{place.name}/{member.lives}"),
+                Counters(),
+            )
             fellows.quiet = True
             fellows.on_change.append(self._changed)
             self.spent.around("members", fellows.core, "heard", "wake", "due", "leave")
             if fellows.shared is not None:
-                self.spent.around("shared", fellows.shared, "heard", "wake", "due", "say", "joined", "ended",
-                                  "claimed", "leave")
+                self.spent.around(
+                    "shared",
+                    fellows.shared,
+                    "heard",
+                    "wake",
+                    "due",
+                    "say",
+                    "joined",
+                    "ended",
+                    "claimed",
+                    "leave",
+                )
             fellows.begin()
             return fellows
+
         member.fellows = host.context.run(begun)
 
     def introduce(self) -> None:
@@ -200,8 +226,13 @@
 
     def _changed(self, change: Change) -> None:
         about = self.by_name.get(change.name)
-        if (self.blame and change.state == DEAD and about is not None and about.fellows is not None
-                and about.fellows.life == change.life):
+        if (
+            self.blame
+            and change.state == DEAD
+            and about is not None
+            and about.fellows is not None
+            and about.fellows.life == change.life
+        ):
             self.wrong += 1
 
     def end(self, member: Member, leaves: bool) -> None:
@@ -238,7 +269,9 @@
         for fellows in running:
             for name, life in lives.items():
                 member = fellows.core.members.get(name)
-                if name != fellows.core.me.name and (member is None or not member.here or member.row.life != life):
+                if name != fellows.core.me.name and (
+                    member is None or not member.here or member.row.life != life
+                ):
                     return False
             if fellows.shared is not None and len(fellows.shared.carry.peers) != len(running) - 1:
                 return False
@@ -295,15 +328,20 @@
     def costs(self, begun: float) -> dict[str, float]:
         span, count = self.loop.true_time() - begun, len(self.members)
         tallies = self.datagrams.tallies.values()
-        out, into = (sum(sum(bins.values()) for bins in every)
-                     for every in ([t.out for t in tallies], [t.into for t in tallies]))
-        return {"out_s": out / span / count, "in_s": into / span / count,
-                "carried_s": sum(tally.carried for tally in tallies) / span / count,
-                "datagrams_s": sum(tally.datagrams for tally in tallies) / span / count,
-                "most_out": float(max(most(tally.out) for tally in tallies)),
-                "most_in": float(max(most(tally.into) for tally in tallies)),
-                "members_us": self.spent.ns["members"] / 1000 / span / count,
-                "shared_us": self.spent.ns["shared"] / 1000 / span / count}
+        out, into = (
+            sum(sum(bins.values()) for bins in every)
+            for every in ([t.out for t in tallies], [t.into for t in tallies])
+        )
+        return {
+            "out_s": out / span / count,
+            "in_s": into / span / count,
+            "carried_s": sum(tally.carried for tally in tallies) / span / count,
+            "datagrams_s": sum(tally.datagrams for tally in tallies) / span / count,
+            "most_out": float(max(most(tally.out) for tally in tallies)),
+            "most_in": float(max(most(tally.into) for tally in tallies)),
+            "members_us": self.spent.ns["members"] / 1000 / span / count,
+            "shared_us": self.spent.ns["shared"] / 1000 / span / count,
+        }
 
     def puts(self, member: Member, topic: str, body: bytes) -> None:
         """As a user of carrying does: the driver passes it on at its next moment."""
@@ -351,19 +389,26 @@
 
 
 def peaked(costs: dict[str, float], name: str) -> dict[str, float]:
-    return {f"{name}_out_s": costs["out_s"], f"{name}_most_out": costs["most_out"],
-            f"{name}_most_in": costs["most_in"], f"{name}_us_s": costs["members_us"] + costs["shared_us"]}
+    return {
+        f"{name}_out_s": costs["out_s"],
+        f"{name}_most_out": costs["most_out"],
+        f"{name}_most_in": costs["most_in"],
+        f"{name}_us_s": costs["members_us"] + costs["shared_us"],
+    }
 
 
 def peak_figures(peaks: dict[str, str]) -> dict[str, tuple[str, str]]:
     """`peaks`: what happens in each, by its name."""
-    return {f"{peak}_{figure}": (unit, f"{text}: {what} (hollow, emulated)")
-            for peak, text in peaks.items()
-            for figure, unit, what in (
-                ("out_s", "bytes/s", "sent by a member, on the mean"),
-                ("most_out", "bytes", "the most that any sends in any second"),
-                ("most_in", "bytes", "the most that any takes in any second"),
-                ("us_s", "us/s", "processor time of the cores per member"))}
+    return {
+        f"{peak}_{figure}": (unit, f"{text}: {what} (hollow, emulated)")
+        for peak, text in peaks.items()
+        for figure, unit, what in (
+            ("out_s", "bytes/s", "sent by a member, on the mean"),
+            ("most_out", "bytes", "the most that any sends in any second"),
+            ("most_in", "bytes", "the most that any takes in any second"),
+            ("us_s", "us/s", "processor time of the cores per member"),
+        )
+    }
 
 
 def needed(point: int, setting: FleetSetting) -> tuple[int, float]:
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -53,13 +53,19 @@
 FIGURES = {
     "file_bytes": ("bytes", "the store's file once all is in it, real"),
     "bytes_a_job": ("bytes", "of that, for each job kept, real"),
-    "held_bytes": ("bytes", "what opening the store as a dispatcher does leaves in memory, by the allocator, real"),
+    "held_bytes": (
+        "bytes",
+        "what opening the store as a dispatcher does leaves in memory, by the allocator, real",
+    ),
     "write_us": (
         "us",
         "processor time to write an ended job (accepted, lease, final) behind all others, real, without syncs",
     ),
     "open_s": ("s", "processor time of opening the store as a dispatcher does, real"),
-    "read_us": ("us", "time to read an ended job back, by its id, median of 1,000 drawn, real, file in page cache"),
+    "read_us": (
+        "us",
+        "time to read an ended job back, by its id, median of 1,000 drawn, real, file in page cache",
+    ),
     "read_most_us": ("us", "the most of these, real"),
     "key_us": ("us", "time to find the job of a key, median of 1,000 drawn, real, file in page cache"),
     "forget_s": ("s", "time of the one commit that lets go of `forgets` of the jobs, real, without syncs"),
--- a/pathsaddle/emulator/hollow/members.py
+++ b/pathsaddle/emulator/hollow/members.py
@@ -35,7 +35,10 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "bytes_out_s": ("bytes/s", "sent by a hollow member at rest, on the mean, membership and carrying (emulated)"),
+    "bytes_out_s": (
+        "bytes/s",
+        "sent by a hollow member at rest, on the mean, membership and carrying (emulated)",
+    ),
     "bytes_in_s": ("bytes/s", "taken by a hollow member at rest, on the mean (emulated)"),
     "carried_out_s": ("bytes/s", "of bytes_out_s what carrying and shares send (hollow, emulated)"),
     "datagrams_out_s": ("1/s", "datagrams that a hollow member sends at rest, on the mean (emulated)"),
@@ -43,13 +46,19 @@
     "most_in": ("bytes", "the most that any hollow member takes in any second at rest (emulated)"),
     "members_us_s": ("us/s", "processor time of the membership's core per hollow member at rest (emulated)"),
     "shared_us_s": ("us/s", "processor time of carrying and shares per hollow member at rest (emulated)"),
-    "record_known_p50_s": ("s", "from a record's writing until all members have it, median (hollow, emulated)"),
+    "record_known_p50_s": (
+        "s",
+        "from a record's writing until all members have it, median (hollow, emulated)",
+    ),
     "record_known_most_s": ("s", "the same, the longest (hollow, emulated)"),
     "death_known_p50_s": ("s", "from a kill until all members take it for dead, median (hollow, emulated)"),
     "death_known_most_s": ("s", "the same, the longest (hollow, emulated)"),
     "rows_kept": ("count", "rows of other members that a hollow member keeps, on the mean (emulated)"),
     "records_kept": ("count", "carried records that a hollow member keeps, on the mean (emulated)"),
-    "held_back_s": ("1/s", "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)"),
+    "held_back_s": (
+        "1/s",
+        "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)",
+    ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran (hollow, emulated)"),
 } | peak_figures({"deaths": "a few are killed, two seconds apart, until all know"})
 COUNTED = counted(FIGURES)
@@ -65,9 +74,15 @@
         await self.records()
         running, count = fleet.running(), len(fleet.members)
         self.figures["rows_kept"] = sum(len(fellows.core.members) for fellows in running) / count
-        self.figures["records_kept"] = sum(
-            len(origin.records) for fellows in running if fellows.shared is not None
-            for origin in fellows.shared.carry.origins.values()) / count
+        self.figures["records_kept"] = (
+            sum(
+                len(origin.records)
+                for fellows in running
+                if fellows.shared is not None
+                for origin in fellows.shared.carry.origins.values()
+            )
+            / count
+        )
         await self.deaths()
         self.figures["held_back_s"] = fleet.held_back() / count / fleet.loop.true_time()
         self.figures["wrong_deaths"] = float(fleet.wrong)
@@ -76,10 +91,16 @@
         begun = self.fleet.mark()
         await asyncio.sleep(self.setting.rest)
         costs = self.fleet.costs(begun)
-        self.figures |= {"bytes_out_s": costs["out_s"], "bytes_in_s": costs["in_s"],
-                         "carried_out_s": costs["carried_s"], "datagrams_out_s": costs["datagrams_s"],
-                         "most_out": costs["most_out"], "most_in": costs["most_in"],
-                         "members_us_s": costs["members_us"], "shared_us_s": costs["shared_us"]}
+        self.figures |= {
+            "bytes_out_s": costs["out_s"],
+            "bytes_in_s": costs["in_s"],
+            "carried_out_s": costs["carried_s"],
+            "datagrams_out_s": costs["datagrams_s"],
+            "most_out": costs["most_out"],
+            "most_in": costs["most_in"],
+            "members_us_s": costs["members_us"],
+            "shared_us_s": costs["shared_us"],
+        }
 
     async def records(self) -> None:
         fleet = self.fleet
--- a/pathsaddle/emulator/hollow/members_load.py
+++ b/pathsaddle/emulator/hollow/members_load.py
@@ -35,10 +35,19 @@
 
 FIGURES: dict[str, tuple[str, str]] = {
     "told_s": ("1/s", "load records that the whole fleet writes (hollow, emulated)"),
-    "load_late_p50_s": ("s", "age of others' load at a member, after all told theirs for a while, median (emulated)"),
+    "load_late_p50_s": (
+        "s",
+        "age of others' load at a member, after all told theirs for a while, median (emulated)",
+    ),
     "load_late_most_s": ("s", "the same, the longest; the whole span where none had come (hollow, emulated)"),
-    "load_death_known_s": ("s", "from a kill until all know of it, while all tell of their load (hollow, emulated)"),
-    "held_back_s": ("1/s", "datagrams that a member's purse refused while all tell, on the mean (hollow, emulated)"),
+    "load_death_known_s": (
+        "s",
+        "from a kill until all know of it, while all tell of their load (hollow, emulated)",
+    ),
+    "held_back_s": (
+        "1/s",
+        "datagrams that a member's purse refused while all tell, on the mean (hollow, emulated)",
+    ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran (hollow, emulated)"),
 } | peak_figures({"load": "each tells a load record at the pace of the overload gate's driver"})
 COUNTED = counted(FIGURES)
--- a/pathsaddle/emulator/hollow/members_peaks.py
+++ b/pathsaddle/emulator/hollow/members_peaks.py
@@ -32,15 +32,25 @@
 
 FIGURES: dict[str, tuple[str, str]] = {
     "met_s": ("s", "from the start of all within one second until each knows each (hollow, emulated)"),
-    "release_known_s": ("s", "from a tenth's leaving until all know all in their new lives (hollow, emulated)"),
+    "release_known_s": (
+        "s",
+        "from a tenth's leaving until all know all in their new lives (hollow, emulated)",
+    ),
     "zone_known_s": ("s", "from a lost zone's return until all know all (hollow, emulated)"),
     "region_known_s": ("s", "from the end of a region's minute apart until all know all (hollow, emulated)"),
-    "held_back_s": ("1/s", "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)"),
+    "held_back_s": (
+        "1/s",
+        "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)",
+    ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran, but for the region apart (emulated)"),
-} | peak_figures({"start": "all begin within a second, until all know all",
-                  "release": "a tenth leaves at once and is back two seconds later, until all know",
-                  "zone": "a zone is killed, is back later, until all know",
-                  "region": "a region is apart for a minute, then until all know all"})
+} | peak_figures(
+    {
+        "start": "all begin within a second, until all know all",
+        "release": "a tenth leaves at once and is back two seconds later, until all know",
+        "zone": "a zone is killed, is back later, until all know",
+        "region": "a region is apart for a minute, then until all know all",
+    }
+)
 COUNTED = counted(FIGURES)
 needs = needed
 
--- a/pathsaddle/emulator/hollow/outside.py
+++ b/pathsaddle/emulator/hollow/outside.py
@@ -15,11 +15,12 @@
 
 def memory_mib(pid: int) -> tuple[float, float]:
     """(RSS, PSS); what it shares with others counts in part in the second."""
-    sizes = {line.split(":")[0]: line.split()[1] for line in
-             Path(f"/proc/{pid}/smaps_rollup").read_text(encoding="ascii").splitlines()[1:]}
+    sizes = {
+        line.split(":")[0]: line.split()[1]
+        for line in Path(f"/proc/{pid}/smaps_rollup").read_text(encoding="ascii").splitlines()[1:]
+    }
     return int(sizes["Rss"]) / 1024, int(sizes["Pss"]) / 1024
 
 
 def descriptors(pid: int) -> int:
     return len(os.listdir(f"/proc/{pid}/fd"))
-
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -52,15 +52,30 @@
     "voter_us_s": ("us/s", "processor time of the voter's core at rest, per voter (hollow, emulated)"),
     "member_out_s": ("bytes/s", "sent to voters by a member at rest, on the mean (hollow, emulated)"),
     "member_us_s": ("us/s", "processor time of the owner's core at rest, per member (hollow, emulated)"),
-    "commit_p50_s": ("s", "from a change's asking until its owner knows it is taken, median (hollow, emulated)"),
+    "commit_p50_s": (
+        "s",
+        "from a change's asking until its owner knows it is taken, median (hollow, emulated)",
+    ),
     "commit_p99_s": ("s", "the same, all but one in a hundred (hollow, emulated)"),
     "read_p50_s": ("s", "from a member's asking for an owner until it knows, median (hollow, emulated)"),
     "read_p99_s": ("s", "the same, all but one in a hundred (hollow, emulated)"),
-    "changes_failed": ("part", "of all changes those refused or whose outcome nobody can say (hollow, emulated)"),
+    "changes_failed": (
+        "part",
+        "of all changes those refused or whose outcome nobody can say (hollow, emulated)",
+    ),
     "reads_failed": ("part", "of all askings those that no majority answered (hollow, emulated)"),
-    "owned_s": ("s", "from the moment at which all stand for all keys until each has an owner (hollow, emulated)"),
-    "start_most_in": ("bytes", "the most that any voter takes in any second while all bid at once (emulated)"),
-    "start_most_out": ("bytes", "the most that any voter sends in any second while all bid at once (emulated)"),
+    "owned_s": (
+        "s",
+        "from the moment at which all stand for all keys until each has an owner (hollow, emulated)",
+    ),
+    "start_most_in": (
+        "bytes",
+        "the most that any voter takes in any second while all bid at once (emulated)",
+    ),
+    "start_most_out": (
+        "bytes",
+        "the most that any voter sends in any second while all bid at once (emulated)",
+    ),
 }
 COUNTED = frozenset(name for name in FIGURES if not name.endswith("us_s"))
 
@@ -106,15 +121,27 @@
         return [int(self.places[sender].way(self.places[taker]) * SECOND)]
 
     def says(self, host: Host, out: list[tuple[str, Message]]) -> None:
-        starts = (host.voter.starts if isinstance(host, VoterHost) else
-                  host.owner.known if isinstance(host, MemberHost) else {})
+        starts = (
+            host.voter.starts
+            if isinstance(host, VoterHost)
+            else host.owner.known
+            if isinstance(host, MemberHost)
+            else {}
+        )
         start = host.voter.start if isinstance(host, VoterHost) else 0
         to: dict[str, list[Message]] = {}
         for name, message in out:
             to.setdefault(name, []).append(message)
         for name, messages in to.items():
-            said = Said("hollow", group_of(self.voters), self.places[host.name].name, self.places[name].name, start,
-                        [starts.get(voter, 0) for voter in self.voters], [])
+            said = Said(
+                "hollow",
+                group_of(self.voters),
+                self.places[host.name].name,
+                self.places[name].name,
+                start,
+                [starts.get(voter, 0) for voter in self.voters],
+                [],
+            )
             for data in packed(said, messages, KEY):
                 self._weigh(host.name, name, len(data))
         super().says(host, out)
@@ -191,9 +218,11 @@
         if not owned and all(ground.owner(key) for key in ground.keys):
             owned = ground.at
     voters = [ground.tallies[name] for name in ground.voters]
-    figures = {"owned_s": (owned or settle) / SECOND,
-               "start_most_in": float(max(most(tally.into) for tally in voters)),
-               "start_most_out": float(max(most(tally.out) for tally in voters))}
+    figures = {
+        "owned_s": (owned or settle) / SECOND,
+        "start_most_in": float(max(most(tally.into) for tally in voters)),
+        "start_most_out": float(max(most(tally.out) for tally in voters)),
+    }
     ground.clear()
     ground.again(setting.asks * len(ground.members()), ground.asks)
     ground.again(setting.changes, ground.changes)
@@ -209,8 +238,11 @@
         "voter_us_s": ground.spent.ns["voter"] / 1000 / count / span,
         "member_out_s": sum(sum(tally.out.values()) for tally in members) / len(members) / span,
         "member_us_s": ground.spent.ns["member"] / 1000 / len(members) / span,
-        "commit_p50_s": part(ground.commits, 0.5), "commit_p99_s": part(ground.commits, 0.99),
-        "read_p50_s": part(ground.reads, 0.5), "read_p99_s": part(ground.reads, 0.99),
+        "commit_p50_s": part(ground.commits, 0.5),
+        "commit_p99_s": part(ground.commits, 0.99),
+        "read_p50_s": part(ground.reads, 0.5),
+        "read_p99_s": part(ground.reads, 0.99),
         "changes_failed": ground.refused / max(1, ground.changed),
-        "reads_failed": ground.unread / max(1, ground.unread + len(ground.reads))}
+        "reads_failed": ground.unread / max(1, ground.unread + len(ground.reads)),
+    }
     return {name: figures[name] for name in FIGURES}
--- a/pathsaddle/emulator/hollow/owners_peaks.py
+++ b/pathsaddle/emulator/hollow/owners_peaks.py
@@ -32,8 +32,11 @@
     sync_slow: Annotated[float, msgspec.Meta(ge=0)] = 0.2
 
 
-PEAKS = {"new": "all voters new at once", "release": "members restarted, a tenth at a time",
-         "slow": "one voter of five slow"}
+PEAKS = {
+    "new": "all voters new at once",
+    "release": "members restarted, a tenth at a time",
+    "slow": "one voter of five slow",
+}
 FIGURES: dict[str, tuple[str, str]] = {
     f"{peak}_{figure}": (unit, f"{text}: {what} (hollow, emulated)")
     for peak, text in PEAKS.items()
@@ -42,8 +45,14 @@
         ("lost", "1", "how often a key went from owner to owner, or to none"),
         ("most_in", "bytes", "the most that any voter takes in any second"),
         ("most_out", "bytes", "the most that any voter sends in any second"),
-        ("commit_p99_s", "s", "from a change's asking until its owner knows it is taken, all but one in a hundred"),
-        ("failed", "part", "of all changes those refused, or whose outcome nobody can say"))}
+        (
+            "commit_p99_s",
+            "s",
+            "from a change's asking until its owner knows it is taken, all but one in a hundred",
+        ),
+        ("failed", "part", "of all changes those refused, or whose outcome nobody can say"),
+    )
+}
 COUNTED = frozenset(FIGURES)  # in virtual time: the same on every machine
 
 
@@ -70,10 +79,14 @@
             longest = max(longest, ground.at - since[key])
             owners[key] = now
     voters = [ground.tallies[name] for name in ground.voters]
-    return {"unowned_s": longest / SECOND, "lost": float(lost),
-            "most_in": float(max(most(tally.into) for tally in voters)),
-            "most_out": float(max(most(tally.out) for tally in voters)),
-            "commit_p99_s": part(ground.commits, 0.99), "failed": ground.refused / max(1, ground.changed)}
+    return {
+        "unowned_s": longest / SECOND,
+        "lost": float(lost),
+        "most_in": float(max(most(tally.into) for tally in voters)),
+        "most_out": float(max(most(tally.out) for tally in voters)),
+        "commit_p99_s": part(ground.commits, 0.99),
+        "failed": ground.refused / max(1, ground.changed),
+    }
 
 
 def new(ground: OwnersGround, setting: Setting) -> float:
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -49,7 +49,10 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "txn_us": ("us", "processor time of one settled txn in Loop and Choice: arrival, looks, posting, end; hollow workers"),
+    "txn_us": (
+        "us",
+        "processor time of one settled txn in Loop and Choice: arrival, looks, posting, end; hollow workers",
+    ),
     "call_us_p99": ("us", "processor time of one call into Loop and the turn behind it, the 99th percentile"),
     "scans_per_txn": ("", "scans over the workers for one settled txn (Choice.rooms)"),
     "scanned_per_txn": ("", "workers that these scans pass for one settled txn"),
@@ -61,14 +64,28 @@
     "whole_ms": ("ms", "processor time for one whole list again: read, told, nothing changed"),
     "whole_read_ms": ("ms", "of it: reading the line (JSON to rows)"),
     "change_us": ("us", "processor time for one change of one worker: read, told, one turn"),
-    "order_ms": ("ms", "processor time for the order of workers of one key not seen since the last change of the list"),
+    "order_ms": (
+        "ms",
+        "processor time for the order of workers of one key not seen since the last change of the list",
+    ),
     "bytes_per_worker": ("bytes", "memory of Choice and its list for one worker, fresh (tracemalloc)"),
     "bytes_per_worker_used": ("bytes", "the same after the timed txns"),
     "list_bytes": ("bytes", "length of a whole list's line"),
     "change_bytes": ("bytes", "length of a line with one change"),
 }
-COUNTED = frozenset({"scans_per_txn", "scanned_per_txn", "ranked_per_txn", "looks_per_txn", "unsettled",
-                     "bytes_per_worker", "bytes_per_worker_used", "list_bytes", "change_bytes"})
+COUNTED = frozenset(
+    {
+        "scans_per_txn",
+        "scanned_per_txn",
+        "ranked_per_txn",
+        "looks_per_txn",
+        "unsettled",
+        "bytes_per_worker",
+        "bytes_per_worker_used",
+        "list_bytes",
+        "change_bytes",
+    }
+)
 
 
 def needs(point: int, setting: Setting) -> tuple[int, float]:
@@ -78,8 +95,16 @@
 
 def row_of(number: int, zones: int, status: str = "active", address: str = "127.0.0.1:9") -> dict[str, Any]:
     """A worker as discovery tells of it."""
-    return {"name": f"w{number:05}", "address": address, "zone": f"z{number % zones:02}", "type": "m",
-            "group": number // 4, "status": status, "weight": 1.0, "since_ms": 0}
+    return {
+        "name": f"w{number:05}",
+        "address": address,
+        "zone": f"z{number % zones:02}",
+        "type": "m",
+        "group": number // 4,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+    }
 
 
 def line_of(rows: list[dict[str, Any]], index: int, whole: bool) -> bytes:
@@ -88,10 +113,19 @@
 
 
 def charter(setting: Setting) -> Charter:
-    return check(Charter, {
-        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "dispatchers": setting.dispatchers, "machines": ["m"],
-        "zones": [f"z{i:02}" for i in range(setting.zones)], "zone": "z00",
-        "schemes": [{"name": "task", "semantics": "repeatable", "sla": "2s", "expiry": "10s"}]}, "scan")
+    return check(
+        Charter,
+        {
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:9",
+            "dispatchers": setting.dispatchers,
+            "machines": ["m"],
+            "zones": [f"z{i:02}" for i in range(setting.zones)],
+            "zone": "z00",
+            "schemes": [{"name": "task", "semantics": "repeatable", "sla": "2s", "expiry": "10s"}],
+        },
+        "scan",
+    )
 
 
 class HollowDoor:
@@ -111,7 +145,9 @@
         self.index = 1
         known = {"index": 1, "snapshot": True, "endpoints": []}
         self.born = birth(json.dumps(told(charter(setting), known)))
-        self.born.terms.beats = False  # the list here speaks by lines alone: no beat tells that it is still there
+        self.born.terms.beats = (
+            False  # the list here speaks by lines alone: no beat tells that it is still there
+        )
         self.scheme = self.born.terms.schemes[0]
         self.run = int(setting.run * SECOND)
         self.known: dict[str, Worker] = {}
@@ -136,7 +172,9 @@
 
     def probe(self, worker: Worker) -> None:
         self.looks += 1
-        self.later(LOOK_TAKES, lambda: self.loop.probed(worker, Outcome.SETTLED, LOOK_TAKES, self._report(worker)))
+        self.later(
+            LOOK_TAKES, lambda: self.loop.probed(worker, Outcome.SETTLED, LOOK_TAKES, self._report(worker))
+        )
 
     def subscribe(self) -> None:
         pass
@@ -267,8 +305,13 @@
         settled, looks = door.settled, door.looks
         door.txns(setting.txns)
         done = max(1, door.settled - settled)
-        found = {"scans_per_txn": scans / done, "scanned_per_txn": scanned / done, "ranked_per_txn": ranked / done,
-                 "looks_per_txn": (door.looks - looks) / done, "unsettled": float(setting.txns - (door.settled - settled))}
+        found = {
+            "scans_per_txn": scans / done,
+            "scanned_per_txn": scanned / done,
+            "ranked_per_txn": ranked / done,
+            "looks_per_txn": (door.looks - looks) / done,
+            "unsettled": float(setting.txns - (door.settled - settled)),
+        }
         del choice.rooms, choice.load
         choice.ranked = []
         door.spent.clear()
@@ -276,8 +319,12 @@
         used = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
-    return {**found, "bytes_per_worker": (fresh - before) / workers, "bytes_per_worker_used": (used - before) / workers,
-            "list_bytes": float(len(line))}
+    return {
+        **found,
+        "bytes_per_worker": (fresh - before) / workers,
+        "bytes_per_worker_used": (used - before) / workers,
+        "list_bytes": float(len(line)),
+    }
 
 
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
@@ -300,8 +347,14 @@
     times = sorted(door.hears(line) for _ in range(5))
     figures["whole_ms"] = sum(times[2]) / 1e6
     figures["whole_read_ms"] = times[2][0] / 1e6
-    changes = [line_of([row_of(door.random.randrange(point), setting.zones, "leaving" if n % 2 else "active")], n + 2,
-                       False) for n in range(CHANGES)]
+    changes = [
+        line_of(
+            [row_of(door.random.randrange(point), setting.zones, "leaving" if n % 2 else "active")],
+            n + 2,
+            False,
+        )
+        for n in range(CHANGES)
+    ]
     figures["change_us"] = sum(sum(door.hears(change)) for change in changes) / CHANGES / 1e3
     figures["change_bytes"] = float(max(map(len, changes)))
     door.hears(line)
--- a/pathsaddle/emulator/hollow/served.py
+++ b/pathsaddle/emulator/hollow/served.py
@@ -208,7 +208,8 @@
 
     async def opens(self, port: int = 0) -> str:
         self.server = await self.fleet.loop.create_server(
-            lambda: _ServerConnection(self), "127.0.0.1", port, backlog=64)
+            lambda: _ServerConnection(self), "127.0.0.1", port, backlog=64
+        )
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def hears(self, said: Said) -> bytes:
@@ -216,7 +217,9 @@
             return self._posting(said)
         if said.method == "GET" and said.target in ("/health", "/status/load"):
             self.fleet.looked += 1
-            return speech.answer(200, body=msgspec.json.encode(self.report()) if said.target != "/health" else b"")
+            return speech.answer(
+                200, body=msgspec.json.encode(self.report()) if said.target != "/health" else b""
+            )
         if said.method == "DELETE":
             tag = said.target.rpartition("/")[2]
             self.line = deque(job for job in self.line if job[0] != tag)
@@ -263,12 +266,25 @@
 
     def calls(self) -> None:
         """A callback of a job that nobody knows: answered at once, and its connection stays."""
-        self._tells({"id": f"none-{self.name}", "from": self.name, "state": "done", "result": "", "load": self.report()})
+        self._tells(
+            {
+                "id": f"none-{self.name}",
+                "from": self.name,
+                "state": "done",
+                "result": "",
+                "load": self.report(),
+            }
+        )
 
     def report(self) -> dict[str, float]:
         held, line = len(self.running) + len(self.line), len(self.line)
-        figures = {"x0": float(self.fleet.slots - len(self.running)), "queue": line, "waiting": line, "inflight": held,
-                   "active": held}
+        figures = {
+            "x0": float(self.fleet.slots - len(self.running)),
+            "queue": line,
+            "waiting": line,
+            "inflight": held,
+            "active": held,
+        }
         return {name: figures[name] for name in self.fleet.charter.reports.fields if name in figures}
 
     def dies(self) -> None:
@@ -287,14 +303,19 @@
             self.back.end()
             self.back = None
         for tag in lost:
-            self.fleet.loop.call_later(NOTICED, self.fleet.agent.tell, msgspec.json.encode(
-                {"id": tag, "from": self.name, "state": "lost"}))
+            self.fleet.loop.call_later(
+                NOTICED,
+                self.fleet.agent.tell,
+                msgspec.json.encode({"id": tag, "from": self.name, "state": "lost"}),
+            )
 
 
 class Workers:
     """All of them, in this process."""
 
-    def __init__(self, charter: Charter, count: int, slots: int, waiting: int, run: float, zones: list[str]) -> None:
+    def __init__(
+        self, charter: Charter, count: int, slots: int, waiting: int, run: float, zones: list[str]
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.charter = charter
         self.slots, self.waiting, self.run = slots, waiting, run
@@ -315,8 +336,18 @@
     async def open(self) -> None:
         for i, worker in enumerate(self.all):
             address = await worker.opens()
-            self.rows.append({"name": worker.name, "address": address, "zone": self.zones[i % len(self.zones)],
-                              "type": "m", "group": i // 4, "status": "active", "weight": 1.0, "since_ms": 0})
+            self.rows.append(
+                {
+                    "name": worker.name,
+                    "address": address,
+                    "zone": self.zones[i % len(self.zones)],
+                    "type": "m",
+                    "group": i // 4,
+                    "status": "active",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+            )
 
     async def restart(self, numbers: Iterable[int]) -> None:
         """All of these at once, each at its old address; their rows say since when."""
@@ -333,7 +364,8 @@
     def connected(self) -> int:
         """Workers with a connection from or to the dispatcher."""
         return sum(
-            bool(w.connections) or w.back is not None and w.back.transport is not None for w in self.all)
+            bool(w.connections) or w.back is not None and w.back.transport is not None for w in self.all
+        )
 
     def end(self) -> None:
         for worker in self.all:
@@ -394,7 +426,9 @@
         rows = [self.rows[name] for name in (names if names is not None else self.rows)]
         if names is None:
             rows = [row for row in rows if row["status"] != "left"]
-        return msgspec.json.encode({"index": self.index, "snapshot": names is None, "endpoints": rows}) + b"\n"
+        return (
+            msgspec.json.encode({"index": self.index, "snapshot": names is None, "endpoints": rows}) + b"\n"
+        )
 
     def watches(self, asked: _Asked, index: int) -> None:
         self.watched += 1
@@ -500,9 +534,17 @@
 
     async def ask(self) -> None:
         self.asked += 1
-        call = speech.call("POST", f"/{self.scheme}", {
-            "Req-Id": f"t{self.asked}-{self.random.getrandbits(32):08x}", "Req-Kind": self.scheme,
-            "Req-Deadline-Ms": "10000", "Req-Cost": f"{self.run * 1000:.0f}"}, b"{}")
+        call = speech.call(
+            "POST",
+            f"/{self.scheme}",
+            {
+                "Req-Id": f"t{self.asked}-{self.random.getrandbits(32):08x}",
+                "Req-Kind": self.scheme,
+                "Req-Deadline-Ms": "10000",
+                "Req-Cost": f"{self.run * 1000:.0f}",
+            },
+            b"{}",
+        )
         while self.idle:
             client = self.idle.pop()
             if not client.transport.is_closing():
