--- a/pathsaddle/emulator/hollow/serving.py
+++ b/pathsaddle/emulator/hollow/serving.py
@@ -68,9 +68,13 @@
         """Starts it; the log goes on where the last life's ended."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "pathsaddle", "serve", str(self.file)], cwd=ROOT, stdout=log, stderr=log,
+                [sys.executable, "-m", "pathsaddle", "serve", str(self.file)],
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
                 preexec_fn=ends_with_us,  # noqa: PLW1509  # a measure has no threads
-                env={**os.environ, "PYTHONPATH": str(ROOT)})
+                env={**os.environ, "PYTHONPATH": str(ROOT)},
+            )
 
     @property
     def pid(self) -> int:
@@ -130,8 +134,11 @@
         over = self.process is not None and self.process.poll() is not None
         if over or time.perf_counter() - begun > READY_IN:
             lines = (seen or self.log.read_bytes()).splitlines()
-            raise NotReady(listen=self.listen, seconds=time.perf_counter() - begun,
-                           last=lines[-1].decode(errors="replace")[:200] if lines else "it has said nothing")
+            raise NotReady(
+                listen=self.listen,
+                seconds=time.perf_counter() - begun,
+                last=lines[-1].decode(errors="replace")[:200] if lines else "it has said nothing",
+            )
 
 
 class _Worker(asyncio.Protocol):
@@ -154,12 +161,17 @@
             self.buffer = self.buffer[whole:]
             tag = TAG.search(head)
             if not head.startswith(b"POST") or tag is None:
-                self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n" b'{"x0":8,"queue":0}')
+                self.transport.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"x0":8,"queue":0}')
                 continue
             self.transport.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
-            asyncio.get_running_loop().call_later(self.run, self.back.tell, (
-                b'{"id":"%s","from":"%s","state":"done","result":"ok","load":{"x0":8,"queue":0,"inflight":0}}'
-                % (tag[1], self.name)))
+            asyncio.get_running_loop().call_later(
+                self.run,
+                self.back.tell,
+                (
+                    b'{"id":"%s","from":"%s","state":"done","result":"ok","load":{"x0":8,"queue":0,"inflight":0}}'
+                    % (tag[1], self.name)
+                ),
+            )
 
 
 class Back:
@@ -180,13 +192,16 @@
         host, _, port = self.listen.rpartition(":")
         for _ in range(20):
             try:
-                reader, writer = self.idle.pop() if self.idle else await asyncio.open_connection(host, int(port))
+                reader, writer = (
+                    self.idle.pop() if self.idle else await asyncio.open_connection(host, int(port))
+                )
             except OSError:
                 await asyncio.sleep(0.1)
                 continue
             try:
-                writer.write(b"POST /callback HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (
-                    len(body), body))
+                writer.write(
+                    b"POST /callback HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+                )
                 head = await reader.readuntil(b"\r\n\r\n")
                 match = LENGTH.search(head)
                 await reader.readexactly(int(match[1]) if match else 0)
@@ -214,9 +229,11 @@
 
     def __init__(self, ground: Ground, number: int, scheme: str, owner: str, every: float) -> None:
         self.ground, self.number, self.every = ground, number, every
-        self.head = (f"POST /{scheme} HTTP/1.1\r\nHost: d\r\nReq-Kind: {scheme}\r\n"
-                     + (f"Req-Owner: {owner}\r\n" if owner else "")
-                     + "Req-Cost: 1000\r\nContent-Length: 2\r\nReq-Id: ").encode()
+        self.head = (
+            f"POST /{scheme} HTTP/1.1\r\nHost: d\r\nReq-Kind: {scheme}\r\n"
+            + (f"Req-Owner: {owner}\r\n" if owner else "")
+            + "Req-Cost: 1000\r\nContent-Length: 2\r\nReq-Id: "
+        ).encode()
         self.kept: tuple[int, asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def run(self) -> None:
@@ -277,15 +294,23 @@
     """Some dispatchers' peers. `charter(number, listen, discovery)` gives each dispatcher's charter as a table,
     which is written as JSON."""
 
-    def __init__(self, folder: Path, dispatchers: int, workers: int, run: float,
-                 charter: Callable[[int, str, str], dict[str, Any]]) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        dispatchers: int,
+        workers: int,
+        run: float,
+        charter: Callable[[int, str, str], dict[str, Any]],
+    ) -> None:
         self.folder, self.workers, self.run, self.charter = folder, workers, run, charter
         self.ends: Counter[str] = Counter()
         self.times: list[float] = []  # seconds that settled txns took
         self.tasks: set[asyncio.Task[None]] = set()
         self.servers: list[asyncio.Server] = []
-        self.dispatchers = [Process(d, folder / f"d{d}.json", f"127.0.0.1:{port}")
-                            for d, port in enumerate(ports(dispatchers))]
+        self.dispatchers = [
+            Process(d, folder / f"d{d}.json", f"127.0.0.1:{port}")
+            for d, port in enumerate(ports(dispatchers))
+        ]
         self.backs = [Back(one.listen, self.tasks) for one in self.dispatchers]
 
     async def begin(self) -> None:
@@ -296,17 +321,32 @@
             for w in range(self.workers):
                 name = f"w{w}"
                 server = await events.create_server(
-                    lambda n=name, b=back: _Worker(n, self.run, b), "127.0.0.1", 0)  # type: ignore[misc]
+                    lambda n=name, b=back: _Worker(n, self.run, b),  # type: ignore[misc]
+                    "127.0.0.1",
+                    0,
+                )
                 self.servers.append(server)
-                rows.append({"name": name, "address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
-                             "zone": "here", "type": "m", "group": 0, "status": "active", "weight": 1.0,
-                             "since_ms": 0})
+                rows.append(
+                    {
+                        "name": name,
+                        "address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
+                        "zone": "here",
+                        "type": "m",
+                        "group": 0,
+                        "status": "active",
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                )
             line = json.dumps({"index": 1, "snapshot": True, "endpoints": rows}).encode() + b"\n"
             discovery = await asyncio.start_server(self._list(line), "127.0.0.1", 0)
             self.servers.append(discovery)
-            self.tell(dispatcher, self.charter(
-                dispatcher.number, dispatcher.listen,
-                f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"))
+            self.tell(
+                dispatcher,
+                self.charter(
+                    dispatcher.number, dispatcher.listen, f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"
+                ),
+            )
 
     def tell(self, dispatcher: Process, table: dict[str, Any]) -> None:
         """Its charter from now on, for whoever reads the file next."""
@@ -322,13 +362,16 @@
             task.add_done_callback(self.tasks.discard)
             try:
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
+                writer.write(
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
+                )
                 while True:
                     await asyncio.sleep(BEAT)
                     writer.write(b"1\r\n\n\r\n")
                     await writer.drain()
             except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 writer.close()
+
         return watch
 
     async def restart(self, dispatcher: Process) -> tuple[float, float]:
--- a/pathsaddle/emulator/hollow/settings.py
+++ b/pathsaddle/emulator/hollow/settings.py
@@ -34,7 +34,10 @@
     "in_force_p99_s": ("s", "emulated: the same, 99 of 100"),
     "in_force_most_s": ("s", "emulated: the same, the last"),
     "never_in_force": ("changes", "emulated: commits that no keeper had told in force by the end"),
-    "known_most_s": ("s", "emulated: from a commit until the last member that was reached the whole time acts by it or a later one"),
+    "known_most_s": (
+        "s",
+        "emulated: from a commit until the last member that was reached the whole time acts by it or a later one",
+    ),
     "member_out_bytes_s": ("B/s", "emulated: a member sends, mean over members and time, envelope included"),
     "member_out_most": ("B", "emulated: the most that a member sends in any second"),
     "member_in_bytes_s": ("B/s", "emulated: a member is sent, mean over members and time"),
@@ -70,6 +73,7 @@
                 begun = time.thread_time()
                 turn(does)
                 self.spent[process.keeper] += time.thread_time() - begun
+
             process.turn = timed  # type: ignore[method-assign]
 
     def sends(self, process: Process, to: str, said) -> None:  # type: ignore[no-untyped-def]
@@ -85,9 +89,22 @@
     members = point if setting.against == "members" else setting.members
     changes = float(point) if setting.against == "changes" else setting.changes
     regions = min(setting.regions, max(1, members))
-    plan = Plan(regions=regions, members=members, keepers=regions, customers=setting.teams, changes=changes,
-                seconds=setting.seconds, quiet=25.0, loss=setting.loss, doubled=0.0, faults=0.0, acts=False, lease=10.0, log=1024,
-                founded=True)
+    plan = Plan(
+        regions=regions,
+        members=members,
+        keepers=regions,
+        customers=setting.teams,
+        changes=changes,
+        seconds=setting.seconds,
+        quiet=25.0,
+        loss=setting.loss,
+        doubled=0.0,
+        faults=0.0,
+        acts=False,
+        lease=10.0,
+        log=1024,
+        founded=True,
+    )
     world = Metered(plan, seed)
     away = world.regions[-1]
     if setting.lost:
@@ -97,7 +114,11 @@
     world.run()
     lasted = world.until / SECOND
     took = waits(world)
-    since = {event.more["revision"]: event.at for event in world.events.rows if event.what == "set" and event.at > 0}
+    since = {
+        event.more["revision"]: event.at
+        for event in world.events.rows
+        if event.what == "set" and event.at > 0
+    }
     last: dict[int, int] = {}
     for event in world.events.rows:
         if event.what == "applied" and event.more["name"].startswith("m"):
@@ -110,9 +131,13 @@
     keepers = [process for process in world.processes.values() if process.keeper]
     sizes = [len(encoded(group)) for digest, group in world.groups.items() if group.author != "founder"]
     return {
-        "in_force_p50_s": at(took, 0.5), "in_force_p99_s": at(took, 0.99), "in_force_most_s": at(took, 1.0),
+        "in_force_p50_s": at(took, 0.5),
+        "in_force_p99_s": at(took, 0.99),
+        "in_force_most_s": at(took, 1.0),
         "never_in_force": float(len(since) - len(took)),
-        "known_most_s": max(((when - since[revision]) / SECOND for revision, when in last.items()), default=0.0),
+        "known_most_s": max(
+            ((when - since[revision]) / SECOND for revision, when in last.items()), default=0.0
+        ),
         "member_out_bytes_s": sum(size for one in own for _, size in one.sent) / len(own) / lasted,
         "member_out_most": float(max(worst(one.sent) for one in own)),
         "member_in_bytes_s": sum(size for one in own for _, size in world.came[one.name]) / len(own) / lasted,
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -52,11 +52,23 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "cpu_us_s": ("us/s", "user and system time of the hollow members' processes for each member, real sockets"),
+    "cpu_us_s": (
+        "us/s",
+        "user and system time of the hollow members' processes for each member, real sockets",
+    ),
     "bytes_out_s": ("bytes/s", "sent by a hollow member at rest, by its driver's counter, real sockets"),
-    "datagrams_out_s": ("1/s", "datagrams sent by a hollow member at rest, by its driver's counter, real sockets"),
-    "pss_kib": ("KiB", "that a hollow member adds to its process (proportional set size), all of its peers known"),
-    "real_us_s": ("us/s", "user and system time of one real dispatcher with [fleet] among the hollow, no workers"),
+    "datagrams_out_s": (
+        "1/s",
+        "datagrams sent by a hollow member at rest, by its driver's counter, real sockets",
+    ),
+    "pss_kib": (
+        "KiB",
+        "that a hollow member adds to its process (proportional set size), all of its peers known",
+    ),
+    "real_us_s": (
+        "us/s",
+        "user and system time of one real dispatcher with [fleet] among the hollow, no workers",
+    ),
     "alone_us_s": ("us/s", "user and system time of one real dispatcher without [fleet], no workers"),
     "real_bytes_out_s": ("bytes/s", "sent by the real dispatcher with [fleet] among the hollow members"),
     "real_pss_mib": ("MiB", "proportional set size of the real dispatcher with [fleet]"),
@@ -76,6 +88,7 @@
 
 # A process with some of the members.
 
+
 async def shard(told: dict[str, Any]) -> None:
     """Speaks lines of JSON: its members' rows; then, told all rows, `begun`; what was spent at each further line."""
     events, setting = asyncio.get_running_loop(), msgspec.convert(told["setting"], Setting)
@@ -83,11 +96,16 @@
     addresses: list[str] = told["addresses"]
     count = len(addresses) + setting.real
     dealt = {f"budget-{n:03}": Dealt(10 * count, 10, LEASE * SECOND) for n in range(setting.budgets)}
-    for place in places(len(addresses))[told["first"]:told["first"] + setting.shard]:
+    for place in places(len(addresses))[told["first"] : told["first"] + setting.shard]:
         address = addresses[place.number]
         ways = Ways("hollow", KEY)
-        fellows = Fellows(Told(place.name, place.zone, address, address, addresses[:3], "", ways, budgets=dealt),
-                          Ground(), Lives(None, place.name), Random(f"{told['seed']}/{place.name}"), counters)
+        fellows = Fellows(
+            Told(place.name, place.zone, address, address, addresses[:3], "", ways, budgets=dealt),
+            Ground(),
+            Lives(None, place.name),
+            Random(f"{told['seed']}/{place.name}"),
+            counters,
+        )
         fellows.quiet = True
         some.append(fellows)
 
@@ -96,6 +114,7 @@
 
     async def line() -> str:
         return await events.run_in_executor(None, sys.stdin.readline)
+
     say([fellows.core.me for fellows in some])
     rows = await line()
     if not rows:  # nobody speaks to us any more
@@ -106,8 +125,14 @@
     say("begun")
     while await line():
         used = resource.getrusage(resource.RUSAGE_SELF)
-        say({"us": (used.ru_utime + used.ru_stime) * 1e6, "bytes": counters["fleet.bytes"],
-             "datagrams": counters["fleet.sent"], "pss_kib": pss_kib("self") - before})
+        say(
+            {
+                "us": (used.ru_utime + used.ru_stime) * 1e6,
+                "bytes": counters["fleet.bytes"],
+                "datagrams": counters["fleet.sent"],
+                "pss_kib": pss_kib("self") - before,
+            }
+        )
     for fellows in some:
         fellows.end()
 
@@ -119,14 +144,25 @@
 
 # The play.
 
+
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
     """One play with `point` hollow members. NoAnswer: a process of it failed."""
     with ExitStack() as ends:
         folder = Path(ends.enter_context(tempfile.TemporaryDirectory()))
         addresses = [f"127.0.0.1:{port}" for port in udp_ports(point)]
-        shards = [Shard(ends, folder, {"first": first, "addresses": addresses, "seed": seed,
-                                       "setting": msgspec.to_builtins(setting)})
-                  for first in range(0, point, setting.shard)]
+        shards = [
+            Shard(
+                ends,
+                folder,
+                {
+                    "first": first,
+                    "addresses": addresses,
+                    "seed": seed,
+                    "setting": msgspec.to_builtins(setting),
+                },
+            )
+            for first in range(0, point, setting.shard)
+        ]
         rows = [row for one in shards for row in one.hears()]
         for one in shards:
             one.says(rows)
@@ -141,7 +177,9 @@
         span = time.monotonic() - begun
     figures = dict.fromkeys(FIGURES, 0.0)
     for figure, name in (("cpu_us_s", "us"), ("bytes_out_s", "bytes"), ("datagrams_out_s", "datagrams")):
-        figures[figure] = sum(b[name] - a[name] for a, b in zip(first[0], last[0], strict=True)) / span / point
+        figures[figure] = (
+            sum(b[name] - a[name] for a, b in zip(first[0], last[0], strict=True)) / span / point
+        )
     figures["pss_kib"] = sum(one["pss_kib"] for one in last[0]) / point
     for whom, a, b in zip(real, first[1], last[1], strict=True):
         figures[f"{whom.kind}_us_s"] = (b["us"] - a["us"]) / span
@@ -163,8 +201,13 @@
     def __init__(self, ends: ExitStack, folder: Path, told: dict[str, Any]) -> None:
         self.errors = folder / f"{told['first']}.err"
         with self.errors.open("w") as errors:
-            self.process = subprocess.Popen([sys.executable, "-m", __name__, json.dumps(told)], text=True,
-                                            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=errors)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", __name__, json.dumps(told)],
+                text=True,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=errors,
+            )
         ends.callback(ended, self.process)
 
     def says(self, what: Any) -> None:
@@ -210,19 +253,30 @@
 class Real:
     """A real dispatcher, `python -m pathsaddle serve`; its processor time as the kernel has it."""
 
-    def __init__(self, ends: ExitStack, folder: Path, kind: str, addresses: list[str], setting: Setting) -> None:
+    def __init__(
+        self, ends: ExitStack, folder: Path, kind: str, addresses: list[str], setting: Setting
+    ) -> None:
         self.kind, self.log = kind, folder / f"{kind}.log"
         count = len(addresses) + 1
         text = CHARTER.format(name=f"r0-z00-{kind}", count=count, number=count - 1)
         if kind == "real":
-            text += FLEET.format(key=KEY.decode(), address=f"127.0.0.1:{udp_ports(1)[0]}", folder=folder,
-                                 seeds=json.dumps(addresses[:3]))
+            text += FLEET.format(
+                key=KEY.decode(),
+                address=f"127.0.0.1:{udp_ports(1)[0]}",
+                folder=folder,
+                seeds=json.dumps(addresses[:3]),
+            )
             text += "".join(f"budget-{n:03} = {10 * count}\n" for n in range(setting.budgets))
         path = folder / f"{kind}.toml"
         path.write_text(text)
         with self.log.open("w") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "pathsaddle", "serve", str(path)], text=True,
-                                            stdout=log, stderr=subprocess.STDOUT, stdin=subprocess.DEVNULL)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "pathsaddle", "serve", str(path)],
+                text=True,
+                stdout=log,
+                stderr=subprocess.STDOUT,
+                stdin=subprocess.DEVNULL,
+            )
         ends.callback(ended, self.process)
         self._until("serving")
 
@@ -244,8 +298,9 @@
         if self.kind == "real":
             after = len(self.log.read_text())
             self.process.send_signal(signal.SIGUSR1)
-            counters = dict(word.split("=", 1) for word in self._until("fleet.bytes=", after).split()
-                            if "=" in word)
+            counters = dict(
+                word.split("=", 1) for word in self._until("fleet.bytes=", after).split() if "=" in word
+            )
             sent = float(counters["fleet.bytes"].strip('"},'))
         return {"us": spent_us(self.process.pid), "bytes": sent, "pss_kib": float(pss_kib(self.process.pid))}
 
@@ -261,4 +316,5 @@
 
 if __name__ == "__main__":
     import uvloop
+
     uvloop.run(shard(json.loads(sys.argv[1])))
--- a/pathsaddle/emulator/hollow/starts_peaks.py
+++ b/pathsaddle/emulator/hollow/starts_peaks.py
@@ -40,11 +40,22 @@
 def troubles(point: int, setting: Setting) -> list[dict[str, Any]]:
     workers, span = names(point, setting), setting.seconds - setting.warm
     if setting.peak == "slow":
-        return [{"kind": "slow", "of": name, "strength": setting.taken, "at": f"{setting.warm:g}s",
-                 "for": f"{span:g}s"} for name in workers[::setting.one_in]]
+        return [
+            {
+                "kind": "slow",
+                "of": name,
+                "strength": setting.taken,
+                "at": f"{setting.warm:g}s",
+                "for": f"{span:g}s",
+            }
+            for name in workers[:: setting.one_in]
+        ]
     tenth = span / 10
-    return [{"kind": "drain", "of": name, "at": f"{setting.warm + turn * tenth:g}s", "for": f"{tenth / 2:g}s"}
-            for turn in range(10) for name in workers[turn::10]]
+    return [
+        {"kind": "drain", "of": name, "at": f"{setting.warm + turn * tenth:g}s", "for": f"{tenth / 2:g}s"}
+        for turn in range(10)
+        for name in workers[turn::10]
+    ]
 
 
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -74,25 +74,74 @@
     "check_ms": ("ms", "the checker's processor time over that file, in process, the middle of five"),
     "start_ms": ("ms", "a real dispatcher: from the process's start to its ready line"),
     "rss_mib": ("MiB", "a real dispatcher's memory when it is ready"),
-    "reload_ms": ("ms", "a real dispatcher: SIGHUP until it says that it read its file again, the middle of five"),
-    "reload_stall_ms": ("ms", "a real dispatcher: the longest that a call sent right behind a SIGHUP waited, of five"),
-    "choice_us_per_txn": ("us", ("in process: processor time of loop and decisions for a txn from arrival to end, teams by "
-                                "the skew")),
-    "housekeeping_us": ("us", "in process: processor time of one look at all teams' shares, made four times a second"),
-    "refused_budgets": ("budgets", ("of so many under [fleet.budgets], one for each team, how many more there are than the "
-                                   "charter's checker takes")),
-    "even_over": ("part", ("in process: of one dispatcher's txns, each team within its share and spread evenly over all "
-                          "dispatchers, how many it took to be over their team's share")),
-    "moved_over": ("part", ("in process: of the txns of the busiest team, which stays within its share and sends all to that "
-                           "dispatcher since the move, how many it took to be over it")),
-    "share_there": ("part", "in process: the part of its share that the team is granted there at the end; 1 is right"),
-    "share_right_s": ("s", ("in process: from the move until the team is granted nine tenths of its share there; the length of "
-                           "the look (setting `after`) where it never is")),
-    "hop_times": ("times", ("in process: a team with an even share of the peak that goes to the next dispatcher each second: "
-                           "txns taken to be within its share, over what its share is in that time")),
+    "reload_ms": (
+        "ms",
+        "a real dispatcher: SIGHUP until it says that it read its file again, the middle of five",
+    ),
+    "reload_stall_ms": (
+        "ms",
+        "a real dispatcher: the longest that a call sent right behind a SIGHUP waited, of five",
+    ),
+    "choice_us_per_txn": (
+        "us",
+        ("in process: processor time of loop and decisions for a txn from arrival to end, teams by the skew"),
+    ),
+    "housekeeping_us": (
+        "us",
+        "in process: processor time of one look at all teams' shares, made four times a second",
+    ),
+    "refused_budgets": (
+        "budgets",
+        (
+            "of so many under [fleet.budgets], one for each team, how many more there are than the "
+            "charter's checker takes"
+        ),
+    ),
+    "even_over": (
+        "part",
+        (
+            "in process: of one dispatcher's txns, each team within its share and spread evenly over all "
+            "dispatchers, how many it took to be over their team's share"
+        ),
+    ),
+    "moved_over": (
+        "part",
+        (
+            "in process: of the txns of the busiest team, which stays within its share and sends all to that "
+            "dispatcher since the move, how many it took to be over it"
+        ),
+    ),
+    "share_there": (
+        "part",
+        "in process: the part of its share that the team is granted there at the end; 1 is right",
+    ),
+    "share_right_s": (
+        "s",
+        (
+            "in process: from the move until the team is granted nine tenths of its share there; the length of "
+            "the look (setting `after`) where it never is"
+        ),
+    ),
+    "hop_times": (
+        "times",
+        (
+            "in process: a team with an even share of the peak that goes to the next dispatcher each second: "
+            "txns taken to be within its share, over what its share is in that time"
+        ),
+    ),
 }
-COUNTED = frozenset({"charter_bytes", "settings_bytes", "refused_budgets", "even_over", "moved_over", "share_there",
-                     "share_right_s", "hop_times"})
+COUNTED = frozenset(
+    {
+        "charter_bytes",
+        "settings_bytes",
+        "refused_budgets",
+        "even_over",
+        "moved_over",
+        "share_there",
+        "share_right_s",
+        "hop_times",
+    }
+)
 
 
 def needs(point: int, setting: Setting) -> tuple[int, float]:
@@ -107,9 +156,12 @@
         file = Path(folder) / "teams.toml"
         file.write_text(text, encoding="utf-8")
         charter = read(file)
-        found = {"charter_bytes": float(len(text)), "settings_bytes": float(len(json.dumps(settings(charter)))),
-                 "check_ms": statistics.median(1e3 * spent(lambda: read(file)) for _ in range(5)),
-                 "refused_budgets": float(refused_budgets(point, Path(folder)))}
+        found = {
+            "charter_bytes": float(len(text)),
+            "settings_bytes": float(len(json.dumps(settings(charter)))),
+            "check_ms": statistics.median(1e3 * spent(lambda: read(file)) for _ in range(5)),
+            "refused_budgets": float(refused_budgets(point, Path(folder))),
+        }
         found |= asyncio.run(_real(Path(folder), charter))
     found["choice_us_per_txn"] = choice_us(point, seed, setting)
     found["housekeeping_us"] = housekeeping_us(point, seed)
@@ -124,22 +176,36 @@
     return time.process_time() - before
 
 
-def charter_text(teams: int, listen: str = "127.0.0.1:1", discovery: str = "127.0.0.1:1", more: str = "") -> str:
+def charter_text(
+    teams: int, listen: str = "127.0.0.1:1", discovery: str = "127.0.0.1:1", more: str = ""
+) -> str:
     """A dispatcher's file with so many teams."""
-    rows = "".join(f'[[customers]]\nname = "team-{i:04d}"\nallowance = 5.25\nportion = {1 / teams:.6f}\n'
-                   for i in range(teams))
-    return (f'name = "d0"\nlisten = "{listen}"\ndiscovery = "{discovery}"\n'
-            '[[schemes]]\nname = "render"\nsemantics = "repeatable"\nsla = "2s"\nexpiry = "5s"\n' + rows + more)
+    rows = "".join(
+        f'[[customers]]\nname = "team-{i:04d}"\nallowance = 5.25\nportion = {1 / teams:.6f}\n'
+        for i in range(teams)
+    )
+    return (
+        f'name = "d0"\nlisten = "{listen}"\ndiscovery = "{discovery}"\n'
+        '[[schemes]]\nname = "render"\nsemantics = "repeatable"\nsla = "2s"\nexpiry = "5s"\n' + rows + more
+    )
 
 
 def refused_budgets(count: int, folder: Path) -> int:
     """How many budgets of so many are too many for the checker: halved in until the most that it takes is found."""
+
     def taken(budgets: int) -> bool:
         rows = "".join(f'"team-{i:04d}" = 5\n' for i in range(budgets))
         file = folder / "budgets.toml"
-        file.write_text(charter_text(1, more='[fleet]\nname = "scale"\nkey = "0123456789abcdef"\n'
-                                             'listen = "127.0.0.1:7000"\n[fleet.budgets]\n' + rows), encoding="utf-8")
+        file.write_text(
+            charter_text(
+                1,
+                more='[fleet]\nname = "scale"\nkey = "0123456789abcdef"\n'
+                'listen = "127.0.0.1:7000"\n[fleet.budgets]\n' + rows,
+            ),
+            encoding="utf-8",
+        )
         from pathsaddle.errors import Error
+
         try:
             read(file)
         except Error:
@@ -153,10 +219,16 @@
 
 async def _real(folder: Path, charter: Charter) -> dict[str, float]:
     def table(number: int, listen: str, discovery: str) -> dict[str, Any]:
-        return {"name": "d0", "listen": listen, "discovery": discovery,
-                "schemes": [{"name": "render", "semantics": "repeatable", "sla": "2s", "expiry": "5s"}],
-                "customers": [{"name": one.name, "allowance": one.allowance, "portion": one.portion}
-                              for one in charter.customers]}
+        return {
+            "name": "d0",
+            "listen": listen,
+            "discovery": discovery,
+            "schemes": [{"name": "render", "semantics": "repeatable", "sla": "2s", "expiry": "5s"}],
+            "customers": [
+                {"name": one.name, "allowance": one.allowance, "portion": one.portion}
+                for one in charter.customers
+            ],
+        }
 
     ground = Ground(folder, 1, 2, 0.1, table)
     try:
@@ -176,8 +248,12 @@
             reloads.append(await one.says("configuration read again", since) - begun)
     finally:
         await ground.end()
-    return {"start_ms": 1e3 * start, "rss_mib": memory, "reload_ms": 1e3 * statistics.median(reloads),
-            "reload_stall_ms": 1e3 * max(stalls)}
+    return {
+        "start_ms": 1e3 * start,
+        "rss_mib": memory,
+        "reload_ms": 1e3 * statistics.median(reloads),
+        "reload_stall_ms": 1e3 * max(stalls),
+    }
 
 
 class Teams:
@@ -199,16 +275,50 @@
     def __init__(self, customers: list[Customer], workers: int, dispatchers: int, seed: int) -> None:
         self.heap: list[tuple[int, int, Callable[[], None]]] = []  # (when, order, what)
         self.count, self.now = itertools.count(), 100 * SECOND
-        scheme = Scheme(index=0, semantics=Semantics.REPEATABLE, sla_time=2 * SECOND, expiry=5 * SECOND, value=1.0,
-                        late_value=0.0, stretch=0.0, group=Group.ALL, window=0)
+        scheme = Scheme(
+            index=0,
+            semantics=Semantics.REPEATABLE,
+            sla_time=2 * SECOND,
+            expiry=5 * SECOND,
+            value=1.0,
+            late_value=0.0,
+            stretch=0.0,
+            group=Group.ALL,
+            window=0,
+        )
         self.scheme = scheme
         terms = Terms(
-            schemes=[scheme], customers=customers, dispatchers=dispatchers, number=0, zone=0, tick=20,
-            must_ask=False, ask_within=10 * SECOND, answer_slack=0, drain_grace=5000, cold_share=0.3,
-            cold_time=9 * SECOND, fall_multiple=4.0, fall_time=2 * SECOND, max_postings=4, two_at_once=True,
-            may_cancel=True, may_probe=False, come_back_most=0, progress_every=0, tells_start=False, over_share=0.1,
-            value_by_work=False, price_cross=0.0, price_probe=0.0, price_waste=0.0, price_late=0.0,
-            price_handshake=0.0, reports_in_answers=True, reports_in_probes=True)
+            schemes=[scheme],
+            customers=customers,
+            dispatchers=dispatchers,
+            number=0,
+            zone=0,
+            tick=20,
+            must_ask=False,
+            ask_within=10 * SECOND,
+            answer_slack=0,
+            drain_grace=5000,
+            cold_share=0.3,
+            cold_time=9 * SECOND,
+            fall_multiple=4.0,
+            fall_time=2 * SECOND,
+            max_postings=4,
+            two_at_once=True,
+            may_cancel=True,
+            may_probe=False,
+            come_back_most=0,
+            progress_every=0,
+            tells_start=False,
+            over_share=0.1,
+            value_by_work=False,
+            price_cross=0.0,
+            price_probe=0.0,
+            price_waste=0.0,
+            price_late=0.0,
+            price_handshake=0.0,
+            reports_in_answers=True,
+            reports_in_probes=True,
+        )
         self.settled = self.declined = 0
         self.alarm = -1
         self.loop = Loop(self, terms, seed, self.now)
@@ -242,8 +352,11 @@
 
         def ends() -> None:
             self.settled += not posting.txn.closed
-            self.loop.ended(posting, Outcome.SETTLED, self.now - begun, True, Report(free=8.0, waiting=0.0, held=0.0))
+            self.loop.ended(
+                posting, Outcome.SETTLED, self.now - begun, True, Report(free=8.0, waiting=0.0, held=0.0)
+            )
             self.loop.turn()
+
         self.later(begun + JOB, ends)
 
     def wake(self, delay: int) -> None:
@@ -253,6 +366,7 @@
             if due == self.alarm:
                 self.loop.woken()
                 self.loop.turn()
+
         self.later(due, rings)
 
     def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None:
@@ -279,7 +393,9 @@
     chance, skew = Random(seed), Teams(teams, setting.zipf)
     customers = [Customer(i, 1.25 * setting.rate * part, part) for i, part in enumerate(skew.parts)]
     door = HollowDoor(customers, setting.workers, 1, seed)
-    drawn = [(door.now + int(i * SECOND / setting.rate), customers[skew.draw(chance)]) for i in range(setting.txns)]
+    drawn = [
+        (door.now + int(i * SECOND / setting.rate), customers[skew.draw(chance)]) for i in range(setting.txns)
+    ]
     before = time.process_time()
     for i, (at, customer) in enumerate(drawn):
         door.run(at)
@@ -301,6 +417,7 @@
     def look() -> None:
         for _ in range(looks):
             choice.judge_part()
+
     return 1e6 * spent(look) / looks
 
 
@@ -313,8 +430,10 @@
     move = door.now + int(setting.before * SECOND)
     end = move + int(setting.after * SECOND)
     arrivals: list[tuple[int, int, bool]] = []
-    for since, until, rate, hers in ((door.now, end, setting.busy / setting.dispatchers, False),
-                                     (move, end, setting.busy * skew.parts[0], True)):
+    for since, until, rate, hers in (
+        (door.now, end, setting.busy / setting.dispatchers, False),
+        (move, end, setting.busy * skew.parts[0], True),
+    ):
         at = since + chance.expovariate(rate) * SECOND
         while at < until:
             team = 0 if hers else skew.draw(chance)
@@ -328,9 +447,12 @@
         over[hers].append(txn.over)
         if hers and not right and granted(door) >= 0.9:
             right = moment - move
-    return {"even_over": sum(over[False]) / max(1, len(over[False]) - 1),
-            "moved_over": sum(over[True]) / max(1, len(over[True]) - 1),
-            "share_there": min(1.0, granted(door)), "share_right_s": (right or end - move) / SECOND}
+    return {
+        "even_over": sum(over[False]) / max(1, len(over[False]) - 1),
+        "moved_over": sum(over[True]) / max(1, len(over[True]) - 1),
+        "share_there": min(1.0, granted(door)),
+        "share_right_s": (right or end - move) / SECOND,
+    }
 
 
 def granted(door: HollowDoor) -> float:
--- a/pathsaddle/emulator/hollow/workers.py
+++ b/pathsaddle/emulator/hollow/workers.py
@@ -63,40 +63,76 @@
 
 
 FIGURES: dict[str, tuple[str, str]] = {
-    "ready_ms": ("ms", "a real dispatcher's time from its start, with an old list of all, until it says that it is ready"),
+    "ready_ms": (
+        "ms",
+        "a real dispatcher's time from its start, with an old list of all, until it says that it is ready",
+    ),
     "rss_mib": ("MiB", "its resident memory at rest, after the list is had"),
     "pss_mib": ("MiB", "its proportional part of memory at rest, after the list is had"),
     "rss_end_mib": ("MiB", "its resident memory at the end of the play"),
-    "cpu_rest_ms_per_s": ("ms/s", "its processor time, user and system, a second at rest; hollow workers and list"),
-    "cpu_us_per_txn": ("us", "its processor time a settled txn at the fixed rate, less the rest's; hollow workers, clients"),
-    "over_ms_p50": ("ms", "time until a txn is settled beyond its running time, the median; hollow workers, clients"),
+    "cpu_rest_ms_per_s": (
+        "ms/s",
+        "its processor time, user and system, a second at rest; hollow workers and list",
+    ),
+    "cpu_us_per_txn": (
+        "us",
+        "its processor time a settled txn at the fixed rate, less the rest's; hollow workers, clients",
+    ),
+    "over_ms_p50": (
+        "ms",
+        "time until a txn is settled beyond its running time, the median; hollow workers, clients",
+    ),
     "unsettled": ("", "txns of the steady part that were declined, failed or lost"),
-    "cpu_ms_per_change": ("ms", "its processor time for one change of the list by delta, less the rest's; hollow list"),
+    "cpu_ms_per_change": (
+        "ms",
+        "its processor time for one change of the list by delta, less the rest's; hollow list",
+    ),
     "list_bytes_whole": ("bytes", "one whole list on the hollow list's wire"),
     "list_bytes_per_change": ("bytes", "one change of one worker on the hollow list's wire"),
     "whole_list_ms": ("ms", "its processor time for one whole list again in which nothing changed"),
-    "cold_cpu_us_per_txn": ("us", "its processor time a settled txn while a tenth of the hollow workers start anew at once"),
+    "cold_cpu_us_per_txn": (
+        "us",
+        "its processor time a settled txn while a tenth of the hollow workers start anew at once",
+    ),
     "cold_connections": ("", "connections that came up meanwhile, from it and to it"),
     "cold_unsettled": ("", "txns of that part that were declined, failed or lost"),
     "full_cpu_us_per_txn": ("us", "its processor time a settled txn once each hollow worker has called back"),
     "full_unsettled": ("", "txns of that part that were declined, failed or lost"),
     "full_let_go": ("", "kept connections that it ended in that part, and while they came up"),
     "workers_connected": ("", "hollow workers that have a connection from or to it at the end of that part"),
-    "connections_refused": ("", "connections to it that were refused, or ended with a call on them, in the whole play"),
-    "connections_most": ("", "connections that it had at most, the watch apart, as their other ends count them"),
+    "connections_refused": (
+        "",
+        "connections to it that were refused, or ended with a call on them, in the whole play",
+    ),
+    "connections_most": (
+        "",
+        "connections that it had at most, the watch apart, as their other ends count them",
+    ),
     "descriptors_most": ("", "descriptors that it had at most, sampled ten times a second"),
     "descriptors_spare": ("", "told descriptors less those it had at most"),
     "late_ms_most": ("ms", "how late its event loop was at most, by its own counter"),
     "faults": ("", "faults that it counted"),
     "hollow_kib_per_worker": ("KiB", "what one hollow worker takes of the measuring process"),
 }
-COUNTED = frozenset({"list_bytes_whole", "list_bytes_per_change", "connections_most", "connections_refused",
-                     "descriptors_most", "descriptors_spare", "workers_connected", "faults"})
+COUNTED = frozenset(
+    {
+        "list_bytes_whole",
+        "list_bytes_per_change",
+        "connections_most",
+        "connections_refused",
+        "descriptors_most",
+        "descriptors_spare",
+        "workers_connected",
+        "faults",
+    }
+)
 
 
 class NeverReady(Error):
     name = "hollow.never-ready"
-    what = "the dispatcher that is measured was not ready, or did not ask for the list, in {seconds:g} s: {last}"
+    what = (
+        "the dispatcher that is measured was not ready, or did not ask for the list, in {seconds:g} s: {last}"
+    )
     do = "run the plan again on a quieter machine; if that does not help, report it with the commit it ran"
     code = FINDING
 
@@ -108,10 +144,20 @@
 
 def charter(setting: Setting, listen: str, discovery: str) -> Charter:
     zones = [f"z{i:02}" for i in range(setting.zones)]
-    return check(Charter, {
-        "listen": listen, "discovery": discovery, "dispatchers": setting.dispatchers, "machines": ["m"], "zones": zones,
-        "zone": zones[0], "limits": {"sockets": setting.sockets},
-        "schemes": [{"name": "task", "semantics": "repeatable", "sla": "2s", "expiry": "10s"}]}, "hollow")
+    return check(
+        Charter,
+        {
+            "listen": listen,
+            "discovery": discovery,
+            "dispatchers": setting.dispatchers,
+            "machines": ["m"],
+            "zones": zones,
+            "zone": zones[0],
+            "limits": {"sockets": setting.sockets},
+            "schemes": [{"name": "task", "semantics": "repeatable", "sla": "2s", "expiry": "10s"}],
+        },
+        "hollow",
+    )
 
 
 @contextlib.asynccontextmanager
@@ -119,8 +165,14 @@
     """A real one, told by that file; it is ended, whatever happens."""
     with log.open("wb") as out:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pathsaddle", stdout=out, stderr=out, preexec_fn=ends_with_us,
-            env={**os.environ, "GW_CONFIG": str(file)})
+            sys.executable,
+            "-m",
+            "pathsaddle",
+            stdout=out,
+            stderr=out,
+            preexec_fn=ends_with_us,
+            env={**os.environ, "GW_CONFIG": str(file)},
+        )
     try:
         yield process
     finally:
@@ -160,7 +212,9 @@
             self.workers.end()
 
     async def _with(self, discovery: str) -> dict[str, float]:
-        with socket.socket() as one:  # chosen last: thousands of listeners took a port that was chosen before them
+        with (
+            socket.socket() as one
+        ):  # chosen last: thousands of listeners took a port that was chosen before them
             one.bind(("127.0.0.1", 0))
             self.workers.dispatcher = one.getsockname()
         listen = "{}:{}".format(*self.workers.dispatcher)
@@ -181,15 +235,23 @@
                 await self._parts()
             finally:
                 sampling.cancel()
-            self.found |= {"rss_end_mib": memory_mib(self.pid)[0], "descriptors_most": float(self.descriptors),
-                           "descriptors_spare": float(self.setting.sockets - self.descriptors),
-                           "connections_most": float(self.workers.tally.most),
-                           "connections_refused": float(self.workers.tally.refused)}
+            self.found |= {
+                "rss_end_mib": memory_mib(self.pid)[0],
+                "descriptors_most": float(self.descriptors),
+                "descriptors_spare": float(self.setting.sockets - self.descriptors),
+                "connections_most": float(self.workers.tally.most),
+                "connections_refused": float(self.workers.tally.refused),
+            }
             process.send_signal(signal.SIGUSR1)
             self._patience(await until(lambda: b" counters " in log.read_bytes(), ENDS_IN), ENDS_IN, log)
-            counters = dict(part.partition("=")[::2] for part in log.read_text(errors="replace").rpartition(
-                " counters ")[2].split())
-            self.found |= {"late_ms_most": float(counters.get("lag_ms_most", 0)), "faults": float(counters.get("fault", 0))}
+            counters = dict(
+                part.partition("=")[::2]
+                for part in log.read_text(errors="replace").rpartition(" counters ")[2].split()
+            )
+            self.found |= {
+                "late_ms_most": float(counters.get("lag_ms_most", 0)),
+                "faults": float(counters.get("fault", 0)),
+            }
         return self.found
 
     def _patience(self, true: bool, seconds: float, log: Path) -> None:
@@ -243,7 +305,11 @@
         """Processor time, us a settled txn, and how many did not settle; the rate goes on until all have ended."""
         self.workers.start(clients.go(self.setting.rate))
         await asyncio.sleep(warm)
-        asked, settled, bad = clients.asked, clients.settled, clients.declined + clients.failed + clients.broken
+        asked, settled, bad = (
+            clients.asked,
+            clients.settled,
+            clients.declined + clients.failed + clients.broken,
+        )
         clients.times.clear()
         used, span = await self._spent(asyncio.sleep(seconds))
         settled = clients.settled - settled
--- a/pathsaddle/emulator/judges/crossings.py
+++ b/pathsaddle/emulator/judges/crossings.py
@@ -101,8 +101,10 @@
                 continue  # no restart had to do with it: the judge's
             when = f"{abs(event.at - stop) / SECOND:.3f} s {'before' if event.at < stop else 'after'}"
             where = f"was sent on to {self.sent_on[tag]}" if tag in self.sent_on else "was not sent on"
-            text = (f"{event.more['scheme']} {tag} crossed {when} d{dispatcher} was told to end, {where}, "
-                    "has no answer")
+            text = (
+                f"{event.more['scheme']} {tag} crossed {when} d{dispatcher} was told to end, {where}, "
+                "has no answer"
+            )
             if event.more.get("kept", True) or tag in self.sent_on:
                 self.findings.append(Finding("shut", event.at, text))
             else:
@@ -116,7 +118,9 @@
                 end, _ = self._end_after(dispatcher, stop)
                 if min(end, self.over) - stop > self.ends_within:
                     took = (min(end, self.over) - stop) / SECOND
-                    self.findings.append(Finding("slow-end", stop, f"d{dispatcher} took over {took:.2f} s to end"))
+                    self.findings.append(
+                        Finding("slow-end", stop, f"d{dispatcher} took over {took:.2f} s to end")
+                    )
 
     def verdict(self) -> list[Finding]:
         self._unanswered()
--- a/pathsaddle/emulator/judges/fleet_judge.py
+++ b/pathsaddle/emulator/judges/fleet_judge.py
@@ -112,16 +112,24 @@
         if state == "suspect" and "says" not in why and self._runs(about, at) and not self._stands(about, at):
             self.figures.false += 1
             for begun, over in self.stalls.get(who, ()):
-                if over <= at <= over + self.beat and not self._troubled(over - self.beat, at, but=(begun, over)):
-                    self._finds("accused", at, f"{who} stood still and accuses {about}, which was there: {why}")
+                if over <= at <= over + self.beat and not self._troubled(
+                    over - self.beat, at, but=(begun, over)
+                ):
+                    self._finds(
+                        "accused", at, f"{who} stood still and accuses {about}, which was there: {why}"
+                    )
 
     def _traffic(self, at: int, who: str, size: int, most: int, datagrams: int) -> None:
         self.bytes += size
         self.figures.most_bytes = max(self.figures.most_bytes, most)
         self.figures.most_datagrams = max(self.figures.most_datagrams, datagrams)
         if most > self.told.bytes or datagrams > self.told.datagrams:
-            self._finds("traffic", at, f"{who} sent {most} bytes, {datagrams} datagrams in one second; "
-                        f"{self.told.bytes} and {self.told.datagrams} are its bounds")
+            self._finds(
+                "traffic",
+                at,
+                f"{who} sent {most} bytes, {datagrams} datagrams in one second; "
+                f"{self.told.bytes} and {self.told.datagrams} are its bounds",
+            )
 
     def _finds(self, rule: str, at: int, text: str) -> None:
         self.found.append((rule, at, text))
@@ -159,7 +167,10 @@
                 until = rows[i + 1][0] if i + 1 < len(rows) else self.end
                 for begun, over in self.runs.get(about, ()):
                     for began, ended in self.runs.get(who, ()):
-                        first, last = max(at, begun, began), min(until, over, ended, self.silent.get(about, FAR))
+                        first, last = (
+                            max(at, begun, began),
+                            min(until, over, ended, self.silent.get(about, FAR)),
+                        )
                         if first >= last:
                             continue
                         self.figures.wrong += at >= begun
@@ -167,8 +178,11 @@
                             if t[0] - self.beat <= first <= t[1] + self.bound:
                                 first = max(first, t[1] + self.bound if t[1] < FAR else FAR)
                         if first < last:
-                            self._finds("believed", first, f"{who} believes {about} {state} since {at / SECOND:.1f} s "
-                                        "and it runs")
+                            self._finds(
+                                "believed",
+                                first,
+                                f"{who} believes {about} {state} since {at / SECOND:.1f} s and it runs",
+                            )
 
     def _deaths(self) -> None:
         for at, name, told in self.ends:
@@ -177,10 +191,15 @@
             life = self._life(name, at)
             times, unaware = [], 0
             for who, runs in self.runs.items():
-                if who == name or not any(b <= max(SECOND, at - self.bound // 2) and e >= until for b, e in runs):
+                if who == name or not any(
+                    b <= max(SECOND, at - self.bound // 2) and e >= until for b, e in runs
+                ):
                     continue
                 rows = self.views.get((who, name), [])
-                when = next((t for t, its, state in rows if its == life and state in ("dead", "left") and t >= at), None)
+                when = next(
+                    (t for t, its, state in rows if its == life and state in ("dead", "left") and t >= at),
+                    None,
+                )
                 if when is None and rows and rows[-1][2] in ("dead", "left") and rows[-1][0] <= at:
                     continue
                 if when is not None and when <= until:
@@ -196,8 +215,12 @@
                 self.figures.known += [max(times)] if not unaware and times else []
 
     def _whole(self) -> None:
-        last = max([t[1] for t in self.trouble if t[1] < FAR] + [b for runs in self.runs.values() for b, _ in runs]
-                   + [at for at, _, _ in self.ends], default=0)
+        last = max(
+            [t[1] for t in self.trouble if t[1] < FAR]
+            + [b for runs in self.runs.values() for b, _ in runs]
+            + [at for at, _, _ in self.ends],
+            default=0,
+        )
         if any(t[1] == FAR for t in self.trouble) or last + self.bound > self.end:
             return
         there = [name for name in self.runs if self._runs(name, self.end - 1) and name not in self.silent]
@@ -208,8 +231,11 @@
                 rows = self.views.get((who, about))
                 life = self._life(about, self.end)
                 if not rows or rows[-1][2] not in ("alive", "suspect") or rows[-1][1] != life:
-                    self._finds("apart", self.end, f"{who} sees {about} as {rows[-1][1:] if rows else 'nobody'}, and it "
-                                f"runs as {life}")
+                    self._finds(
+                        "apart",
+                        self.end,
+                        f"{who} sees {about} as {rows[-1][1:] if rows else 'nobody'}, and it runs as {life}",
+                    )
 
     def _heard(self) -> None:
         for at, who, told, took in self.samples:
@@ -222,8 +248,12 @@
                 later = at + took - ago * (1 - DRIFT) + self.slack + 20
                 over = next((end for _, end in self.runs.get(name, ()) if born[0] < end), FAR)
                 if later + SECOND + 10 * self.beat < born[0] or first > over:
-                    self._finds("heard", at, f"{who} claims to have heard {name}/{life} {ago / SECOND:.2f} s ago, and "
-                                f"that life was there from {born[0] / SECOND:.2f} to {over / SECOND:.2f} s")
+                    self._finds(
+                        "heard",
+                        at,
+                        f"{who} claims to have heard {name}/{life} {ago / SECOND:.2f} s ago, and "
+                        f"that life was there from {born[0] / SECOND:.2f} to {over / SECOND:.2f} s",
+                    )
 
 
 def judge_fleet(told: Fleet, n: int, events: Iterable[Event], slack: int) -> FleetJudge:
--- a/pathsaddle/emulator/judges/judge.py
+++ b/pathsaddle/emulator/judges/judge.py
@@ -46,8 +46,25 @@
 TOLD_WITHIN = 6 * SECOND  # what discovery has to tell counts as told by then, whether or not it arrived
 BAD_WITHIN = 12 * SECOND  # of a bad client, from its connect
 MOST = 3_600_000  # longest latency kept, ticks
-RULES = ("lost", "late", "twice", "after", "repeat", "decline", "together", "drain", "cold", "forgotten", "changed",
-         "ran-twice", "lease", "false", "bad", "fault", *fleet_judge.RULES)
+RULES = (
+    "lost",
+    "late",
+    "twice",
+    "after",
+    "repeat",
+    "decline",
+    "together",
+    "drain",
+    "cold",
+    "forgotten",
+    "changed",
+    "ran-twice",
+    "lease",
+    "false",
+    "bad",
+    "fault",
+    *fleet_judge.RULES,
+)
 
 
 @dataclass(slots=True)
@@ -139,8 +156,12 @@
     declines: int
     postings: int
     turned_away: int
-    cpu: float = 0.0  # seconds of processor time that dispatchers' processes took until the end, where it is known
-    fleet: dict[str, Any] = field(default_factory=dict)  # what members of a fleet knew of one another, in figures
+    cpu: float = (
+        0.0  # seconds of processor time that dispatchers' processes took until the end, where it is known
+    )
+    fleet: dict[str, Any] = field(
+        default_factory=dict
+    )  # what members of a fleet knew of one another, in figures
 
     @property
     def kept(self) -> bool:
@@ -200,12 +221,14 @@
     # Events.
 
     def _wanted(self, at: int, more: dict[str, Any]) -> None:
-        self.jobs[more["job"]] = Job(more["job"], more["scheme"], more["customer"],
-                                     more["work"] * more["slots"], at, more["due"])
+        self.jobs[more["job"]] = Job(
+            more["job"], more["scheme"], more["customer"], more["work"] * more["slots"], at, more["due"]
+        )
 
     def _asked(self, at: int, more: dict[str, Any]) -> None:
-        self.tries[more["id"]] = Try(more["id"], more["job"], more["dispatcher"], self.schemes[more["scheme"]],
-                                     at, more["expires"])
+        self.tries[more["id"]] = Try(
+            more["id"], more["job"], more["dispatcher"], self.schemes[more["scheme"]], at, more["expires"]
+        )
 
     def _answered(self, at: int, more: dict[str, Any]) -> None:
         self.tries[more["id"]].answers.append((at, more["how"], more["seen"], more.get("come_back", 0)))
@@ -220,9 +243,18 @@
         self.tries[more["id"]].crossed = True
 
     def _came(self, at: int, more: dict[str, Any]) -> None:
-        self.postings.setdefault(more["id"], []).append(Sent(
-            more["begun"], at, more["worker"], more["dispatcher"], more["zone"], more["cell"],
-            more["work"] * more["slots"], more.get("lease", 0)))
+        self.postings.setdefault(more["id"], []).append(
+            Sent(
+                more["begun"],
+                at,
+                more["worker"],
+                more["dispatcher"],
+                more["zone"],
+                more["cell"],
+                more["work"] * more["slots"],
+                more.get("lease", 0),
+            )
+        )
 
     def _last(self, more: dict[str, Any]) -> Sent | None:
         for sent in reversed(self.postings.get(more["id"], [])):
@@ -251,8 +283,12 @@
         tag = self.by_job.setdefault(more["job"], more["id"])
         if tag != more["id"]:
             self.finds("changed", at, f"job {more['job']} is {tag} and {more['id']}")
-        self.durable.setdefault(more["id"], Try(more["id"], more["job"], more["dispatcher"],
-                                                self.schemes[more["scheme"]], at, more["expires"]))
+        self.durable.setdefault(
+            more["id"],
+            Try(
+                more["id"], more["job"], more["dispatcher"], self.schemes[more["scheme"]], at, more["expires"]
+            ),
+        )
 
     def _seen(self, at: int, more: dict[str, Any]) -> None:
         one = self.durable[more["id"]]
@@ -341,8 +377,9 @@
     # Rules.
 
     def _was_down(self, dispatcher: int, since: int, until: int) -> bool:
-        return (any(since - self.slack <= at <= until + SECOND for at in self.ended.get(dispatcher, []))
-                or self._stood(dispatcher, since, until))
+        return any(
+            since - self.slack <= at <= until + SECOND for at in self.ended.get(dispatcher, [])
+        ) or self._stood(dispatcher, since, until)
 
     def _stood(self, dispatcher: int, since: int, until: int) -> bool:
         """Its process stood still at some time between: nobody answers then. What it does when it goes on counts."""
@@ -367,8 +404,11 @@
         if end < FAR:
             for sent in self.postings.get(one.tag, []):
                 if sent.begun > min(end, limit) + self.slack:
-                    self.finds("after", sent.begun, f"{who} was posted to {sent.worker} "
-                               f"{(sent.begun - end) / 10:.1f} ms after its end")
+                    self.finds(
+                        "after",
+                        sent.begun,
+                        f"{who} was posted to {sent.worker} {(sent.begun - end) / 10:.1f} ms after its end",
+                    )
 
     def _rule_2(self, one: Try) -> None:
         scheme = one.scheme
@@ -377,26 +417,38 @@
         for i, sent in enumerate(postings):
             risky = [p for p in postings[:i] if p.never > sent.begun + self.slack]
             if risky and scheme.semantics == "once-only":
-                self.finds("repeat", sent.begun, f"{who} went to {sent.worker} while it may have run at "
-                           f"{risky[0].worker}")
+                self.finds(
+                    "repeat",
+                    sent.begun,
+                    f"{who} went to {sent.worker} while it may have run at {risky[0].worker}",
+                )
             elif risky and scheme.semantics == "referenced":
                 first = risky[0]
                 if not self._same_group(scheme, first, sent):
-                    self.finds("repeat", sent.begun, f"{who} went to {sent.worker}, outside the group of "
-                               f"{first.worker}")
+                    self.finds(
+                        "repeat",
+                        sent.begun,
+                        f"{who} went to {sent.worker}, outside the group of {first.worker}",
+                    )
                 elif sent.whole - first.begun > scheme.window + self.slack:
-                    self.finds("repeat", sent.begun, f"{who} went to {sent.worker} "
-                               f"{(sent.whole - first.begun) / SECOND:.2f} s after {first.worker} had it")
+                    self.finds(
+                        "repeat",
+                        sent.begun,
+                        f"{who} went to {sent.worker} "
+                        f"{(sent.whole - first.begun) / SECOND:.2f} s after {first.worker} had it",
+                    )
             if not self.charter.allowed.two_at_once:
                 out = [p for p in risky if p.over > sent.begun + self.slack]
                 if out:
-                    self.finds("together", sent.begun, f"{who} went to {sent.worker} while out at "
-                               f"{out[0].worker}")
+                    self.finds(
+                        "together", sent.begun, f"{who} went to {sent.worker} while out at {out[0].worker}"
+                    )
         if one.answers and one.answers[0][1] == "declined":
             at = one.answers[0][0]
             risky = [p for p in postings if p.begun <= at and p.never > at + self.slack]
-            if risky and (scheme.semantics == "once-only"
-                          or scheme.semantics == "referenced" and scheme.group != "all"):
+            if risky and (
+                scheme.semantics == "once-only" or scheme.semantics == "referenced" and scheme.group != "all"
+            ):
                 self.finds("decline", at, f"{who} was declined while it may have run at {risky[0].worker}")
 
     def _rule_5(self, one: Try) -> None:
@@ -421,12 +473,17 @@
         for tag, runs in self.runs.items():
             scheme = schemes.get(tag)
             if scheme is not None and scheme.semantics == "once-only" and len(runs) > 1:
-                self.finds("ran-twice", runs[1][0], f"{scheme.name} {tag} ran at {runs[0][1]} and {runs[1][1]}")
+                self.finds(
+                    "ran-twice", runs[1][0], f"{scheme.name} {tag} ran at {runs[0][1]} and {runs[1][1]}"
+                )
 
     @staticmethod
     def _same_group(scheme: Scheme, one: Sent, other: Sent) -> bool:
-        return (scheme.group == "all" or one.zone == other.zone
-                and (scheme.group == "zone" or one.cell == other.cell))
+        return (
+            scheme.group == "all"
+            or one.zone == other.zone
+            and (scheme.group == "zone" or one.cell == other.cell)
+        )
 
     def _rule_3(self) -> None:
         by_pair: dict[tuple[int, str], list[tuple[int, str]]] = {}
@@ -438,8 +495,12 @@
             for begun, tag in sends:
                 for since, until in spans:
                     if since + self.charter.rules.drain_grace + self.slack < begun < until:
-                        self.finds("drain", begun, f"{tag} went to {worker} {(begun - since) / SECOND:.2f} s "
-                                   f"after d{dispatcher} was told that it leaves")
+                        self.finds(
+                            "drain",
+                            begun,
+                            f"{tag} went to {worker} {(begun - since) / SECOND:.2f} s "
+                            f"after d{dispatcher} was told that it leaves",
+                        )
 
     def _closed(self, dispatcher: int, worker: str) -> list[tuple[int, int]]:
         """Spans in which the dispatcher knew, or is deemed to have known, that nothing new may go there."""
@@ -459,8 +520,9 @@
         for at, status in self.changed.get(worker, []):
             if status not in self.binding:
                 continue
-            until = min([when for when, later in self.changed[worker] if when > at and later == "active"],
-                        default=FAR)
+            until = min(
+                [when for when, later in self.changed[worker] if when > at and later == "active"], default=FAR
+            )
             for begun, ended in self._lives(dispatcher):
                 deemed = self._deemed(dispatcher, max(at, begun), ended)
                 if deemed < min(until, ended):
@@ -477,7 +539,9 @@
         watches = [(when, on) for when, on in self.watches.get(dispatcher, []) if when <= until]
         for silent in self.hushed.get(dispatcher, []):
             # What a silent watch misses counts as told, asked for again or not.
-            if silent <= at < silent + TOLD_WITHIN and not any(on and silent < when <= at for when, on in watches):
+            if silent <= at < silent + TOLD_WITHIN and not any(
+                on and silent < when <= at for when, on in watches
+            ):
                 return silent + TOLD_WITHIN
         asked = self.asked.get(dispatcher, [])
         open_since = FAR
@@ -493,8 +557,13 @@
         if open_since != FAR and until - open_since >= TOLD_WITHIN:
             return open_since + TOLD_WITHIN
         # Neither watched nor asked: looked for between the last sign before and the next one after.
-        signs = sorted([at, *[when for when in asked if at <= when <= until],
-                        *[when for when, _ in watches if when >= at]])
+        signs = sorted(
+            [
+                at,
+                *[when for when in asked if at <= when <= until],
+                *[when for when, _ in watches if when >= at],
+            ]
+        )
         for one, other in zip(signs, [*signs[1:], until]):
             if open_since == FAR and other - one > self.charter.rules.ask_within + TOLD_WITHIN:
                 return one + self.charter.rules.ask_within + TOLD_WITHIN
@@ -515,10 +584,14 @@
                 span = [(at, work) for at, work in sends if start <= at < start + rules.cold_time]
                 for i, (at, _) in enumerate(span):
                     able = rules.cold_share + (1 - rules.cold_share) * (at - start) / rules.cold_time
-                    whole = sum(work for when, work in span[:i + 1] if when > at - rules.fall_time)
+                    whole = sum(work for when, work in span[: i + 1] if when > at - rules.fall_time)
                     if whole > rules.fall_multiple * able * capacity * rules.fall_time * 1.001:
-                        self.finds("cold", at, f"{worker} was sent {whole / SECOND:.2f} s of work in "
-                                   f"{rules.fall_time / SECOND:g} s, {(at - start) / SECOND:.2f} s after its start")
+                        self.finds(
+                            "cold",
+                            at,
+                            f"{worker} was sent {whole / SECOND:.2f} s of work in "
+                            f"{rules.fall_time / SECOND:g} s, {(at - start) / SECOND:.2f} s after its start",
+                        )
                         break
 
     # The whole.
@@ -533,9 +606,16 @@
         self._rule_3()
         self._rule_4()
         self.findings.sort(key=lambda finding: finding.at)
-        return Verdict(self.findings, *self._worth(), faults=dict(self.faults), tries=len(self.tries),
-                       declines=sum(1 for t in self.tries.values() if t.answers and t.answers[0][1] == "declined"),
-                       postings=sum(map(len, self.postings.values())), turned_away=self.turned_away, cpu=self.cpu)
+        return Verdict(
+            self.findings,
+            *self._worth(),
+            faults=dict(self.faults),
+            tries=len(self.tries),
+            declines=sum(1 for t in self.tries.values() if t.answers and t.answers[0][1] == "declined"),
+            postings=sum(map(len, self.postings.values())),
+            turned_away=self.turned_away,
+            cpu=self.cpu,
+        )
 
     def _worth(self) -> tuple[Row, dict[str, Row], dict[str, Row], list[tuple[int, float]]]:
         by_work = self.charter.prices.by_work
@@ -563,8 +643,11 @@
             scheme = self.schemes[job.scheme]
             worth = scheme.value * (job.work if by_work else 1.0)
             settled = job.settled < FAR
-            got = worth if job.settled <= job.due else (
-                scheme.late_value * (job.work if by_work else 1.0) if settled else 0.0)
+            got = (
+                worth
+                if job.settled <= job.due
+                else (scheme.late_value * (job.work if by_work else 1.0) if settled else 0.0)
+            )
             sums = by_second.setdefault(job.first // SECOND, [0.0, 0.0])
             sums[0] += got
             sums[1] += worth
@@ -580,14 +663,17 @@
                 row.unanswered += not settled and job.how in ("none", "unanswered", "unseen", "cancelled")
                 if settled:
                     times.setdefault(key, HdrHistogram(1, MOST, 3)).record_value(
-                        max(1, min(MOST, job.settled - job.first)))
+                        max(1, min(MOST, job.settled - job.first))
+                    )
         for key, histogram in times.items():
             rows[key].p50 = histogram.get_value_at_percentile(50) / 10
             rows[key].p99 = histogram.get_value_at_percentile(99) / 10
-        return (rows["", ""],
-                {name: row for (kind, name), row in rows.items() if kind == "scheme"},
-                {name: row for (kind, name), row in rows.items() if kind == "customer"},
-                [(second, got / asked if asked else 1.0) for second, (got, asked) in sorted(by_second.items())])
+        return (
+            rows["", ""],
+            {name: row for (kind, name), row in rows.items() if kind == "scheme"},
+            {name: row for (kind, name), row in rows.items() if kind == "customer"},
+            [(second, got / asked if asked else 1.0) for second, (got, asked) in sorted(by_second.items())],
+        )
 
 
 def judge(charter: Charter, events: Iterable[Event], slack: int = 20) -> Verdict:
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -48,7 +48,9 @@
             async def stray() -> None:
                 with contextlib.suppress(Exception):
                     await self.workers.call(worker.tag, "POST", target, head, entry.call.body)
+
             self._events.call_later(0.2, lambda: self._start(stray()))
+
     return [mock.patch.object(TxnService, "_answer", again)]
 
 
@@ -59,6 +61,7 @@
 
 def _repeats_after_the_window() -> Patches:
     """A referenced txn is posted again after the workers have forgotten its mark, and outside its group."""
+
     def until(self: Choice, txn: Txn, but: Posting | None = None) -> int:
         return FAR if len(txn.postings) - (but is not None) < self.max_postings else 0
 
@@ -68,9 +71,13 @@
     def look(self: Choice, posting: Posting) -> int:
         window = posting.txn.scheme.window
         return max(self.now + SECOND // 10, posting.sent + window + SECOND // 5) if window else FAR
-    return [mock.patch.object(Choice, "may_go_on_until", until), mock.patch.object(Choice, "elsewhere", silent),
-            mock.patch.object(Choice, "look_again_at", look),
-            mock.patch.object(Choice, "worth_posting_until", lambda self, txn: txn.expires)]
+
+    return [
+        mock.patch.object(Choice, "may_go_on_until", until),
+        mock.patch.object(Choice, "elsewhere", silent),
+        mock.patch.object(Choice, "look_again_at", look),
+        mock.patch.object(Choice, "worth_posting_until", lambda self, txn: txn.expires),
+    ]
 
 
 def _repeats_once_only() -> Patches:
@@ -78,9 +85,13 @@
     whole = Choice.may_go_on_until
 
     def until(self: Choice, txn: Txn, but: Posting | None = None) -> int:
-        if txn.scheme.semantics is Semantics.ONCE_ONLY and len(txn.postings) - (but is not None) < self.max_postings:
+        if (
+            txn.scheme.semantics is Semantics.ONCE_ONLY
+            and len(txn.postings) - (but is not None) < self.max_postings
+        ):
             return FAR
         return whole(self, txn, but)
+
     return [mock.patch.object(Choice, "may_go_on_until", until)]
 
 
@@ -91,6 +102,7 @@
     def made(self: Choice, *args: Any) -> None:
         make(self, *args)
         self.two_at_once = True
+
     return [mock.patch.object(Choice, "__init__", made)]
 
 
@@ -103,14 +115,17 @@
             if row.worker.standing is Standing.DRAINING:
                 row.worker.standing = Standing.READY
         listed(self, news, rows)
+
     return [mock.patch.object(TxnService, "listed", deaf)]
 
 
 def _floods_the_cold() -> Patches:
     """A worker that has just started gets as much as any other, and the next one, and the next."""
-    return [mock.patch.object(Choice, "cold_allows", lambda self, book, txn: True),
-            mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
-            mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0))]
+    return [
+        mock.patch.object(Choice, "cold_allows", lambda self, book, txn: True),
+        mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
+        mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0)),
+    ]
 
 
 def _answers_late() -> Patches:
@@ -124,7 +139,9 @@
             if entry.answer is not None:
                 self.ledger._entries[txn.tag] = entry
                 reverse(self, txn)
+
         self._events.call_later(max(0, txn.expires - self.clock.now() + SECOND // 10) / SECOND, now)
+
     return [mock.patch.object(TxnService, "reverse", held)]
 
 
@@ -136,13 +153,16 @@
         if kind == "settled" and sum(map(ord, txn.tag)) % 50 == 0:
             self.ledger[txn.tag].answer = None
         answer(self, txn, kind, *args, **more)
+
     return [mock.patch.object(TxnService, "_answer", lost)]
 
 
 def _makes_answers_up() -> Patches:
     """What ended in an error is answered as settled."""
+
     def settled(self: TxnService, txn: Txn) -> None:
         self._answer(txn, "settled", 200, b"done")
+
     return [mock.patch.object(TxnService, "reverse", settled)]
 
 
@@ -153,6 +173,7 @@
     def unsure(self: TxnService, exchange: Any, outcome: Outcome, *args: Any) -> None:
         doubt = outcome in (Outcome.RESET, Outcome.ERROR)
         end(self, exchange, Outcome.UNCONNECTED if doubt else outcome, *args)
+
     return [mock.patch.object(TxnService, "_end", unsure)]
 
 
@@ -165,6 +186,7 @@
             self._events.call_later(1.0, lambda: self._start(put(self, FAR, *writes)))
             return True
         return await put(self, until, *writes)
+
     return [mock.patch.object(DurableTxnService, "_surely", later)]
 
 
@@ -179,13 +201,16 @@
         pending.set_result(None)
         await asyncio.sleep(1.0)
         await ending(self, kept, record, pending, lambda fine: None)
+
     return [mock.patch.object(DurableTxnService, "_ending", told_first)]
 
 
 def _checks_no_lease() -> Patches:
     """After a restart a lease whose worker can't say is taken never to have run."""
+
     def clear(word: Word, now: int, expires: int) -> Next:
         return Next.CLEAR if word is Word.NONE else after_restart(word, now, expires)
+
     return [mock.patch.object(life, "after_restart", clear)]
 
 
@@ -201,6 +226,7 @@
 
     def nothing(self: DurableTxnService, *writes: Any) -> Any:
         return put(self, *(write for write in writes if not isinstance(write, Accepted)))
+
     return [mock.patch.object(DurableTxnService, "_put", nothing)]
 
 
@@ -214,9 +240,13 @@
 
     def newer(self: Choice, txn: Txn, near: Any, far: Any) -> bool:
         return near is None or (far.worker.started or 0) > (near.worker.started or 0)
-    return [mock.patch.object(Choice, "__init__", made), mock.patch.object(Choice, "crossing_pays", newer),
-            mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
-            mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0))]
+
+    return [
+        mock.patch.object(Choice, "__init__", made),
+        mock.patch.object(Choice, "crossing_pays", newer),
+        mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
+        mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0)),
+    ]
 
 
 def _hears_drains_late() -> Patches:
@@ -225,6 +255,7 @@
 
     def late(self: TxnService, news: Any, rows: Any) -> None:
         self._events.call_later(2.0, listed, self, news, rows)
+
     return [mock.patch.object(TxnService, "listed", late)]
 
 
@@ -248,13 +279,17 @@
         new = self.members.get(row.name)
         if old is not None and new is not None and new is not old:
             new.heard, new.heard_by = old.heard, old.heard_by
+
     return [mock.patch.object(Membership, "learn", credited)]
 
 
 def _unbounded() -> Patches:
     """Nothing bounds what is sent, and pages are sent as fast as they come."""
-    return [mock.patch.object(Purse, "pays", lambda self, size, now, spare=0.0: True),
-            mock.patch.object(members, "ROWS_APART", 0.02), mock.patch.object(members, "ROWS", 1e9)]
+    return [
+        mock.patch.object(Purse, "pays", lambda self, size, now, spare=0.0: True),
+        mock.patch.object(members, "ROWS_APART", 0.02),
+        mock.patch.object(members, "ROWS", 1e9),
+    ]
 
 
 # By name: the patches, and the rules one of which the judge must name.
--- a/pathsaddle/emulator/membership/stage.py
+++ b/pathsaddle/emulator/membership/stage.py
@@ -25,7 +25,9 @@
         self.disks: dict[int, Any] = {}  # none: members have no stores
         zones = world.charter.zones
         self.zones = {f"d{d}": zones[d % len(zones)] for d in self.numbers}
-        self.air = Air(world.chance("air"), lambda one, other: world.weather.delay(self.zones[one], self.zones[other]))
+        self.air = Air(
+            world.chance("air"), lambda one, other: world.weather.delay(self.zones[one], self.zones[other])
+        )
         self.fleet = Fleet(world, net, self.air)
         self.hosts: dict[int, Host] = {}
         self.tasks: dict[asyncio.Task[Any], None] = {}
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -90,19 +90,35 @@
         begin(self, terms, seed, now, door, gate)
         name = f"d{terms.number}"
         wholes = {budgets.REPEAT: rate / 5, budgets.TRIAL: rate / 20, budgets.LOOK: 6 * rate}
-        wholes |= {f"{kind}.w{place}": 2 * whole / PLACES for kind, whole in wholes.items() for place in range(PLACES)}
+        wholes |= {
+            f"{kind}.w{place}": 2 * whole / PLACES
+            for kind, whole in wholes.items()
+            for place in range(PLACES)
+        }
         dealt = {}
         for budget, whole in wholes.items():
             units = max(2, int(whole))
-            dealt[budget] = Dealt(units, units // terms.dispatchers + (terms.number < units % terms.dispatchers), 4 * SECOND)
+            dealt[budget] = Dealt(
+                units, units // terms.dispatchers + (terms.number < units % terms.dispatchers), 4 * SECOND
+            )
         # A process that starts anew is another life: its earlier one's loans may still be out.
         life = now
         limiter = Limiter(name, life, dealt, Random(f"{seed} limiter"), now)
         sla = sum(scheme.sla_time for scheme in terms.schemes) / len(terms.schemes)
         value = sum(scheme.value for scheme in terms.schemes) / len(terms.schemes)
-        ways = Ways(b"one plan's key", terms.dispatchers, value / sla, {
-            str(customer.index): customer.allowance * sla / SECOND for customer in terms.customers if customer.allowance},
-            rate / 10, SECOND // 2, max(SECOND, terms.come_back_most))
+        ways = Ways(
+            b"one plan's key",
+            terms.dispatchers,
+            value / sla,
+            {
+                str(customer.index): customer.allowance * sla / SECOND
+                for customer in terms.customers
+                if customer.allowance
+            },
+            rate / 10,
+            SECOND // 2,
+            max(SECOND, terms.come_back_most),
+        )
         core = Gate(ways, name, terms.number, limiter, now)
         self.gate = mail.members[name] = Told(core, limiter, mail)
 
@@ -112,5 +128,6 @@
         if isinstance(self.gate, Told):
             self.gate.turn(self)
         return keeps(self)
+
     with mock.patch.object(Choice, "__init__", made), mock.patch.object(Choice, "housekeeping", kept):
         yield
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -165,8 +165,11 @@
         if one.postings >= POSTINGS:
             self.declines(one, self.policy.gives_up(one.ask, now))
             return True
-        rooms = [(self.believed(w, now), ground.chance.random(), w) for w in range(len(self.room))
-                 if self.listed[w] and self.shut[w] <= now]
+        rooms = [
+            (self.believed(w, now), ground.chance.random(), w)
+            for w in range(len(self.room))
+            if self.listed[w] and self.shut[w] <= now
+        ]
         if not rooms:
             return False
         rooms.sort(reverse=True)
@@ -230,8 +233,11 @@
         held = len(self.held) * len(self.ground.members) / (plan.slots * plan.workers)
         if not fresh:
             return float(could), 0.0, held
-        return (float(could), sum(max(0.0, room) for room in fresh) / len(fresh),
-                held + sum(max(0.0, -room) for room in fresh) / len(fresh))
+        return (
+            float(could),
+            sum(max(0.0, room) for room in fresh) / len(fresh),
+            held + sum(max(0.0, -room) for room in fresh) / len(fresh),
+        )
 
 
 class Ground:
@@ -274,14 +280,24 @@
     def run(self) -> Events:
         plan = self.plan
         capacity = plan.workers * plan.slots
-        self.events.add(0, "overload.plan", who="k", name=plan.name, seed=self.seed, policy=plan.policy,
-                        members=len(self.members), slots=capacity, load=plan.load, surge=plan.surge,
-                        back_within=plan.back_within, returns=ways_of(plan).returns,
-                        allowance=min(ways_of(plan).allowances.values()))
+        self.events.add(
+            0,
+            "overload.plan",
+            who="k",
+            name=plan.name,
+            seed=self.seed,
+            policy=plan.policy,
+            members=len(self.members),
+            slots=capacity,
+            load=plan.load,
+            surge=plan.surge,
+            back_within=plan.back_within,
+            returns=ways_of(plan).returns,
+            allowance=min(ways_of(plan).allowances.values()),
+        )
         for member in self.members:
             self.events.add(0, "member.began", who=member.name)
-            self.after(self.chance.randrange(SECOND // 10),
-                       lambda m=member: self.ticks(m))  # type: ignore[misc]
+            self.after(self.chance.randrange(SECOND // 10), lambda m=member: self.ticks(m))  # type: ignore[misc]
         for trouble in plan.troubles:
             self.after(int(trouble.at * SECOND), lambda t=trouble: self.begins(t))  # type: ignore[misc]
         self.after(0, self.arrives)
@@ -328,14 +344,30 @@
         member = self.running[min(len(self.sums) - 1, bisect_left(self.sums, at * self.sums[-1]))]
         job.tries += 1
         left = job.first + SLA - self.now
-        ask = Ask(job.customer, job.key, f"s{job.scheme}", job.value, LATE, float(job.run), left, job.run,
-                  back=job.tries > 1)
+        ask = Ask(
+            job.customer,
+            job.key,
+            f"s{job.scheme}",
+            job.value,
+            LATE,
+            float(job.run),
+            left,
+            job.run,
+            back=job.tries > 1,
+        )
         one = Try(job, member, self.now, f"{job.number}/{job.tries}", ask)
         job.current = one
         if job.tries == 1:
-            self.events.add(self.now, "client.first", who="c", job=job.number, customer=job.customer,
-                            value=job.value,
-                            work=job.run, member=member.name)
+            self.events.add(
+                self.now,
+                "client.first",
+                who="c",
+                job=job.number,
+                customer=job.customer,
+                value=job.value,
+                work=job.run,
+                member=member.name,
+            )
         self.after(WAY, lambda: self.to(member, lambda: None if one.closed else member.offered(one)))
         self.after(PATIENCE, lambda: self.hangs_up(one))
 
@@ -356,41 +388,79 @@
             job.over = True
             return
         declared = self.now
+
         def comes() -> None:
             if advised:
-                self.events.add(self.now, "shed.back", who="c", txn=f"{job.number}/{job.tries + 1}",
-                                customer=job.customer, key=job.key, scheme=f"s{job.scheme}", period=period,
-                                declined=declared, until=declared + advised, obeys=True)
+                self.events.add(
+                    self.now,
+                    "shed.back",
+                    who="c",
+                    txn=f"{job.number}/{job.tries + 1}",
+                    customer=job.customer,
+                    key=job.key,
+                    scheme=f"s{job.scheme}",
+                    period=period,
+                    declined=declared,
+                    until=declared + advised,
+                    obeys=True,
+                )
             self.tries(job, at)
+
         self.after(wait, comes)
 
     # What members do, as the log has it.
 
     def lets(self, member: Member, one: Try, decided: Decided) -> None:
         ask = one.ask
-        self.events.add(self.now, "shed.in", who=member.name, txn=one.name, customer=ask.customer,
-                        key=ask.key,
-                        scheme=ask.scheme, period=decided.period, standing=decided.stands,
-                        level=decided.level,
-                        over=decided.over, left=ask.left, work=ask.work)
+        self.events.add(
+            self.now,
+            "shed.in",
+            who=member.name,
+            txn=one.name,
+            customer=ask.customer,
+            key=ask.key,
+            scheme=ask.scheme,
+            period=decided.period,
+            standing=decided.stands,
+            level=decided.level,
+            over=decided.over,
+            left=ask.left,
+            work=ask.work,
+        )
 
     def declined(self, member: Member, one: Try, decided: Decided) -> None:
         ask = one.ask
-        self.events.add(self.now, "shed.out", who=member.name, txn=one.name, customer=ask.customer,
-                        key=ask.key,
-                        scheme=ask.scheme, period=decided.period, standing=decided.stands,
-                        level=decided.level,
-                        wait=decided.come_back, why=decided.why, over=decided.over, work=ask.work)
-        self.after(WAY, lambda: None if one.job.over else self.again(
-            one, decided.come_back, decided.period))
+        self.events.add(
+            self.now,
+            "shed.out",
+            who=member.name,
+            txn=one.name,
+            customer=ask.customer,
+            key=ask.key,
+            scheme=ask.scheme,
+            period=decided.period,
+            standing=decided.stands,
+            level=decided.level,
+            wait=decided.come_back,
+            why=decided.why,
+            over=decided.over,
+            work=ask.work,
+        )
+        self.after(WAY, lambda: None if one.job.over else self.again(one, decided.come_back, decided.period))
 
     def reaches(self, member: int, worker: int) -> bool:
         return self.workers[worker].up and not (member in self.sick and worker % 3 == 0)
 
     def posts(self, member: Member, one: Try, w: int, kind: str) -> None:
-        self.events.add(self.now, "post.sent", who=member.name, post=f"{one.name}/{one.postings}",
-                        txn=one.name,
-                        worker=f"w{w}", kind=kind)
+        self.events.add(
+            self.now,
+            "post.sent",
+            who=member.name,
+            post=f"{one.name}/{one.postings}",
+            txn=one.name,
+            worker=f"w{w}",
+            kind=kind,
+        )
         self.after(WAY, lambda: self.gets(member, one, w, self.now))
 
     def back(self, member: Member, one: Try, w: int, what: str, after: int, waited: int = 0) -> None:
@@ -414,8 +484,7 @@
             worker.running += 1
             spent = int(one.job.run * worker.slow)
             waited, life = self.now - sent, worker.life
-            self.after(spent,
-                       lambda o=one, s=waited, n=life: self.ends(worker, o, s, n))  # type: ignore[misc]
+            self.after(spent, lambda o=one, s=waited, n=life: self.ends(worker, o, s, n))  # type: ignore[misc]
 
     def ends(self, worker: Worker, one: Try, waited: int, life: int) -> None:
         if worker.life != life:
@@ -426,9 +495,18 @@
         good = not job.over and job.current is one and one.member.alive
         in_time = self.now + WAY <= job.first + SLA
         earned = job.value * (1.0 if in_time else LATE) if good else 0.0
-        self.events.add(self.now, "ran", who=worker.name, txn=one.name, job=job.number, work=job.run,
-                        good=good,
-                        earned=earned, customer=job.customer, standing=0.0)
+        self.events.add(
+            self.now,
+            "ran",
+            who=worker.name,
+            txn=one.name,
+            job=job.number,
+            work=job.run,
+            good=good,
+            earned=earned,
+            customer=job.customer,
+            standing=0.0,
+        )
         if good:
             job.over = True
             one.closed = True
@@ -445,10 +523,17 @@
 
     def begins(self, trouble: Trouble) -> None:
         long = int(trouble.for_ * SECOND)
-        workers = self.workers[:max(1, round(trouble.share * len(self.workers)))]
+        workers = self.workers[: max(1, round(trouble.share * len(self.workers)))]
         members = self.members_of(trouble)
-        self.events.add(self.now, "fault", who="k", kind=trouble.kind, long=long, oneway=trouble.oneway,
-                        members=[member.name for member in members])
+        self.events.add(
+            self.now,
+            "fault",
+            who="k",
+            kind=trouble.kind,
+            long=long,
+            oneway=trouble.oneway,
+            members=[member.name for member in members],
+        )
         self.after(long, lambda: self.events.add(self.now, "fault_over", who="k", kind=trouble.kind))
         match trouble.kind:
             case "lose":
@@ -467,7 +552,7 @@
                 self.lossy = trouble.share
                 self.after(long, lambda: setattr(self, "lossy", 0.0))
             case "sick":
-                self.sick = {member.number: None for member in self.members[:(len(self.members) + 1) // 2]}
+                self.sick = {member.number: None for member in self.members[: (len(self.members) + 1) // 2]}
                 self.after(long, self.sick.clear)
             case "lies" | "mute":
                 for member in members:
@@ -532,6 +617,7 @@
                 if self.lossy and (lost + 37 * other.number) % 100 < 100 * self.lossy:
                     continue
                 self.to(other, lambda o=other: send(o))  # type: ignore[misc]
+
         self.after(after, arrives)
 
     def asks(self, one: Member, other: int, budget: str, said: Want | Lend | Back) -> None:
@@ -540,5 +626,7 @@
         if one.number in self.cut or other in self.cut or self.chance.random() < self.lossy:
             return
         target = self.members[other]
-        self.after(int(self.chance.uniform(0.001, 0.02) * SECOND), lambda: self.to(
-            target, lambda: fleet(target).leases.heard(budget, said, self.now)))
+        self.after(
+            int(self.chance.uniform(0.001, 0.02) * SECOND),
+            lambda: self.to(target, lambda: fleet(target).leases.heard(budget, said, self.now)),
+        )
--- a/pathsaddle/emulator/overload/judge.py
+++ b/pathsaddle/emulator/overload/judge.py
@@ -104,10 +104,13 @@
         self._inversion(shed, plan["members"])
         self._share(shed, plan)
 
-    def _troubles(self, by: dict[str, list[Event]],
-                  plan: dict[str, Any]) -> list[tuple[int, int, str, list[str]]]:
-        rows = [(event.at, event.at + event.more["long"], event.more["kind"], event.more["members"])
-                for event in by.get("fault", [])]
+    def _troubles(
+        self, by: dict[str, list[Event]], plan: dict[str, Any]
+    ) -> list[tuple[int, int, str, list[str]]]:
+        rows = [
+            (event.at, event.at + event.more["long"], event.more["kind"], event.more["members"])
+            for event in by.get("fault", [])
+        ]
         if plan.get("surge"):
             rows.append((int(plan["surge"][0] * SECOND), int(plan["surge"][1] * SECOND), "surge", []))
         return sorted(rows, key=lambda row: row[:2])
@@ -123,8 +126,11 @@
             work += event.more["work"]
             if event.more["good"]:
                 earned[event.more["job"]] = event.more["earned"]
-                figures.on_time += event.more["earned"] if event.more["earned"] >= jobs[
-                    event.more["job"]].more["value"] else 0.0
+                figures.on_time += (
+                    event.more["earned"]
+                    if event.more["earned"] >= jobs[event.more["job"]].more["value"]
+                    else 0.0
+                )
             else:
                 waste += event.more["work"]
         figures.wasted = waste / work if work else 0.0
@@ -146,8 +152,9 @@
             for event in sorted(rows, key=lambda row: -row.more["value"] / row.more["work"]):
                 best += event.more["value"] * min(1.0, left / event.more["work"])
                 left = max(0.0, left - event.more["work"])
-            figures.inverted += (best
-                                 - sum(event.more["value"] for event in rows if event.more["job"] in earned))
+            figures.inverted += best - sum(
+                event.more["value"] for event in rows if event.more["job"] in earned
+            )
         customers: dict[str, list[float]] = {}
         for event in jobs.values():
             row = customers.setdefault(event.more["customer"], [0.0, 0.0])
@@ -167,10 +174,13 @@
                 if since <= event.at < until and event.more["member"] in members:
                     offered, got = self.by_member.get(event.more["member"], (0.0, 0.0))
                     self.by_member[event.more["member"]] = (
-                        offered + event.more["value"], got + earned.get(event.more["job"], 0.0))
+                        offered + event.more["value"],
+                        got + earned.get(event.more["job"], 0.0),
+                    )
 
-    def _back(self, jobs: dict[int, Event], by: dict[str, list[Event]], plan: dict[str, Any],
-              end: int) -> None:
+    def _back(
+        self, jobs: dict[int, Event], by: dict[str, list[Event]], plan: dict[str, Any], end: int
+    ) -> None:
         if not self.troubles:
             return
         begins, ends = self.troubles[0][0], max(row[1] for row in self.troubles)
@@ -182,10 +192,13 @@
 
         def part(since: int, until: int) -> float:
             """Earned in that time, by whoever comes, against what came for the first time."""
-            offered = sum(float(event.more["value"])
-                          for event in order[bisect_left(moments, since):bisect_left(moments, until)])
-            got = sum(float(value) for _, value in ran[bisect_left(when, since):bisect_left(when, until)])
+            offered = sum(
+                float(event.more["value"])
+                for event in order[bisect_left(moments, since) : bisect_left(moments, until)]
+            )
+            got = sum(float(value) for _, value in ran[bisect_left(when, since) : bisect_left(when, until)])
             return got / max(1.0, offered)
+
         before = min(1.0, part(SECOND, begins))
         last = end - 3 * SECOND  # what comes later may still be on its way
         if ends + 2 * WINDOW > last:
@@ -196,9 +209,11 @@
         self.figures.back = (back - ends) / SECOND if back is not None else -1.0
         within = plan["back_within"]
         if within and (back is None or back - ends > within * SECOND):
-            self.breaks("back", ends,
-                        f"{self.figures.back:.1f} s; {part(ends, last):.3f} of what came since, "
-                        f"{before:.3f} before")
+            self.breaks(
+                "back",
+                ends,
+                f"{self.figures.back:.1f} s; {part(ends, last):.3f} of what came since, {before:.3f} before",
+            )
 
     # Bounds.
 
@@ -232,14 +247,19 @@
             place = more["standing"] % 1.0
             before = draws.setdefault((more["customer"], more["key"], more["scheme"], more["period"]), place)
             if abs(before - place) > 1e-6:
-                self.breaks("same", event.at,
-                            f"{more['txn']} at {more['who']}: {place:.3f}, elsewhere {before:.3f}")
+                self.breaks(
+                    "same", event.at, f"{more['txn']} at {more['who']}: {place:.3f}, elsewhere {before:.3f}"
+                )
             if event.what == "shed.in" and more["standing"] < more["level"]:
-                self.breaks("level", event.at,
-                            f"{more['txn']} let in at {more['standing']:.2f} under {more['level']:.2f}")
+                self.breaks(
+                    "level",
+                    event.at,
+                    f"{more['txn']} let in at {more['standing']:.2f} under {more['level']:.2f}",
+                )
             if event.what == "shed.out" and more["standing"] >= more["level"]:
-                self.breaks("level", event.at,
-                            f"{more['txn']} out at {more['standing']:.2f} over {more['level']:.2f}")
+                self.breaks(
+                    "level", event.at, f"{more['txn']} out at {more['standing']:.2f} over {more['level']:.2f}"
+                )
 
     def _levels(self, by: dict[str, list[Event]]) -> None:
         levels: dict[str, list[tuple[int, float]]] = {}
@@ -267,15 +287,19 @@
     def _inversion(self, shed: list[Event], members: int) -> None:
         views = VIEWS + RISES * max(1, members // 64) / 10
         slots: dict[int, tuple[float, float, str]] = {}
-        apart = [(since, until + SETTLES, others) for since, until, kind, others in self.troubles
-                 if kind in ("cut", "stall")]
+        apart = [
+            (since, until + SETTLES, others)
+            for since, until, kind, others in self.troubles
+            if kind in ("cut", "stall")
+        ]
         upset = [(since, since + SETTLES) for since, *_ in self.troubles]
         upset += [(until, until + SETTLES) for _, until, *_ in self.troubles]
         upset.append((0, SETTLES))
         for event in shed:
             more, at = event.more, event.at
-            if (any(since <= at < until for since, until in upset) or any(
-                    since <= at < until and more["who"] in others for since, until, others in apart)):
+            if any(since <= at < until for since, until in upset) or any(
+                since <= at < until and more["who"] in others for since, until, others in apart
+            ):
                 continue
             high, low, who = slots.get(at // SLOT, (-99.0, 99.0, ""))
             if event.what == "shed.in":
@@ -286,15 +310,19 @@
         for slot, (high, low, who) in slots.items():
             self.figures.widest = max(self.figures.widest, high - low)
             if high - low > views:
-                self.breaks("inversion", slot * SLOT,
-                            f"{who}: {high:.2f} declined, {low:.2f} let in elsewhere")
+                self.breaks(
+                    "inversion", slot * SLOT, f"{who}: {high:.2f} declined, {low:.2f} let in elsewhere"
+                )
 
     def _share(self, shed: list[Event], plan: dict[str, Any]) -> None:
         came: dict[str, list[tuple[int, float]]] = {}
         for event in shed:
             came.setdefault(event.more["customer"], []).append((event.at, event.more["work"]))
-        apart = [(since, until + SETTLES, members) for since, until, kind, members in self.troubles
-                 if kind in ("cut", "stall")]
+        apart = [
+            (since, until + SETTLES, members)
+            for since, until, kind, members in self.troubles
+            if kind in ("cut", "stall")
+        ]
         killed = [(since, len(members)) for since, _, kind, members in self.troubles if kind == "kill"]
         for customer, rows in came.items():
             moments = [at for at, _ in rows]
@@ -302,19 +330,28 @@
             for _, work in rows:
                 sums.append(sums[-1] + work)
             for event in shed:
-                if (event.more["customer"] != customer or not event.more["over"] or event.at < 5 * SECOND
-                        or any(since <= event.at < until and event.more["who"] in members
-                               for since, until, members in apart)):
+                if (
+                    event.more["customer"] != customer
+                    or not event.more["over"]
+                    or event.at < 5 * SECOND
+                    or any(
+                        since <= event.at < until and event.more["who"] in members
+                        for since, until, members in apart
+                    )
+                ):
                     continue  # who hears nobody goes by its part
                 # Over any of the last spans that views may be made from it would have to have been within.
-                spans = [(sums[bisect_left(moments, event.at)]
-                          - sums[bisect_left(moments, event.at - span)]) / span
-                         for span in (SECOND, 2 * SECOND, 5 * SECOND)]
+                spans = [
+                    (sums[bisect_left(moments, event.at)] - sums[bisect_left(moments, event.at - span)])
+                    / span
+                    for span in (SECOND, 2 * SECOND, 5 * SECOND)
+                ]
                 # Whoever hears a part of the fleet, dead or cut off, goes by that part of a share.
                 lost = sum(count for since, count in killed if since <= event.at)
                 if max(spans) < 0.7 * plan["allowance"] * (1.0 - lost / plan["members"]):
-                    self.breaks("share", event.at,
-                                f"{event.more['txn']} of {customer} is taken for over its share")
+                    self.breaks(
+                        "share", event.at, f"{event.more['txn']} of {customer} is taken for over its share"
+                    )
 
 
 def cut_off(on: Judge, alone: Judge) -> float:
--- a/pathsaddle/emulator/overload/leases.py
+++ b/pathsaddle/emulator/overload/leases.py
@@ -23,8 +23,9 @@
         for budget, whole in units.items():
             # What doesn't come out even goes to the next members for each budget, the same by everyone's
             # reckoning: where a worker's budget holds less than one for each, all hold some at some workers.
-            dealt[budget] = Dealt(whole, whole // members
-                                  + ((member.number - first) % members < whole % members), LEASE)
+            dealt[budget] = Dealt(
+                whole, whole // members + ((member.number - first) % members < whole % members), LEASE
+            )
             first = (first + whole % members) % members
         # All have been there for long: what a life before may have lent is no longer out.
         self.core = Limiter(member.name, LIFE, dealt, chance, -4 * LEASE)
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -43,19 +43,36 @@
         self.rate: float = told["rate"]
         self.chance = Random(f"{told['seed']} {self.name}")
         number, members = told["number"], told["members"]
-        dealt = {budget: Dealt(whole, whole // members + (number < whole % members), told["lease"])
-                 for budget, whole in told["budgets"].items()}
+        dealt = {
+            budget: Dealt(whole, whole // members + (number < whole % members), told["lease"])
+            for budget, whole in told["budgets"].items()
+        }
         ways = FleetWays("overload", b"sixteen bytes or more", SECOND // 5, SECOND * 6 // 100, 48_000, 200)
-        self.fellows = Fellows(Told(self.name, "east", told["listen"], told["address"], told["seeds"], "",
-                                    ways, budgets=dealt),
-                               Ground(), Lives(None, self.name), Random(f"{self.name} fellows"), Counters())
+        self.fellows = Fellows(
+            Told(self.name, "east", told["listen"], told["address"], told["seeds"], "", ways, budgets=dealt),
+            Ground(),
+            Lives(None, self.name),
+            Random(f"{self.name} fellows"),
+            Counters(),
+        )
         self.fellows.quiet = True
         assert self.fellows.shared is not None
         now = self.fellows.clock.now()
-        self.gate = Gate(Ways(b"the same for all", members, 4.75 / RUN,
-                              {f"c{c}": told["could"] for c in range(4)},
-                              told["returns"], SECOND // 2, 8 * SECOND), self.name, number,
-                         self.fellows.shared.limiter, now)
+        self.gate = Gate(
+            Ways(
+                b"the same for all",
+                members,
+                4.75 / RUN,
+                {f"c{c}": told["could"] for c in range(4)},
+                told["returns"],
+                SECOND // 2,
+                8 * SECOND,
+            ),
+            self.name,
+            number,
+            self.fellows.shared.limiter,
+            now,
+        )
         self.levels = Levels(self.fellows, self.gate, self.before, self.after)
         self.count = 0
 
@@ -72,22 +89,35 @@
     def offers(self) -> None:
         now, chance = self.fellows.clock.now(), self.chance
         self.count += 1
-        scheme, run = (chance.randrange(len(VALUES)),
-                       max(RUN // 8, int(chance.lognormvariate(-0.32, 0.8) * RUN)))
+        scheme, run = (
+            chance.randrange(len(VALUES)),
+            max(RUN // 8, int(chance.lognormvariate(-0.32, 0.8) * RUN)),
+        )
         # Some identities come to several members: each must be shed alike everywhere.
         key = f"k{chance.randrange(400)}"
-        ask = Ask(f"c{chance.randrange(4)}", key, f"s{scheme}", VALUES[scheme], 0.3, float(run), 2 * SECOND,
-                  run)
+        ask = Ask(
+            f"c{chance.randrange(4)}", key, f"s{scheme}", VALUES[scheme], 0.3, float(run), 2 * SECOND, run
+        )
         woken = self.gate.now
         given = self.gate.lets_in(ask, now)
         if self.gate.now != woken:
             self.after()
         txn = f"{self.name}/{self.count}"
-        self.log(now, "shed.in" if given.let else "shed.out", txn=txn, customer=ask.customer, key=key,
-                 scheme=ask.scheme,
-                 period=given.period, standing=given.stands, level=given.level, over=given.over,
-                 work=ask.work,
-                 wait=given.come_back, why=given.why)
+        self.log(
+            now,
+            "shed.in" if given.let else "shed.out",
+            txn=txn,
+            customer=ask.customer,
+            key=key,
+            scheme=ask.scheme,
+            period=given.period,
+            standing=given.stands,
+            level=given.level,
+            over=given.over,
+            work=ask.work,
+            wait=given.come_back,
+            why=given.why,
+        )
         if given.let:
             worker = f"w{chance.randrange(4)}"
             if self.gate.goes_out(budgets.LOOK, worker, now):
@@ -104,9 +134,14 @@
             now = self.fellows.clock.now()
             if self.gate.goes_out(budgets.TRIAL, "w1", now):
                 self.count += 1
-                self.log(now, "post.sent", post=f"{self.name}/t{self.count}",
-                         txn=f"{self.name}/t{self.count}",
-                         worker="w1", kind="trial")
+                self.log(
+                    now,
+                    "post.sent",
+                    post=f"{self.name}/t{self.count}",
+                    txn=f"{self.name}/t{self.count}",
+                    worker="w1",
+                    kind="trial",
+                )
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
--- a/pathsaddle/emulator/overload/plan.py
+++ b/pathsaddle/emulator/overload/plan.py
@@ -73,8 +73,10 @@
     except msgspec.ValidationError as fault:
         text, _, at = str(fault).partition(" - at ")
         at = at.strip("`").removeprefix("$.") or "its top"
-        raise BadPlan(f"{path}: {at}: {why(ValueError(text))}",
-                      f"write what {at} may hold, as experiments/overload-smoke.toml shows, in {path}") from None
+        raise BadPlan(
+            f"{path}: {at}: {why(ValueError(text))}",
+            f"write what {at} may hold, as experiments/overload-smoke.toml shows, in {path}",
+        ) from None
     except UnicodeDecodeError as fault:
         raise BadPlan(f"{path}: byte {fault.start} is no UTF-8", access(fault, path)) from None
     except msgspec.DecodeError as fault:
@@ -82,13 +84,19 @@
     for plan in smoke.plans:
         for key, told, known in (("policy", plan.policy, POLICIES), ("mutant", plan.mutant, ("", *MUTANTS))):
             if told not in known:
-                raise BadPlan(f"{path}: plans: {plan.name}: no {key} is called {told!r}",
-                              f"write one of {', '.join(filter(None, known))} at {key} of {plan.name} in {path}")
+                raise BadPlan(
+                    f"{path}: plans: {plan.name}: no {key} is called {told!r}",
+                    f"write one of {', '.join(filter(None, known))} at {key} of {plan.name} in {path}",
+                )
     names = [plan.name for plan in smoke.plans]
     for mutant, (_, on) in smoke.mutants.items():
         if mutant not in MUTANTS or on not in names:
-            raise BadPlan(f"{path}: mutants.{mutant}: there is no such mutant, or no plan is called {on!r}",
-                          f"write one of {', '.join(MUTANTS)} there, and one of {', '.join(names)} as its plan")
+            raise BadPlan(
+                f"{path}: mutants.{mutant}: there is no such mutant, or no plan is called {on!r}",
+                f"write one of {', '.join(MUTANTS)} there, and one of {', '.join(names)} as its plan",
+            )
     if not smoke.seeds or not smoke.plans:
-        raise BadPlan(f"{path}: seeds, plans: nothing is to be played", f"write a seed and a plan at least in {path}")
+        raise BadPlan(
+            f"{path}: seeds, plans: nothing is to be played", f"write a seed and a plan at least in {path}"
+        )
     return smoke
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -80,9 +80,15 @@
 def ways_of(plan: Plan) -> Ways:
     slots = plan.workers * plan.slots
     share = slots / plan.customers
-    return Ways(SECRET, plan.members, MEAN_VALUE / RUN,
-                {f"c{c}": 1.25 * share for c in range(plan.customers)},
-                0.1 * slots / 0.2, SECOND // 2, 8 * SECOND)
+    return Ways(
+        SECRET,
+        plan.members,
+        MEAN_VALUE / RUN,
+        {f"c{c}": 1.25 * share for c in range(plan.customers)},
+        0.1 * slots / 0.2,
+        SECOND // 2,
+        8 * SECOND,
+    )
 
 
 def units_of(plan: Plan) -> dict[str, int]:
@@ -91,8 +97,11 @@
     rate = plan.workers * plan.slots * SECOND // RUN
     units = {budgets.REPEAT: rate // 5, budgets.LOOK: 3 * rate, budgets.TRIAL: max(4, rate // 20)}
     for w in range(plan.workers):
-        units |= {f"{budgets.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
-                  f"{budgets.LOOK}.w{w}": max(4, rate * 6 // plan.workers), f"{budgets.TRIAL}.w{w}": 4}
+        units |= {
+            f"{budgets.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
+            f"{budgets.LOOK}.w{w}": max(4, rate * 6 // plan.workers),
+            f"{budgets.TRIAL}.w{w}": 4,
+        }
     return units
 
 
@@ -211,7 +220,7 @@
         total = sum(self.counts)
         if self.waits and total:
             crowded = sum(self.waits) / len(self.waits) > 20 * MILLISECOND
-            let = sum(self.counts[int(self.level * 16):])
+            let = sum(self.counts[int(self.level * 16) :])
             wanted = 0.95 * let if crowded else let + 0.01 * total
             place, kept = len(self.counts), 0
             while place > 0 and kept + self.counts[place - 1] <= wanted:
@@ -341,9 +350,16 @@
 
 
 KINDS: dict[str, type[Policy]] = {
-    "alone": Policy, "whole": Fleet, "fleet": Fleet, "dagor": Dagor, "breakwater": Breakwater,
+    "alone": Policy,
+    "whole": Fleet,
+    "fleet": Fleet,
+    "dagor": Dagor,
+    "breakwater": Breakwater,
     "throttle": Throttle,
-    "finagle": Finagle, "envoy": Envoy, "doorman": Doorman}
+    "finagle": Finagle,
+    "envoy": Envoy,
+    "doorman": Doorman,
+}
 
 
 def policy(plan: Plan, member: Member, number: int) -> Policy:
--- a/pathsaddle/emulator/overload/processes.py
+++ b/pathsaddle/emulator/overload/processes.py
@@ -66,24 +66,52 @@
         stdin = processes[name].stdin
         assert stdin is not None
         stdin.write(f"rate {rate}\n".encode())
-    marks.append(Event(0, "overload.plan", {
-        "who": "k", "policy": "fleet", "members": MEMBERS, "surge": None, "back_within": 0.0,
-        "returns": RETURNS,
-        "allowance": COULD}))
-    marks += [Event(0, "share.budget", {"who": "d0", "budget": budget, "units": units})
-              for budget, units in BUDGETS.items()]
+
+    marks.append(
+        Event(
+            0,
+            "overload.plan",
+            {
+                "who": "k",
+                "policy": "fleet",
+                "members": MEMBERS,
+                "surge": None,
+                "back_within": 0.0,
+                "returns": RETURNS,
+                "allowance": COULD,
+            },
+        )
+    )
+    marks += [
+        Event(0, "share.budget", {"who": "d0", "budget": budget, "units": units})
+        for budget, units in BUDGETS.items()
+    ]
     try:
         for number, name in enumerate(names):
-            told = {"name": name, "number": number, "members": MEMBERS, "start": start, "seed": seed,
-                    "could": COULD,
-                    "rate": RATE * (3 if number == 0 else 1), "listen": ways[name][0],
-                    "address": ways[name][1],
-                    "seeds": [ways[one][1] for one in names[:3]], "budgets": BUDGETS, "returns": RETURNS,
-                    "lease": LEASE}
+            told = {
+                "name": name,
+                "number": number,
+                "members": MEMBERS,
+                "start": start,
+                "seed": seed,
+                "could": COULD,
+                "rate": RATE * (3 if number == 0 else 1),
+                "listen": ways[name][0],
+                "address": ways[name][1],
+                "seeds": [ways[one][1] for one in names[:3]],
+                "budgets": BUDGETS,
+                "returns": RETURNS,
+                "lease": LEASE,
+            }
             files.append((folder / name).open("wb"))
             processes[name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "pathsaddle.emulator.overload.member", json.dumps(told),
-                stdin=asyncio.subprocess.PIPE, stdout=files[-1])
+                sys.executable,
+                "-m",
+                "pathsaddle.emulator.overload.member",
+                json.dumps(told),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=files[-1],
+            )
         await until(times.cut[0])
         third = names[3:6]
         mark("fault", kind="cut", long=int((times.cut[1] - times.cut[0]) * SECOND), members=third)
@@ -95,14 +123,19 @@
         mark("fault", kind="stall", long=int((times.stop[1] - times.stop[0]) * SECOND), members=names[:1])
         processes["d0"].send_signal(signal.SIGSTOP)
         oneway = Blight(frozenset(["d1"]), frozenset(names[2:]), oneway=True, lost=1.0)
-        mark("fault", kind="cut", long=int((times.stop[1] - times.stop[0]) * SECOND), members=["d1"],
-             oneway=True)
+        mark(
+            "fault",
+            kind="cut",
+            long=int((times.stop[1] - times.stop[0]) * SECOND),
+            members=["d1"],
+            oneway=True,
+        )
         air.blights[oneway] = None
         await until(times.stop[1])
         air.blights.pop(oneway)
         processes["d0"].send_signal(signal.SIGCONT)
         await until(times.kill)
-        half = names[-(MEMBERS // 2):]
+        half = names[-(MEMBERS // 2) :]
         mark("fault", kind="kill", long=0, members=half)
         for name in half:
             processes[name].kill()
@@ -126,7 +159,7 @@
 def whole(path: Path) -> list[Event]:
     """What a process wrote; the line that a kill cut short is none."""
     text = path.read_bytes()
-    path.write_bytes(text[:text.rfind(b"\n") + 1])
+    path.write_bytes(text[: text.rfind(b"\n") + 1])
     return read(path)
 
 
@@ -138,10 +171,12 @@
     for bound, at, what in judge.found[:20]:
         print(f"BROKEN {bound} at {at / SECOND:.2f} s: {what}")
     figures = judge.figures
-    print(f"{MEMBERS} processes, {len(rows)} events, {figures.postings} postings, {figures.repeats} repeats, "
-          f"{figures.trials} trials, "
-          f"{figures.looks} looks, {figures.declined} declined, widest inversion {figures.widest:.2f} bands, "
-          f"{figures.turns} turns, {figures.most_returns} returns in a second, {figures.bytes:.0f} B/s each")
+    print(
+        f"{MEMBERS} processes, {len(rows)} events, {figures.postings} postings, {figures.repeats} repeats, "
+        f"{figures.trials} trials, "
+        f"{figures.looks} looks, {figures.declined} declined, widest inversion {figures.widest:.2f} bands, "
+        f"{figures.turns} turns, {figures.most_returns} returns in a second, {figures.bytes:.0f} B/s each"
+    )
     return 1 if judge.found else 0
 
 
--- a/pathsaddle/emulator/ownership/faults.py
+++ b/pathsaddle/emulator/ownership/faults.py
@@ -13,9 +13,27 @@
 from pathsaddle.emulator.ownership.ground import Disk, Ground, MemberHost, VoterHost
 from pathsaddle.trade import MILLISECOND, SECOND
 
-KINDS = ("cut", "cut-owner", "lag-owner", "oneway", "split", "stall", "stall-owner", "kill", "kill-owner",
-         "kill-voters", "kill-syncing", "terminate",
-         "disk-lost", "disk-old", "disk-torn", "disk-slow", "disk-full", "spell", "spell")
+KINDS = (
+    "cut",
+    "cut-owner",
+    "lag-owner",
+    "oneway",
+    "split",
+    "stall",
+    "stall-owner",
+    "kill",
+    "kill-owner",
+    "kill-voters",
+    "kill-syncing",
+    "terminate",
+    "disk-lost",
+    "disk-old",
+    "disk-torn",
+    "disk-slow",
+    "disk-full",
+    "spell",
+    "spell",
+)
 
 
 class Trouble:
@@ -58,8 +76,11 @@
     def owner(self) -> str:
         """Whoever owns a key, or any member."""
         ground = self.ground
-        names = [name for name, host in ground.hosts.items() if isinstance(host, MemberHost) and host.up
-                 and host.owner.owned(host.now())]
+        names = [
+            name
+            for name, host in ground.hosts.items()
+            if isinstance(host, MemberHost) and host.up and host.owner.owned(host.now())
+        ]
         return self.chance.choice(names or [name for name in ground.hosts if name not in ground.voters])
 
     def kill(self, name: str, longest: int = 5 * SECOND) -> None:
@@ -92,6 +113,7 @@
         def ends() -> None:
             for way in ways:
                 ground.cuts.pop(way, None)
+
         ground.put(ground.at + span, ends)
 
     def does(self, kind: str) -> bool:
@@ -110,8 +132,10 @@
             name = self.owner()
             back = [(voter, name) for voter in ground.voters]
             ground.lags.update(dict.fromkeys(back, chance.randrange(1000, 9000)))
-            ground.put(ground.at + 2 * SECOND,
-                       lambda: self.cut([(name, voter) for voter in ground.voters], 2 * SECOND))
+            ground.put(
+                ground.at + 2 * SECOND,
+                lambda: self.cut([(name, voter) for voter in ground.voters], 2 * SECOND),
+            )
             ground.put(ground.at + 4 * SECOND, ground.lags.clear)
         elif kind == "split":
             side = {name: chance.randrange(2 + (chance.random() < 0.3)) for name in names}
@@ -139,9 +163,11 @@
             ground.put(ground.at + chance.randrange(2 * SECOND, 5 * SECOND), lambda: self.up(name))
         elif kind == "spell":
             ground.slow = chance.choice((0, 0, 2000, 6000))
-            ground.lost, ground.doubled, ground.late = (chance.choice((0.0, 0.1, 0.4)),
-                                                        chance.choice((0.0, 0.2)),
-                                                        chance.choice((0.0, 0.02)))
+            ground.lost, ground.doubled, ground.late = (
+                chance.choice((0.0, 0.1, 0.4)),
+                chance.choice((0.0, 0.2)),
+                chance.choice((0.0, 0.02)),
+            )
         else:
             return self.disk(kind, ground.hosts[chance.choice(ground.voters)], span)
         return True
@@ -160,8 +186,11 @@
             return True
         copy = self.copies.get(host.name)
         self.copies[host.name] = disk.copy()
-        if not all(isinstance(other, VoterHost) and other.disk.whole for name, other in ground.hosts.items()
-                   if name in ground.voters):
+        if not all(
+            isinstance(other, VoterHost) and other.disk.whole
+            for name, other in ground.hosts.items()
+            if name in ground.voters
+        ):
             return False
         if kind == "disk-old" and copy is None:
             return False
@@ -169,16 +198,26 @@
         if kind == "disk-old" and copy is not None:
             host.disk = copy.copy()
         elif kind == "disk-torn":
-            host.disk = Disk({key: kept for key, kept in disk.rows.items() if chance.random() < 0.5},
-                             dict(disk.starts), disk.start)
+            host.disk = Disk(
+                {key: kept for key, kept in disk.rows.items() if chance.random() < 0.5},
+                dict(disk.starts),
+                disk.start,
+            )
         else:
             host.disk = Disk()
         host.disk.whole = False
         return True
 
 
-def troubled(seed: int, members: int = 5, seconds: int = 40, calm: int = 15, voters: int = 3, keys: int = 1,
-             lease: int = SECOND) -> Ground:
+def troubled(
+    seed: int,
+    members: int = 5,
+    seconds: int = 40,
+    calm: int = 15,
+    voters: int = 3,
+    keys: int = 1,
+    lease: int = SECOND,
+) -> Ground:
     """A run: so many seconds of trouble, then of calm."""
     ground = Ground(seed, members=members, voters=voters, keys=keys, lease=lease, unpreferred=members // 2)
     Trouble(ground, Random(seed * 7919 + 1), seconds * SECOND)
--- a/pathsaddle/emulator/ownership/ground.py
+++ b/pathsaddle/emulator/ownership/ground.py
@@ -73,6 +73,7 @@
                 self.ground.put(self.stood, due)
             else:
                 act()
+
         self.ground.put(self.ground.at + max(1, int(ticks / self.rate) + 1), due)
 
     def wakes(self, due: int, act: Callable[[], None]) -> None:
@@ -92,8 +93,9 @@
         self.inbox, self.syncing = [], None
         disk = self.disk
         start = max(disk.start + 1, self.ground.at)
-        self.voter = Voter(self.name, self.ground.voters, disk.rows, disk.starts, start, disk.whole,
-                           self.now())
+        self.voter = Voter(
+            self.name, self.ground.voters, disk.rows, disk.starts, start, disk.whole, self.now()
+        )
         self.tick()
 
     def tick(self) -> None:
@@ -158,7 +160,7 @@
         self.up = False
         if self.syncing is not None:
             writes = self.syncing[0]
-            self.disk.write(writes[:self.ground.chance.randrange(len(writes) + 1)], self.name)
+            self.disk.write(writes[: self.ground.chance.randrange(len(writes) + 1)], self.name)
             self.syncing = None
 
 
@@ -202,6 +204,7 @@
             def ring() -> None:
                 if alarm == self.alarm:
                     self.tick()
+
             self.wakes(due, ring)
 
     def take(self, sender: str, start: int, starts: dict[str, int], message: Message) -> None:
@@ -222,16 +225,18 @@
             elif ground.chance.random() < 0.02:
                 ask = self.owner.read(key, self.now())
                 if ask:
-                    ground.log("reg.call", self.name, op=f"{self.name}/{self.owner.life}/{ask}", key=key,
-                               kind="read")
+                    ground.log(
+                        "reg.call", self.name, op=f"{self.name}/{self.owner.life}/{ask}", key=key, kind="read"
+                    )
         self.flush()
         self.later(ground.pause, self.work)
 
     def effect(self, key: str, number: int) -> None:
         for store in self.ground.stores:
             for delay in self.ground.copies(self.name, store):
-                self.ground.put(self.ground.at + delay,
-                                partial(self.ground.comes, store, key, number, self.name))
+                self.ground.put(
+                    self.ground.at + delay, partial(self.ground.comes, store, key, number, self.name)
+                )
 
     def kill(self) -> None:
         if self.up:
@@ -257,8 +262,17 @@
     """lost, doubled, late: parts of what is sent; `late`: comes again up to two minutes later. hasty,
     talkative, unfenced: what mutants break."""
 
-    def __init__(self, seed: int, members: int = 5, voters: int = 3, keys: int = 1, lease: int = SECOND,
-                 off: float = 0.01, pause: int = 60 * MILLISECOND, unpreferred: int = 0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        members: int = 5,
+        voters: int = 3,
+        keys: int = 1,
+        lease: int = SECOND,
+        off: float = 0.01,
+        pause: int = 60 * MILLISECOND,
+        unpreferred: int = 0,
+    ) -> None:
         self.chance = Random(seed)
         self.at, self.turns, self.heap = 0, 0, list[tuple[int, int, Callable[[], None]]]()
         self.events = Events()
@@ -278,6 +292,7 @@
 
         def rate() -> float:
             return 1 + self.chance.choice((-off, off, self.chance.uniform(-off, off)))
+
         self.hosts: dict[str, VoterHost | MemberHost] = {}
         for name in self.voters:
             self.hosts[name] = VoterHost(self, name, rate())
@@ -351,8 +366,15 @@
         more: dict[str, Any] = {"key": one.key, "number": one.number}
         life = host.owner.life
         if one.what in ("owner", "held"):
-            self.log("lease", host.name, **more, life=life, until=host.true(one.until),
-                     fresh=one.what == "owner", **{"from": self.at})
+            self.log(
+                "lease",
+                host.name,
+                **more,
+                life=life,
+                until=host.true(one.until),
+                fresh=one.what == "owner",
+                **{"from": self.at},
+            )
         elif one.what in ("lost", "given"):
             self.log("lease.end", host.name, **more, life=life, why=one.why)
         elif one.what == "call":
@@ -365,13 +387,24 @@
         elif one.what == "end":
             more = {"op": one.op, "outcome": one.why}
             if one.why == "ok":
-                more |= {"number": one.number, "owner": host.name, "revision": one.revision,
-                         "value": one.data.decode() or None}
+                more |= {
+                    "number": one.number,
+                    "owner": host.name,
+                    "revision": one.revision,
+                    "value": one.data.decode() or None,
+                }
             self.log("reg.end", host.name, **more)
         elif one.what == "read":
-            more = {"op": f"{host.name}/{life}/{one.ask}",
-                    "outcome": "unknown" if one.value is None else "ok"}
+            more = {
+                "op": f"{host.name}/{life}/{one.ask}",
+                "outcome": "unknown" if one.value is None else "ok",
+            }
             if one.value is not None:
-                more |= {"number": one.value.number, "owner": one.value.owner, "revision": one.value.revision,
-                         "value": one.value.data.decode() or None, "lapsed": False}
+                more |= {
+                    "number": one.value.number,
+                    "owner": one.value.owner,
+                    "revision": one.value.revision,
+                    "value": one.value.data.decode() or None,
+                    "lapsed": False,
+                }
             self.log("reg.end", host.name, **more)
--- a/pathsaddle/emulator/ownership/judge.py
+++ b/pathsaddle/emulator/ownership/judge.py
@@ -23,8 +23,9 @@
     gaps: dict[str, list[tuple[int, int]]] = field(default_factory=dict)
 
     def longest(self, since: int = 0) -> int:
-        return max((end - begin for rows in self.gaps.values() for begin, end in rows if begin >= since),
-                   default=0)
+        return max(
+            (end - begin for rows in self.gaps.values() for begin, end in rows if begin >= since), default=0
+        )
 
 
 def judge(events: Iterable[Event], skew: int = 0) -> Verdict:
@@ -74,8 +75,12 @@
                 verdict.refused += 1
                 continue
             if more["number"] < seen.get(where, 0):
-                found.append(("effect-two-owners",
-                              f"{more['by']} {one} at {more['who']} after {seen[where]} at {event.at}"))
+                found.append(
+                    (
+                        "effect-two-owners",
+                        f"{more['by']} {one} at {more['who']} after {seen[where]} at {event.at}",
+                    )
+                )
             if one not in whose or whose[one][0] != more["by"]:
                 found.append(("effect-unfenced", f"{more['by']} {one} at {event.at}"))
             seen[where] = max(more["number"], seen.get(where, 0))
--- a/pathsaddle/emulator/ownership/linear.py
+++ b/pathsaddle/emulator/ownership/linear.py
@@ -36,8 +36,9 @@
         if self.kind == "take":
             made: State = (number + 1, self.who, revision, value)
         elif self.kind == "set":
-            if (self.told["number"] != number
-                    or (self.told["revision"] != revision and self.told["value"] != value)):
+            if self.told["number"] != number or (
+                self.told["revision"] != revision and self.told["value"] != value
+            ):
                 return None
             again = self.told["revision"] != revision  # it finds its own earlier try
             made = (number, owner, self.told["revision"] + 1, self.told["value"])
@@ -47,8 +48,12 @@
             if self.kind == "renew" and self.told["number"] != number:
                 return None
             made = state
-        if self.sure and made != (self.ended["number"], self.ended["owner"], self.ended["revision"],
-                                  self.ended["value"]):
+        if self.sure and made != (
+            self.ended["number"],
+            self.ended["owner"],
+            self.ended["revision"],
+            self.ended["value"],
+        ):
             return None
         return made
 
@@ -84,10 +89,11 @@
     def next_of(done: int, low: int) -> tuple[list[int], int]:
         while low < len(sure) and done >> sure[low] & 1:
             low += 1
-        first = min((rows[i].end for i in sure[low:low + 200] if not done >> i & 1), default=ALWAYS)
-        maybe = [i for i in range(len(rows)) if not done >> i & 1 and rows[i].call <= first
-                 and not rows[i].sure]
-        certain = [i for i in sure[low:low + 200] if not done >> i & 1 and rows[i].call <= first]
+        first = min((rows[i].end for i in sure[low : low + 200] if not done >> i & 1), default=ALWAYS)
+        maybe = [
+            i for i in range(len(rows)) if not done >> i & 1 and rows[i].call <= first and not rows[i].sure
+        ]
+        certain = [i for i in sure[low : low + 200] if not done >> i & 1 and rows[i].call <= first]
         return maybe[::-1] + certain[::-1], low  # the last is tried first
 
     # Numbers and revisions never go back: a state above what a call that is still to come was told leads
@@ -95,8 +101,11 @@
     needs = [(rows[i].ended["number"] - (rows[i].kind == "take"), rows[i].ended["revision"]) for i in sure]
 
     def leads_nowhere(after: State, low: int, done: int) -> bool:
-        return any(needs[j][0] < after[0] or needs[j][1] < after[2]
-                   for j in range(low, min(low + 50, len(sure))) if not done >> sure[j] & 1)
+        return any(
+            needs[j][0] < after[0] or needs[j][1] < after[2]
+            for j in range(low, min(low + 50, len(sure)))
+            if not done >> sure[j] & 1
+        )
 
     low, tried, deepest = 0, 0, 0
     choices, low = next_of(done, low)
--- a/pathsaddle/emulator/ownership/mutants.py
+++ b/pathsaddle/emulator/ownership/mutants.py
@@ -24,8 +24,9 @@
 
     __slots__ = ()
 
-    def heard(self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int,
-              now: int) -> tuple[Bid, Out]:
+    def heard(
+        self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
+    ) -> tuple[Bid, Out]:
         late = replace(self, asks=tuple((one, now) for one, _ in self.asks))
         return Bid.heard(late, voter, start, known, message, ask, now)
 
@@ -41,8 +42,9 @@
         if not out or bid.number or before is None or before[3].owner != self.name:
             return bid, out
         value = msgspec.structs.replace(bid.value, number=before[3].number)
-        return replace(bid, value=value), [(to, Accept(m.key, m.ballot, value, m.ask)) for to, m in out
-                                           if isinstance(m, Accept)]
+        return replace(bid, value=value), [
+            (to, Accept(m.key, m.ballot, value, m.ask)) for to, m in out if isinstance(m, Accept)
+        ]
 
 
 class Forgets(Row):
@@ -54,13 +56,15 @@
         return replace(self, until=0)
 
 
-FOUND = {"answers-before-sync": ("leases-overlap", "number-twice", "number-back"),
-         "lease-from-answer": ("leases-overlap",),
-         "number-unchecked": ("effect-two-owners",),
-         "number-reused": ("number-twice",),
-         "gives-before-stopping": ("leases-overlap",),
-         "holds-forgotten": ("leases-overlap",),
-         "lost-disk-trusted": ("number-back", "number-twice", "leases-overlap")}
+FOUND = {
+    "answers-before-sync": ("leases-overlap", "number-twice", "number-back"),
+    "lease-from-answer": ("leases-overlap",),
+    "number-unchecked": ("effect-two-owners",),
+    "number-reused": ("number-twice",),
+    "gives-before-stopping": ("leases-overlap",),
+    "holds-forgotten": ("leases-overlap",),
+    "lost-disk-trusted": ("number-back", "number-twice", "leases-overlap"),
+}
 
 
 @contextmanager
@@ -82,8 +86,9 @@
     elif name == "holds-forgotten":
         patches.append(mock.patch.object(Row, "begun", Forgets.begun))
     elif name == "lost-disk-trusted":
-        patches.append(mock.patch.object(Disk, "whole",
-                                         property(lambda self: True, lambda self, value: None)))
+        patches.append(
+            mock.patch.object(Disk, "whole", property(lambda self: True, lambda self, value: None))
+        )
     for patch in patches:
         patch.start()
     try:
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -63,8 +63,12 @@
         elif one.what == "end":
             more = {"op": one.op, "outcome": one.why}
             if one.why == "ok":
-                more |= {"number": one.number, "owner": self.name, "revision": one.revision,
-                         "value": one.data.decode() or None}
+                more |= {
+                    "number": one.number,
+                    "owner": self.name,
+                    "revision": one.revision,
+                    "value": one.data.decode() or None,
+                }
             self.log("reg.end", **more)
 
     async def work(self) -> None:
@@ -99,8 +103,15 @@
                 if value is None:
                     self.log("reg.end", op=op, outcome="unknown")
                 else:
-                    self.log("reg.end", op=op, outcome="ok", number=value.number, owner=value.owner,
-                             revision=value.revision, value=value.data.decode() or None)
+                    self.log(
+                        "reg.end",
+                        op=op,
+                        outcome="ok",
+                        number=value.number,
+                        owner=value.owner,
+                        revision=value.revision,
+                        value=value.data.decode() or None,
+                    )
             await asyncio.sleep(0.1)
 
 
--- a/pathsaddle/emulator/ownership/smoke.py
+++ b/pathsaddle/emulator/ownership/smoke.py
@@ -1,7 +1,7 @@
 """What a plan of owners says, in virtual time; figures last; exit 0 only if every bound holds.
 
-    python -m pathsaddle experiment run experiments/owner-smoke.toml
-    python -m pathsaddle.emulator.ownership.smoke PLAN [--seeds N] [--first N] [--members N] [--voters N] [--only trouble]
+python -m pathsaddle experiment run experiments/owner-smoke.toml
+python -m pathsaddle.emulator.ownership.smoke PLAN [--seeds N] [--first N] [--members N] [--voters N] [--only trouble]
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 # Where ways are good, until another owns the key: a lease by a voter's fast clock, the spread of those that
 # come after it, a ballot outbid and another. From SIGTERM: a spread and two ballots.
 BOUND = {fault: (lambda lease: lease * 3 // 2 + SECOND // 2) for fault in FAULTS} | {
-    "sigterm": lambda lease: lease // 4 + SECOND // 2}
+    "sigterm": lambda lease: lease // 4 + SECOND // 2
+}
 
 
 def trouble(seeds: list[int], members: int, voters: int, seconds: int) -> tuple[list[str], dict[str, int]]:
@@ -38,15 +39,22 @@
         ground = troubled(seed, members, seconds, voters=voters, keys=1 + seed % 2)
         verdict = judge(ground.events.rows)
         wrong += [f"seed {seed}: {name}: {text}" for name, text in verdict.findings[:3]]
-        wrong += [f"seed {seed}: register-not-linearizable: {why}"
-                  for why in linear.check(ground.events.rows).values()]
+        wrong += [
+            f"seed {seed}: register-not-linearizable: {why}"
+            for why in linear.check(ground.events.rows).values()
+        ]
         for key in ground.keys:
-            if not any(isinstance(host, MemberHost) and host.owner.may_act(key, host.now())
-                       for host in ground.hosts.values()):
+            if not any(
+                isinstance(host, MemberHost) and host.owner.may_act(key, host.now())
+                for host in ground.hosts.values()
+            ):
                 wrong.append(f"seed {seed}: {key} has no owner after the calm")
-        for name, more in (("effects", verdict.effects), ("refused", verdict.refused),
-                           ("owners", verdict.owners),
-                           ("calls", sum(map(len, linear.calls(ground.events.rows).values())))):
+        for name, more in (
+            ("effects", verdict.effects),
+            ("refused", verdict.refused),
+            ("owners", verdict.owners),
+            ("calls", sum(map(len, linear.calls(ground.events.rows).values()))),
+        ):
             sums[name] += more
     return wrong, sums
 
@@ -58,8 +66,18 @@
     ground.run(3 * lease + chance.randrange(lease))
 
     def owner() -> str:
-        return next((name for name, host in ground.hosts.items() if isinstance(host, MemberHost) and host.up
-                     and ground.at >= host.stood and host.owner.may_act("k0", host.now())), "")
+        return next(
+            (
+                name
+                for name, host in ground.hosts.items()
+                if isinstance(host, MemberHost)
+                and host.up
+                and ground.at >= host.stood
+                and host.owner.may_act("k0", host.now())
+            ),
+            "",
+        )
+
     name = owner()
     host = ground.hosts[name]
     assert isinstance(host, MemberHost)
@@ -88,9 +106,12 @@
     begun = time.process_time()
     ground.run(ground.at + 5 * lease)
     spent, span = time.process_time() - begun, 5 * lease / SECOND
-    return {"messages": (ground.sent - sent) / span, "bytes": ground.bytes / span,
-            "syncs": (ground.syncs - syncs) / span,
-            "cpu_ms": spent * 1000 / span}
+    return {
+        "messages": (ground.sent - sent) / span,
+        "bytes": ground.bytes / span,
+        "syncs": (ground.syncs - syncs) / span,
+        "cpu_ms": spent * 1000 / span,
+    }
 
 
 class Plan(Form):
@@ -131,15 +152,21 @@
 def read(path: str) -> Plan:
     """A plan, checked whole. Raises Faulty."""
     plan = check(Plan, load(path), path)
-    if unknown := [NotAmong(path, f"mutants.{name}", shown=repr(name), may=f"one of {', '.join(FOUND)}")
-                   for name in plan.mutants if name not in FOUND]:
+    if unknown := [
+        NotAmong(path, f"mutants.{name}", shown=repr(name), may=f"one of {', '.join(FOUND)}")
+        for name in plan.mutants
+        if name not in FOUND
+    ]:
         raise Faulty([*unknown])
     return plan
 
 
 def main(words: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="pathsaddle.emulator.ownership.smoke", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="pathsaddle.emulator.ownership.smoke",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("plan")
     for word in ("seeds", "first", "members", "voters"):
         parser.add_argument(f"--{word}", type=int)
@@ -150,8 +177,17 @@
     except Faulty as fault:
         print(fault, file=sys.stderr)
         return 2
-    return play(msgspec.structs.replace(plan, **{word: getattr(said, word) for word in (
-        "seeds", "first", "members", "voters") if getattr(said, word) is not None}), said.only is not None)
+    return play(
+        msgspec.structs.replace(
+            plan,
+            **{
+                word: getattr(said, word)
+                for word in ("seeds", "first", "members", "voters")
+                if getattr(said, word) is not None
+            },
+        ),
+        said.only is not None,
+    )
 
 
 def play(plan: Plan, trouble_alone: bool = False) -> int:
@@ -163,9 +199,10 @@
         if some:
             faults, sums = trouble(some, members, plan.voters, plan.seconds)
             wrong += faults
-            figures.append(f"{len(some)} seeds of {plan.seconds} s of trouble, {members} members, "
-                           f"{plan.voters} voters: "
-                           + ", ".join(f"{value} {name}" for name, value in sums.items()))
+            figures.append(
+                f"{len(some)} seeds of {plan.seconds} s of trouble, {members} members, "
+                f"{plan.voters} voters: " + ", ".join(f"{value} {name}" for name, value in sums.items())
+            )
     if not trouble_alone:
         for name, seed in plan.mutants.items():
             with mutant(name):
@@ -179,19 +216,25 @@
             for fault in FAULTS:
                 spans = sorted(without(fault, lease, seed) for seed in range(plan.plays))
                 if spans[-1] > BOUND[fault](lease):
-                    wrong.append(f"{spans[-1] / 10:.0f} ms without an owner after {fault} with a lease of "
-                                 f"{lease / 10:.0f} ms")
-                figures.append(f"lease {lease / 10:.0f} ms, {fault}: without an owner p50 "
-                               f"{spans[len(spans) // 2] / 10:.0f}, "
-                               f"p99 {spans[len(spans) * 99 // 100] / 10:.0f}, most {spans[-1] / 10:.0f} ms")
+                    wrong.append(
+                        f"{spans[-1] / 10:.0f} ms without an owner after {fault} with a lease of "
+                        f"{lease / 10:.0f} ms"
+                    )
+                figures.append(
+                    f"lease {lease / 10:.0f} ms, {fault}: without an owner p50 "
+                    f"{spans[len(spans) // 2] / 10:.0f}, "
+                    f"p99 {spans[len(spans) * 99 // 100] / 10:.0f}, most {spans[-1] / 10:.0f} ms"
+                )
         for keys in plan.keys:
             cost = renewals(keys)
             if cost["syncs"]:
                 wrong.append(f"{cost['syncs']} syncs a second for renewals alone")
-            figures.append(f"{keys} keys, lease 3 s: {cost['messages']:.0f} messages, {cost['bytes']:.0f} "
-                           f"bytes, "
-                           f"{cost['syncs']:.0f} syncs, {cost['cpu_ms']:.2f} ms of CPU a second (owner and 3 "
-                           f"voters, emulated)")
+            figures.append(
+                f"{keys} keys, lease 3 s: {cost['messages']:.0f} messages, {cost['bytes']:.0f} "
+                f"bytes, "
+                f"{cost['syncs']:.0f} syncs, {cost['cpu_ms']:.2f} ms of CPU a second (owner and 3 "
+                f"voters, emulated)"
+            )
     for text in wrong:
         print(f"BROKEN {text}")
     for text in figures:
--- a/pathsaddle/emulator/placement/judge.py
+++ b/pathsaddle/emulator/placement/judge.py
@@ -49,10 +49,12 @@
 
         def bad(name: str, text: str, at: int = at) -> None:
             found.append((at, name, text))
+
         unit, bay = more.get("unit", ""), more.get("bay", "")
         if what == "island.limits":
-            seen.limits[more["island"]] = {key: more[key] for key in ("power", "ports", "carries")
-                                           if key in more}
+            seen.limits[more["island"]] = {
+                key: more[key] for key in ("power", "ports", "carries") if key in more
+            }
         elif what == "unit.needs":
             seen.needs[unit] = {key: more.get(key, 0) for key in ("power", "ports", "carries")}
             seen.slots[unit] = (more.get("kind", ""), more.get("slots", 1))
@@ -70,11 +72,16 @@
         elif what == "plan.step" and more["state"] == "begun":
             begun = event
             if more["number"] < seen.top:
-                bad("late-planner",
-                    f"step {more['step']} of {more['plan']} under {more['number']} after {seen.top}")
+                bad(
+                    "late-planner",
+                    f"step {more['step']} of {more['plan']} under {more['number']} after {seen.top}",
+                )
             for does, one, where in more.get("before", ()):
-                if not (seen.serving.get(one) and seen.bay.get(one) == where if does == "place"
-                        else seen.bay.get(one) != where):
+                if not (
+                    seen.serving.get(one) and seen.bay.get(one) == where
+                    if does == "place"
+                    else seen.bay.get(one) != where
+                ):
                     bad("step-order", f"step {more['step']} of {more['plan']} before {does} {one} at {where}")
             if more["does"] == "reserve":
                 _fits(seen, event, found)
@@ -90,8 +97,11 @@
                     bad("stale-revision", f"{unit} in {bay} on {more['revision']}, it was {more['now']}")
             seen.holder[bay], seen.bay[unit], seen.island[bay] = unit, bay, more["island"]
             for key, limit in seen.limits.get(more["island"], {}).items():
-                drawn = sum(seen.needs[one][key] for where, one in seen.holder.items()
-                            if seen.island[where] == more["island"])
+                drawn = sum(
+                    seen.needs[one][key]
+                    for where, one in seen.holder.items()
+                    if seen.island[where] == more["island"]
+                )
                 if drawn > limit:
                     bad("island-over", f"{more['island']}: {key} {drawn} of {limit}")
         elif what == "bay.release":
--- a/pathsaddle/emulator/placement/mutants.py
+++ b/pathsaddle/emulator/placement/mutants.py
@@ -38,9 +38,13 @@
         found = super().due(book, now)
         plan = book.plan
         if plan is not None and plan.base == book.inventory.base:
-            found += [Order("withdraw", step.unit, step.bay, at) for at, step in enumerate(plan.steps)
-                      if step.does == WITHDRAW and not done(book.inventory, step)
-                      and book.inventory.unit[step.unit].state is State.SERVING]
+            found += [
+                Order("withdraw", step.unit, step.bay, at)
+                for at, step in enumerate(plan.steps)
+                if step.does == WITHDRAW
+                and not done(book.inventory, step)
+                and book.inventory.unit[step.unit].state is State.SERVING
+            ]
         return found
 
 
--- a/pathsaddle/emulator/placement/policies.py
+++ b/pathsaddle/emulator/placement/policies.py
@@ -33,17 +33,24 @@
         nonlocal last
         last = next((i for i in can if i > last), can[0])
         return last
+
     return _filled(problem, choose), "round robin", 0.0
 
 
 def fullest(problem: Problem) -> tuple[Counts, str, float]:
-    return _filled(problem, lambda counts, can: max(
-        can, key=lambda i: (sum(counts[i]) / problem.rooms[i], -i))), "fullest first", 0.0
+    return (
+        _filled(problem, lambda counts, can: max(can, key=lambda i: (sum(counts[i]) / problem.rooms[i], -i))),
+        "fullest first",
+        0.0,
+    )
 
 
 def emptiest(problem: Problem) -> tuple[Counts, str, float]:
-    return _filled(problem, lambda counts, can: min(
-        can, key=lambda i: (sum(counts[i]) / problem.rooms[i], i))), "emptiest first", 0.0
+    return (
+        _filled(problem, lambda counts, can: min(can, key=lambda i: (sum(counts[i]) / problem.rooms[i], i))),
+        "emptiest first",
+        0.0,
+    )
 
 
 def thumb(problem: Problem) -> tuple[Counts, str, float]:
@@ -53,10 +60,15 @@
 def solved(problem: Problem) -> tuple[Counts, str, float]:
     """With a limit that these sizes don't come near, so that a slow machine plans the same."""
     from pathsaddle.placement.solver import planned
+
     answer = planned(problem, 60.0, lambda: 0.0)
     return answer.counts, answer.by, answer.gap
 
 
-POLICIES: dict[str, Choose] = {"round robin": round_robin, "fullest first": fullest,
-                               "emptiest first": emptiest,
-                               "greedy": thumb, "plan": solved}
+POLICIES: dict[str, Choose] = {
+    "round robin": round_robin,
+    "fullest first": fullest,
+    "emptiest first": emptiest,
+    "greedy": thumb,
+    "plan": solved,
+}
--- a/pathsaddle/emulator/placement/smoke.py
+++ b/pathsaddle/emulator/placement/smoke.py
@@ -55,23 +55,36 @@
             msgspec.convert(told.get(key, []), kind)
         except msgspec.ValidationError as fault:
             text, _, at = str(fault).partition(" - at ")
-            raise Key(f"{path}: {key}{at.strip('`').removeprefix('$')}: {why(ValueError(text))}",
-                      f"write {may} at {key} in {path}") from None
-    site, trouble = tuple(one.name for one in fields(Site) if one.name != "trouble"), tuple(
-        one.name for one in fields(Trouble))
+            raise Key(
+                f"{path}: {key}{at.strip('`').removeprefix('$')}: {why(ValueError(text))}",
+                f"write {may} at {key} in {path}",
+            ) from None
+    site, trouble = (
+        tuple(one.name for one in fields(Site) if one.name != "trouble"),
+        tuple(one.name for one in fields(Trouble)),
+    )
     mutants = told.get("mutants", {})
-    for name, rows, keys in (("", told, KEYS), ("site.", told.get("site", {}), site),
-                              ("trouble.", told.get("trouble", {}), trouble), ("bounds.", told.get("bounds", {}), BOUNDS),
-                              ("mutants.", mutants, ("seeds", "site", "trouble")),
-                              ("mutants.site.", mutants.get("site", {}), site),
-                              ("mutants.trouble.", mutants.get("trouble", {}), trouble)):
+    for name, rows, keys in (
+        ("", told, KEYS),
+        ("site.", told.get("site", {}), site),
+        ("trouble.", told.get("trouble", {}), trouble),
+        ("bounds.", told.get("bounds", {}), BOUNDS),
+        ("mutants.", mutants, ("seeds", "site", "trouble")),
+        ("mutants.site.", mutants.get("site", {}), site),
+        ("mutants.trouble.", mutants.get("trouble", {}), trouble),
+    ):
         for key in rows:
             if key not in keys:
-                raise Key(f"{path}: {name}{key}: no such key", f"take {name}{key} out of {path}; known are {', '.join(keys)}")
+                raise Key(
+                    f"{path}: {name}{key}: no such key",
+                    f"take {name}{key} out of {path}; known are {', '.join(keys)}",
+                )
     for policy in told.get("policies", ()):
         if policy not in POLICIES:
-            raise Key(f"{path}: policies: no policy is called `{policy}`",
-                      f"write some of {', '.join(POLICIES)} at policies in {path}")
+            raise Key(
+                f"{path}: policies: no policy is called `{policy}`",
+                f"write some of {', '.join(POLICIES)} at policies in {path}",
+            )
     return told
 
 
@@ -94,26 +107,41 @@
             figures.setdefault(policy, []).append(measured)
             if policy == "plan":
                 least = min(least, measured["work"])
-                gap = max([gap,
-                           *(event.more["gap"] for event in world.events.rows if event.what == "plan.new")])
+                gap = max(
+                    [gap, *(event.more["gap"] for event in world.events.rows if event.what == "plan.new")]
+                )
     # On ground of their own: long walks and planners that stand still,
     # with little else that would end a plan first.
     mutants = told.get("mutants", {})
     theirs = Site(trouble=Trouble(**mutants.get("trouble", {})), **mutants.get("site", {}))
     for name, (book, walk, policy, want) in MUTANTS.items() if mutants else ():
-        caught = next((seed for seed in range(1, mutants["seeds"] + 1) if want in {row[1] for row in judged(
-            World(theirs, seed, POLICIES[policy], book=book, walk=walk).ran().events.rows)}), 0)
+        caught = next(
+            (
+                seed
+                for seed in range(1, mutants["seeds"] + 1)
+                if want
+                in {
+                    row[1]
+                    for row in judged(
+                        World(theirs, seed, POLICIES[policy], book=book, walk=walk).ran().events.rows
+                    )
+                }
+            ),
+            0,
+        )
         holds = holds and caught > 0
-        lines.append(f"mutant {name}: "
-                     + (f"found as {want}, seed {caught}" if caught else f"NOT FOUND as {want}"))
+        lines.append(
+            f"mutant {name}: " + (f"found as {want}, seed {caught}" if caught else f"NOT FOUND as {want}")
+        )
     names = list(next(iter(figures.values()))[0])
     lines.append(f"{'emulated, mean over seeds':26}" + "".join(f"{name:>10}" for name in names))
     for policy, rows in figures.items():
         lines.append(f"{policy:26}" + "".join(f"{mean(row[name] for row in rows):10.3f}" for name in names))
     for name, value, bound, good in (
-            ("broken", broken, bounds.get("broken", 0), broken <= bounds.get("broken", 0)),
-            ("work", least, bounds.get("work", 0.0), least >= bounds.get("work", 0.0)),
-            ("gap", gap, bounds.get("gap", 1.0), gap <= bounds.get("gap", 1.0))):
+        ("broken", broken, bounds.get("broken", 0), broken <= bounds.get("broken", 0)),
+        ("work", least, bounds.get("work", 0.0), least >= bounds.get("work", 0.0)),
+        ("gap", gap, bounds.get("gap", 1.0), gap <= bounds.get("gap", 1.0)),
+    ):
         holds = holds and good
         lines.append(f"{'holds' if good else 'FAILS'}  {name} {value:.4g} (bound {bound})")
     return lines, holds
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -180,6 +180,7 @@
             told = self.world.answered(self.name, ask)
             if self.cut != "answers":
                 bench.after(random.uniform(10, 300), lambda: back(told))
+
         bench.after(random.uniform(10, 300), there)
         bench.after(SECOND, lambda: back(None))  # no answer: unknown
 
@@ -224,8 +225,10 @@
                     continue
                 if order.does == "plan":
                     yield Ask("while", ticks=int(world.random.uniform(0.1, 0.6) * SECOND))
-                    words: tuple[Any, ...] = ("replaced",
-                                              plan_of(book.inventory, walk.number, book.plan, world.choose))
+                    words: tuple[Any, ...] = (
+                        "replaced",
+                        plan_of(book.inventory, walk.number, book.plan, world.choose),
+                    )
                 elif order.does in ("reserve", "withdraw"):
                     assert book.plan is not None
                     words = (order.does, walk.number, book.inventory.base, book.plan.name, order.step)
@@ -246,18 +249,31 @@
                         walk.held(order.unit, asked)
                     elif order.does == "renew":
                         walk.renewed(told.inventory, asked)
-                    for unit, until in (sorted(walk.hold.items())
-                                        if order.does in ("reserve", "renew") else ()):
-                        world.events.add(world.bench.now, "bay.hold", who=self.name, unit=unit,
-                                         number=walk.number,
-                                         until=self.true(until))
+                    for unit, until in (
+                        sorted(walk.hold.items()) if order.does in ("reserve", "renew") else ()
+                    ):
+                        world.events.add(
+                            world.bench.now,
+                            "bay.hold",
+                            who=self.name,
+                            unit=unit,
+                            number=walk.number,
+                            until=self.true(until),
+                        )
             yield Ask("while", ticks=LOOK)
 
 
 class World:
-    def __init__(self, site: Site, seed: int, choose: Choose, *, book: type[Book] = Book,
-                 walk: type[Walk] = Walk,
-                 start: Inventory | None = None) -> None:
+    def __init__(
+        self,
+        site: Site,
+        seed: int,
+        choose: Choose,
+        *,
+        book: type[Book] = Book,
+        walk: type[Walk] = Walk,
+        start: Inventory | None = None,
+    ) -> None:
         self.site, self.choose, self.walk = site, choose, walk
         self.random = Random(seed)  # of planners, hands and trouble
         self.jobs_random = Random(seed * 7919 + 1)  # the same jobs whatever the policy
@@ -295,9 +311,14 @@
         self.bench.after(5 * SECOND, self.counted)
         self.bench.after(SECOND, self.sampled)
         trouble = site.trouble
-        for rate, what in ((trouble.stop, self.stop), (trouble.kill, self.kill), (trouble.cut, self.cut),
-                           (trouble.island, self.lose), (trouble.unit, self.break_unit),
-                           (trouble.ghost, self.ghost)):
+        for rate, what in (
+            (trouble.stop, self.stop),
+            (trouble.kill, self.kill),
+            (trouble.cut, self.cut),
+            (trouble.island, self.lose),
+            (trouble.unit, self.break_unit),
+            (trouble.ghost, self.ghost),
+        ):
             if rate:
                 self.recur(60 * SECOND / rate, what)
 
@@ -355,8 +376,9 @@
     def ordered(self, planner: Planner, number: int, does: str, unit: str, bay: str) -> None:
         if planner.cut == "islands":
             return
-        self.bench.after(self.random.uniform(10, 500),
-                         lambda: self.handled(planner.name, number, does, unit, bay))
+        self.bench.after(
+            self.random.uniform(10, 500), lambda: self.handled(planner.name, number, does, unit, bay)
+        )
 
     def handled(self, by: str, number: int, does: str, unit: str, bay: str) -> None:
         island = self.keeper_island(bay)
@@ -364,27 +386,36 @@
         if self.down.get(island):
             return
         if not taken:
-            self.events.add(self.bench.now, "effect", who=island, key="placement", number=number, by=by,
-                            taken=False)
+            self.events.add(
+                self.bench.now, "effect", who=island, key="placement", number=number, by=by, taken=False
+            )
             return
         self.seen[island] = number
         if self.busy.get(unit):
             return
         if does == "install" and unit in self.store:
-            self.events.add(self.bench.now, "effect", who=island, key="placement", number=number, by=by,
-                            taken=True)
+            self.events.add(
+                self.bench.now, "effect", who=island, key="placement", number=number, by=by, taken=True
+            )
             del self.store[unit]
             self.busy[unit] = True
             if self.random.random() < self.site.trouble.wrong:
-                empty = [other for one in self.keeper.book.inventory.islands for other in one.bays
-                         if other not in self.physical and other != bay]
+                empty = [
+                    other
+                    for one in self.keeper.book.inventory.islands
+                    for other in one.bays
+                    if other not in self.physical and other != bay
+                ]
                 bay = self.random.choice(empty) if empty else bay
             self.bench.after(self.random.uniform(1, 4) * SECOND, lambda: self.installed(unit, bay))
         elif does == "warm" and self.physical.get(bay) == unit:
             self.busy[unit] = True
             self.bench.after(self.random.uniform(2, 6) * SECOND, lambda: self.warmed(unit))
-        elif does == "pull" and self.physical.get(bay) == unit and not any(
-                unit == one for job in self.running.values() for one, _ in job.on):
+        elif (
+            does == "pull"
+            and self.physical.get(bay) == unit
+            and not any(unit == one for job in self.running.values() for one, _ in job.on)
+        ):
             self.busy[unit] = True
             self.bench.after(self.random.uniform(1, 3) * SECOND, lambda: self.pulled(unit, bay))
 
@@ -419,6 +450,7 @@
         def once() -> None:
             what()
             self.bench.after(self.random.expovariate(1) * mean, once)
+
         self.bench.after(self.random.expovariate(1) * mean, once)
 
     def batch(self) -> None:
@@ -438,6 +470,7 @@
             for unit in batch:
                 self.store[unit.name] = True
             self.keeper.do("came", *(replace(unit, state=State.HERE) for unit in batch))
+
         self.bench.after(self.jobs_random.uniform(0.1, 1.5) * self.site.batches * SECOND, came)
         self.bench.after(self.site.batches * SECOND, self.batch)
 
@@ -458,14 +491,18 @@
 
         def healed() -> None:
             planner.cut = ""
+
         self.bench.after(self.random.uniform(1, 20) * SECOND, healed)
 
     def lose(self) -> None:
         island = self.random.choice(self.keeper.book.inventory.islands)
         if not island.up:
             return
-        for job in [job for job in self.running.values()
-                    if any(unit in self.by_island.get(island.name, ()) for unit, _ in job.on)]:
+        for job in [
+            job
+            for job in self.running.values()
+            if any(unit in self.by_island.get(island.name, ()) for unit, _ in job.on)
+        ]:
             self.dropped(job)
         self.word("island", replace(island, up=False))
         self.bench.after(self.random.uniform(20, 60) * SECOND, lambda: self.word("island", island))
@@ -481,8 +518,12 @@
 
     def ghost(self) -> None:
         """An island tells a unit in an empty bay of its that stands elsewhere, and clears that up later."""
-        empty = [bay for island in self.keeper.book.inventory.islands for bay in island.bays
-                 if bay not in self.physical]
+        empty = [
+            bay
+            for island in self.keeper.book.inventory.islands
+            for bay in island.bays
+            if bay not in self.physical
+        ]
         if empty and self.physical:
             bay, unit = self.random.choice(empty), self.random.choice(sorted(self.physical.values()))
             self.word("put", unit, bay)
@@ -496,9 +537,14 @@
         widths = WIDTHS[kind.name]
         width = random.choices([one for one, _ in widths], [part for _, part in widths])[0]
         hold = int(random.uniform(10, 30) * SECOND)
-        job = Job(f"j{len(self.waits) + len(self.waiting) + len(self.running)}-{self.bench.now}", kind.name,
-                  width,
-                  hold, self.bench.now, random.randrange(4))
+        job = Job(
+            f"j{len(self.waits) + len(self.waiting) + len(self.running)}-{self.bench.now}",
+            kind.name,
+            width,
+            hold,
+            self.bench.now,
+            random.randrange(4),
+        )
         self.offered += width * hold
         self.waiting.append(job)
         self.started()
@@ -522,8 +568,11 @@
                     key = (island, self.kind[unit])
                     room[key] = room.get(key, 0) + self.free[unit]
         for job in list(self.waiting):
-            can = sorted((free, island) for (island, kind), free in room.items()
-                         if kind == job.kind and free >= job.width)
+            can = sorted(
+                (free, island)
+                for (island, kind), free in room.items()
+                if kind == job.kind and free >= job.width
+            )
             if not can:
                 continue
             free, island = can[0]
@@ -538,20 +587,26 @@
             job.began = self.bench.now
             self.waiting.remove(job)
             self.running[job.name] = job
-            self.events.add(self.bench.now, "bay.job", who=island, job=job.name, island=island,
-                            width=job.width,
-                            state="begun")
+            self.events.add(
+                self.bench.now,
+                "bay.job",
+                who=island,
+                job=job.name,
+                island=island,
+                width=job.width,
+                state="begun",
+            )
             began = job.began
-            self.bench.after(job.hold,
-                             lambda job=job, began=began: self.finished(job, began))  # type: ignore[misc]
+            self.bench.after(job.hold, lambda job=job, began=began: self.finished(job, began))  # type: ignore[misc]
 
     def left(self, job: Job) -> None:
         del self.running[job.name]
         for unit, slots in job.on:
             self.free[unit] += slots
         job.on = []
-        self.events.add(self.bench.now, "bay.job", who="jobs", job=job.name, island="", width=job.width,
-                        state="ended")
+        self.events.add(
+            self.bench.now, "bay.job", who="jobs", job=job.name, island="", width=job.width, state="ended"
+        )
 
     def finished(self, job: Job, began: int) -> None:
         if self.running.get(job.name) is job and job.began == began:
@@ -593,11 +648,14 @@
         inventory = self.keeper.book.inventory
         problem = problem_of(inventory)
         found = figures(problem, [list(row) for row in problem.serving])
-        whole = sum((problem.pool[k]
-                     + sum(row[k] for row in problem.stay) - sum(row[k] for row in problem.serving))
-                    * kind.slots for k, kind in enumerate(problem.kinds))
-        fits = [min(1.0, wide / width) for wide, width in zip(found.widest, problem.width, strict=True)
-                if width]
+        whole = sum(
+            (problem.pool[k] + sum(row[k] for row in problem.stay) - sum(row[k] for row in problem.serving))
+            * kind.slots
+            for k, kind in enumerate(problem.kinds)
+        )
+        fits = [
+            min(1.0, wide / width) for wide, width in zip(found.widest, problem.width, strict=True) if width
+        ]
         self.samples.append((found.stranded - whole, found.headroom or 0, min(fits, default=1.0)))
         self.bench.after(SECOND, self.sampled)
 
@@ -613,11 +671,15 @@
         came = self.offered - sum(job.width * job.hold for job in [*self.waiting, *self.running.values()])
         waits = sorted([*self.waits, *(end - job.came for job in self.waiting)])
         count = max(1, len(self.samples))
-        return {"work": self.served / max(1, came), "wait p50": waits[len(waits) // 2] / SECOND,
-                "wait p99": waits[len(waits) * 99 // 100] / SECOND,
-                "stranded": sum(row[0] for row in self.samples) / count,
-                "headroom": sum(row[1] for row in self.samples) / count / 1000,
-                "widest": sum(row[2] for row in self.samples) / count, "moves": float(self.moves)}
+        return {
+            "work": self.served / max(1, came),
+            "wait p50": waits[len(waits) // 2] / SECOND,
+            "wait p99": waits[len(waits) * 99 // 100] / SECOND,
+            "stranded": sum(row[0] for row in self.samples) / count,
+            "headroom": sum(row[1] for row in self.samples) / count / 1000,
+            "widest": sum(row[2] for row in self.samples) / count,
+            "moves": float(self.moves),
+        }
 
 
 def made(site: Site, random: Random) -> Inventory:
@@ -627,8 +689,16 @@
     for n in range(site.islands):
         bays = random.randint(*site.bays)
         name = f"i{n}"
-        islands.append(Island(name, f"z{n % 3}", tuple(f"{name}/{bay + 1}" for bay in range(bays)),
-                              bays * random.choice((850, 1000, 1200)), bays * 2, bays * 60))
+        islands.append(
+            Island(
+                name,
+                f"z{n % 3}",
+                tuple(f"{name}/{bay + 1}" for bay in range(bays)),
+                bays * random.choice((850, 1000, 1200)),
+                bays * 2,
+                bays * 60,
+            )
+        )
         power = 0
         for bay in range(bays):
             kind = random.choices(KINDS, (0.6, 0.4))[0]
--- a/pathsaddle/emulator/plan.py
+++ b/pathsaddle/emulator/plan.py
@@ -150,17 +150,45 @@
 
 
 FAULTS = {
-    "freeze": "worker", "crash": "worker", "drain": "worker", "slow": "worker", "errors": "worker",
-    "untaken": "worker", "lie": "worker", "late-reports": "worker", "full-accept": "worker",
-    "callbacks-twice": "worker", "silent": "worker", "flap": "worker", "one-sided": "worker", "reap": "worker",
+    "freeze": "worker",
+    "crash": "worker",
+    "drain": "worker",
+    "slow": "worker",
+    "errors": "worker",
+    "untaken": "worker",
+    "lie": "worker",
+    "late-reports": "worker",
+    "full-accept": "worker",
+    "callbacks-twice": "worker",
+    "silent": "worker",
+    "flap": "worker",
+    "one-sided": "worker",
+    "reap": "worker",
     "second-answer": "worker",
     "slow-link": "zone",
-    "disk-ill": "dispatcher", "disk-slow": "dispatcher", "kill": "dispatcher", "term": "dispatcher", "hup": "dispatcher",
-    "stall": "dispatcher", "clock-step": "dispatcher", "clock-rate": "dispatcher",
-    "link-cut": "link", "link-lossy": "link", "link-slow": "link", "link-doubles": "link", "link-shuffles": "link",
-    "outage": "roster", "roster-restart": "roster", "roster-moves": "roster", "roster-late": "roster",
+    "disk-ill": "dispatcher",
+    "disk-slow": "dispatcher",
+    "kill": "dispatcher",
+    "term": "dispatcher",
+    "hup": "dispatcher",
+    "stall": "dispatcher",
+    "clock-step": "dispatcher",
+    "clock-rate": "dispatcher",
+    "link-cut": "link",
+    "link-lossy": "link",
+    "link-slow": "link",
+    "link-doubles": "link",
+    "link-shuffles": "link",
+    "outage": "roster",
+    "roster-restart": "roster",
+    "roster-moves": "roster",
+    "roster-late": "roster",
     "watch-silent": "roster",
-    "reset": "network", "cut": "zone", "cut-worker": "worker", "heavy": "load", "surge": "load",
+    "reset": "network",
+    "cut": "zone",
+    "cut-worker": "worker",
+    "heavy": "load",
+    "surge": "load",
 }
 
 
@@ -219,13 +247,17 @@
 
     def __post_init__(self) -> None:
         if self.how and self.how not in HOW.get(self.kind, ()):
-            raise ValueError(f'how: "{self.how}" stands there; {" or ".join(HOW.get(self.kind, ("none",)))} may')
+            raise ValueError(
+                f'how: "{self.how}" stands there; {" or ".join(HOW.get(self.kind, ("none",)))} may'
+            )
         if self.kind not in FAULTS:
             raise ValueError(f'kind: "{self.kind}" stands there; one of {", ".join(FAULTS)} may')
         if (self.at is None) == (self.rate == 0):
             raise ValueError('either at or rate must be given; write one, such as at = "5s", and not both')
         if self.after and (self.at is None or self.every):
-            raise ValueError("after another fault at must be given, and every can't; write at and take every out")
+            raise ValueError(
+                "after another fault at must be given, and every can't; write at and take every out"
+            )
 
 
 class Bounds(Form):
@@ -373,8 +405,14 @@
     schemes = [scheme.name for scheme in charter.schemes]
     for name in plan.load.jobs:
         if name not in schemes:
-            faults.append(Fault(file, f"load.jobs.{name}", "no such scheme", f"name one of charter.schemes there "
-                                f"({', '.join(schemes)})"))
+            faults.append(
+                Fault(
+                    file,
+                    f"load.jobs.{name}",
+                    "no such scheme",
+                    f"name one of charter.schemes there ({', '.join(schemes)})",
+                )
+            )
     if plan.load.shape == "trace":
         faults += traced(plan, file, schemes)
     workers = worker_names(plan)
@@ -382,36 +420,81 @@
     for i, machines in enumerate(plan.fleet.workers):
         for zone in machines.zones:
             if zone not in charter.zones:
-                faults.append(Fault(file, f"fleet.workers[{i}].zones",
-                                    f'"{zone}" stands there; one of {", ".join(charter.zones)} may'))
+                faults.append(
+                    Fault(
+                        file,
+                        f"fleet.workers[{i}].zones",
+                        f'"{zone}" stands there; one of {", ".join(charter.zones)} may',
+                    )
+                )
     known = {"worker": workers, "dispatcher": dispatchers, "zone": list(charter.zones)}
     for i, trouble in enumerate(plan.faults):
         if trouble.after and trouble.after not in [other.kind for other in plan.faults if not other.after]:
-            faults.append(Fault(file, f"faults[{i}].after", f'"{trouble.after}" stands there; the kind of another '
-                                "fault, that follows none itself, may"))
+            faults.append(
+                Fault(
+                    file,
+                    f"faults[{i}].after",
+                    f'"{trouble.after}" stands there; the kind of another '
+                    "fault, that follows none itself, may",
+                )
+            )
         names = known.get(FAULTS[trouble.kind])
         if FAULTS[trouble.kind] == "link":
             if charter.fleet is None:
-                faults.append(Fault(file, f"faults[{i}].kind", f"{trouble.kind} strikes what dispatchers tell one "
-                                    "another, and charter.fleet is missing", "add the table [charter.fleet]"))
+                faults.append(
+                    Fault(
+                        file,
+                        f"faults[{i}].kind",
+                        f"{trouble.kind} strikes what dispatchers tell one "
+                        "another, and charter.fleet is missing",
+                        "add the table [charter.fleet]",
+                    )
+                )
             for key, who in (("of", trouble.of), ("among", trouble.among)):
                 if who and not named(plan, charter, who):
-                    faults.append(Fault(file, f"faults[{i}].{key}", f'"{who}" stands there, and no dispatcher, zone '
-                                        "or part is called so", f"write {dispatchers[0]} to {dispatchers[-1]}, a "
-                                        f"zone or a part of fleet.parts at faults[{i}].{key}"))
+                    faults.append(
+                        Fault(
+                            file,
+                            f"faults[{i}].{key}",
+                            f'"{who}" stands there, and no dispatcher, zone or part is called so',
+                            f"write {dispatchers[0]} to {dispatchers[-1]}, a "
+                            f"zone or a part of fleet.parts at faults[{i}].{key}",
+                        )
+                    )
         if trouble.of and names is not None and not fnmatch.filter(names, trouble.of):
-            faults.append(Fault(file, f"faults[{i}].of", f'"{trouble.of}" stands there, and no '
-                                f"{FAULTS[trouble.kind]} is called so", f"write one of {names[0]} to {names[-1]} "
-                                f"at faults[{i}].of"))
+            faults.append(
+                Fault(
+                    file,
+                    f"faults[{i}].of",
+                    f'"{trouble.of}" stands there, and no {FAULTS[trouble.kind]} is called so',
+                    f"write one of {names[0]} to {names[-1]} at faults[{i}].of",
+                )
+            )
         if trouble.scheme and trouble.scheme not in schemes:
-            faults.append(Fault(file, f"faults[{i}].scheme", f'"{trouble.scheme}" stands there; one of '
-                                f"{', '.join(schemes)} may"))
+            faults.append(
+                Fault(
+                    file,
+                    f"faults[{i}].scheme",
+                    f'"{trouble.scheme}" stands there; one of {", ".join(schemes)} may',
+                )
+            )
     if plan.only == "fleet" and (charter.fleet is None or plan.ground != "virtual"):
-        faults.append(Fault(file, "only", "charter.fleet and the virtual ground are needed for it", "add the table "
-                            '[charter.fleet] and ground = "virtual", or take `only` out'))
+        faults.append(
+            Fault(
+                file,
+                "only",
+                "charter.fleet and the virtual ground are needed for it",
+                'add the table [charter.fleet] and ground = "virtual", or take `only` out',
+            )
+        )
     if plan.only != "fleet" and plan.fleet.dispatchers > 250:
-        faults.append(Fault(file, "fleet.dispatchers", f'{plan.fleet.dispatchers} stands there; at most 250 may, or '
-                            'only = "fleet"'))
+        faults.append(
+            Fault(
+                file,
+                "fleet.dispatchers",
+                f'{plan.fleet.dispatchers} stands there; at most 250 may, or only = "fleet"',
+            )
+        )
     for i, variant in enumerate(plan.variants):
         try:
             varied(plan, variant)
@@ -426,15 +509,31 @@
     """What is wrong with the trace: that it can't be read, or its first bad line."""
     path = plan.load.trace
     if not path:
-        return [Fault(file, "load.trace", "no file stands there, and shape is a trace",
-                      "write a trace's path at load.trace")]
+        return [
+            Fault(
+                file,
+                "load.trace",
+                "no file stands there, and shape is a trace",
+                "write a trace's path at load.trace",
+            )
+        ]
     try:
         for number, line in enumerate(Path(path).read_text(encoding="utf-8").splitlines(), 1):
             parts = line.split(",")
-            if len(parts) != 4 or parts[1] not in schemes or not all(map(NUMBER.fullmatch, (parts[0], parts[2]))):
-                return [Fault(file, "load.trace", f"{path}, line {number}: {line[:60]!r} stands there",
-                              f"write in {path} lines of seconds,scheme,milliseconds of work,customer (schemes: "
-                              f"{', '.join(schemes)})")]
+            if (
+                len(parts) != 4
+                or parts[1] not in schemes
+                or not all(map(NUMBER.fullmatch, (parts[0], parts[2])))
+            ):
+                return [
+                    Fault(
+                        file,
+                        "load.trace",
+                        f"{path}, line {number}: {line[:60]!r} stands there",
+                        f"write in {path} lines of seconds,scheme,milliseconds of work,customer (schemes: "
+                        f"{', '.join(schemes)})",
+                    )
+                ]
     except (OSError, UnicodeDecodeError) as fault:
         return [Fault(file, "load.trace", f"{path} can't be read: {why(fault)}", access(fault, path))]
     return []
@@ -475,15 +574,16 @@
 
 def plain(plan: Plan) -> dict[str, Any]:
     """The plan as a table, the way it stands in a file; durations in ticks become texts again."""
+
     def text(value: Any) -> Any:
         if isinstance(value, Struct):
-            rows = {field.encode_name: text(getattr(value, field.name))
-                    for field in fields(value)}
+            rows = {field.encode_name: text(getattr(value, field.name)) for field in fields(value)}
             return {key: row for key, row in rows.items() if row is not None}
         if isinstance(value, dict):
             return {key: text(row) for key, row in value.items()}
         if isinstance(value, list):
             return [text(row) for row in value]
         return f"{value * 100}us" if isinstance(value, Duration) else value
+
     told: dict[str, Any] = text(plan)
     return told
--- a/pathsaddle/emulator/served/clients.py
+++ b/pathsaddle/emulator/served/clients.py
@@ -90,8 +90,9 @@
 def trace(path: str) -> list[tuple[float, str, float, str]]:
     """Seconds, scheme, milliseconds of work, customer of each job; raises ValueError on a line that is none."""
     with Path(path).open(encoding="utf-8", newline="") as file:
-        return [(float(when), scheme, float(work), customer)
-                for when, scheme, work, customer in csv.reader(file)]
+        return [
+            (float(when), scheme, float(work), customer) for when, scheme, work, customer in csv.reader(file)
+        ]
 
 
 async def dial(world: World, sites: Sites, place: Place, dispatcher: int, sips: float = 0.0) -> Wire:
@@ -124,22 +125,25 @@
         self.schemes = schemes
         self.kinds = {s.name: self.load.jobs.get(s.name, Kind()) for s in schemes}
         draw = world.chance("kinds")
-        self.means = {name: kind.run[0] + (kind.run[1] - kind.run[0]) * draw.random()
-                      for name, kind in self.kinds.items()}
+        self.means = {
+            name: kind.run[0] + (kind.run[1] - kind.run[0]) * draw.random()
+            for name, kind in self.kinds.items()
+        }
         self.open = 0
         self.idle = asyncio.Event()
         self.idle.set()
 
     # What is wanted.
 
-    def wish(self, scheme: Scheme | None = None, work: int | None = None,
-             customer: Customer | None = None) -> Wish:
+    def wish(
+        self, scheme: Scheme | None = None, work: int | None = None, customer: Customer | None = None
+    ) -> Wish:
         chance = self.chance
         if scheme is None:
             scheme = chance.choices(self.schemes, [self.kinds[s.name].part for s in self.schemes])[0]
         kind = self.kinds.get(scheme.name) or Kind()
         if work is None:
-            spread = math.exp(chance.gauss(0.0, kind.spread) - kind.spread ** 2 / 2)
+            spread = math.exp(chance.gauss(0.0, kind.spread) - kind.spread**2 / 2)
             work = max(1, int(self.means[scheme.name] * spread * self.heavy.get(scheme.name, 1.0)))
         if customer is None and self.world.charter.customers:
             customers = self.world.charter.customers
@@ -205,9 +209,16 @@
         wish.first = self.world.now()
         scheme = wish.scheme
         sla = scheme.sla if scheme.sla is not None else scheme.expiry
-        self.world.add("wanted", job=wish.number, scheme=scheme.name, work=wish.work, slots=wish.kind.slots,
-                       customer=wish.customer.name if wish.customer is not None else "",
-                       due=wish.first + sla + int(scheme.stretch * wish.work), zone=wish.zone)
+        self.world.add(
+            "wanted",
+            job=wish.number,
+            scheme=scheme.name,
+            work=wish.work,
+            slots=wish.kind.slots,
+            customer=wish.customer.name if wish.customer is not None else "",
+            due=wish.first + sla + int(scheme.stretch * wish.work),
+            zone=wish.zone,
+        )
         low, high = self.load.wait
         for number in range(self.load.retries + 1):
             how, come_back = await self._try(wish, number, chance)
@@ -231,7 +242,9 @@
                 wire, hearing, used = await self._connection(wish.zone, dispatcher)
             except (OSError, TimeoutError):
                 return "unreached", 0.0
-            how, come_back = await self._call(wish, number, chance, dispatcher, wire, hearing, used and not again)
+            how, come_back = await self._call(
+                wish, number, chance, dispatcher, wire, hearing, used and not again
+            )
             if how != "crossed":
                 return how, come_back
         return "unreached", 0.0
@@ -240,8 +253,11 @@
         """A dispatcher that was taken out and still holds a connection open: clients go on using it."""
         if not self.load.stays or self.stays.random() >= self.load.stays:
             return None
-        held = [d for (where, d), kept in self.kept.items() if where == zone and not self.front.up[d]
-                and any(wire.gone_at is None for wire, _ in kept)]
+        held = [
+            d
+            for (where, d), kept in self.kept.items()
+            if where == zone and not self.front.up[d] and any(wire.gone_at is None for wire, _ in kept)
+        ]
         return self.stays.choice(held) if held else None
 
     async def _connection(self, zone: str, dispatcher: int) -> tuple[Wire, Hearing, bool]:
@@ -252,15 +268,26 @@
                 return wire, hearing, True
             wire.close()
         async with asyncio.timeout(COMES_UP):
-            return (await dial(self.world, self.sites, self.places[zone], dispatcher), Hearing(calls=False),
-                    False)
+            return (
+                await dial(self.world, self.sites, self.places[zone], dispatcher),
+                Hearing(calls=False),
+                False,
+            )
 
     def target_of(self, wish: Wish) -> str:
         """Each job is about something of its own: it has its own keepers among the workers (`Choice.keepers`)."""
         return f"/{wish.scheme.name}?k={wish.number}"
 
-    async def _call(self, wish: Wish, number: int, chance: Random, dispatcher: int, wire: Wire,
-                    hearing: Hearing, used: bool) -> tuple[str, float]:
+    async def _call(
+        self,
+        wish: Wish,
+        number: int,
+        chance: Random,
+        dispatcher: int,
+        wire: Wire,
+        hearing: Hearing,
+        used: bool,
+    ) -> tuple[str, float]:
         scheme, add = wish.scheme, self.world.events.add
         tag = f"{chance.getrandbits(64):016x}"
         headers = {"Req-Id": tag, "Req-Kind": scheme.name, "Req-Deadline-Ms": str(scheme.expiry // 10)}
@@ -272,15 +299,30 @@
             headers["Req-Extra"] = f"slots={wish.kind.slots:g},memory={wish.kind.memory:g}"
         if number and self.load.marks:
             headers["Req-Retry"] = "1"
-        body = msgspec.json.encode({"work": wish.work, "slots": wish.kind.slots, "memory": wish.kind.memory,
-                                    "pad": "x" * wish.kind.body})
+        body = msgspec.json.encode(
+            {
+                "work": wish.work,
+                "slots": wish.kind.slots,
+                "memory": wish.kind.memory,
+                "pad": "x" * wish.kind.body,
+            }
+        )
         try:
             sent = await wire.send(speech.call("POST", self.target_of(wish), headers, body))
         except OSError:
             wire.close()
             return ("crossed", 0.0) if used else ("unreached", 0.0)
-        add(sent, "asked", id=tag, job=wish.number, dispatcher=dispatcher, scheme=scheme.name,
-            expires=sent + scheme.expiry, number=number, kept=used)
+        add(
+            sent,
+            "asked",
+            id=tag,
+            job=wish.number,
+            dispatcher=dispatcher,
+            scheme=scheme.name,
+            expires=sent + scheme.expiry,
+            number=number,
+            kept=used,
+        )
         patience = (scheme.expiry + LATE) / TICKS
         leaves = self.load.hang_up and chance.random() < self.load.hang_up
         if leaves:
@@ -315,8 +357,15 @@
         how = "settled" if answer.status == 200 else "declined" if answer.status in (429, 503) else "reversed"
         whole = how != "settled" or answer.body == b"done " + tag.encode()
         come_back = float(answer.headers.get("retry-after", "0"))
-        add(answer.whole, "answered", id=tag, status=answer.status, how=how if whole else "garbled",
-            seen=self.world.now(), come_back=int(come_back * TICKS))
+        add(
+            answer.whole,
+            "answered",
+            id=tag,
+            status=answer.status,
+            how=how if whole else "garbled",
+            seen=self.world.now(),
+            come_back=int(come_back * TICKS),
+        )
         if answer.keep and wire.gone_at is None:
             self.kept[wish.zone, dispatcher].append((wire, hearing))
         else:
@@ -337,29 +386,54 @@
             if dispatcher is None:
                 await asyncio.sleep(0.2)
         sla = scheme.sla if scheme.sla is not None else scheme.expiry
-        self.world.add("wanted", job=wish.number, scheme=scheme.name, work=wish.work, slots=wish.kind.slots,
-                       customer=wish.customer.name if wish.customer is not None else "",
-                       due=wish.first + sla + int(scheme.stretch * wish.work), zone=wish.zone)
+        self.world.add(
+            "wanted",
+            job=wish.number,
+            scheme=scheme.name,
+            work=wish.work,
+            slots=wish.kind.slots,
+            customer=wish.customer.name if wish.customer is not None else "",
+            due=wish.first + sla + int(scheme.stretch * wish.work),
+            zone=wish.zone,
+        )
         headers = {"Idempotency-Key": f"k{wish.number}", "Req-Deadline-Ms": str(scheme.expiry // 10)}
         if wish.customer is not None:
             headers["Req-Owner"] = wish.customer.name
         if wish.hint is not None:
             headers["Req-Cost"] = str(wish.hint * 100)
-        body = msgspec.json.encode({"work": wish.work, "slots": wish.kind.slots, "memory": wish.kind.memory,
-                                    "pad": "x" * wish.kind.body})
+        body = msgspec.json.encode(
+            {
+                "work": wish.work,
+                "slots": wish.kind.slots,
+                "memory": wish.kind.memory,
+                "pad": "x" * wish.kind.body,
+            }
+        )
         give_up = wish.first + 3 * scheme.expiry + 20 * TICKS
         tag = ""
         while not tag and self.world.now() < give_up:
-            told = await self._ask_for(wish.zone, dispatcher, speech.call("POST", f"/jobs/{scheme.name}", headers,
-                                                                          body))
+            told = await self._ask_for(
+                wish.zone, dispatcher, speech.call("POST", f"/jobs/{scheme.name}", headers, body)
+            )
             if told is not None and told.status == 202:
                 tag = str(msgspec.json.decode(told.body)["id"])
-                self.world.add("taken_on", id=tag, job=wish.number, dispatcher=dispatcher, scheme=scheme.name,
-                               expires=self.world.now() + scheme.expiry)
+                self.world.add(
+                    "taken_on",
+                    id=tag,
+                    job=wish.number,
+                    dispatcher=dispatcher,
+                    scheme=scheme.name,
+                    expires=self.world.now() + scheme.expiry,
+                )
             else:
                 if told is not None:
-                    self.world.add("not_taken", job=wish.number, dispatcher=dispatcher, status=told.status,
-                                   come_back=told.headers.get("retry-after", ""))
+                    self.world.add(
+                        "not_taken",
+                        job=wish.number,
+                        dispatcher=dispatcher,
+                        status=told.status,
+                        come_back=told.headers.get("retry-after", ""),
+                    )
                     if self.world.now() > wish.first + scheme.expiry:
                         return
                 await asyncio.sleep(0.2 + 0.2 * chance.random())
@@ -369,8 +443,12 @@
             self.places[wish.zone].start(self._cancel(wish, dispatcher, tag, headers, chance.random()))
         since, ended = 0, False
         while self.world.now() < give_up:
-            told = await self._ask_for(wish.zone, dispatcher, speech.call(
-                "GET", f"/jobs/{tag}?wait_ms=5000&since={since}", headers), 8.0)
+            told = await self._ask_for(
+                wish.zone,
+                dispatcher,
+                speech.call("GET", f"/jobs/{tag}?wait_ms=5000&since={since}", headers),
+                8.0,
+            )
             if told is None or told.status == 503:
                 await asyncio.sleep(0.3)
                 continue
@@ -381,19 +459,29 @@
             since = shown["changes"]
             if shown["state"] in ("settled", "declined", "reversed", "cancelled"):
                 whole = shown["state"] != "settled" or shown.get("result") == f"done {tag}"
-                self.world.add("seen", id=tag, state=shown["state"] if whole else "garbled",
-                               ran=shown["may_have_run"])
+                self.world.add(
+                    "seen", id=tag, state=shown["state"] if whole else "garbled", ran=shown["may_have_run"]
+                )
                 if ended:
                     return
                 ended = True
-                again = await self._ask_for(wish.zone, dispatcher, speech.call(
-                    "POST", f"/jobs/{scheme.name}", headers, body))
+                again = await self._ask_for(
+                    wish.zone, dispatcher, speech.call("POST", f"/jobs/{scheme.name}", headers, body)
+                )
                 if again is not None and again.status == 202:
-                    self.world.add("taken_on", id=str(msgspec.json.decode(again.body)["id"]), job=wish.number,
-                                   dispatcher=dispatcher, scheme=scheme.name, expires=self.world.now())
+                    self.world.add(
+                        "taken_on",
+                        id=str(msgspec.json.decode(again.body)["id"]),
+                        job=wish.number,
+                        dispatcher=dispatcher,
+                        scheme=scheme.name,
+                        expires=self.world.now(),
+                    )
                 await asyncio.sleep(4.0 * chance.random())
 
-    async def _cancel(self, wish: Wish, dispatcher: int, tag: str, headers: dict[str, str], when: float) -> None:
+    async def _cancel(
+        self, wish: Wish, dispatcher: int, tag: str, headers: dict[str, str], when: float
+    ) -> None:
         await asyncio.sleep(when * 2.0 * wish.work / TICKS)
         told = await self._ask_for(wish.zone, dispatcher, speech.call("DELETE", f"/jobs/{tag}", headers))
         if told is not None:
@@ -437,11 +525,15 @@
         scheme = self.schemes[0].name
         head = f"POST /{scheme} HTTP/1.1\r\nHost: x\r\nReq-Id: bad{number}\r\nReq-Kind: {scheme}\r\n"
         says: dict[str, Any] = {
-            "half": f"{head}Content-Length: 99\r\n\r\nhalf", "noise": "\x01\x02 what\r\n\r\n", "silent": "",
+            "half": f"{head}Content-Length: 99\r\n\r\nhalf",
+            "noise": "\x01\x02 what\r\n\r\n",
+            "silent": "",
             "two-lengths": f"{head}Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             "giant": f"{head}Content-Length: 9000000\r\n\r\n" + "x" * 200_000,
-            "unread": "GET /ready HTTP/1.1\r\n\r\n" * 2000, "sips": "GET /ready HTTP/1.1\r\n\r\n" * 2000,
-            "long-head": f"{head}X: " + "y" * 40_000}
+            "unread": "GET /ready HTTP/1.1\r\n\r\n" * 2000,
+            "sips": "GET /ready HTTP/1.1\r\n\r\n" * 2000,
+            "long-head": f"{head}X: " + "y" * 40_000,
+        }
         begun, status = self.world.now(), 0
         wire = None
         try:
