--- a/pathsaddle/emulator/served/discovery.py
+++ b/pathsaddle/emulator/served/discovery.py
@@ -49,7 +49,9 @@
         self.index = 1
         self.status = dict.fromkeys(workers, "active")
         self.since = dict.fromkeys(workers, 0)
-        self.views = [View(1, dict(self.status), dict(self.since)) for _ in range(world.plan.fleet.dispatchers)]
+        self.views = [
+            View(1, dict(self.status), dict(self.since)) for _ in range(world.plan.fleet.dispatchers)
+        ]
         self.wall = 0.0  # Unix seconds at the run's start
         self.extra = 0  # by how much word is later than usual
         self.down = 0
@@ -62,12 +64,14 @@
 
     def _open(self) -> None:
         self.place = self.sites.place(f"roster{self.moves or ''}", "")
-        self.listeners = [Listener(self.place, address, self._handler(d))
-                          for d, address in enumerate(self.addresses)]
+        self.listeners = [
+            Listener(self.place, address, self._handler(d)) for d, address in enumerate(self.addresses)
+        ]
 
     def _handler(self, dispatcher: int) -> Any:
         def handle(sock: Any) -> Coroutine[Any, Any, None]:
             return self._serve(sock, dispatcher)
+
         return handle
 
     # Changes.
@@ -83,8 +87,9 @@
         for dispatcher, view in enumerate(self.views):
             now = self.world.now()
             view.last = max(view.last, now + int(low + (high - low) * self.chance.random()) + self.extra)
-            self.world.loop.call_later((view.last - now) / TICKS, self._visible, dispatcher, worker, status,
-                                       self.since[worker])
+            self.world.loop.call_later(
+                (view.last - now) / TICKS, self._visible, dispatcher, worker, status, self.since[worker]
+            )
 
     def _visible(self, dispatcher: int, worker: str, status: str, since: int) -> None:
         view = self.views[dispatcher]
@@ -183,8 +188,11 @@
                 if wire in self.hushed:
                     await asyncio.sleep(BEAT)
                     continue
-                changed = None if sent is None else list(dict.fromkeys(
-                    change.worker for change in view.log if change.index > sent))
+                changed = (
+                    None
+                    if sent is None
+                    else list(dict.fromkeys(change.worker for change in view.log if change.index > sent))
+                )
                 view.watch.clear()
                 if first or changed is None or changed:
                     first = False
@@ -216,9 +224,16 @@
             self.world.add("told_list", dispatcher=dispatcher, worker=name, status=view.status[name])
 
     def _line(self, dispatcher: int, view: View, names: list[str] | None) -> bytes:
-        return msgspec.json.encode({
-            "index": view.index, "snapshot": names is None,
-            "endpoints": self.rows(dispatcher, view, names)}) + b"\n"
+        return (
+            msgspec.json.encode(
+                {
+                    "index": view.index,
+                    "snapshot": names is None,
+                    "endpoints": self.rows(dispatcher, view, names),
+                }
+            )
+            + b"\n"
+        )
 
     def rows(self, dispatcher: int, view: View, names: list[str] | None) -> list[dict[str, Any]]:
         """In the wire's form; a whole list leaves out who is gone."""
@@ -227,13 +242,21 @@
             worker, status = self.workers[name], view.status[name]
             if names is None and status == "left":
                 continue
-            found.append({"name": name, "address": worker.addresses[dispatcher], "zone": worker.zone,
-                          "type": worker.kind.kind, "group": worker.cell, "status": status, "weight": worker.weight(),
-                          "since_ms": view.since[name]})
+            found.append(
+                {
+                    "name": name,
+                    "address": worker.addresses[dispatcher],
+                    "zone": worker.zone,
+                    "type": worker.kind.kind,
+                    "group": worker.cell,
+                    "status": status,
+                    "weight": worker.weight(),
+                    "since_ms": view.since[name],
+                }
+            )
         return found
 
     def known(self, dispatcher: int) -> dict[str, Any]:
         """What a dispatcher has that starts now: the list as it may be told by now."""
         view = self.views[dispatcher]
         return {"index": view.index, "snapshot": True, "endpoints": self.rows(dispatcher, view, None)}
-
--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -55,6 +55,7 @@
 
     def fellows(self, dispatcher: int, ground: VirtualGround, counters: Counters, zone: str) -> Fellows:
         from pathsaddle.charter.fellows import told as fellow
+
         plan = self.world.plan
         charter = charter_of(plan, name=f"d{dispatcher}", zone=zone)
         assert charter.fleet is not None
@@ -72,8 +73,14 @@
         return made
 
     def _tell(self, dispatcher: int, change: Change) -> None:
-        self.world.add("view", who=f"d{dispatcher}", about=change.name, life=change.life, state=STATES[change.state],
-                       why=change.why)
+        self.world.add(
+            "view",
+            who=f"d{dispatcher}",
+            about=change.name,
+            life=change.life,
+            state=STATES[change.state],
+            why=change.why,
+        )
 
     def gone(self, dispatcher: int) -> None:
         self.now.pop(dispatcher, None)
@@ -88,12 +95,22 @@
                 core = self.now[d].core
                 # By its own clock, which may not run as the run's does.
                 now = self.hosts[d].context.run(self.now[d].clock.now)
-                told = [(name, m.row.life, now - m.last_heard) for name, m in core.members.items() if m.last_heard > 0]
+                told = [
+                    (name, m.row.life, now - m.last_heard)
+                    for name, m in core.members.items()
+                    if m.last_heard > 0
+                ]
                 if len(told) > MANY:
                     told = chance.sample(told, MANY)
                 self.world.add("heard", who=f"d{d}", of=told)
 
     def end(self) -> None:
         for name, meter in self.air.meters.items():
-            self.world.add("traffic", who=name, bytes=meter.bytes, datagrams=meter.datagrams,
-                           most_bytes=meter.most(0), most_datagrams=meter.most(1))
+            self.world.add(
+                "traffic",
+                who=name,
+                bytes=meter.bytes,
+                datagrams=meter.datagrams,
+                most_bytes=meter.most(0),
+                most_datagrams=meter.most(1),
+            )
--- a/pathsaddle/emulator/served/workers.py
+++ b/pathsaddle/emulator/served/workers.py
@@ -77,8 +77,17 @@
 class Worker:
     """One worker machine; its process may die and start anew."""
 
-    def __init__(self, world: World, sites: Sites, memories: Memories, name: str, kind: Machines, zone: str,
-                 cell: int, addresses: list[str]) -> None:
+    def __init__(
+        self,
+        world: World,
+        sites: Sites,
+        memories: Memories,
+        name: str,
+        kind: Machines,
+        zone: str,
+        cell: int,
+        addresses: list[str],
+    ) -> None:
         self.world = world
         self.sites = sites
         self.memories = memories
@@ -100,10 +109,17 @@
         self.stuck: tuple[float, int, int] = (0.0, 0, 0)  # what it goes on telling, where they stand still
         self.hung = False  # it takes jobs and works on none
         self.sides: dict[OneSided, None] = {}
-        self.reaped: tuple[int, str] = (0, "")  # idle connections die unseen after so long, and how that shows
+        self.reaped: tuple[int, str] = (
+            0,
+            "",
+        )  # idle connections die unseen after so long, and how that shows
         self.late = 0  # by how much reports are older than usual
         self.twice = False
-        self.again: tuple[float, str, float] = (0.0, "", 0.0)  # part of its postings answered twice, how, how late
+        self.again: tuple[float, str, float] = (
+            0.0,
+            "",
+            0.0,
+        )  # part of its postings answered twice, how, how late
         self.frozen = 0
         self._thaw: list[asyncio.Future[None]] = []
         self.fell = False
@@ -124,13 +140,15 @@
         self.results: dict[str, str] = {}  # of what it has done since its start: done, or failed
         self.fences: dict[str, int] = {}  # by job: leases up to this one are refused
         self.links: dict[int, list[tuple[Wire, Hearing]]] = {}
-        self.listeners = [Listener(self.place, address, self._handler(i))
-                          for i, address in enumerate(self.addresses)]
+        self.listeners = [
+            Listener(self.place, address, self._handler(i)) for i, address in enumerate(self.addresses)
+        ]
         self._changed()
 
     def _handler(self, dispatcher: int) -> Any:
         def handle(sock: Any) -> Coroutine[Any, Any, None]:
             return self._serve(sock, dispatcher)
+
         return handle
 
     # Its ills.
@@ -172,14 +190,21 @@
 
     def _side(self, dispatcher: int, *hows: str) -> float:
         """How strongly it is bad for that dispatcher in one of these forms."""
-        return max((side.strength for side in self.sides if side.how in hows and dispatcher in side.among),
-                   default=0.0)
+        return max(
+            (side.strength for side in self.sides if side.how in hows and dispatcher in side.among),
+            default=0.0,
+        )
 
     def _loses(self, dispatcher: int, posting: bool) -> bool:
         """Whether what crosses between it and that dispatcher now gets lost."""
         strength = self._side(dispatcher, "loss", *(["hole"] if posting else []))
-        return (strength > 0 and self.chance.random() < strength
-                or self.world.weather.loses(self.zone, self.sites.zone_of(dispatcher), self.name, f"d{dispatcher}"))
+        return (
+            strength > 0
+            and self.chance.random() < strength
+            or self.world.weather.loses(
+                self.zone, self.sites.zone_of(dispatcher), self.name, f"d{dispatcher}"
+            )
+        )
 
     def crash(self, told: bool = True) -> None:
         """Its process dies: what it held is gone; the machine's agent may tell whose it was."""
@@ -208,7 +233,11 @@
         self.frozen, self.hung = 0, False
         self.boot()
         # Rule 4 binds those who were told of its start.
-        self.world.add("started_cold" if listed else "started_unlisted", worker=self.name, capacity=self.kind.slots * self.speed)
+        self.world.add(
+            "started_cold" if listed else "started_unlisted",
+            worker=self.name,
+            capacity=self.kind.slots * self.speed,
+        )
 
     # Calls that come.
 
@@ -283,7 +312,9 @@
         """A second answer on the same connection some milliseconds on, when another call may be out there."""
         _, how, latest = self.again
         await asyncio.sleep(0.001 + max(0.0, latest - 0.001) * self.chance.random())
-        told = {"decline": speech.answer(503, {"Srv-Declined": "1"}), "taken": speech.answer(202)}.get(how, told)
+        told = {"decline": speech.answer(503, {"Srv-Declined": "1"}), "taken": speech.answer(202)}.get(
+            how, told
+        )
         if wire.gone_at is None:
             try:
                 await wire.send(told)
@@ -301,13 +332,24 @@
             work, slots = int(told["work"]), float(told["slots"])
         except (msgspec.DecodeError, KeyError, TypeError, ValueError):
             return
-        self.world.events.add(said.whole, "came", id=said.headers.get("req-id", ""), worker=self.name,
-                              dispatcher=dispatcher, begun=said.begun, work=work, slots=slots, zone=self.zone,
-                              scheme=said.target.partition("?")[0].lstrip("/"), cell=self.cell,
-                              lease=int(said.headers.get("job-lease", "0")))
+        self.world.events.add(
+            said.whole,
+            "came",
+            id=said.headers.get("req-id", ""),
+            worker=self.name,
+            dispatcher=dispatcher,
+            begun=said.begun,
+            work=work,
+            slots=slots,
+            zone=self.zone,
+            scheme=said.target.partition("?")[0].lstrip("/"),
+            cell=self.cell,
+            lease=int(said.headers.get("job-lease", "0")),
+        )
         if reset:
-            self.world.events.add(said.whole, "withdrawn", id=said.headers.get("req-id", ""), worker=self.name,
-                                  ran=True)
+            self.world.events.add(
+                said.whole, "withdrawn", id=said.headers.get("req-id", ""), worker=self.name, ran=True
+            )
 
     def _hear(self, said: Said, dispatcher: int, wire: Wire, held: list[Job]) -> bytes | None:
         if said.method == "GET" and said.target in ("/health", "/status/load"):
@@ -329,7 +371,7 @@
 
     def _what_became(self, said: Said, dispatcher: int) -> bytes:
         """Its word on a job by id. Since a restart it can't say of one that it does not know whether it ran."""
-        tag, _, query = said.target[len("/jobs/"):].partition("?")
+        tag, _, query = said.target[len("/jobs/") :].partition("?")
         fence = int(query.rpartition("=")[2] or 0)
         job = self.jobs.get((tag, dispatcher))
         if job is not None and not job.over:
@@ -356,9 +398,20 @@
         if not tag or scheme is None:
             self.world.events.add(said.whole, "nonsense", worker=self.name, dispatcher=dispatcher)
             return speech.answer(400)
-        self.world.events.add(said.whole, "came", id=tag, worker=self.name, dispatcher=dispatcher,
-                              begun=said.begun, scheme=scheme.name, work=work, slots=slots, zone=self.zone,
-                              cell=self.cell, lease=int(said.headers.get("job-lease", "0")))
+        self.world.events.add(
+            said.whole,
+            "came",
+            id=tag,
+            worker=self.name,
+            dispatcher=dispatcher,
+            begun=said.begun,
+            scheme=scheme.name,
+            work=work,
+            slots=slots,
+            zone=self.zone,
+            cell=self.cell,
+            lease=int(said.headers.get("job-lease", "0")),
+        )
         if wire.gone_at is not None:
             self.world.events.add(wire.gone_at, "withdrawn", id=tag, worker=self.name, ran=False)
             return None
@@ -377,8 +430,11 @@
             job.failing = True
         if self._topples(work * slots):
             return None
-        first = self.memories.of(scheme, self.zone, self.cell).knows(tag, self.world.now(), scheme.window) \
-            if scheme.semantics == "referenced" and self.world.plan.fleet.repeats else None
+        first = (
+            self.memories.of(scheme, self.zone, self.cell).knows(tag, self.world.now(), scheme.window)
+            if scheme.semantics == "referenced" and self.world.plan.fleet.repeats
+            else None
+        )
         if first is not None:
             self.world.add("dropped_repeat", id=tag, worker=self.name)
             held.append(job)  # until its 202 is out: a connection that breaks before ends this posting, too
@@ -407,8 +463,11 @@
     def _repeat_ends(self, job: Job) -> None:
         if not job.over and self.place.alive:
             self._over(job, "repeat")
-            self.place.start(self._call_back(self.place, job, {
-                "state": "done", "result": f"done {job.tag}", "load": self.report()}))
+            self.place.start(
+                self._call_back(
+                    self.place, job, {"state": "done", "result": f"done {job.tag}", "load": self.report()}
+                )
+            )
 
     # Running.
 
@@ -484,8 +543,9 @@
             self._leave(job)
             self.results[job.tag] = "failed" if job.failing else "done"
             self._ended(job, self.results[job.tag])
-            told: dict[str, Any] = {"state": "failed"} if job.failing else {
-                "state": "done", "result": f"done {job.tag}"}
+            told: dict[str, Any] = (
+                {"state": "failed"} if job.failing else {"state": "done", "result": f"done {job.tag}"}
+            )
             told["load"] = self.report()
             self.place.start(self._call_back(self.place, job, told))
         self._admit()
@@ -517,8 +577,14 @@
             return
         does = self.world.plan.fleet.withdrawal
         self._advance()
-        stops = job in self.line and does != "nothing" or job in self.running and does == "all" \
-            or job not in self.line and job not in self.running
+        stops = (
+            job in self.line
+            and does != "nothing"
+            or job in self.running
+            and does == "all"
+            or job not in self.line
+            and job not in self.running
+        )
         self.world.events.add(at, "withdrawn", id=job.tag, worker=self.name, ran=job.started is not None)
         if stops:
             self._leave(job)
@@ -561,7 +627,11 @@
         if self.lies == "zero":
             free, line, held = slots, 0, 0
         elif self.lies == "low":
-            free, line, held = slots - (slots - free) * self.shown, int(line * self.shown), int(held * self.shown)
+            free, line, held = (
+                slots - (slots - free) * self.shown,
+                int(line * self.shown),
+                int(held * self.shown),
+            )
         elif self.lies == "stuck":
             free, line, held = self.stuck
         elif self.lies == "full":
@@ -595,7 +665,9 @@
             await self.awake()
             if job.unheard:
                 return
-            if place is self.place and (self._side(job.dispatcher, "refuse") or self._loses(job.dispatcher, True)):
+            if place is self.place and (
+                self._side(job.dispatcher, "refuse") or self._loses(job.dispatcher, True)
+            ):
                 if self._side(job.dispatcher, "hole"):
                     return  # answers are lost like postings, and whoever sends them never learns of it
                 await asyncio.sleep(ANSWERS_IN / TICKS)
@@ -622,14 +694,22 @@
                 if wire is None:
                     sock, peer = place.stream(self.sites.listen_of(dispatcher))
                     try:
-                        await self.world.weather.passes(self.zone, self.sites.zone_of(dispatcher), self.name,
-                                                                 f"d{dispatcher}")
+                        await self.world.weather.passes(
+                            self.zone, self.sites.zone_of(dispatcher), self.name, f"d{dispatcher}"
+                        )
                         await self.world.loop.sock_connect(sock, peer)
                     except BaseException:
                         place.let_go(sock)
                         raise
-                    wire = Wire(self.world, place, sock, self.sites.zone_of(dispatcher), self.name,
-                                f"d{dispatcher}", gate=self.awake)
+                    wire = Wire(
+                        self.world,
+                        place,
+                        sock,
+                        self.sites.zone_of(dispatcher),
+                        self.name,
+                        f"d{dispatcher}",
+                        gate=self.awake,
+                    )
                     hearing = Hearing(calls=False)
                 await wire.send(call)
                 said = await wire.said(hearing)
--- a/pathsaddle/emulator/served/world.py
+++ b/pathsaddle/emulator/served/world.py
@@ -285,9 +285,17 @@
     is heard: a frozen process reads nothing, though its kernel takes it all.
     """
 
-    def __init__(self, world: World, place: Place, sock: Any, there: str, *names: str,
-                 gate: Callable[[], Awaitable[None]] = always,
-                 on_gone: Callable[[int], None] = lambda at: None, sips: float = 0.0) -> None:
+    def __init__(
+        self,
+        world: World,
+        place: Place,
+        sock: Any,
+        there: str,
+        *names: str,
+        gate: Callable[[], Awaitable[None]] = always,
+        on_gone: Callable[[int], None] = lambda at: None,
+        sips: float = 0.0,
+    ) -> None:
         self.sips = sips  # seconds between the few bytes that a slow reader takes; 0: it reads all at once
         self.world = world
         self.place = place
--- a/pathsaddle/emulator/settings/history.py
+++ b/pathsaddle/emulator/settings/history.py
@@ -35,7 +35,16 @@
         begun[digest] = None
         group, op = world.groups[digest], f"{who}/{calls}"
         puts = {put.key: None if put.value is None else msgspec.json.decode(put.value) for put in group.puts}
-        says(at, "settings.call", who, op=op, revision=group.revision, digest=digest, before=group.before, puts=puts)
+        says(
+            at,
+            "settings.call",
+            who,
+            op=op,
+            revision=group.revision,
+            digest=digest,
+            before=group.before,
+            puts=puts,
+        )
         return op
 
     for event in world.events.rows:
@@ -57,9 +66,23 @@
         elif event.what == "force":
             says(at, "settings.force", who, **told)
         elif event.what == "acts":
-            says(at, "settings.act", who, key=more["key"], value=_value(more["value"]), leased=more["leased"], **told)
+            says(
+                at,
+                "settings.act",
+                who,
+                key=more["key"],
+                value=_value(more["value"]),
+                leased=more["leased"],
+                **told,
+            )
             if more["whole"]:  # nothing offered in hand
-                says(at, "settings.rows", who, rows={key: _value(value) for key, value in more["seen"].items()}, **told)
+                says(
+                    at,
+                    "settings.rows",
+                    who,
+                    rows={key: _value(value) for key, value in more["seen"].items()},
+                    **told,
+                )
         elif event.what == "begins":
             says(at, "member.began", who, life=more["life"])
         elif event.what == "dies":
--- a/pathsaddle/emulator/settings/judge.py
+++ b/pathsaddle/emulator/settings/judge.py
@@ -63,16 +63,22 @@
                 made[number] = (revision, more["digest"])
             committed[revision] = (more["digest"], more["whole"], event.at)
             for key, value in more["puts"]:
-                values.setdefault(key, []).append((more["revision"], event.at,
-                                                   None if value is None else value.encode()))
+                values.setdefault(key, []).append(
+                    (more["revision"], event.at, None if value is None else value.encode())
+                )
         elif event.what == "asked":
             expects[more["id"]] = more["expect"]
         elif event.what == "verdict":
             number = more["id"]
             told[number] = more["verdict"]
             if (more["verdict"] == "made") != (number in made) or (
-                    number in made and made[number] != (more["revision"], more["digest"])):
-                finds("verdict", event.at, f"change {number} is told {more['verdict']} at {more['revision']}, and is {made.get(number)}")
+                number in made and made[number] != (more["revision"], more["digest"])
+            ):
+                finds(
+                    "verdict",
+                    event.at,
+                    f"change {number} is told {more['verdict']} at {more['revision']}, and is {made.get(number)}",
+                )
         elif event.what == "disk-lost":
             highest.pop(more["name"], None)
         elif event.what == "force":
@@ -97,17 +103,30 @@
                 finds("whole", event.at, f"{who}: its rows are not those of the revision")
             if revision < force and event.at > force_at:
                 if more["leased"]:
-                    finds("in-force", event.at, f"{who}, leased, {event.at - force_at} ticks after {force} was told in force")
-                later = [one for number, when, one in values.get(key, ()) if number > force and when <= event.at]
+                    finds(
+                        "in-force",
+                        event.at,
+                        f"{who}, leased, {event.at - force_at} ticks after {force} was told in force",
+                    )
+                later = [
+                    one for number, when, one in values.get(key, ()) if number > force and when <= event.at
+                ]
                 if not any(allows(key, used, one) for one in (value_at(key, force), *later)):
                     finds("in-force", event.at, f"{who}: {key} {used!r}, which {force}, in force, forbids")
         elif event.what == "purse":
             if more["worst"] > more["most"]:
-                finds("bytes", event.at, f"{more['name']} sent {more['worst']} bytes in a second, {more['most']} may be")
+                finds(
+                    "bytes",
+                    event.at,
+                    f"{more['name']} sent {more['worst']} bytes in a second, {more['most']} may be",
+                )
         elif event.what == "ends" and last:
             if more["revision"] != max(committed) or not more["leased"]:
-                finds("stuck", event.at, f"{more['name']} is at {more['revision']} of {max(committed)}, "
-                      f"leased: {more['leased']}")
+                finds(
+                    "stuck",
+                    event.at,
+                    f"{more['name']} is at {more['revision']} of {max(committed)}, leased: {more['leased']}",
+                )
         elif event.what == "over" and last and more["force"] != max(committed):
             finds("stuck", event.at, f"{max(committed)} is committed, {more['force']} in force")
     return found
--- a/pathsaddle/emulator/settings/mutants.py
+++ b/pathsaddle/emulator/settings/mutants.py
@@ -22,6 +22,7 @@
 def _force_early() -> Any:
     def judged(self: Any, now: int, memo: Any) -> Any:
         return replace(self, force=self.history[-1].number) if self.history else self
+
     return mock.patch.object(versions.Keeper, "judged_each", judged)
 
 
@@ -30,6 +31,7 @@
 
     def half(self: Terms, group: Group) -> Terms:
         return whole(self, replace_puts(group) if group.revision and len(group.puts) < 32 else group)
+
     return mock.patch.object(Terms, "after", half)
 
 
@@ -46,14 +48,17 @@
         writes, machine.writes = machine.writes, []
         effects(self)
         if writes and not self.keeper:
+
             def later() -> None:
                 if self.life == life and self.up:
                     for write in writes:
                         disk.write(write)
+
             self.world.at(self.world.now + 3 * world.SECOND, later)
         else:
             for write in writes:
                 disk.write(write)
+
     return mock.patch.object(Process, "effects", hasty)
 
 
@@ -61,6 +66,7 @@
     def wide(self: Member, now: int) -> Any:
         offers = self.holder.offers
         return (offers[-1] if offers else self.holder.base).spec.rows()
+
     return mock.patch.object(Member, "rows", wide)
 
 
@@ -69,7 +75,12 @@
 
     def late(self: Any, told: Any, now: int) -> Any:
         after = renewed(self, told, now)
-        return replace(after, until=now + self.lease) if after is not self and after.until > self.until else after
+        return (
+            replace(after, until=now + self.lease)
+            if after is not self and after.until > self.until
+            else after
+        )
+
     return mock.patch.object(versions.Holder, "renewed", late)
 
 
@@ -83,6 +94,7 @@
     def trusting(self: Member, *args: Any, **more: Any) -> None:
         begins(self, *args, **more)
         self.proven = True
+
     return mock.patch.object(Member, "__init__", trusting)
 
 
@@ -91,7 +103,8 @@
     keeps = Keeper._keeps
 
     def half(self: Keeper, groups: Sequence[Group], now: int) -> bool:
-        return keeps(self, groups[:(len(groups) + 1) // 2], now)
+        return keeps(self, groups[: (len(groups) + 1) // 2], now)
+
     return mock.patch.object(Keeper, "_keeps", half)
 
 
--- a/pathsaddle/emulator/settings/smoke.py
+++ b/pathsaddle/emulator/settings/smoke.py
@@ -39,8 +39,16 @@
         told = msgspec.convert(load(path), Told)
     except msgspec.ValidationError as fault:
         text, _, at = str(fault).partition(" - at ")
-        raise Faulty([WrongKind(str(path), at.strip("`").removeprefix("$.") or "plan", shown="a value",
-                                may=f"what docs/settings-store.md says ({text})")]) from None
+        raise Faulty(
+            [
+                WrongKind(
+                    str(path),
+                    at.strip("`").removeprefix("$.") or "plan",
+                    shown="a value",
+                    may=f"what docs/settings-store.md says ({text})",
+                )
+            ]
+        ) from None
     for name in told.mutants:
         if name not in MUTANTS:
             raise Faulty([NotAmong(str(path), "mutants", shown=shown(name), may=f"of {', '.join(MUTANTS)}")])
@@ -49,7 +57,11 @@
 
 def waits(world: World) -> list[float]:
     """Seconds from each commit until it, or a later one, was told in force somewhere; those that never were are left out."""
-    since = {event.more["revision"]: event.at for event in world.events.rows if event.what == "set" and event.at > 0}
+    since = {
+        event.more["revision"]: event.at
+        for event in world.events.rows
+        if event.what == "set" and event.at > 0
+    }
     found: dict[int, float] = {}
     for event in world.events.rows:
         if event.what == "force":
@@ -75,18 +87,34 @@
             took += waits(world)
         took.sort()
         broken += bad
-        print(f"members {one.plan.members}: {one.count} seeds, {count} revisions, {bad} with a broken bound; in force after "
-              f"p50 {at(took, 0.5):.2f}, p99 {at(took, 0.99):.2f}, most {at(took, 1.0):.2f} s (emulated, faults among them)")
+        print(
+            f"members {one.plan.members}: {one.count} seeds, {count} revisions, {bad} with a broken bound; in force after "
+            f"p50 {at(took, 0.5):.2f}, p99 {at(took, 0.99):.2f}, most {at(took, 1.0):.2f} s (emulated, faults among them)"
+        )
     for name in told.mutants:
         bound, _, plan = MUTANTS[name]
         with planted(name):
-            found = next((seed for seed in range(told.tries) if any(
-                one.bound == bound for one in judge(World(plan, seed).run().events.rows, last=bound == "stuck"))), None)
+            found = next(
+                (
+                    seed
+                    for seed in range(told.tries)
+                    if any(
+                        one.bound == bound
+                        for one in judge(World(plan, seed).run().events.rows, last=bound == "stuck")
+                    )
+                ),
+                None,
+            )
         broken += found is None
-        print(f"mutant {name!r}: " + (f"not found in {told.tries} seeds" if found is None else f"{bound}, by seed {found}"))
+        print(
+            f"mutant {name!r}: "
+            + (f"not found in {told.tries} seeds" if found is None else f"{bound}, by seed {found}")
+        )
     print("every bound holds, every mutant is found" if not broken else f"{broken} findings")
     return int(broken > 0)
 
 
 def at(sorted_values: list[float], part: float) -> float:
-    return sorted_values[min(len(sorted_values) - 1, int(part * len(sorted_values)))] if sorted_values else 0.0
+    return (
+        sorted_values[min(len(sorted_values) - 1, int(part * len(sorted_values)))] if sorted_values else 0.0
+    )
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -105,11 +105,23 @@
         chance = Random(world.chance.getrandbits(64))
         if self.keeper:
             peers = [name for name in world.keepers if name != self.name]
-            self.machine = Keeper(self.name, self.region, self.life, store, peers, chance, purse, self.now(), lease,
-                                  offers=self.disk.offers)
+            self.machine = Keeper(
+                self.name,
+                self.region,
+                self.life,
+                store,
+                peers,
+                chance,
+                purse,
+                self.now(),
+                lease,
+                offers=self.disk.offers,
+            )
         else:
             near = nearest(world.keepers, self.name, self.region)
-            self.machine = Member(self.name, self.region, self.life, store, near, chance, purse, self.now(), lease)
+            self.machine = Member(
+                self.name, self.region, self.life, store, near, chance, purse, self.now(), lease
+            )
         world.log("begins", name=self.name, life=self.life, revision=store.revision, keeper=self.keeper)
         self.turn(lambda now: now)
 
@@ -136,8 +148,14 @@
             self.world.sends(self, to, said)
         for told in made.told:
             if told.what in ("applied", "force", "committed", "diverged", "kept", "full"):
-                self.world.log(told.what, name=self.name, life=self.life, revision=told.revision, digest=told.digest,
-                               why=told.why)
+                self.world.log(
+                    told.what,
+                    name=self.name,
+                    life=self.life,
+                    revision=told.revision,
+                    digest=told.digest,
+                    why=told.why,
+                )
             if told.what == "kept":
                 self.world.kept(self, told.revision, told.digest)
 
@@ -172,6 +190,7 @@
             inbox, self.inbox = self.inbox, []
             for said in inbox:
                 self.heard(said)
+
         self.world.at(until, goes_on)
 
     def acts(self) -> None:
@@ -185,10 +204,22 @@
                 told = rows.get(key)
                 whole = "" if member.holder.offers else hashed(repr(sorted(rows.items())).encode())
                 last = self.world.groups.get(base.digest)
-                seen = {put.key: None if (row := rows.get(put.key)) is None else row.decode()
-                        for put in (last.puts if last is not None and whole else ())}
-                self.world.log("acts", name=self.name, life=self.life, revision=base.number, digest=base.digest,
-                               leased=leased, key=key, value=None if told is None else told.decode(), whole=whole, seen=seen)
+                seen = {
+                    put.key: None if (row := rows.get(put.key)) is None else row.decode()
+                    for put in (last.puts if last is not None and whole else ())
+                }
+                self.world.log(
+                    "acts",
+                    name=self.name,
+                    life=self.life,
+                    revision=base.number,
+                    digest=base.digest,
+                    leased=leased,
+                    key=key,
+                    value=None if told is None else told.decode(),
+                    whole=whole,
+                    seen=seen,
+                )
         self.world.at(self.world.now + ACT, self.acts)
 
 
@@ -243,7 +274,9 @@
 
     def reaches(self, region: str) -> bool:
         """Most voters, there and back."""
-        reached = [one for one in self.voters if (region, one) not in self.cut and (one, region) not in self.cut]
+        reached = [
+            one for one in self.voters if (region, one) not in self.cut and (one, region) not in self.cut
+        ]
         return 2 * len(reached) > len(self.voters)
 
     # The register
@@ -262,7 +295,9 @@
                         keeper.turn(lambda now: machine.unread(number, now))
                     else:
                         keeper.turn(lambda now: machine.read(number, *found, now))
+
             self.at(self.now + COMMIT + self.chance.randrange(COMMIT), told)
+
         self.at(self.now + COMMIT + self.chance.randrange(COMMIT), proves)
 
     def kept(self, keeper: Process, revision: int, digest: str) -> None:
@@ -284,14 +319,22 @@
                     else:
                         self.rows[put.key] = put.value
                 self.changed_at[group.revision] = self.now
-                self.log("set", revision=group.revision, digest=digest_of(group), id=group.at, born=self.asked[group.at - 1],
-                         puts=[(put.key, None if put.value is None else put.value.decode()) for put in group.puts],
-                         whole=hashed(repr(sorted(self.rows.items())).encode()))
+                self.log(
+                    "set",
+                    revision=group.revision,
+                    digest=digest_of(group),
+                    id=group.at,
+                    born=self.asked[group.at - 1],
+                    puts=[(put.key, None if put.value is None else put.value.decode()) for put in group.puts],
+                    whole=hashed(repr(sorted(self.rows.items())).encode()),
+                )
 
             def told() -> None:
                 if keeper.life == life and keeper.up:
                     self.reads(keeper)
+
             self.at(self.now + COMMIT, told)
+
         self.at(self.now + COMMIT, changes)
 
     # Authors
@@ -322,10 +365,18 @@
         self.log("verdict", id=change.at, verdict=what, revision=revision, digest=digest)
 
     def proposes(self) -> None:
-        able = [name for name in self.keepers if self.processes[name].up and self.processes[name].held_until <= self.now
-                and self.reaches(self.keepers[name])]
-        ready = [name for name in able if (store := self.processes[name].machine.store) and (
-            store.revision, store.digest) == self.cell]
+        able = [
+            name
+            for name in self.keepers
+            if self.processes[name].up
+            and self.processes[name].held_until <= self.now
+            and self.reaches(self.keepers[name])
+        ]
+        ready = [
+            name
+            for name in able
+            if (store := self.processes[name].machine.store) and (store.revision, store.digest) == self.cell
+        ]
         if not ready:
             return
         self.committer = self.committer if self.committer in ready else self.chance.choice(ready)
@@ -381,14 +432,19 @@
     def changes(self) -> None:
         if self.now < self.busy:
             self.change()
-            self.at(self.now + 1 + int(60 * SECOND / self.plan.changes * self.chance.expovariate(1.0)), self.changes)
+            self.at(
+                self.now + 1 + int(60 * SECOND / self.plan.changes * self.chance.expovariate(1.0)),
+                self.changes,
+            )
 
     # Faults
 
     def fault(self) -> None:
         if self.now >= self.busy:
             return
-        kind = self.chance.choice(("kill", "kill", "kill", "stop", "stop", "cut", "one-way", "loss", "lost-disk", "keepers"))
+        kind = self.chance.choice(
+            ("kill", "kill", "kill", "stop", "stop", "cut", "one-way", "loss", "lost-disk", "keepers")
+        )
         name = self.chance.choice(self.names)
         process = self.processes[name]
         lasts = int(SECOND * (0.2 + 8 * self.chance.random() ** 2))
@@ -401,7 +457,7 @@
                 self.log("disk-lost", name=name)
             self.at(over, lambda: process.begins() if not process.up else None)
         elif kind == "keepers":
-            for other in list(self.keepers)[:(len(self.keepers) + 1) // 2]:
+            for other in list(self.keepers)[: (len(self.keepers) + 1) // 2]:
                 keeper = self.processes[other]
                 if keeper.up:
                     keeper.dies()
@@ -409,7 +465,9 @@
         elif kind == "stop":
             process.stops(over)
         elif kind in ("cut", "one-way"):
-            one, two = self.chance.sample(self.regions, 2) if len(self.regions) > 1 else (self.regions * 2)[:2]
+            one, two = (
+                self.chance.sample(self.regions, 2) if len(self.regions) > 1 else (self.regions * 2)[:2]
+            )
             ways = [(one, two)] if kind == "one-way" else [(one, two), (two, one)]
             self.cut.update(ways)
             self.at(over, lambda: self.cut.difference_update(ways))
@@ -420,13 +478,18 @@
 
     def run(self) -> World:
         self.groups = {}
-        first = [Put(f"members.{name}", canonical({"region": process.region}))
-                 for name, process in self.processes.items() if not process.keeper]
+        first = [
+            Put(f"members.{name}", canonical({"region": process.region}))
+            for name, process in self.processes.items()
+            if not process.keeper
+        ]
         rows = [Put(key, canonical({"allowance": 50})) for key in self.keys]
         puts = first + rows
         # The first groups stand at all keepers from the founding on, as one snapshot of each would.
         for start in range(0, len(puts), 32):
-            group = Group(self.cell[0] + 1, self.cell[1], "founder", "founding", 0, tuple(puts[start:start + 32]))
+            group = Group(
+                self.cell[0] + 1, self.cell[1], "founder", "founding", 0, tuple(puts[start : start + 32])
+            )
             self.cell = (group.revision, digest_of(group))
             self.groups[self.cell[1]] = group
             for put in group.puts:
@@ -435,9 +498,13 @@
             for name, process in self.processes.items():
                 if process.keeper or self.plan.founded:
                     process.disk.log.append(group)
-            self.log("set", revision=group.revision, digest=self.cell[1],
-                     puts=[(put.key, (put.value or b"").decode()) for put in group.puts],
-                     whole=hashed(repr(sorted(self.rows.items())).encode()))
+            self.log(
+                "set",
+                revision=group.revision,
+                digest=self.cell[1],
+                puts=[(put.key, (put.value or b"").decode()) for put in group.puts],
+                whole=hashed(repr(sorted(self.rows.items())).encode()),
+            )
         for process in self.processes.values():
             self.at(self.chance.randrange(SECOND), process.begins)
             if not process.keeper and self.plan.acts:
@@ -455,13 +522,26 @@
             if not process.keeper:
                 member = process.machine
                 assert isinstance(member, Member)
-                self.log("ends", name=name, revision=member.holder.base.number, leased=member.leased(process.now()))
-        self.log("over", revision=self.cell[0], force=max(
-            process.machine.core.force for process in self.processes.values() if isinstance(process.machine, Keeper)),
-            wanted=len(self.wanted))
+                self.log(
+                    "ends", name=name, revision=member.holder.base.number, leased=member.leased(process.now())
+                )
+        self.log(
+            "over",
+            revision=self.cell[0],
+            force=max(
+                process.machine.core.force
+                for process in self.processes.values()
+                if isinstance(process.machine, Keeper)
+            ),
+            wanted=len(self.wanted),
+        )
         for name, process in self.processes.items():
-            self.log("purse", name=name, most=self.plan.keeper_bytes if process.keeper else self.plan.bytes,
-                     worst=worst(process.sent))
+            self.log(
+                "purse",
+                name=name,
+                most=self.plan.keeper_bytes if process.keeper else self.plan.bytes,
+                worst=worst(process.sent),
+            )
         return self
 
     def calms(self) -> None:
--- a/pathsaddle/emulator/stage.py
+++ b/pathsaddle/emulator/stage.py
@@ -99,27 +99,47 @@
         memories = Memories()
         names = iter(worker_names(plan))
         number = 0
-        cells: dict[tuple[int, str, int], int] = {}  # a cell's number is its own in the whole fleet, as in real lists
+        cells: dict[
+            tuple[int, str, int], int
+        ] = {}  # a cell's number is its own in the whole fleet, as in real lists
         for k, kind in enumerate(plan.fleet.workers):
             zones = kind.zones or charter.zones
             for i in range(kind.count):
                 addresses = [self.sites.address("worker", d, number) for d in self.numbers]
                 name, zone = next(names), zones[i % len(zones)]
                 cell = cells.setdefault((k, zone, i // len(zones) // kind.cell), len(cells))
-                self.workers[name] = Worker(self.world, self.sites, memories, name, kind, zone, cell, addresses)
+                self.workers[name] = Worker(
+                    self.world, self.sites, memories, name, kind, zone, cell, addresses
+                )
                 number += 1
         self.discovery = DiscoveryServer(self.world, self.sites, self.workers)
         self.discovery.wall = self.wall()
         seeds = self.world.chance("dispatchers")
         for d in self.numbers:
-            mine = charter_of(plan, name=f"d{d}", listen=self.sites.listen_of(d), number=d,
-                              discovery=self.discovery.addresses[d], zone=self.sites.zone_of(d),
-                              seed=f"{seeds.getrandbits(64):016x}")
+            mine = charter_of(
+                plan,
+                name=f"d{d}",
+                listen=self.sites.listen_of(d),
+                number=d,
+                discovery=self.discovery.addresses[d],
+                zone=self.sites.zone_of(d),
+                seed=f"{seeds.getrandbits(64):016x}",
+            )
             self.told[d] = told(mine, self.discovery.known(d))
         self.front = FrontLayer(self.world, self.sites)
         self.clients = Clients(self.world, self.sites, self.front)
-        self.faults = ServedFaults(self.world, self.sites.place("faults", "").start, self, self.air, self.front.died,
-                                   self.parted, self.workers, self.discovery, self.clients, self.tell)
+        self.faults = ServedFaults(
+            self.world,
+            self.sites.place("faults", "").start,
+            self,
+            self.air,
+            self.front.died,
+            self.parted,
+            self.workers,
+            self.discovery,
+            self.clients,
+            self.tell,
+        )
 
     def wall(self) -> float:
         """Unix time at the run's moment 0."""
@@ -140,8 +160,14 @@
         world.begun = world.loop.time()
         self.discovery.wall = self.wall()
         for name, worker in self.workers.items():
-            world.add("worker", name=name, zone=worker.zone, cell=worker.cell, slots=worker.kind.slots,
-                      speed=worker.speed)
+            world.add(
+                "worker",
+                name=name,
+                zone=worker.zone,
+                cell=worker.cell,
+                slots=worker.kind.slots,
+                speed=worker.speed,
+            )
         for d in self.numbers:
             world.add("ready", dispatcher=d)
         self.faults.begin()
@@ -169,11 +195,16 @@
         self.stores: dict[int, Store] = {}
         self.lives = 0
         zones = world.charter.zones
-        self.air = Air(world.chance("air"), lambda one, other: world.weather.delay(
-            zones[int(one[1:]) % len(zones)], zones[int(other[1:]) % len(zones)]))
+        self.air = Air(
+            world.chance("air"),
+            lambda one, other: world.weather.delay(
+                zones[int(one[1:]) % len(zones)], zones[int(other[1:]) % len(zones)]
+            ),
+        )
         self.fleet: Fleet | None = None
         if world.charter.fleet is not None:
             from pathsaddle.emulator.served.members import Fleet
+
             self.fleet = Fleet(world, net, self.air)
         net.parted = lambda one, other: world.weather.parted(one.zone, other.zone, one.name, other.name)
 
@@ -195,9 +226,13 @@
     async def _life(self, host: Host, dispatcher: int) -> None:
         from pathsaddle.net.service.start import Dispatcher
         from pathsaddle.net.wire.birth import birth
-        ground = VirtualGround(host, lambda: json.dumps(self.told[dispatcher]),
-                               lambda *told: self._service(dispatcher, *told),
-                               lambda ground, counters: self._fellows(dispatcher, ground, counters))
+
+        ground = VirtualGround(
+            host,
+            lambda: json.dumps(self.told[dispatcher]),
+            lambda *told: self._service(dispatcher, *told),
+            lambda ground, counters: self._fellows(dispatcher, ground, counters),
+        )
         try:
             await Dispatcher(birth(ground.told()), ground).run()
             self.world.add("ended_itself", dispatcher=dispatcher)
@@ -216,13 +251,19 @@
             return TxnService(*told)
         from pathsaddle.jobs.store import DiskWriter, Store
         from pathsaddle.jobs.txn_service import DurableTxnService, Ways
+
         self.lives += 1
         chance = self.world.chance(f"disk {dispatcher} {self.lives}")
         disk = self.disks[dispatcher] = DiskWriter(self.net.loop, chance, self.world.plan.fleet.sync / TICKS)
-        store = self.stores[dispatcher] = Store(Path(self.folder.name) / f"d{dispatcher}.db", disk, lock=False,
-                                                sync="OFF")
-        return DurableTxnService(*told, store=store, chance=chance, ways=Ways(
-            jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin))
+        store = self.stores[dispatcher] = Store(
+            Path(self.folder.name) / f"d{dispatcher}.db", disk, lock=False, sync="OFF"
+        )
+        return DurableTxnService(
+            *told,
+            store=store,
+            chance=chance,
+            ways=Ways(jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin),
+        )
 
     def _pull_the_plug(self, dispatcher: int) -> None:
         """Its process is gone, and of what its disk had not synced perhaps a part."""
@@ -281,24 +322,42 @@
 
     def wall(self) -> float:
         import time
+
         return time.time() - (self.world.loop.time() - self.world.begun)
 
     async def start(self, dispatcher: int, again: bool = False) -> None:
         if again and self.world.plan.fleet.old_list == "death":
             self.told[dispatcher]["known"] = self.discovery.known(dispatcher)
         if self.world.charter.fleet is not None and self.relays is None:
-            self.relays = Relays(self.world.now, self.air, {f"d{d}": (
-                self.sites.address("member", d, 0), self.sites.address("relay", d, 0)) for d in self.numbers})
+            self.relays = Relays(
+                self.world.now,
+                self.air,
+                {
+                    f"d{d}": (self.sites.address("member", d, 0), self.sites.address("relay", d, 0))
+                    for d in self.numbers
+                },
+            )
         self.tell_file(dispatcher)
         self.world.add("started", dispatcher=dispatcher)
         self.meant.pop(dispatcher, None)
         with (self.folder / f"d{dispatcher}.log").open("ab") as log:
             command = self.command
             if self.chartered:
-                command = [sys.executable, "-m", "pathsaddle", "serve", str(self.folder / f"d{dispatcher}.json")]
+                command = [
+                    sys.executable,
+                    "-m",
+                    "pathsaddle",
+                    "serve",
+                    str(self.folder / f"d{dispatcher}.json"),
+                ]
             process = await asyncio.create_subprocess_exec(
-                *command, cwd=self.root, stderr=log, stdout=log, preexec_fn=ends_with_us,
-                env={**os.environ, "GW_CONFIG": str(self.folder / f"d{dispatcher}.json")})
+                *command,
+                cwd=self.root,
+                stderr=log,
+                stdout=log,
+                preexec_fn=ends_with_us,
+                env={**os.environ, "GW_CONFIG": str(self.folder / f"d{dispatcher}.json")},
+            )
         self.processes[dispatcher] = process
         self.front.place.start(self._watch(dispatcher, process))
         if again:
@@ -317,19 +376,32 @@
         text = json.dumps(self.told[dispatcher])
         if self.chartered:
             told, plan = self.told[dispatcher], self.world.plan.charter
-            table = {**plan, "name": f"d{dispatcher}", "listen": told["listen"], "discovery": told["discovery"],
-                     "seed": told["seed"], "number": dispatcher, "dispatchers": len(self.numbers),
-                     "zone": self.sites.zone_of(dispatcher)}
+            table = {
+                **plan,
+                "name": f"d{dispatcher}",
+                "listen": told["listen"],
+                "discovery": told["discovery"],
+                "seed": told["seed"],
+                "number": dispatcher,
+                "dispatchers": len(self.numbers),
+                "zone": self.sites.zone_of(dispatcher),
+            }
             if "jobs" in plan:
                 table["jobs"] = {**plan["jobs"], "path": str(self.folder / f"d{dispatcher}.db")}
             if "fleet" in plan:
                 state = self.folder / f"state{dispatcher}"
                 state.mkdir(exist_ok=True)
                 table["log"] = {**plan.get("log", {}), "form": "json"}
-                table["fleet"] = {"name": "emulated", "key": SECRET, "listen": self.sites.address("member", dispatcher, 0),
-                                  "address": self.sites.address("relay", dispatcher, 0), "folder": str(state),
-                                  "seeds": [self.sites.address("relay", d, 0) for d in self.numbers[:3]],
-                                  "control": self.sites.address("control", dispatcher, 0), **plan["fleet"]}
+                table["fleet"] = {
+                    "name": "emulated",
+                    "key": SECRET,
+                    "listen": self.sites.address("member", dispatcher, 0),
+                    "address": self.sites.address("relay", dispatcher, 0),
+                    "folder": str(state),
+                    "seeds": [self.sites.address("relay", d, 0) for d in self.numbers[:3]],
+                    "control": self.sites.address("control", dispatcher, 0),
+                    **plan["fleet"],
+                }
             text = json.dumps(table)
         other.write_text(text, encoding="utf-8")
         other.replace(path)
@@ -382,6 +454,7 @@
     async def _sample(self, dispatcher: int) -> None:
         """Asks a member now and then what it claims to have heard, as its operator would."""
         from pathsaddle.fleet.asking import Unasked, ask
+
         address = self.sites.address("control", dispatcher, 0)
         while True:
             await asyncio.sleep(1.0)
@@ -390,13 +463,17 @@
                 told = await ask(address, "members", 1.0)
             except Unasked:
                 continue
-            of = [(m["name"], m["life"], min(ages) * 10) for m in told["members"]
-                  if (ages := [age for age in (m["heard"], m["heard_by"]) if age is not None])]
+            of = [
+                (m["name"], m["life"], min(ages) * 10)
+                for m in told["members"]
+                if (ages := [age for age in (m["heard"], m["heard_by"]) if age is not None])
+            ]
             self.world.events.add(begun, "heard", who=f"d{dispatcher}", of=of, took=self.world.now() - begun)
 
     def _read_logs(self) -> None:
         """What members logged of what they believe, as events of the run."""
         from datetime import datetime
+
         wall = self.wall()
         for d in self.numbers:
             path = self.folder / f"d{d}.log"
@@ -411,8 +488,15 @@
                     continue
                 if event in ("fleet-member", "fleet-self", "fleet-doubled"):
                     state = row.get("now", "left" if event == "fleet-doubled" else "alive")
-                    self.world.events.add(at, "view", who=f"d{d}", about=row["member"], life=row["life"], state=state,
-                                          why=row["why"])
+                    self.world.events.add(
+                        at,
+                        "view",
+                        who=f"d{d}",
+                        about=row["member"],
+                        life=row["life"],
+                        state=state,
+                        why=row["why"],
+                    )
 
     def parted(self) -> None:
         weather = self.world.weather
@@ -429,8 +513,17 @@
         for d, process in self.processes.items():
             if process.returncode is None:
                 with contextlib.suppress(OSError):
-                    spent = Path(f"/proc/{process.pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
-                    self.world.add("cpu", dispatcher=d, seconds=(int(spent[11]) + int(spent[12])) / os.sysconf("SC_CLK_TCK"))
+                    spent = (
+                        Path(f"/proc/{process.pid}/stat")
+                        .read_text(encoding="ascii")
+                        .rpartition(")")[2]
+                        .split()
+                    )
+                    self.world.add(
+                        "cpu",
+                        dispatcher=d,
+                        seconds=(int(spent[11]) + int(spent[12])) / os.sysconf("SC_CLK_TCK"),
+                    )
                 self.meant[d] = None
                 with contextlib.suppress(ProcessLookupError):
                     process.kill()
@@ -440,13 +533,20 @@
             self.relays = None
             self._read_logs()
             for name, meter in self.air.meters.items():
-                self.world.add("traffic", who=name, bytes=meter.bytes, datagrams=meter.datagrams,
-                               most_bytes=meter.most(0), most_datagrams=meter.most(1))
+                self.world.add(
+                    "traffic",
+                    who=name,
+                    bytes=meter.bytes,
+                    datagrams=meter.datagrams,
+                    most_bytes=meter.most(0),
+                    most_datagrams=meter.most(1),
+                )
 
 
 def ends_with_us() -> None:
     """In a child before its program begins: it is killed when we die, however that comes (prctl's PR_SET_PDEATHSIG)."""
     import ctypes
+
     ctypes.CDLL(None).prctl(1, int(signal.SIGKILL), 0, 0, 0)
 
 
@@ -470,11 +570,20 @@
         return host.name if host is not None else "-"
 
     logger.remove()
-    logger.add(lambda message: world.add("fault_logged", host=where(), text=str(message)[:2000]),
-               level="ERROR", format="{message}", backtrace=False, diagnose=False)
+    logger.add(
+        lambda message: world.add("fault_logged", host=where(), text=str(message)[:2000]),
+        level="ERROR",
+        format="{message}",
+        backtrace=False,
+        diagnose=False,
+    )
     if path is not None:
-        logger.add(path, level="INFO", format=lambda _: f"{world.loop.time():.4f} {where()} " "{level} {message}\n",
-                   mode="w")
+        logger.add(
+            path,
+            level="INFO",
+            format=lambda _: f"{world.loop.time():.4f} {where()} {{level}} {{message}}\n",
+            mode="w",
+        )
     try:
         yield
     finally:
@@ -491,6 +600,7 @@
     stage: VirtualStage | MembersStage
     if plan.only == "fleet":
         from pathsaddle.emulator.membership.stage import MembersStage
+
         stage = MembersStage(world, net)
     else:
         stage = VirtualStage(world, net)
@@ -506,17 +616,20 @@
     return Outcome(world.events, world.events.digest(net.digest.digest()), loop.steps, net.connections)
 
 
-def sockets(plan: Plan, seed: int, folder: Path | None = None, command: list[str] | None = None,
-            root: Path = ROOT) -> Outcome:
+def sockets(
+    plan: Plan, seed: int, folder: Path | None = None, command: list[str] | None = None, root: Path = ROOT
+) -> Outcome:
     """One run with real processes on the loopback, in real time."""
     import uvloop
+
     charter = charter_of(plan)
     faults: list[str] = []
 
     async def run(where: Path) -> World:
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: faults.append(
-            f"{context.get('message')}: {context.get('exception')!r}"))
+        loop.set_exception_handler(
+            lambda _, context: faults.append(f"{context.get('message')}: {context.get('exception')!r}")
+        )
         world = World(plan, charter, seed, loop)
         stage = SocketStage(world, where, command or [sys.executable, "-m", "pathsaddle"], root)
         try:
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -23,8 +23,20 @@
 
 BUDGET = "uses"
 KEY = b"the ground's own secret"
-KINDS = ("cut", "cut one way", "cut all", "loss", "double", "late", "slow", "stall", "kill", "lower life",
-         "false death", "join")
+KINDS = (
+    "cut",
+    "cut one way",
+    "cut all",
+    "loss",
+    "double",
+    "late",
+    "slow",
+    "stall",
+    "kill",
+    "lower life",
+    "false death",
+    "join",
+)
 
 
 @dataclass
@@ -57,11 +69,18 @@
 def varied(members: int, seed: int, seconds: float = 30.0) -> Plan:
     """One of the many: another mix of everything for each seed."""
     chance = Random(f"plan {seed} {members}")
-    plan = Plan(members, seed, seconds, rate=chance.choice((10, 100, 100, 300)),
-                lease=chance.choice((2.0, 4.0, 4.0, 10.0)),
-                faults=chance.choice((0.2, 0.5, 1.5)), hot=chance.choice((0.1, 0.3, 1.0)),
-                want=chance.choice((1.5, 3.0)),
-                drift=chance.choice((0.0, 0.01, 0.02, 0.02)), loss=chance.choice((0.0, 0.0, 0.2)))
+    plan = Plan(
+        members,
+        seed,
+        seconds,
+        rate=chance.choice((10, 100, 100, 300)),
+        lease=chance.choice((2.0, 4.0, 4.0, 10.0)),
+        faults=chance.choice((0.2, 0.5, 1.5)),
+        hot=chance.choice((0.1, 0.3, 1.0)),
+        want=chance.choice((1.5, 3.0)),
+        drift=chance.choice((0.0, 0.01, 0.02, 0.02)),
+        loss=chance.choice((0.0, 0.0, 0.2)),
+    )
     if seed % 10 == 3:  # charters that differ: a budget that is lowered
         plan.others = {n: plan.rate // 2 for n in range(members) if chance.random() < 0.5}
     if seed % 50 == 7:
@@ -78,7 +97,7 @@
         plan, chance = ground.plan, ground.chance
         self.ground, self.number, self.name = ground, number, f"d{number}"
         self.rate = 1 + plan.drift * (2 * chance.random() - 1)
-        self.off = chance.randrange(10 ** 9)
+        self.off = chance.randrange(10**9)
         self.shared: Shared | None = None
         self.life = 0
         self.stopped = False
@@ -127,8 +146,12 @@
 
     def part(self, number: int) -> int:
         rate = self.plan.others.get(number, self.plan.rate)
-        return self.plan.parts.get(number, rate // self.plan.members + (number < rate % self.plan.members)
-                                   if number < self.plan.members else 0)
+        return self.plan.parts.get(
+            number,
+            rate // self.plan.members + (number < rate % self.plan.members)
+            if number < self.plan.members
+            else 0,
+        )
 
     # Processes.
 
@@ -140,10 +163,17 @@
         now = place.clock()
         rate = plan.others.get(place.number, plan.rate)
         chance = Random(f"{plan.seed} {place.name} {self.lives}")
-        place.shared = Shared(place.name, place.life, "f", KEY, Purse(plan.bytes, 60, now),
-                              int(plan.beat * SECOND),
-                              {BUDGET: Dealt(rate, self.part(place.number), int(plan.lease * SECOND))},
-                              chance, now)
+        place.shared = Shared(
+            place.name,
+            place.life,
+            "f",
+            KEY,
+            Purse(plan.bytes, 60, now),
+            int(plan.beat * SECOND),
+            {BUDGET: Dealt(rate, self.part(place.number), int(plan.lease * SECOND))},
+            chance,
+            now,
+        )
         place.stopped, place.waiting, place.rights, place.view = False, [], -1, {}
         self.log("member.began", who=place.name, life=place.life)
         if rate >= place.budget:
@@ -157,8 +187,9 @@
         for other in self.places:
             if other.shared is not None and other is not place:
                 self.at(self.now + self.chance.randrange(SECOND), self.tell, place, other, other.life, True)
-                self.at(self.now + self.chance.randrange(2 * SECOND), self.tell, other, place, place.life,
-                        True)
+                self.at(
+                    self.now + self.chance.randrange(2 * SECOND), self.tell, other, place, place.life, True
+                )
         if lower:  # as membership has it: others know a higher life, and soon it hears of that
             self.at(self.now + self.chance.randrange(SECOND, 4 * SECOND), self.claim, place, place.life)
         place.wake_at = self.now
@@ -192,8 +223,14 @@
         place.shared = None
         self.log("member.ended", who=place.name, why="killed")
         for other in self.places:
-            self.at(self.now + self.chance.randrange(SECOND, 9 * SECOND), self.tell, other, place, place.life,
-                    False)
+            self.at(
+                self.now + self.chance.randrange(SECOND, 9 * SECOND),
+                self.tell,
+                other,
+                place,
+                place.life,
+                False,
+            )
 
     def tell(self, place: Place, other: Place, life: int, there: bool) -> None:
         """A member's membership says that another's life is there, or is over."""
@@ -307,8 +344,11 @@
     def send(self, place: Place, to: int, data: bytes) -> None:
         self.log("sent", who=place.name, bytes=len(data))
         chance = self.chance
-        if (to >= len(self.places) or any(cut(place.number, to) for cut in self.cuts.values())
-                or chance.random() < self.lossy):
+        if (
+            to >= len(self.places)
+            or any(cut(place.number, to) for cut in self.cuts.values())
+            or chance.random() < self.lossy
+        ):
             return
         other = self.places[to]
         times = 2 if self.doubling and chance.random() < self.doubling else 1
@@ -333,12 +373,16 @@
         self.log("fault", kind=kind, of=place.name, lasts=lasts)
         if kind in ("cut", "cut one way", "cut all"):
             part = chance.choice((0.1, 0.34, 0.5)) * len(self.places)
-            away = {n for n in range(len(self.places))
-                    if chance.random() * len(self.places) < part} | {place.number}
+            away = {n for n in range(len(self.places)) if chance.random() * len(self.places) < part} | {
+                place.number
+            }
             cut: Callable[[int, int], bool] = (
-                (lambda one, other: True) if kind == "cut all" else
-                (lambda one, other: one in away and other not in away) if kind == "cut one way" else
-                (lambda one, other: (one in away) != (other in away)))
+                (lambda one, other: True)
+                if kind == "cut all"
+                else (lambda one, other: one in away and other not in away)
+                if kind == "cut one way"
+                else (lambda one, other: (one in away) != (other in away))
+            )
             key = self.count
             self.cuts[key] = cut
             self.at(until, self.joins, key)
@@ -346,8 +390,14 @@
                 for one in self.places:
                     for other in self.places:
                         if other is not one and other.shared is not None and cut(other.number, one.number):
-                            self.at(self.now + chance.randrange(4 * SECOND, 9 * SECOND), self.tell, one,
-                                    other, other.life, False)
+                            self.at(
+                                self.now + chance.randrange(4 * SECOND, 9 * SECOND),
+                                self.tell,
+                                one,
+                                other,
+                                other.life,
+                                False,
+                            )
                             self.at(until + chance.randrange(4 * SECOND, 9 * SECOND), self.back, one, other)
         elif kind == "loss":
             self.lossy = chance.uniform(0.2, 0.4)
@@ -421,9 +471,16 @@
                 continue
             for shown in place.shared.carry.records(SPARE, place.clock()):
                 if shown.member != place.name:
-                    self.log("state.shown", who=place.name, member=shown.member, life=shown.life,
-                             version=shown.version,
-                             least=shown.least, most=shown.most, sure=shown.sure)
+                    self.log(
+                        "state.shown",
+                        who=place.name,
+                        member=shown.member,
+                        life=shown.life,
+                        version=shown.version,
+                        least=shown.least,
+                        most=shown.most,
+                        sure=shown.sure,
+                    )
 
     def run(self) -> Events:
         plan = self.plan
--- a/pathsaddle/emulator/state/judge.py
+++ b/pathsaddle/emulator/state/judge.py
@@ -78,8 +78,11 @@
         self.rights[who] = units
         self.sum += units - old
         if units > old and self.sum > self.budget():
-            self.verdict.add("rights-over-budget", at,
-                             f"{self.sum} of {self.budget()} {self.name} usable, {units} at {who}")
+            self.verdict.add(
+                "rights-over-budget",
+                at,
+                f"{self.sum} of {self.budget()} {self.name} usable, {units} at {who}",
+            )
         self.verdict.most_rights = max(self.verdict.most_rights, self.sum)
 
     def rights_told(self, at: int, more: dict[str, Any]) -> None:
@@ -100,14 +103,18 @@
         self.verdict.spent += units
         self.verdict.most_spent = max(self.verdict.most_spent, self.spent)
         if self.spent > self.budget():
-            self.verdict.add("spent-over-budget", at,
-                             f"{self.spent} of {self.budget()} {self.name} in a second, last by {who}")
+            self.verdict.add(
+                "spent-over-budget",
+                at,
+                f"{self.spent} of {self.budget()} {self.name} in a second, last by {who}",
+            )
         if not self.rights.get(who, 0) and self.last.get(who, -SECOND - 1) < at - SECOND:
             self.verdict.add("spent-without-rights", at, f"{units} {self.name} by {who}")
 
 
-def judge(events: Iterable[Event], most_bytes: int = 24_000, drift: float = 0.02,
-          idle_from: int = 0) -> Verdict:
+def judge(
+    events: Iterable[Event], most_bytes: int = 24_000, drift: float = 0.02, idle_from: int = 0
+) -> Verdict:
     """`idle_from`: since when what is usable nowhere is added up."""
     verdict = Verdict()
     sums: dict[str, _Sums] = {}
@@ -115,8 +122,9 @@
     puts: dict[tuple[str, int], list[tuple[int, int]]] = {}  # (member, life) -> (version, when)
     for event in rows:
         if event.what == "state.put":
-            puts.setdefault((event.more["who"], event.more["life"]),
-                            []).append((event.more["version"], event.at))
+            puts.setdefault((event.more["who"], event.more["life"]), []).append(
+                (event.more["version"], event.at)
+            )
     views: dict[tuple[str, str], tuple[int, bool]] = {}
     over: dict[tuple[str, str], int] = {}
     sent: dict[str, deque[tuple[int, int]]] = {}
@@ -156,8 +164,9 @@
         elif what == "state.over":
             pair = more["who"], more["member"]
             if over.get(pair, -1) >= more["life"]:
-                verdict.add("ended-twice", at,
-                            f"{more['who']} tells the end of {more['member']}/{more['life']} again")
+                verdict.add(
+                    "ended-twice", at, f"{more['who']} tells the end of {more['member']}/{more['life']} again"
+                )
             over[pair] = more["life"]
         elif what == "state.shown":
             _shown(at, more, puts, views, drift, verdict)
@@ -174,8 +183,14 @@
     return verdict
 
 
-def _shown(at: int, more: dict[str, Any], puts: dict[tuple[str, int], list[tuple[int, int]]],
-           views: dict[tuple[str, str], tuple[int, bool]], drift: float, verdict: Verdict) -> None:
+def _shown(
+    at: int,
+    more: dict[str, Any],
+    puts: dict[tuple[str, int], list[tuple[int, int]]],
+    views: dict[tuple[str, str], tuple[int, bool]],
+    drift: float,
+    verdict: Verdict,
+) -> None:
     who, member, life, version = more["who"], more["member"], more["life"], more["version"]
     told, there = views.get((who, member), (0, False))
     whose = f"{who} shows {member}/{life} version {version}"
@@ -188,11 +203,17 @@
         return
     verdict.checked += 1
     age = at - rows[place][1]
-    if (more["least"] > age * (1 + drift) + 2 or more["most"] is not None
-            and more["most"] < age * (1 - drift) - 2):
+    if (
+        more["least"] > age * (1 + drift) + 2
+        or more["most"] is not None
+        and more["most"] < age * (1 - drift) - 2
+    ):
         verdict.add("age-outside", at, f"{whose} as {more['least']} to {more['most']} old, it is {age}")
     if more["sure"] is not None and place + 1 < len(rows):
         next_put = rows[place + 1][1]
         if next_put < at - more["sure"] / (1 - drift) - 2:
-            verdict.add("sure-outside", at,
-                        f"{whose} as the last {more['sure']} ago, it was replaced {at - next_put} ago")
+            verdict.add(
+                "sure-outside",
+                at,
+                f"{whose} as the last {more['sure']} ago, it was replaced {at - next_put} ago",
+            )
--- a/pathsaddle/emulator/state/mutants.py
+++ b/pathsaddle/emulator/state/mutants.py
@@ -16,16 +16,29 @@
 from pathsaddle.fleet.state.shares import Back, Lend, Loan, State
 
 _lent_by, _own, _asked, _fallback, _take, _life, _claimed, _row, _returns, _fall, _ended = (
-    State.lent_by, State.own, Limiter.asked, Limiter._fallback, Carry._take, Carry._life, Carry.claimed,
+    State.lent_by,
+    State.own,
+    Limiter.asked,
+    Limiter._fallback,
+    Carry._take,
+    Carry._life,
+    Carry.claimed,
     Carry._row,
-    State.returns, Limiter._fallback, Carry.ended)
+    State.returns,
+    Limiter._fallback,
+    Carry.ended,
+)
 
 
 def _by_arrival(self: State, lend: Lend, now: int) -> State:
     after = _lent_by(self, lend, now)
-    return replace(after, held=tuple((*row[:3], Loan(row[3].units, now + self.lease)) if row not in self.held
-                                     else row
-                                     for row in after.held))
+    return replace(
+        after,
+        held=tuple(
+            (*row[:3], Loan(row[3].units, now + self.lease)) if row not in self.held else row
+            for row in after.held
+        ),
+    )
 
 
 def _twice(self: State, lend: Lend, now: int) -> State:
@@ -82,16 +95,35 @@
 
 
 AIMED: dict[str, dict[str, Any]] = {  # plans that come to the point sooner than the usual mix
-    "lease by the taker's arrival": {"kinds": ("slow",), "faults": 1.0, "lease": 3.0, "want": 3.0, "hot": 0.3,
-                                     "seconds": 60.0,
-                                     "mood": (10.0, 20.0), "rate": 300},
-    "new life forgets what was lent": {"kinds": ("kill",), "faults": 0.5, "lease": 10.0, "want": 3.0,
-                                       "hot": 0.3,
-                                       "mood": (8.0, 12.0), "rate": 100},
+    "lease by the taker's arrival": {
+        "kinds": ("slow",),
+        "faults": 1.0,
+        "lease": 3.0,
+        "want": 3.0,
+        "hot": 0.3,
+        "seconds": 60.0,
+        "mood": (10.0, 20.0),
+        "rate": 300,
+    },
+    "new life forgets what was lent": {
+        "kinds": ("kill",),
+        "faults": 0.5,
+        "lease": 10.0,
+        "want": 3.0,
+        "hot": 0.3,
+        "mood": (8.0, 12.0),
+        "rate": 100,
+    },
     "fallback forgets what was lent": {"kinds": ("cut all", "cut one way"), "lease": 10.0, "hot": 0.3},
-    "no rest after a lease": {"kinds": ("cut all",), "faults": 0.5, "lease": 2.0, "hot": 0.6, "want": 6.0,
-                              "rate": 100,
-                              "mood": (2.0, 4.0)},
+    "no rest after a lease": {
+        "kinds": ("cut all",),
+        "faults": 0.5,
+        "lease": 2.0,
+        "hot": 0.6,
+        "want": 6.0,
+        "rate": 100,
+        "mood": (2.0, 4.0),
+    },
 }
 MUTANTS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
     "lease by the taker's arrival": ("rights-over-budget", [(State, "lent_by", _by_arrival)]),
--- a/pathsaddle/emulator/state/processes.py
+++ b/pathsaddle/emulator/state/processes.py
@@ -38,6 +38,7 @@
 
 def _dies_with_us() -> None:
     import ctypes
+
     ctypes.CDLL(None).prctl(1, int(signal.SIGKILL), 0, 0, 0)
 
 
@@ -62,22 +63,39 @@
     def begin(self, name: str) -> None:
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
-        charter = {"name": name, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:9",
-                   "number": self.names.index(name),
-                   "dispatchers": len(self.names),
-                   "schemes": [{"name": "a", "semantics": "repeatable", "expiry": "5s"}],
-                   "fleet": {"name": "f", "key": "sixteen bytes or more", "listen": self.own[name],
-                             "address": self.ours[name], "seeds": [self.ours["d0"], self.ours["d1"]],
-                             "folder": str(folder),
-                             "beat": "200ms", "patience": "80ms", "budgets": {BUDGET: RATE},
-                             "lease": f"{LEASE}s"}}
-        told = {"charter": charter, "seed": self.seed, "start": self.start,
-                "log": str(self.folder / f"{name}.log")}
+        charter = {
+            "name": name,
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:9",
+            "number": self.names.index(name),
+            "dispatchers": len(self.names),
+            "schemes": [{"name": "a", "semantics": "repeatable", "expiry": "5s"}],
+            "fleet": {
+                "name": "f",
+                "key": "sixteen bytes or more",
+                "listen": self.own[name],
+                "address": self.ours[name],
+                "seeds": [self.ours["d0"], self.ours["d1"]],
+                "folder": str(folder),
+                "beat": "200ms",
+                "patience": "80ms",
+                "budgets": {BUDGET: RATE},
+                "lease": f"{LEASE}s",
+            },
+        }
+        told = {
+            "charter": charter,
+            "seed": self.seed,
+            "start": self.start,
+            "log": str(self.folder / f"{name}.log"),
+        }
         with (self.folder / f"{name}.err").open("ab") as err:
-            self.running[name] = subprocess.Popen([sys.executable, "-m", "pathsaddle.emulator.state.user",
-                                                   json.dumps(told)],
-                                                  stderr=err, stdout=err,
-                                                  preexec_fn=_dies_with_us)  # noqa: PLW1509  # one thread
+            self.running[name] = subprocess.Popen(
+                [sys.executable, "-m", "pathsaddle.emulator.state.user", json.dumps(told)],
+                stderr=err,
+                stdout=err,
+                preexec_fn=_dies_with_us,  # noqa: PLW1509  # one thread
+            )
 
     def kill(self, name: str) -> None:
         process = self.running.pop(name)
@@ -123,8 +141,11 @@
             await asyncio.sleep(0.5)
         else:
             some = chance.sample(self.names, {"third": 2, "halves": 3}.get(kind, 1))
-            blight = (self.blight(some, lost=0.3, doubled=0.3, shuffle=0.3) if kind == "loss" else
-                      self.blight(some, oneway=kind == "oneway", lost=1.0))
+            blight = (
+                self.blight(some, lost=0.3, doubled=0.3, shuffle=0.3)
+                if kind == "loss"
+                else self.blight(some, oneway=kind == "oneway", lost=1.0)
+            )
             await asyncio.sleep((2.2 if kind == "third" else 1.2) * LEASE)
             del self.air.blights[blight]
             await asyncio.sleep(0.5)
@@ -164,12 +185,16 @@
         took = {name: run.air.meters[name].most(0) for name in run.names}
     kinds = [event.more["kind"] for event in run.events if event.what == "fault"]
     lent = max((event.more["units"] for event in run.events if event.what == "share.rights"), default=0)
-    print(f"processes {len(run.names)}, faults {len(kinds)}: {', '.join(sorted(set(kinds)))}; cpus "
-          f"{os.cpu_count()}")
-    print(f"uses {verdict.spent}, the most in a second {verdict.most_spent} of {RATE}; usable at most "
-          f"{verdict.most_rights}, "
-          f"at one {lent} of its part of {RATE // len(run.names)}; bytes in a second at most "
-          f"{max(took.values())}")
+    print(
+        f"processes {len(run.names)}, faults {len(kinds)}: {', '.join(sorted(set(kinds)))}; cpus "
+        f"{os.cpu_count()}"
+    )
+    print(
+        f"uses {verdict.spent}, the most in a second {verdict.most_spent} of {RATE}; usable at most "
+        f"{verdict.most_rights}, "
+        f"at one {lent} of its part of {RATE // len(run.names)}; bytes in a second at most "
+        f"{max(took.values())}"
+    )
     for fault in verdict.faults:
         print(f"BROKEN {fault}")
     return 1 if verdict.faults or not verdict.spent else 0
@@ -179,7 +204,8 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--events", default="",
-                        help="a file that all that was logged is written to, a line each")
+    parser.add_argument(
+        "--events", default="", help="a file that all that was logged is written to, a line each"
+    )
     told = parser.parse_args()
     sys.exit(main(told.seconds, told.seed, told.events))
--- a/pathsaddle/emulator/state/smoke.py
+++ b/pathsaddle/emulator/state/smoke.py
@@ -80,8 +80,9 @@
             self.wanted[0].wants = 0.0
             self.figures.failed += not self.wanted[2]
         self.at(self.now + int(self.plan.mood[0] * SECOND), self.moods)
-        place = self.chance.choice([place for place in self.places if self.wanted is None
-                                    or place is not self.wanted[0]])
+        place = self.chance.choice(
+            [place for place in self.places if self.wanted is None or place is not self.wanted[0]]
+        )
         place.wants = 2.5 * PART
         self.wanted = place, self.now, False
         self.at(self.now + 1, self.use, place)
@@ -90,8 +91,10 @@
         super().rest(place)
         if self.wanted is not None and place is self.wanted[0] and not self.wanted[2]:
             ms = (self.now - self.wanted[1]) / 10
-            if (place.rights > PART
-                    and len(self.figures.first) <= len(self.figures.whole) + self.figures.failed):
+            if (
+                place.rights > PART
+                and len(self.figures.first) <= len(self.figures.whole) + self.figures.failed
+            ):
                 self.figures.first.append(ms)
             if place.rights >= 2 * PART:
                 self.figures.whole.append(ms)
@@ -120,9 +123,17 @@
 def measure(members: int, loss: float, wants: int, seed: int = 1) -> Figures:
     """Wants of 5 s each, after the first lease: from then on every unit may be lent."""
     begun, mood = 12.0, 5.0
-    plan = Plan(members, seed, begun + wants * mood, rate=PART * members, lease=10.0, loss=loss, faults=0,
-                mood=(mood, mood),
-                quiet=True)
+    plan = Plan(
+        members,
+        seed,
+        begun + wants * mood,
+        rate=PART * members,
+        lease=10.0,
+        loss=loss,
+        faults=0,
+        mood=(mood, mood),
+        quiet=True,
+    )
     ground = Wanting(plan)
     ground.places = [Place(ground, n) for n in range(members)]
     for place in ground.places:
@@ -159,9 +170,12 @@
         spent, checked, most = spent + verdict.spent, checked + verdict.checked, max(most, verdict.most_bytes)
         for fault in verdict.faults[:2]:
             print(f"BROKEN members {members} seed {seed}: {fault}", flush=True)
-    print(f"seeds {first} to {first + count - 1} of random faults, {members} members: broken {broken}, uses "
-          f"{spent}, "
-          f"ages checked {checked}, bytes of one in a second at most {most}", flush=True)
+    print(
+        f"seeds {first} to {first + count - 1} of random faults, {members} members: broken {broken}, uses "
+        f"{spent}, "
+        f"ages checked {checked}, bytes of one in a second at most {most}",
+        flush=True,
+    )
     return broken, spent, checked, most
 
 
@@ -186,8 +200,12 @@
     """A plan, checked whole. Raises Faulty."""
     plan = check(Smoke, load(path), path)
     if unknown := [name for name in plan.mutants if name not in mutants.MUTANTS]:
-        raise Faulty([NotAmong(path, "mutants", shown=repr(name), may=f"some of {', '.join(mutants.MUTANTS)}")
-                      for name in unknown])
+        raise Faulty(
+            [
+                NotAmong(path, "mutants", shown=repr(name), may=f"some of {', '.join(mutants.MUTANTS)}")
+                for name in unknown
+            ]
+        )
     return plan
 
 
@@ -203,13 +221,16 @@
             print(f"BROKEN mutant {fault}", flush=True)
     for one in plan.measured:
         f = measure(one.members, one.loss, one.wants)
-        print(f"members {one.members} loss {one.loss:g}: first unit ms p50 {part(f.first, .5)} p99 "
-              f"{part(f.first, .99)}, all "
-              f"p50 {part(f.whole, .5)} p99 {part(f.whole, .99)} (of {one.wants}, not met {f.failed}); known "
-              f"by all ms p50 "
-              f"{part(f.known, .5)} p99 {part(f.known, .99)} (of {len(f.known)}); bytes {f.bytes:.0f}, cpu "
-              f"us {f.cpu:.0f} a "
-              f"member a second; usable nowhere {f.idle:.3f}", flush=True)
+        print(
+            f"members {one.members} loss {one.loss:g}: first unit ms p50 {part(f.first, 0.5)} p99 "
+            f"{part(f.first, 0.99)}, all "
+            f"p50 {part(f.whole, 0.5)} p99 {part(f.whole, 0.99)} (of {one.wants}, not met {f.failed}); known "
+            f"by all ms p50 "
+            f"{part(f.known, 0.5)} p99 {part(f.known, 0.99)} (of {len(f.known)}); bytes {f.bytes:.0f}, cpu "
+            f"us {f.cpu:.0f} a "
+            f"member a second; usable nowhere {f.idle:.3f}",
+            flush=True,
+        )
     print(f"{plan.name}: broken {broken}")
     return int(broken > 0)
 
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -38,9 +38,13 @@
         self.log = os.open(told["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         ground = Ground()
         folder = self.charter.fleet.folder
-        self.fellows = Fellows(fellow(self.charter), ground,
-                               Lives(Path(folder) if folder else None, self.charter.name),
-                               self.chance, Counters())
+        self.fellows = Fellows(
+            fellow(self.charter),
+            ground,
+            Lives(Path(folder) if folder else None, self.charter.name),
+            self.chance,
+            Counters(),
+        )
         self.fellows.quiet = True
         self.clock = ground.clock
         # One start for all processes, to a tick: the steady clock of the machine.
@@ -53,6 +57,7 @@
         def told_first(now: int) -> None:
             self.tell(now)
             say(now)
+
         shared.say = told_first  # type: ignore[method-assign]
 
     def write(self, now: int, what: str, **more: Any) -> None:
@@ -67,16 +72,24 @@
             # ends at its time, also while we stand still.
             own, left = state.own(now), state.usable(now)
             steps = []
-            for loan in sorted((row[3] for row in state.held if row[3].until > now),
-                               key=lambda loan: loan.until):
+            for loan in sorted(
+                (row[3] for row in state.held if row[3].until > now), key=lambda loan: loan.until
+            ):
                 left -= loan.units
                 steps.append((loan.until - self.base, left))
             rights = own, steps
             if rights != self.rights.get(name):
                 self.rights[name] = rights
                 until = steps[0][0] if steps else now - self.base + 3600 * SECOND
-                self.write(now, "share.rights", budget=name, units=state.usable(now), until=until, floor=own,
-                           steps=steps)
+                self.write(
+                    now,
+                    "share.rights",
+                    budget=name,
+                    units=state.usable(now),
+                    until=until,
+                    floor=own,
+                    steps=steps,
+                )
 
     async def use(self, budget: str, rate: int) -> None:
         """As often as its mood has it, three times its part or nothing."""
@@ -100,9 +113,16 @@
             await asyncio.sleep(0.5)
             now = self.clock.now()
             for shown in self.shared.carry.records(SPARE, now):
-                self.write(now, "record", member=shown.member, life=shown.life, version=shown.version,
-                           least=shown.least,
-                           most=shown.most, sure=shown.sure)
+                self.write(
+                    now,
+                    "record",
+                    member=shown.member,
+                    life=shown.life,
+                    version=shown.version,
+                    least=shown.least,
+                    most=shown.most,
+                    sure=shown.sure,
+                )
 
     async def run(self) -> None:
         now = self.clock.now()
--- a/pathsaddle/emulator/steps.py
+++ b/pathsaddle/emulator/steps.py
@@ -27,8 +27,9 @@
         sys.settrace(self._call)
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, fault: BaseException | None,
-                 where: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, where: TracebackType | None
+    ) -> None:
         sys.settrace(self._before)
 
     def _call(self, frame: FrameType, event: str, told: Any) -> Callable[[FrameType, str, Any], None]:
--- a/pathsaddle/errors.py
+++ b/pathsaddle/errors.py
@@ -43,7 +43,9 @@
         self.do = do or type(self).do.format(**told)
         self.name = name or type(self).name
         self.told = told
-        super().__init__(self.what, self.do, self.name)  # so that it is the same after a way between processes
+        super().__init__(
+            self.what, self.do, self.name
+        )  # so that it is the same after a way between processes
 
     def __str__(self) -> str:
         return f"{self.what}; {self.do} [{self.name}]"
@@ -58,7 +60,11 @@
 def access(fault: BaseException, path: object, folder: object = "") -> str:
     """What can be done where a file can't be had: by what the kernel said of it. `folder`: where it is to be made."""
     if isinstance(fault, FileNotFoundError):
-        return f"make the folder {folder}" if folder else f"give the path of a file that is there instead of {path}"
+        return (
+            f"make the folder {folder}"
+            if folder
+            else f"give the path of a file that is there instead of {path}"
+        )
     if isinstance(fault, PermissionError):
         return f"let the user who runs this have {folder or path} (chmod, chown), or name another"
     if isinstance(fault, NotADirectoryError):
--- a/pathsaddle/experiment/baseline.py
+++ b/pathsaddle/experiment/baseline.py
@@ -37,8 +37,12 @@
     return one if len(one.out) <= len(other.out) else other
 
 
-POLICIES: dict[str, Pick] = {"random": _random, "round-robin": _round_robin,
-                             "least-outstanding": _least_outstanding, "two-choices": _two_choices}
+POLICIES: dict[str, Pick] = {
+    "random": _random,
+    "round-robin": _round_robin,
+    "least-outstanding": _least_outstanding,
+    "two-choices": _two_choices,
+}
 
 
 @contextlib.contextmanager
@@ -54,12 +58,16 @@
         books = [book for book in rooms or self.rooms(self.books.values()) if self.eligible(book, txn)]
         return pick(self, books) if books else None
 
-    with (mock.patch.object(Choice, "best", best), mock.patch.object(Choice, "need", lambda self, txn: -1e9),
-          mock.patch.object(Choice, "look", lambda self, *args: False)):
+    with (
+        mock.patch.object(Choice, "best", best),
+        mock.patch.object(Choice, "need", lambda self, txn: -1e9),
+        mock.patch.object(Choice, "look", lambda self, *args: False),
+    ):
         yield
 
 
 if __name__ == "__main__":
     from pathsaddle.net.service.start import main
+
     with instead(sys.argv[1]):
         sys.exit(main())
--- a/pathsaddle/experiment/compare.py
+++ b/pathsaddle/experiment/compare.py
@@ -48,6 +48,7 @@
 def compare(one: list[Result], other: list[Result], seed: int = 1) -> list[Difference]:
     """Raises NoSeeds where they have no seed in common."""
     import numpy as np
+
     a, b = {r.seed: r for r in one}, {r.seed: r for r in other}
     seeds = [s for s in sorted(a) if s in b]
     if not seeds:
@@ -60,6 +61,15 @@
         right = np.array([figure(b[s]) for s in seeds])
         gaps = right - left
         low, high = np.percentile(gaps[draws].mean(axis=1), [2.5, 97.5])
-        found.append(Difference(name, float(left.mean()), float(right.mean()), float(gaps.mean()), float(low),
-                                float(high), len(seeds)))
+        found.append(
+            Difference(
+                name,
+                float(left.mean()),
+                float(right.mean()),
+                float(gaps.mean()),
+                float(low),
+                float(high),
+                len(seeds),
+            )
+        )
     return found
--- a/pathsaddle/experiment/keep.py
+++ b/pathsaddle/experiment/keep.py
@@ -88,17 +88,24 @@
 def commit_of(root: Path = ROOT) -> str:
     """The checkout's commit, with + where files differ from it; empty outside a repository."""
     try:
-        name = subprocess.run(["git", "rev-parse", "--short=10", "HEAD"], cwd=root, capture_output=True, text=True,
-                              check=True).stdout.strip()
-        dirty = subprocess.run(["git", "status", "--porcelain", "--", "pathsaddle"], cwd=root, text=True,
-                               capture_output=True, check=True).stdout.strip()
+        name = subprocess.run(
+            ["git", "rev-parse", "--short=10", "HEAD"], cwd=root, capture_output=True, text=True, check=True
+        ).stdout.strip()
+        dirty = subprocess.run(
+            ["git", "status", "--porcelain", "--", "pathsaddle"],
+            cwd=root,
+            text=True,
+            capture_output=True,
+            check=True,
+        ).stdout.strip()
     except (OSError, subprocess.CalledProcessError):
         return ""
     if not dirty:
         return name
     # Two dirty states differ: their text is part of the name.
-    changed = subprocess.run(["git", "diff", "HEAD", "--", "pathsaddle"], cwd=root, capture_output=True,
-                             check=False).stdout
+    changed = subprocess.run(
+        ["git", "diff", "HEAD", "--", "pathsaddle"], cwd=root, capture_output=True, check=False
+    ).stdout
     return f"{name}+{hashlib.blake2b(changed, digest_size=4).hexdigest()}"
 
 
--- a/pathsaddle/experiment/overload.py
+++ b/pathsaddle/experiment/overload.py
@@ -39,8 +39,10 @@
         findings = fleet.get("findings") or []
         good = good and not findings and not fleet["fault"]
         parts = [row["whole"]["value"] / row["whole"]["asked_value"] for row in (alone, fleet)]
-        print(f"seed {seed}: value in time off {parts[0]:.3f}, on {parts[1]:.3f}; findings off "
-              f"{len(alone.get('findings') or [])}, on {len(findings)} {findings[:2]} {fleet['fault'][-300:]}")
+        print(
+            f"seed {seed}: value in time off {parts[0]:.3f}, on {parts[1]:.3f}; findings off "
+            f"{len(alone.get('findings') or [])}, on {len(findings)} {findings[:2]} {fleet['fault'][-300:]}"
+        )
     return 0 if good else 1
 
 
--- a/pathsaddle/experiment/run.py
+++ b/pathsaddle/experiment/run.py
@@ -66,8 +66,12 @@
     variant = msgspec.convert(task.variant, Variant)
     other = varied(plan, variant)
     digest, verdict, fault, steps = "", {}, "", Steps()
-    counted = (plan.bounds.lines is not None and task.ground == "virtual" and variant.name == BASE.name
-               and task.seed == plan.all_seeds[0])
+    counted = (
+        plan.bounds.lines is not None
+        and task.ground == "virtual"
+        and variant.name == BASE.name
+        and task.seed == plan.all_seeds[0]
+    )
     try:
         if task.ground == "virtual":
             with instead(variant.policy), steps if counted else contextlib.nullcontext():
@@ -83,11 +87,21 @@
         raise
     except BaseException as what:  # noqa: BLE001  # also Spinning: the other runs go on
         fault = f"{what!r}\n{traceback.format_exc()[-2000:]}"
-    return Result(plan=plan.name, digest=digest_of(plan, variant), variant=variant.name, seed=task.seed,
-                  ground=task.ground, commit=task.commit, machine=machine(),
-                  when=datetime.now(UTC).isoformat(timespec="seconds"),
-                  took=time.perf_counter() - begun, events=digest, verdict=verdict, fault=fault,
-                  lines=steps.lines if counted else None)
+    return Result(
+        plan=plan.name,
+        digest=digest_of(plan, variant),
+        variant=variant.name,
+        seed=task.seed,
+        ground=task.ground,
+        commit=task.commit,
+        machine=machine(),
+        when=datetime.now(UTC).isoformat(timespec="seconds"),
+        took=time.perf_counter() - begun,
+        events=digest,
+        verdict=verdict,
+        fault=fault,
+        lines=steps.lines if counted else None,
+    )
 
 
 def tree(commit: str, ground: str, where: Path) -> tuple[Path, str]:
@@ -96,8 +110,13 @@
     On the virtual ground today's emulator is laid over it, which stands on a handed-in Ground: commits from
     before that run on sockets alone.
     """
-    name = subprocess.run(["git", "rev-parse", "--short=10", f"{commit}^{{commit}}"], cwd=ROOT,
-                          capture_output=True, text=True, check=False).stdout.strip()
+    name = subprocess.run(
+        ["git", "rev-parse", "--short=10", f"{commit}^{{commit}}"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    ).stdout.strip()
     if not name:
         raise NoCommit(commit=commit)
     root = where / f"{name}-{ground}"
@@ -120,16 +139,31 @@
 
 def elsewhere(task: Task) -> Result:
     """A run in an earlier commit's tree, by a process of its own."""
-    done = subprocess.run([sys.executable, "-m", "pathsaddle.experiment.run"], cwd=task.root, check=False,
-                          input=json.dumps(task.__dict__).encode(), capture_output=True,
-                          env={**os.environ, "PYTHONPATH": task.root})
+    done = subprocess.run(
+        [sys.executable, "-m", "pathsaddle.experiment.run"],
+        cwd=task.root,
+        check=False,
+        input=json.dumps(task.__dict__).encode(),
+        capture_output=True,
+        env={**os.environ, "PYTHONPATH": task.root},
+    )
     if done.returncode:
         told = done.stderr.decode(errors="replace")[-2000:]
         plan, variant = of(task.plan, "plan"), msgspec.convert(task.variant, Variant)
-        return Result(plan=plan.name, digest=digest_of(plan, variant), variant=variant.name, seed=task.seed,
-                      ground=task.ground, commit=task.commit, machine=machine(),
-                      when=datetime.now(UTC).isoformat(timespec="seconds"), took=0.0, events="", verdict={},
-                      fault=told)
+        return Result(
+            plan=plan.name,
+            digest=digest_of(plan, variant),
+            variant=variant.name,
+            seed=task.seed,
+            ground=task.ground,
+            commit=task.commit,
+            machine=machine(),
+            when=datetime.now(UTC).isoformat(timespec="seconds"),
+            took=0.0,
+            events="",
+            verdict={},
+            fault=told,
+        )
     return msgspec.json.decode(done.stdout, type=Result)
 
 
@@ -146,6 +180,7 @@
     def heard(number: int, frame: FrameType | None) -> None:
         asked.append(number)
         signal.default_int_handler(number, frame)
+
     try:
         before = signal.signal(signal.SIGINT, heard)
     except ValueError:  # not the main thread: nobody interrupts it
@@ -160,8 +195,15 @@
 class Run:
     """A plan's whole set of runs."""
 
-    def __init__(self, plan: Plan, store: Store, ground: str | None = None, fresh: bool = False,
-                 jobs: int | None = None, seeds: list[int] | None = None) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        store: Store,
+        ground: str | None = None,
+        fresh: bool = False,
+        jobs: int | None = None,
+        seeds: list[int] | None = None,
+    ) -> None:
         self.plan = plan
         self.store = store
         self.ground = ground or plan.ground
@@ -177,7 +219,9 @@
             if variant.commit:
                 root, name = tree(variant.commit, self.ground, store.path.parent / "trees")
             for seed in self.seeds:
-                self.tasks.append(Task(told, msgspec.to_builtins(variant), seed, self.ground, name, str(root)))
+                self.tasks.append(
+                    Task(told, msgspec.to_builtins(variant), seed, self.ground, name, str(root))
+                )
                 self.keys.append((plan.name, digest_of(plan, variant), variant.name, seed, self.ground, name))
         kept = {} if fresh else {result.key: result for result in store.read() if not result.fault}
         self.results: dict[int, Result] = {i: kept[key] for i, key in enumerate(self.keys) if key in kept}
@@ -239,16 +283,22 @@
         if result.verdict["part"] < bounds.value:
             found.append(f"{who}: value {result.verdict['part']:.3f}, at least {bounds.value:g} is stated")
         if whole["settled"] < bounds.settled * whole["jobs"]:
-            found.append(f"{who}: {whole['settled'] / max(1, whole['jobs']):.3f} of the jobs settled, at least "
-                         f"{bounds.settled:g} is stated")
+            found.append(
+                f"{who}: {whole['settled'] / max(1, whole['jobs']):.3f} of the jobs settled, at least "
+                f"{bounds.settled:g} is stated"
+            )
         if result.verdict["declines"] > bounds.declined * tries:
-            found.append(f"{who}: {result.verdict['declines'] / tries:.3f} of the tries declined, at most "
-                         f"{bounds.declined:g} is stated")
+            found.append(
+                f"{who}: {result.verdict['declines'] / tries:.3f} of the tries declined, at most "
+                f"{bounds.declined:g} is stated"
+            )
         if bounds.lines is not None and result.lines is not None and result.lines > bounds.lines:
             found.append(f"{who}: {result.lines} lines run, at most {bounds.lines} are stated")
         known = max(result.verdict.get("fleet", {}).get("known", ()), default=0.0)
         if bounds.known is not None and known > bounds.known / 10:
-            found.append(f"{who}: a death known to all after {known:.0f} ms, at most {bounds.known / 10:.0f} is stated")
+            found.append(
+                f"{who}: a death known to all after {known:.0f} ms, at most {bounds.known / 10:.0f} is stated"
+            )
         if bounds.p99 is not None and whole["p99"] > bounds.p99 / 10:
             found.append(f"{who}: p99 {whole['p99']:.0f} ms, at most {bounds.p99 / 10:.0f} is stated")
     return found
--- a/pathsaddle/experiment/throughput.py
+++ b/pathsaddle/experiment/throughput.py
@@ -67,13 +67,15 @@
                 return
             self.buffer = self.buffer[whole:]
             if not head.startswith(b"POST"):
-                self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n" b'{"x0":8,"queue":0}')
+                self.transport.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"x0":8,"queue":0}')
                 continue
             tag = TAG.search(head)
             assert tag is not None
             self.transport.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
-            self.back.tell(b'{"id":"%s","from":"%s","state":"done","result":"ok","load":{"x0":8,"queue":0,'
-                           b'"inflight":0}}' % (tag[1], self.name))
+            self.back.tell(
+                b'{"id":"%s","from":"%s","state":"done","result":"ok","load":{"x0":8,"queue":0,'
+                b'"inflight":0}}' % (tag[1], self.name)
+            )
 
 
 class _Back(asyncio.Protocol):
@@ -97,8 +99,9 @@
         if self.waiting and not self.out and self.transport is not None and not self.transport.is_closing():
             self.out = True
             body = self.waiting.pop(0)
-            self.transport.write(b"POST /callback HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (
-                len(body), body))
+            self.transport.write(
+                b"POST /callback HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+            )
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
@@ -119,11 +122,17 @@
             name = f"w{part}-{i}"
             back = _Back()
             backs.append(back)
-            server = await loop.create_server(lambda n=name, b=back: _Worker(n.encode(), b),  # type: ignore[misc]
-                                              "127.0.0.1", 0, backlog=64)
+            server = await loop.create_server(
+                lambda n=name, b=back: _Worker(n.encode(), b),  # type: ignore[misc]
+                "127.0.0.1",
+                0,
+                backlog=64,
+            )
             rows.append((name, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"))
         pipe.send(rows)
-        host, _, port = (await loop.run_in_executor(None, pipe.recv)).rpartition(":")  # the dispatcher listens
+        host, _, port = (await loop.run_in_executor(None, pipe.recv)).rpartition(
+            ":"
+        )  # the dispatcher listens
         for back in backs[:64]:
             await loop.create_connection(lambda b=back: b, host, int(port))  # type: ignore[misc]
         for i, back in enumerate(backs[64:]):  # the dispatcher's descriptors are for more than callbacks
@@ -136,10 +145,15 @@
 class _Client(asyncio.Protocol):
     def __init__(self, name: str, scheme: str, owner: str, times: list[float], every: float) -> None:
         self.name, self.number, self.times = name, 0, times
-        self.every, self.due = every, 0.0  # seconds between calls; 0: the next as soon as the last has its answer
-        self.head = (f"POST /{scheme} HTTP/1.1\r\nHost: d\r\nReq-Kind: {scheme}\r\n"
-                     + (f"Req-Owner: {owner}\r\n" if owner else "")
-                     + "Req-Deadline-Ms: 5000\r\nReq-Cost: 1000\r\nContent-Length: 2\r\nReq-Id: ").encode()
+        self.every, self.due = (
+            every,
+            0.0,
+        )  # seconds between calls; 0: the next as soon as the last has its answer
+        self.head = (
+            f"POST /{scheme} HTTP/1.1\r\nHost: d\r\nReq-Kind: {scheme}\r\n"
+            + (f"Req-Owner: {owner}\r\n" if owner else "")
+            + "Req-Deadline-Ms: 5000\r\nReq-Cost: 1000\r\nContent-Length: 2\r\nReq-Id: "
+        ).encode()
         self.buffer = b""
         self.failed = 0
 
@@ -172,8 +186,16 @@
                 self._ask()
 
 
-def _clients(part: int, count: int, listen: str, scheme: str, owner: str, seconds: float, every: float,
-             pipe: Connection) -> None:
+def _clients(
+    part: int,
+    count: int,
+    listen: str,
+    scheme: str,
+    owner: str,
+    seconds: float,
+    every: float,
+    pipe: Connection,
+) -> None:
     import uvloop
 
     async def run() -> tuple[list[float], int, float]:
@@ -206,10 +228,12 @@
     return (int(resident) - int(shared)) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def measure(plan: Plan, workers: int, clients: int, seconds: float, root: Path = ROOT,
-            rate: float = 0.0) -> dict[str, float]:
+def measure(
+    plan: Plan, workers: int, clients: int, seconds: float, root: Path = ROOT, rate: float = 0.0
+) -> dict[str, float]:
     """One measurement of the program in a tree; raises RuntimeError where the dispatcher is never ready."""
     import socket
+
     charter = charter_of(plan)
     context = multiprocessing.get_context("spawn")
     peers: list[tuple[Any, Connection]] = []
@@ -231,22 +255,49 @@
             one.bind(("127.0.0.1", 0))
             listen = f"127.0.0.1:{one.getsockname()[1]}"
         mine = charter_of(plan, listen=listen, discovery="127.0.0.1:9", limits={"sockets": 8192})
-        known = {"index": 1, "snapshot": True, "endpoints": [
-            {"name": name, "address": address, "zone": charter.zones[0], "type": "m", "group": 0,
-             "status": "active", "weight": 1.0, "since_ms": 0} for name, address in rows]}
+        known = {
+            "index": 1,
+            "snapshot": True,
+            "endpoints": [
+                {
+                    "name": name,
+                    "address": address,
+                    "zone": charter.zones[0],
+                    "type": "m",
+                    "group": 0,
+                    "status": "active",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+                for name, address in rows
+            ],
+        }
         folder = Path(space)
         config, command = folder / "d.json", [sys.executable, "-m", "pathsaddle"]
         config.write_text(json.dumps(told(mine, known)), encoding="utf-8")
         if charter.jobs is not None:
             discovery, address = _discovery(known, context)
             peers.append((discovery, peers[0][1]))
-            config.write_text(json.dumps({**plan.charter, "listen": listen, "discovery": address, "limits": {
-                "sockets": 8192}, "jobs": {**plan.charter["jobs"], "path": str(folder / "jobs.db")}}),
-                encoding="utf-8")
+            config.write_text(
+                json.dumps(
+                    {
+                        **plan.charter,
+                        "listen": listen,
+                        "discovery": address,
+                        "limits": {"sockets": 8192},
+                        "jobs": {**plan.charter["jobs"], "path": str(folder / "jobs.db")},
+                    }
+                ),
+                encoding="utf-8",
+            )
             command += ["serve", str(config)]
         with (folder / "log").open("wb") as log:
-            process = subprocess.Popen(command, cwd=root, stderr=log, env={
-                **os.environ, "GW_CONFIG": str(config), "PYTHONPATH": str(root)})
+            process = subprocess.Popen(
+                command,
+                cwd=root,
+                stderr=log,
+                env={**os.environ, "GW_CONFIG": str(config), "PYTHONPATH": str(root)},
+            )
         _ready(listen)
         for peer, pipe in peers[:PARTS]:
             pipe.send(listen)
@@ -254,10 +305,20 @@
         for part in range(PARTS):
             here, there = context.Pipe()
             count = clients // PARTS + (part < clients % PARTS)
-            peer = context.Process(target=_clients, args=(
-                part, count, listen, charter.schemes[0].name,
-                charter.customers[0].name if charter.customers else "", seconds,
-                clients / rate if rate else 0.0, there), daemon=True)
+            peer = context.Process(
+                target=_clients,
+                args=(
+                    part,
+                    count,
+                    listen,
+                    charter.schemes[0].name,
+                    charter.customers[0].name if charter.customers else "",
+                    seconds,
+                    clients / rate if rate else 0.0,
+                    there,
+                ),
+                daemon=True,
+            )
             peer.start()
             asking.append((peer, here))
         for _, pipe in asking:
@@ -281,11 +342,21 @@
     for times, _, _ in told_all:
         for one_time in times:
             histogram.record_value(max(1, int(one_time * 1e6)))
-    return {"workers": workers, "clients": clients, "settled": count, "failed": sum(f for _, f, _ in told_all),
-            "rate": count / seconds, "cpu_us": used / span * 1e6 / max(1e-9, count / seconds),
-            "core": used / span, "p50_ms": histogram.get_value_at_percentile(50) / 1e3,
-            "p99_ms": histogram.get_value_at_percentile(99) / 1e3, "memory_mb": memory, "asked": rate,
-            "commits": commits, "bytes": size}
+    return {
+        "workers": workers,
+        "clients": clients,
+        "settled": count,
+        "failed": sum(f for _, f, _ in told_all),
+        "rate": count / seconds,
+        "cpu_us": used / span * 1e6 / max(1e-9, count / seconds),
+        "core": used / span,
+        "p50_ms": histogram.get_value_at_percentile(50) / 1e3,
+        "p99_ms": histogram.get_value_at_percentile(99) / 1e3,
+        "memory_mb": memory,
+        "asked": rate,
+        "commits": commits,
+        "bytes": size,
+    }
 
 
 def _stored(folder: Path) -> tuple[int, int]:
@@ -295,16 +366,20 @@
     if found is None or not store.exists():
         return 0, 0
     import sqlite3
+
     jobs = sqlite3.connect(store).execute("SELECT count(*) FROM jobs").fetchone()[0]
     return int(float(found[1])), store.stat().st_size // max(1, jobs)
 
 
 def _tell_list(listening: Any, line: bytes) -> None:
     """A discovery server that tells one list and then keeps its watches alive."""
+
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line)
+            )
             while True:
                 await asyncio.sleep(2.0)
                 writer.write(b"1\r\n\n\r\n")
@@ -315,16 +390,20 @@
     async def run() -> None:
         server = await asyncio.start_server(watch, sock=listening)
         await server.serve_forever()
+
     asyncio.run(run())
 
 
 def _discovery(known: dict[str, Any], context: Any) -> tuple[Any, str]:
     import socket
+
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
     address = f"127.0.0.1:{listening.getsockname()[1]}"
     line = json.dumps(known).encode() + b"\n"
-    process = multiprocessing.get_context("fork").Process(target=_tell_list, args=(listening, line), daemon=True)
+    process = multiprocessing.get_context("fork").Process(
+        target=_tell_list, args=(listening, line), daemon=True
+    )
     process.start()
     return process, address
 
@@ -333,6 +412,7 @@
     """How long a dispatcher takes over a store of so many open jobs that were never posted."""
     from pathsaddle.jobs.store import Accepted, DiskWriter, Store
     from pathsaddle.trade import SECOND, Semantics
+
     with tempfile.TemporaryDirectory() as space:
         folder = Path(space)
         store = Store(folder / "jobs.db", DiskWriter(asyncio.new_event_loop(), Random(1), 0.0), lock=False)
@@ -340,17 +420,40 @@
         now = int(time.time() * SECOND)
         scheme = plan.charter["schemes"][0]["name"]
         head = json.dumps([f"/{scheme}", [["Req-Id", "%s"], ["Req-Cost", "1000"]]])
-        store._commit([Accepted(f"j{i}", "", f"k{i}", b"d" * 16, Semantics.REPEATABLE, now, now + 600 * SECOND,
-                                (head % f"j{i}").encode() + b"\n" + b"x" * 200) for i in range(jobs)])
+        store._commit(
+            [
+                Accepted(
+                    f"j{i}",
+                    "",
+                    f"k{i}",
+                    b"d" * 16,
+                    Semantics.REPEATABLE,
+                    now,
+                    now + 600 * SECOND,
+                    (head % f"j{i}").encode() + b"\n" + b"x" * 200,
+                )
+                for i in range(jobs)
+            ]
+        )
         store.close()
         size = (folder / "jobs.db").stat().st_size
         config = folder / "d.json"
-        config.write_text(json.dumps({**plan.charter, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
-                                      "log": {"form": "json"}, "jobs": {"path": str(folder / "jobs.db")}}),
-                          encoding="utf-8")
+        config.write_text(
+            json.dumps(
+                {
+                    **plan.charter,
+                    "listen": "127.0.0.1:0",
+                    "discovery": "127.0.0.1:9",
+                    "log": {"form": "json"},
+                    "jobs": {"path": str(folder / "jobs.db")},
+                }
+            ),
+            encoding="utf-8",
+        )
         begun = time.perf_counter()
-        process = subprocess.Popen([sys.executable, "-m", "pathsaddle", "serve", str(config)], cwd=ROOT,
-                                   stderr=subprocess.PIPE)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "pathsaddle", "serve", str(config)], cwd=ROOT, stderr=subprocess.PIPE
+        )
         assert process.stderr is not None
         ms = 0.0
         try:
@@ -364,13 +467,19 @@
         finally:
             process.kill()
             process.wait()
-        return {"jobs": jobs, "recovered_ms": ms, "from_start_s": whole, "bytes_a_job": size / jobs,
-                "memory_mb": memory}
+        return {
+            "jobs": jobs,
+            "recovered_ms": ms,
+            "from_start_s": whole,
+            "bytes_a_job": size / jobs,
+            "memory_mb": memory,
+        }
 
 
 def _ready(listen: str) -> None:
     import urllib.error
     import urllib.request
+
     for _ in range(200):
         try:
             with urllib.request.urlopen(f"http://{listen}/ready", timeout=1.0) as answer:
@@ -385,24 +494,31 @@
     """All measurements of a plan, shown and kept; 1 where nothing was settled in one."""
     assert plan.throughput is not None
     rows: list[dict[str, Any]] = []
-    click.echo(f"{plan.name}: {machine()}, commit {commit_of()}; one dispatcher on a core of its own, loopback, "
-               f"{plan.throughput.clients} clients, {plan.seconds:g} s each")
+    click.echo(
+        f"{plan.name}: {machine()}, commit {commit_of()}; one dispatcher on a core of its own, loopback, "
+        f"{plan.throughput.clients} clients, {plan.seconds:g} s each"
+    )
     if plan.throughput.recovery:
         for jobs in plan.throughput.recovery:
             for _ in range(plan.throughput.times):
                 rows.append(recover(plan, jobs))
-                click.echo(f"{jobs:7} open jobs: recovered in {rows[-1]['recovered_ms']:.0f} ms, "
-                           f"{rows[-1]['from_start_s']:.2f} s from the process's start, "
-                           f"{rows[-1]['bytes_a_job']:.0f} bytes a job, {rows[-1]['memory_mb']:.0f} MB")
+                click.echo(
+                    f"{jobs:7} open jobs: recovered in {rows[-1]['recovered_ms']:.0f} ms, "
+                    f"{rows[-1]['from_start_s']:.2f} s from the process's start, "
+                    f"{rows[-1]['bytes_a_job']:.0f} bytes a job, {rows[-1]['memory_mb']:.0f} MB"
+                )
         _keep(plan, path, rows)
         return 0
     trees = {"base": (plan, ROOT, commit_of())}
     for variant in plan.variants:
-        root, name = tree(variant.commit, "sockets", path.parent / "trees") if variant.commit else (
-            ROOT, commit_of())
+        root, name = (
+            tree(variant.commit, "sockets", path.parent / "trees") if variant.commit else (ROOT, commit_of())
+        )
         trees[variant.name] = (varied(plan, variant), root, name)
-    click.echo("variant   workers  asked   txns/s  CPU us/txn   core   p50 ms   p99 ms  memory MB  failed  "
-               "commits/txn  bytes/job")
+    click.echo(
+        "variant   workers  asked   txns/s  CPU us/txn   core   p50 ms   p99 ms  memory MB  failed  "
+        "commits/txn  bytes/job"
+    )
     for workers in plan.throughput.workers:
         for rate in plan.throughput.rates:
             found: dict[str, list[dict[str, float]]] = {name: [] for name in trees}
@@ -413,17 +529,21 @@
                     rows.append({"variant": name, "commit": commit, **row})
                     click.echo(_line(name, row))
             for name, those in found.items():
-                click.echo(_line(name, {key: statistics.median(row[key] for row in those) for key in those[0]})
-                           + "  median")
+                click.echo(
+                    _line(name, {key: statistics.median(row[key] for row in those) for key in those[0]})
+                    + "  median"
+                )
     _keep(plan, path, rows)
     return 0 if all(kept["settled"] for kept in rows) else 1
 
 
 def _line(name: str, row: dict[str, float]) -> str:
     each = row["commits"] / max(1.0, row["settled"] * (1 + WARM / 4))
-    return (f"{name:9} {row['workers']:7.0f} {row['asked']:6.0f} {row['rate']:8.0f} {row['cpu_us']:11.1f} "
-            f"{row['core']:6.2f} {row['p50_ms']:8.2f} {row['p99_ms']:8.2f} {row['memory_mb']:10.1f} "
-            f"{row['failed']:7.0f} {each:12.2f} {row['bytes']:10.0f}")
+    return (
+        f"{name:9} {row['workers']:7.0f} {row['asked']:6.0f} {row['rate']:8.0f} {row['cpu_us']:11.1f} "
+        f"{row['core']:6.2f} {row['p50_ms']:8.2f} {row['p99_ms']:8.2f} {row['memory_mb']:10.1f} "
+        f"{row['failed']:7.0f} {each:12.2f} {row['bytes']:10.0f}"
+    )
 
 
 def _keep(plan: Plan, path: Path, rows: list[dict[str, Any]]) -> None:
--- a/pathsaddle/federation/__main__.py
+++ b/pathsaddle/federation/__main__.py
@@ -42,10 +42,13 @@
 @click.argument("spec")
 @click.option("--listen", default="127.0.0.1:0", help="Where it serves the text while it offers it.")
 @click.option("--offer", default=1.0, help="Seconds for which it is offered before it is committed.")
-@click.option("--wait", default=30.0, help="Seconds that it may wait for voters, keepers and who commits before it.")
+@click.option(
+    "--wait", default=30.0, help="Seconds that it may wait for voters, keepers and who commits before it."
+)
 def commit_command(ground: str, spec: str, listen: str, offer: float, wait: float) -> None:
     """Offers a spec and commits it as the next version."""
     from pathsaddle.federation.driver import Committer, ground_of
+
     version = asyncio.run(Committer(ground_of(ground), listen, spec).run(offer, wait))
     click.echo(f"committed: version {version.number}, digest {version.digest}")
 
@@ -56,6 +59,7 @@
 def member_command(ground: str, name: str) -> None:
     """Runs one member's part in the spec."""
     from pathsaddle.federation.driver import MemberProcess, ground_of
+
     asyncio.run(MemberProcess(ground_of(ground), name).run())
 
 
@@ -65,6 +69,7 @@
 def keeper_command(ground: str, name: str) -> None:
     """Runs one keeper."""
     from pathsaddle.federation.driver import KeeperProcess, ground_of
+
     asyncio.run(KeeperProcess(ground_of(ground), name).run())
 
 
--- a/pathsaddle/federation/abroad.py
+++ b/pathsaddle/federation/abroad.py
@@ -98,8 +98,14 @@
         rights = (self.lender.usable(now), until)
         if rights != self.rights:
             self.rights = rights
-            self.process.log("share.rights", now, budget=f"lend-{self.process.region}", units=rights[0],
-                             until=rights[1], floor=floor)
+            self.process.log(
+                "share.rights",
+                now,
+                budget=f"lend-{self.process.region}",
+                units=rights[0],
+                until=rights[1],
+                floor=floor,
+            )
 
     # Evidence and shares.
 
@@ -178,11 +184,30 @@
             sent = Sent(f"{job.tag}/{len(txn.posts)}", place.region, member, now, place.region != txn.home)
             txn.posts[sent.post] = sent
             self.ways.opened(place.region, sent.lent)
-            process.log("abroad.sent", now, post=sent.post, txn=job.tag, scheme=job.scheme, kind=txn.kind,
-                        origin=process.region, to=place.region, version=place.version, home=txn.home,
-                        code=place.code, line=place.line, **{"from": process.region})
-            process.say(member, JOB, scheme=job.scheme, home=txn.home, region=process.region,
-                        data=sent.post.encode(), number=place.version)
+            process.log(
+                "abroad.sent",
+                now,
+                post=sent.post,
+                txn=job.tag,
+                scheme=job.scheme,
+                kind=txn.kind,
+                origin=process.region,
+                to=place.region,
+                version=place.version,
+                home=txn.home,
+                code=place.code,
+                line=place.line,
+                **{"from": process.region},
+            )
+            process.say(
+                member,
+                JOB,
+                scheme=job.scheme,
+                home=txn.home,
+                region=process.region,
+                data=sent.post.encode(),
+                number=place.version,
+            )
             self.later(self.ways.ways[place.region].patience() + WORK, self.silent, txn, sent)
 
     def runs(self, tag: str, post: str, scheme: str, home: str, now: int) -> bool:
@@ -194,8 +219,17 @@
             return False
         if home != process.region and self.lent_to(scheme, rule, self.free(), now):
             return False
-        process.log("region.ran", now, by=process.name, region=process.region, txn=tag, post=post,
-                    kind=rule.semantics, scheme=scheme, home=home)
+        process.log(
+            "region.ran",
+            now,
+            by=process.name,
+            region=process.region,
+            txn=tag,
+            post=post,
+            kind=rule.semantics,
+            scheme=scheme,
+            home=home,
+        )
         return True
 
     def lent_to(self, scheme: str, rule: Rule, free: Free, now: int) -> str:
@@ -214,8 +248,10 @@
             self.txns.pop(txn.job.tag, None)
 
     def expired(self, txn: Txn) -> None:
-        self.answers(txn, "failed" if any(sent.state in ("open", "unknown") for sent in txn.posts.values())
-                     else "declined")
+        self.answers(
+            txn,
+            "failed" if any(sent.state in ("open", "unknown") for sent in txn.posts.values()) else "declined",
+        )
         for sent in txn.posts.values():
             if sent.state == "open":
                 self.ways.ended(sent.region, "gone", sent.lent, self.process.now())
--- a/pathsaddle/federation/check.py
+++ b/pathsaddle/federation/check.py
@@ -45,13 +45,16 @@
     """1 and 2. `moved`: where version 2 has home; another than `home` is the case that needs everybody's
     word."""
     names = ", ".join(f'"m{i}"' for i in range(members))
-    regions = f'[regions.north]\nmembers = [{names}]\n[regions.west]\nmembers = ["w"]\n' \
-              '[regions.south]\nmembers = ["s"]\n'
+    regions = (
+        f'[regions.north]\nmembers = [{names}]\n[regions.west]\nmembers = ["w"]\n'
+        '[regions.south]\nmembers = ["s"]\n'
+    )
 
     def spec(number: int, at: str, to: str) -> Version:
         text = f'{regions}[schemes.a]\nhome = "{at}"\nmay = ["{at}", "{to}"]\nfail_over = ["{to}"]\n'
         made = parse(text)
         return Version(number, made.digest, made)
+
     return spec(1, home, "west"), spec(2, moved, "south" if moved == home else "west")
 
 
@@ -85,8 +88,11 @@
     committed = two if world.register == 2 else one
 
     def member(i: int, state: Holder, *more: Message) -> World:
-        return replace(world, members=(*world.members[:i], state, *world.members[i + 1:]),
-                       air=world.air.union(more) if more else world.air)
+        return replace(
+            world,
+            members=(*world.members[:i], state, *world.members[i + 1 :]),
+            air=world.air.union(more) if more else world.air,
+        )
 
     def read(keeper: Keeper) -> Keeper:
         return keeper.reads(committed.number, committed.digest, committed, now)
@@ -102,8 +108,16 @@
             )
         )
     if world.lives < lives:
-        found.append(("another keeper", replace(world, lives=world.lives + 1, keeper=read(Keeper(
-            LEASE, now, history=(one,), rows=(("s", 2), ("w", 2)))))))
+        found.append(
+            (
+                "another keeper",
+                replace(
+                    world,
+                    lives=world.lives + 1,
+                    keeper=read(Keeper(LEASE, now, history=(one,), rows=(("s", 2), ("w", 2)))),
+                ),
+            )
+        )
     judged = world.keeper.judged(now)
     if judged.force == 2 and not world.forced:
         found.append(("told in force", replace(world, keeper=judged, forced=True)))
@@ -120,13 +134,21 @@
                 took = state.offered(message.version)
                 if took is not state:
                     have = took.has()
-                    found.append((f"{state.name} takes the offer",
-                                  member(i, took, *((have,) if have and have.number > 1 else ()))))
+                    found.append(
+                        (
+                            f"{state.name} takes the offer",
+                            member(i, took, *((have,) if have and have.number > 1 else ())),
+                        )
+                    )
             elif isinstance(message, Commit):
                 took, have = state.told(message)
                 if took is not state or (have is not None and have not in world.air):
-                    found.append((f"{state.name} is told of {message.number}",
-                                  member(i, took, *((have,) if have else ()))))
+                    found.append(
+                        (
+                            f"{state.name} is told of {message.number}",
+                            member(i, took, *((have,) if have else ())),
+                        )
+                    )
             elif isinstance(message, Renewed) and message.name == state.name:
                 took = state.renewed(message, clock)
                 if took != state:
@@ -135,8 +157,12 @@
         if isinstance(message, Ask):
             answer = after.answers(message)
             if answer not in world.air:
-                found.append((f"{message.name} is answered {answer.number}",
-                              replace(world, keeper=after, air=world.air | {answer})))
+                found.append(
+                    (
+                        f"{message.name} is answered {answer.number}",
+                        replace(world, keeper=after, air=world.air | {answer}),
+                    )
+                )
         elif isinstance(message, Have):
             heard = world.keeper.hears(message)
             if heard is not world.keeper:
@@ -168,8 +194,15 @@
     return ""
 
 
-def check(depth: int, members: int = 3, asks: int = 1, lives: int = 2, *, moved: str = "north",
-          first: World | None = None) -> int:
+def check(
+    depth: int,
+    members: int = 3,
+    asks: int = 1,
+    lives: int = 2,
+    *,
+    moved: str = "north",
+    first: World | None = None,
+) -> int:
     """How many worlds there are within `depth` steps; raises Forbidden where the bound fails in one. `moved`
     as in `versions`: with "south" version 2 forbids north itself, which no lease's end makes safe; begun anew
     with an old disk is then left out, since the word is kept on disk before it is sent."""
--- a/pathsaddle/federation/disk.py
+++ b/pathsaddle/federation/disk.py
@@ -39,8 +39,11 @@
 
 
 def lacking(fault: OSError, folder: Path, key: str, file: str) -> NoFolder:
-    do = f"name a folder instead of the file {folder}" if isinstance(fault, FileExistsError) else access(
-        fault, folder, folder)
+    do = (
+        f"name a folder instead of the file {folder}"
+        if isinstance(fault, FileExistsError)
+        else access(fault, folder, folder)
+    )
     return NoFolder("", f"{do}, at {key} in {file}", file=file, key=key, folder=folder, why=why(fault))
 
 
--- a/pathsaddle/federation/driver.py
+++ b/pathsaddle/federation/driver.py
@@ -127,13 +127,18 @@
     if len(ground.key) < 16:
         raise BadKey(file=path, count=len(ground.key))
     if bool(ground.register) == (ground.voters is not None):
-        raise NoWay(f"{path}: {'both register and [voters] stand there' if ground.register else 'no register'}",
-                    "write `register = FOLDER`, or the table [voters], and not both")
+        raise NoWay(
+            f"{path}: {'both register and [voters] stand there' if ground.register else 'no register'}",
+            "write `register = FOLDER`, or the table [voters], and not both",
+        )
     if ground.voters is not None:
         checked(ground.voters, path)
         for name, keeper in ground.keepers.items():
             if not keeper.disk:
-                raise NoWay(f"{path}: keepers.{name}.disk is missing", "give it a folder: with [voters] keepers have the texts")
+                raise NoWay(
+                    f"{path}: keepers.{name}.disk is missing",
+                    "give it a folder: with [voters] keepers have the texts",
+                )
     for table, rows in (("members", ground.members), ("keepers", ground.keepers)):
         for name, row in rows.items():
             for key, told in (("address", row.address), ("listen", row.listen or row.address)):
@@ -147,7 +152,9 @@
 class Process(asyncio.DatagramProtocol):
     """What members, keepers and committers have in common."""
 
-    def __init__(self, ground: Ground, name: str, listen: str, key: str = "", chance: Random | None = None) -> None:
+    def __init__(
+        self, ground: Ground, name: str, listen: str, key: str = "", chance: Random | None = None
+    ) -> None:
         """key: of the ground's file, where `listen` stands; "": the command line said it. Raises NoFolder."""
         self.ground, self.name, self.listen, self.listen_key = ground, name, listen, key
         self.key = ground.key.encode()
@@ -161,8 +168,10 @@
         folder = Path(ground.log)
         had(folder, "log", ground.file)
         self._log = (folder / f"{name}.jsonl").open("ab", buffering=0)
-        self.peers = {**{name: peer_of(row.address) for name, row in ground.members.items()},
-                      **{name: peer_of(row.address) for name, row in ground.keepers.items()}}
+        self.peers = {
+            **{name: peer_of(row.address) for name, row in ground.members.items()},
+            **{name: peer_of(row.address) for name, row in ground.keepers.items()},
+        }
 
     def now(self) -> int:
         """Monotonic; it goes on while this process stands."""
@@ -179,7 +188,9 @@
                 lambda: self, local_addr=peer_of(self.listen)
             )
         except OSError as fault:
-            key, file = (self.listen_key, self.ground.file) if self.listen_key else ("--listen", "the command")
+            key, file = (
+                (self.listen_key, self.ground.file) if self.listen_key else ("--listen", "the command")
+            )
             raise unhad(fault, key, self.listen, file) from None
 
     def connection_made(self, transport: Any) -> None:
@@ -228,8 +239,15 @@
         if text is None:
             return
         for i in range(said.first, min((said.first // AT_ONCE + 1) * AT_ONCE, -(-len(text) // PIECE))):
-            self.say(said.name, TEXT, number=said.number, digest=said.digest, size=len(text), first=i,
-                     data=text[i * PIECE:(i + 1) * PIECE])
+            self.say(
+                said.name,
+                TEXT,
+                number=said.number,
+                digest=said.digest,
+                size=len(text),
+                first=i,
+                data=text[i * PIECE : (i + 1) * PIECE],
+            )
 
     def end(self) -> None:
         if self.transport is not None:
@@ -251,8 +269,12 @@
         """serving: a dispatcher's own jobs go abroad. Raises NoMember, NoFolder, SpecFaulty."""
         self.serving = serving
         form: MemberForm = ground.named("members", ground.members, name)
-        super().__init__(ground, name, form.listen or form.address,
-                         f"members.{name}.{'listen' if form.listen else 'address'}")
+        super().__init__(
+            ground,
+            name,
+            form.listen or form.address,
+            f"members.{name}.{'listen' if form.listen else 'address'}",
+        )
         self.region = form.region
         self.disk = Disk(Path(form.disk), name, ground.file)
         version = self.disk.last()
@@ -363,9 +385,19 @@
             places = [region for region in sorted(rule.may) if region != self.region]
             for region in places:
                 txn = f"{self.name}/{self.life}/{self.count}/{scheme}"
-                self.log("abroad.sent", now, post=f"{txn}/{region}", txn=f"{txn}/{region}", scheme=scheme,
-                         kind=rule.semantics, origin=self.region, to=region, version=self.holder.base.number,
-                         home=rule.home, **{"from": self.region})
+                self.log(
+                    "abroad.sent",
+                    now,
+                    post=f"{txn}/{region}",
+                    txn=f"{txn}/{region}",
+                    scheme=scheme,
+                    kind=rule.semantics,
+                    origin=self.region,
+                    to=region,
+                    version=self.holder.base.number,
+                    home=rule.home,
+                    **{"from": self.region},
+                )
                 names = [name for name, row in sorted(self.ground.members.items()) if row.region == region]
                 if names:
                     self.say(
@@ -408,8 +440,12 @@
     def __init__(self, ground: Ground, name: str) -> None:
         """Raises NoMember, NoFolder."""
         form: KeeperForm = ground.named("keepers", ground.keepers, name)
-        super().__init__(ground, name, form.listen or form.address,
-                         f"keepers.{name}.{'listen' if form.listen else 'address'}")
+        super().__init__(
+            ground,
+            name,
+            form.listen or form.address,
+            f"keepers.{name}.{'listen' if form.listen else 'address'}",
+        )
         self.core = Keeper(int(ground.lease), self.now(), gone=tuple(ground.gone))
         self.waiting: dict[str, Ask] = {}  # the last of each member that no reading answers yet
         self.wanted: dict[tuple[int, str], int] = {}
@@ -439,10 +475,14 @@
         if (version.number, version.digest) not in known:
             self.texts[version.number, version.digest] = version.spec.text.encode()
             spec = version.spec
-            self.log("spec.version", state="committed", version=version.number,
-                     may={scheme: sorted(spec.rule(scheme, "").may) for scheme in sorted(spec.schemes)},
-                     home={scheme: form.home for scheme, form in sorted(spec.schemes.items())},
-                     data={data: sorted(spec.readable(data)) for data in sorted(spec.data)})
+            self.log(
+                "spec.version",
+                state="committed",
+                version=version.number,
+                may={scheme: sorted(spec.rule(scheme, "").may) for scheme in sorted(spec.schemes)},
+                home={scheme: form.home for scheme, form in sorted(spec.schemes.items())},
+                data={data: sorted(spec.readable(data)) for data in sorted(spec.data)},
+            )
 
     def read(self) -> None:
         """Of the folder. What voters say comes by `readings`."""
@@ -592,8 +632,15 @@
             return self.version
         assert self.ground.voters is not None
         with tempfile.TemporaryDirectory() as folder:
-            voted = Voted(self.ground.voters, f"{COMMITTER}.{self.chance.randrange(SLOTS)}", self.listen, Path(folder),
-                          self.chance, self.log, commits=True)
+            voted = Voted(
+                self.ground.voters,
+                f"{COMMITTER}.{self.chance.randrange(SLOTS)}",
+                self.listen,
+                Path(folder),
+                self.chance,
+                self.log,
+                commits=True,
+            )
             voted.begin()
             try:
                 line = await voted.first(time.monotonic() + wait)
@@ -601,8 +648,10 @@
                 until = time.monotonic() + offer
                 await self.offers(until, until + wait)
                 size = len(self.spec.text.encode())
-                await voted.commit(Entry(self.version.number, bytes.fromhex(self.version.digest), size),
-                                   time.monotonic() + wait)
+                await voted.commit(
+                    Entry(self.version.number, bytes.fromhex(self.version.digest), size),
+                    time.monotonic() + wait,
+                )
             finally:
                 await voted.end()
         return self.version
@@ -613,15 +662,22 @@
         size, need = len(self.spec.text.encode()), len(self.ground.keepers) // 2 + 1
         while time.monotonic() < until or (last and len(self.kept) < need):
             if last and time.monotonic() >= last:
-                raise NoWay(f"{len(self.kept)} of {len(self.ground.keepers)} keepers took the text: nothing was committed",
-                            f"start {', '.join(sorted(set(self.ground.keepers) - set(self.kept)))} and commit again")
-            for name in sorted({**self.ground.members, **self.ground.keepers} if last else self.ground.members):
+                raise NoWay(
+                    f"{len(self.kept)} of {len(self.ground.keepers)} keepers took the text: nothing was committed",
+                    f"start {', '.join(sorted(set(self.ground.keepers) - set(self.kept)))} and commit again",
+                )
+            for name in sorted(
+                {**self.ground.members, **self.ground.keepers} if last else self.ground.members
+            ):
                 self.say(name, OFFER, number=self.version.number, digest=self.version.digest, size=size)
             await asyncio.sleep(0.2 if last else min(0.2, max(0.0, until - time.monotonic()) + 0.001))
 
     def heard(self, said: Said) -> None:
         if said.kind == WANT:
             self.serve(said)
-        elif said.kind == HAVE and said.name in self.ground.keepers and (
-                said.number, said.digest) == (self.version.number, self.version.digest):
+        elif (
+            said.kind == HAVE
+            and said.name in self.ground.keepers
+            and (said.number, said.digest) == (self.version.number, self.version.digest)
+        ):
             self.kept[said.name] = None
--- a/pathsaddle/federation/spec.py
+++ b/pathsaddle/federation/spec.py
@@ -210,8 +210,10 @@
 
 @lru_cache(1024)
 def _withdrawn(old: Spec, new: Spec, here: str) -> bool:
-    return any(not old.rule(name, here).alone().may <= new.rule(name, here).may
-               for name in {**old.schemes, **new.schemes})
+    return any(
+        not old.rule(name, here).alone().may <= new.rule(name, here).may
+        for name in {**old.schemes, **new.schemes}
+    )
 
 
 def load(path: str | Path) -> Spec:
@@ -262,7 +264,8 @@
             near = difflib.get_close_matches(name, known, 1, 0.5)
         hint = f"the nearest known is {near[0]}" if near else f"known are {', '.join(known[:8]) or 'none'}"
         self.says(
-            path, f"nobody has a {kind} {name!r} ({hint}); write one that is there, or add [{kind_table(kind)}.{name}]"
+            path,
+            f"nobody has a {kind} {name!r} ({hint}); write one that is there, or add [{kind_table(kind)}.{name}]",
         )
 
 
@@ -277,8 +280,10 @@
     of: dict[str, str] = {}
     for region, told in names.items():
         if not told.members:
-            found.says(f"regions.{region}.members", "a region that nobody has; name its dispatchers, or take "
-                                                    f"[regions.{region}] out")
+            found.says(
+                f"regions.{region}.members",
+                f"a region that nobody has; name its dispatchers, or take [regions.{region}] out",
+            )
         for member in told.members:
             if member in of:
                 found.says(
@@ -319,8 +324,12 @@
                 found.unknown(f"{path}.{key}", region, "region", names)
         if len(set(told)) < len(told):
             twice = next(region for region in told if told.count(region) > 1)
-            found.says(f"{path}.{key}", f"{twice!r} stands there twice, a circle; leave it once"
-                       if key == "fail_over" else f"{twice!r} stands there twice; leave it once")
+            found.says(
+                f"{path}.{key}",
+                f"{twice!r} stands there twice, a circle; leave it once"
+                if key == "fail_over"
+                else f"{twice!r} stands there twice; leave it once",
+            )
     if scheme.home not in may:
         found.says(
             f"{path}.home",
@@ -328,8 +337,10 @@
             "there or move home",
         )
     if scheme.home in scheme.fail_over:
-        found.says(f"{path}.fail_over", f"it fails over from {scheme.home} to itself, a circle; take "
-                                        f"{scheme.home!r} out")
+        found.says(
+            f"{path}.fail_over",
+            f"it fails over from {scheme.home} to itself, a circle; take {scheme.home!r} out",
+        )
     for region in dict.fromkeys(scheme.fail_over):
         if region not in may and region in names:
             found.says(
--- a/pathsaddle/federation/txn_service.py
+++ b/pathsaddle/federation/txn_service.py
@@ -101,8 +101,9 @@
 
     def free(self) -> Free:
         """Of this dispatcher's room. Own ones wait: they are taken and nowhere posted."""
-        waiting = sum(not entry.txn.postings for entry in self.ledger.unanswered()
-                      if entry.txn.tag not in self.foreign)
+        waiting = sum(
+            not entry.txn.postings for entry in self.ledger.unanswered() if entry.txn.tag not in self.foreign
+        )
         of: dict[str, int] = {}
         for scheme in self.foreign.values():
             of[scheme] = of.get(scheme, 0) + 1
@@ -146,8 +147,17 @@
         """Before any of it can have an effect."""
         self.foreign[txn.tag] = scheme
         self.counters.add("abroad.taken")
-        self.member.log("region.ran", now, by=self.member.name, region=self.member.region, txn=txn.tag,
-                        post=txn.tag, kind=rule.semantics, scheme=scheme, home=rule.home)
+        self.member.log(
+            "region.ran",
+            now,
+            by=self.member.name,
+            region=self.member.region,
+            txn=txn.tag,
+            post=txn.tag,
+            kind=rule.semantics,
+            scheme=scheme,
+            home=rule.home,
+        )
 
     def _lent(self, scheme: str, rule: Rule, now: int) -> str:
         if rule.home == self.member.region:
@@ -191,8 +201,10 @@
         place = member.abroad.ways.choose(
             job, holder.rule(name, now), holder.base.spec, holder.base.number, now
         )
-        logbook.note(text=f"{txn.tag} {place.what} {place.code} {place.region} {place.key} line {place.line} "
-                          f"version {place.version}")
+        logbook.note(
+            text=f"{txn.tag} {place.what} {place.code} {place.region} {place.key} line {place.line} "
+            f"version {place.version}"
+        )
         return place
 
     def _leaves(self, txn: Txn, come_back: int) -> bool:
@@ -210,8 +222,14 @@
         self._events.call_soon(self.ledger.close, entry)
         return True
 
-    def _sets_out(self, entry: Entry, place: Place, come_back: int, before: Crossing | None = None,
-                  unknown: list[str] | None = None) -> bool:
+    def _sets_out(
+        self,
+        entry: Entry,
+        place: Place,
+        come_back: int,
+        before: Crossing | None = None,
+        unknown: list[str] | None = None,
+    ) -> bool:
         """Whether there is a door to go to; then its answer is the answer. before: it comes back from
         another."""
         txn, member, now = entry.txn, self.member, self.member.now()
--- a/pathsaddle/federation/versions.py
+++ b/pathsaddle/federation/versions.py
@@ -166,8 +166,12 @@
         if number < self.known[0] or (number, digest) == self.known:
             return self
         base = next((one for one in self.offers if (one.number, one.digest) == (number, digest)), self.base)
-        return replace(self, known=(number, digest), base=base,
-                       offers=tuple(one for one in self.offers if one.number > number))
+        return replace(
+            self,
+            known=(number, digest),
+            base=base,
+            offers=tuple(one for one in self.offers if one.number > number),
+        )
 
     def caught_up(self, version: Version[T]) -> Holder[T]:
         """A version that is surely committed, perhaps below the highest known: on the way to that one. Keep it on disk,
@@ -196,13 +200,16 @@
         until = asked + maybe(self.lease)
         if until <= self.until and after is self:
             return self
-        return replace(after, until=max(self.until, until),
-                       open=tuple(row for row in self.open if row[0] > told.echo))
+        return replace(
+            after, until=max(self.until, until), open=tuple(row for row in self.open if row[0] > told.echo)
+        )
 
     def ends(self) -> int:
         """Until when it goes by `base` and more than home alone: not at all, where a higher one is known without its
         text, or where the spec doesn't name this member."""
-        if (self.base.number, self.base.digest) != self.known or not self.base.spec.has_member(self.name, self.here):
+        if (self.base.number, self.base.digest) != self.known or not self.base.spec.has_member(
+            self.name, self.here
+        ):
             return NEVER
         return self.until
 
@@ -261,8 +268,9 @@
         ):
             history = tuple(sorted((*history, version), key=lambda one: one.number))
         if number > self.known[0]:
-            return replace(self, known=(number, digest), since=now, history=history,
-                           learnt=(*self.learnt, (number, now)))
+            return replace(
+                self, known=(number, digest), since=now, history=history, learnt=(*self.learnt, (number, now))
+            )
         return replace(self, history=history) if history is not self.history else self
 
     def answers(self, ask: Ask) -> Renewed:
@@ -271,7 +279,8 @@
 
     def hears(self, have: Have) -> Keeper[T]:
         if (have.number, have.digest) != self.known and not any(
-                (one.number, one.digest) == (have.number, have.digest) for one in self.history):
+            (one.number, one.digest) == (have.number, have.digest) for one in self.history
+        ):
             return self
         rows = dict(self.rows)
         if rows.get(have.name, 0) >= have.number:
@@ -339,7 +348,7 @@
             if number > over or has < self.begins > 1:
                 return True
             if (number, here) not in memo:
-                memo[number, here] = _last_withdrawn(self.history[:i + 1], here)
+                memo[number, here] = _last_withdrawn(self.history[: i + 1], here)
             return has <= memo[number, here]
 
         for i in range(len(self.history) - 1, -1, -1):
@@ -364,9 +373,13 @@
         begins = max(self.begins, cleared, self.history[-1].number - most + 1 if self.history else 0)
         if begins == self.begins and cleared == self.cleared:
             return self
-        return replace(self, begins=begins, cleared=cleared,
-                       history=tuple(one for one in self.history if one.number >= begins),
-                       learnt=tuple(row for row in self.learnt if row[0] >= begins))
+        return replace(
+            self,
+            begins=begins,
+            cleared=cleared,
+            history=tuple(one for one in self.history if one.number >= begins),
+            learnt=tuple(row for row in self.learnt if row[0] >= begins),
+        )
 
 
 @lru_cache(64)
@@ -400,8 +413,11 @@
             found += [
                 Change(name, region, "scheme", name not in new.schemes) for region in sorted(inside.may)
             ]
-            found += [Change(name, region, "scheme", name in new.schemes)
-                      for region in sorted(new.regions) if region not in inside.may]
+            found += [
+                Change(name, region, "scheme", name in new.schemes)
+                for region in sorted(new.regions)
+                if region not in inside.may
+            ]
             continue
         one, two = old.rule(name, ""), new.rule(name, "")
         found += [Change(name, region, "may", region in one.may) for region in sorted(one.may ^ two.may)]
@@ -410,9 +426,18 @@
             found.append(Change(name, "", "at_most", two.at_most < one.at_most))
         if one.staleness != two.staleness:
             far = 1 << 60
-            found.append(Change(name, "", "staleness", (far if two.staleness is None else two.staleness)
-                                < (far if one.staleness is None else one.staleness)))
+            found.append(
+                Change(
+                    name,
+                    "",
+                    "staleness",
+                    (far if two.staleness is None else two.staleness)
+                    < (far if one.staleness is None else one.staleness),
+                )
+            )
     for name in sorted({**old.data, **new.data}):
-        found += [Change(f"data.{name}", region, "may", region in old.readable(name))
-                  for region in sorted(old.readable(name) ^ new.readable(name))]
+        found += [
+            Change(f"data.{name}", region, "may", region in old.readable(name))
+            for region in sorted(old.readable(name) ^ new.readable(name))
+        ]
     return found
--- a/pathsaddle/federation/voted.py
+++ b/pathsaddle/federation/voted.py
@@ -53,12 +53,20 @@
 def checked(form: VotersForm, file: str) -> None:
     """Raises NoAddress, NoWay."""
     if len(form.key) < 16:
-        raise NoWay(f"{file}: voters.key: a text stands there, of {len(form.key)} characters",
-                    f"write the voters' fleet.key, 16 characters at least, at voters.key in {file}")
+        raise NoWay(
+            f"{file}: voters.key: a text stands there, of {len(form.key)} characters",
+            f"write the voters' fleet.key, 16 characters at least, at voters.key in {file}",
+        )
     if len(form.names) not in (3, 5):
-        raise NoWay(f"{file}: voters.names has {len(form.names)}", f"write the 3 or 5 of the voters' fleet.owners.voters at voters.names in {file}")
+        raise NoWay(
+            f"{file}: voters.names has {len(form.names)}",
+            f"write the 3 or 5 of the voters' fleet.owners.voters at voters.names in {file}",
+        )
     if form.lease < SECOND // 2:
-        raise NoWay(f"{file}: voters.lease is {form.lease / SECOND} s", f"write 500ms at least at voters.lease in {file}")
+        raise NoWay(
+            f"{file}: voters.lease is {form.lease / SECOND} s",
+            f"write 500ms at least at voters.lease in {file}",
+        )
     for name, address in form.names.items():
         try:
             peer_of(address)
@@ -86,19 +94,37 @@
     try:
         return _entries(data) if data else ()
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise NoWay(f"the voters' key {KEY!r} holds what is no list of versions",
-                    f"take {KEY!r} out of fleet.owners.keys wherever it stands: commits alone own it") from None
+        raise NoWay(
+            f"the voters' key {KEY!r} holds what is no list of versions",
+            f"take {KEY!r} out of fleet.owners.keys wherever it stands: commits alone own it",
+        ) from None
 
 
 class Voted:
     """What keepers read and committers change. tell: each thing that happens, as histories name it."""
 
-    def __init__(self, form: VotersForm, name: str, listen: str, folder: Path, chance: Random,
-                 tell: Callable[..., None], commits: bool = False) -> None:
+    def __init__(
+        self,
+        form: VotersForm,
+        name: str,
+        listen: str,
+        folder: Path,
+        chance: Random,
+        tell: Callable[..., None],
+        commits: bool = False,
+    ) -> None:
         """name: nobody else's in this moment, among at most some thousands ever. Raises what
         ownership's Register does."""
-        told = Told(name, form.fleet, form.key.encode(), dict(form.names), f"{peer_of(listen)[0]}:0", folder,
-                    int(form.lease), {KEY: True} if commits else {})
+        told = Told(
+            name,
+            form.fleet,
+            form.key.encode(),
+            dict(form.names),
+            f"{peer_of(listen)[0]}:0",
+            folder,
+            int(form.lease),
+            {KEY: True} if commits else {},
+        )
         self.tell, self.name, self.asked = tell, name, 0
         self.register = Register(told, Ground(), chance, Counters())
         self.register.owner.histories = True
@@ -123,8 +149,16 @@
         if value is None:
             self.tell("reg.end", who=self.name, op=op, outcome="unknown")
             return None
-        self.tell("reg.end", who=self.name, op=op, outcome="ok", number=value.number, owner=value.owner,
-                  revision=value.revision, value=value.data.hex() or None)
+        self.tell(
+            "reg.end",
+            who=self.name,
+            op=op,
+            outcome="ok",
+            number=value.number,
+            owner=value.owner,
+            revision=value.revision,
+            value=value.data.hex() or None,
+        )
         return value.number, entries(value.data)
 
     async def first(self, until: float) -> tuple[Entry, ...]:
@@ -134,8 +168,10 @@
             if found is not None:
                 return found[1]
             await asyncio.sleep(0.02)
-        raise NoWay("no majority of the voters answers: nothing was committed",
-                    "start those of voters.names that are down, or mend the ways to them, and commit again")
+        raise NoWay(
+            "no majority of the voters answers: nothing was committed",
+            "start those of voters.names that are down, or mend the ways to them, and commit again",
+        )
 
     async def commit(self, entry: Entry, until: float) -> None:
         """Raises Outrun where the number is taken, NoWay where nobody can be asked in time."""
@@ -150,8 +186,10 @@
             if entry in line:
                 return  # a change of ours of which we heard nothing, carried on by the voters
             if (line[-1].number if line else 0) != entry.number - 1:
-                raise Outrun(f"another spec was committed as {entry.number} ({line[-1].number if line else 0} is the highest)",
-                             "compare yours with what is committed now and commit again")
+                raise Outrun(
+                    f"another spec was committed as {entry.number} ({line[-1].number if line else 0} is the highest)",
+                    "compare yours with what is committed now and commit again",
+                )
             if self.register.may_act(KEY) != number:
                 continue  # owned anew since the reading: what was read may be no longer so
             # From here on the number guards it: voters take the change only while this very owning is the last.
@@ -159,10 +197,12 @@
             if await self.register.put(KEY, msgspec.msgpack.encode((*line, entry)[-LATEST:])):
                 return
         raise NoWay(
-            f"no majority of the voters answers: whether {entry.number} was committed can't be told" if tried else
-            "no majority of the voters lets us own the register: nothing was committed",
+            f"no majority of the voters answers: whether {entry.number} was committed can't be told"
+            if tried
+            else "no majority of the voters lets us own the register: nothing was committed",
             "start those of voters.names that are down, or mend the ways to them, then commit again: a spec that is committed "
-            "already is told as such")
+            "already is told as such",
+        )
 
     def _hear(self, one: Happened) -> None:
         more: dict[str, Any] = {"who": self.name, "key": one.key, "number": one.number}
@@ -183,7 +223,12 @@
         elif one.what == "end":
             more = {"who": self.name, "op": one.op, "outcome": one.why}
             if one.why == "ok":
-                more |= {"number": one.number, "owner": self.name, "revision": one.revision, "value": one.data.hex() or None}
+                more |= {
+                    "number": one.number,
+                    "owner": self.name,
+                    "revision": one.revision,
+                    "value": one.data.hex() or None,
+                }
             self.tell("reg.end", **more)
 
 
@@ -200,8 +245,10 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as fault:
-            raise NoWay(f"{folder} can't be made: {why(fault)}",
-                        access(fault, folder, folder) + f", at keepers.{name}.disk") from None
+            raise NoWay(
+                f"{folder} can't be made: {why(fault)}",
+                access(fault, folder, folder) + f", at keepers.{name}.disk",
+            ) from None
         for path in sorted(folder.glob("[0-9]*.toml")):
             # A cut file is not there: another keeper has it.
             with contextlib.suppress(OSError, ValueError, FederationFault):
@@ -215,7 +262,7 @@
     def keep(self, version: Version) -> None:
         """An offer, or one committed that was not there. Raises OSError."""
         offers = sorted(self.folder.glob("[0-9]*-*.toml"), key=lambda path: path.stat().st_mtime_ns)
-        for path in offers[:max(0, len(offers) + 1 - OFFERS)]:
+        for path in offers[: max(0, len(offers) + 1 - OFFERS)]:
             self.have.pop((int(path.stem[:9]), path.stem[10:]), None)
             path.unlink()
         synced(self.folder / f"{version.number:09}-{version.digest}.toml", version.spec.text.encode())
--- a/pathsaddle/federation/ways.py
+++ b/pathsaddle/federation/ways.py
@@ -200,8 +200,14 @@
 
     def choose(self, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
         def place(what: str, code: str, key: str, **more: object) -> Place:
-            return Place(what, code, key=f"schemes.{job.scheme}.{key}", line=spec.line(job.scheme, key),
-                         version=version, **more)  # type: ignore[arg-type]
+            return Place(
+                what,
+                code,
+                key=f"schemes.{job.scheme}.{key}",
+                line=spec.line(job.scheme, key),
+                version=version,
+                **more,  # type: ignore[arg-type]
+            )
 
         if job.unknown and rule.semantics == "once-only":
             return place("wait-out", "may-have-run", "semantics")
@@ -239,12 +245,19 @@
         if rule.home == self.here and rule.home in rule.may and not job.unknown:
             return place("decline", f"{why}-no-way", "when" if why not in rule.when else "fail_over")
         if why == "lost" and job.left - now > job.work + 200 * MILLISECOND:
-            return place("hold", "lost-home-alone", "when" if why not in rule.when else "fail_over",
-                         until=min(now + 100 * MILLISECOND, job.left))
+            return place(
+                "hold",
+                "lost-home-alone",
+                "when" if why not in rule.when else "fail_over",
+                until=min(now + 100 * MILLISECOND, job.left),
+            )
         if job.unknown and rule.semantics == "referenced":
             return place("wait-out", "may-have-run", "semantics")
-        return place("decline", f"{why}-no-way" if why != "residency" else "residency",
-                     "may" if why == "residency" else "fail_over")
+        return place(
+            "decline",
+            f"{why}-no-way" if why != "residency" else "residency",
+            "may" if why == "residency" else "fail_over",
+        )
 
     def _here(self, job: Job, rule: Rule, spec: Spec, place: Placer, now: int, code: str) -> Place:
         """In this region, if its data may be had."""
@@ -259,8 +272,7 @@
                         return place("decline", "stale", "stale")
                     return place("hold", "stale", "stale", until=later)
                 return place("run", code, "data", region=self.here, fetch=True)
-        return place("run", code, "home" if code == "home" else "fail_over",
-                     region=self.here)
+        return place("run", code, "home" if code == "home" else "fail_over", region=self.here)
 
     def _abroad(self, job: Job, rule: Rule, spec: Spec, now: int) -> tuple[str, bool] | None:
         """The first in the spec's order that can do it in time; one that has a fresh copy before one that
--- a/pathsaddle/federation/wire.py
+++ b/pathsaddle/federation/wire.py
@@ -100,6 +100,7 @@
     def took(self, said: Said) -> bytes | None:
         """The whole text, once it is there and is what the digest says."""
         import hashlib
+
         found = self._texts.get((said.number, said.digest))
         if found is None:
             return None
--- a/pathsaddle/fleet/asking.py
+++ b/pathsaddle/fleet/asking.py
@@ -34,8 +34,10 @@
 class Unreached(Unasked):
     name = "control.unreached"
     what = "{address}: nobody takes connections there ({why})"
-    do = ("start the dispatcher that has {address} at fleet.control in its charter, on this machine (`pathsaddle serve "
-          "CHARTER`), or say another's address")
+    do = (
+        "start the dispatcher that has {address} at fleet.control in its charter, on this machine (`pathsaddle serve "
+        "CHARTER`), or say another's address"
+    )
 
 
 class Silent(Unasked):
@@ -86,7 +88,9 @@
     do = "report the trace at `fault-control` in the log of the dispatcher at {address}"
 
 
-TOLD: dict[str, type[Unasked]] = {kind.name: kind for kind in (NoSuchWord, NoBudgets, NotMetered, Ended, Faulted)}
+TOLD: dict[str, type[Unasked]] = {
+    kind.name: kind for kind in (NoSuchWord, NoBudgets, NotMetered, Ended, Faulted)
+}
 
 
 async def ask(address: str, word: str, within: float) -> dict[str, Any]:
@@ -124,6 +128,7 @@
 def _kernel(fault: OSError) -> str:
     """asyncio puts an address and a tuple where the kernel's word would stand."""
     import os
+
     return os.strerror(fault.errno).lower() if fault.errno else why(fault)
 
 
--- a/pathsaddle/fleet/driver.py
+++ b/pathsaddle/fleet/driver.py
@@ -82,27 +82,46 @@
         self.on_change: list[Callable[[Change], None]] = []
         self.quiet = False  # no log line for each change, where a thousand of them share one machine
         self.meter = Unmetered()
-        self.control: Callable[[], dict[str, Any]] | None = None  # what is told of control's cost, where it is metered
+        self.control: Callable[[], dict[str, Any]] | None = (
+            None  # what is told of control's cost, where it is metered
+        )
         now = self.clock.now()
         life = life_of(now // MILLISECOND, lives.last(), chance)
         try:
             lives.keep(life)
         except OSError as fault:
             folder = getattr(getattr(lives, "path", None), "parent", "")  # a stand-in's disk has no path
-            raise NoFolder("", access(fault, folder, folder) + f", at fleet.folder in {told.file}", file=told.file,
-                           folder=folder, why=why(fault)) from None
-        me = Row(told.name, life, 0, ALIVE, told.address, told.zone, FORM if told.budgets is None else CARRIED)
+            raise NoFolder(
+                "",
+                access(fault, folder, folder) + f", at fleet.folder in {told.file}",
+                file=told.file,
+                folder=folder,
+                why=why(fault),
+            ) from None
+        me = Row(
+            told.name, life, 0, ALIVE, told.address, told.zone, FORM if told.budgets is None else CARRIED
+        )
         self.life = life
         self.core = Membership(me, told.ways, told.seeds, chance, now)
         self.shared: Shared | None = None
         if told.budgets is not None:
-            self.shared = Shared(told.name, life, told.ways.fleet, told.ways.key, self.core.purse, told.ways.beat,
-                                 told.budgets, chance, now)
+            self.shared = Shared(
+                told.name,
+                life,
+                told.ways.fleet,
+                told.ways.key,
+                self.core.purse,
+                told.ways.beat,
+                told.budgets,
+                chance,
+                now,
+            )
         try:
             self.sock, peer = ground.datagrams(told.listen)
             self.sock.bind(peer)
         except (OSError, ValueError) as fault:
             from pathsaddle.net.service.place import unhad
+
             raise unhad(fault, "fleet.listen", told.listen, told.file) from None
         self._peers: dict[str, Peer | None] = {}
         self._alarm: asyncio.TimerHandle | None = None
@@ -113,7 +132,9 @@
         self._control: socket.socket | None = None
         self._askers = 0
         self._failed = 0  # wakes in a row
-        self._not_before = 0  # the next wake after a failed one: datagrams in a burst must not use up all of WAKES
+        self._not_before = (
+            0  # the next wake after a failed one: datagrams in a burst must not use up all of WAKES
+        )
         self._doubted = -DOUBT  # when a fault was logged last
         self.ended = ""  # by which fault of ours; empty: it goes on
 
@@ -131,6 +152,7 @@
                 self._control.listen(ASKERS)
             except (OSError, ValueError) as fault:
                 from pathsaddle.net.service.place import unhad
+
                 raise unhad(fault, "fleet.control", self.told.control, self.told.file) from None
             self._tasks.append(self._events.create_task(self._listen(self._control)))
         self._wake()
@@ -192,7 +214,9 @@
             try:
                 self._flush()
                 now = self.clock.now()
-                due = min(self.core.due(now), self.shared.due(now) if self.shared is not None else now + SECOND)
+                due = min(
+                    self.core.due(now), self.shared.due(now) if self.shared is not None else now + SECOND
+                )
             except Exception as fault:  # noqa: BLE001  # a defect of ours, whatever it is
                 self._fault("what datagrams led to", fault, "the timer looks after it")
                 due = self.clock.now() + self.told.ways.beat
@@ -200,8 +224,11 @@
 
     def _heard(self, data: bytes) -> None:
         try:
-            hears = (self.shared if self.shared is not None and data[:1] == bytes((CARRIED,)) and not self.core.silent
-                     else self.core)
+            hears = (
+                self.shared
+                if self.shared is not None and data[:1] == bytes((CARRIED,)) and not self.core.silent
+                else self.core
+            )
             purpose: Purpose = "membership" if hears is self.core else "carrying"
             self.meter.came(purpose, len(data))
             self.meter.runs(purpose, lambda: hears.heard(data, self.clock.now()))
@@ -221,7 +248,9 @@
             if self._failed >= WAKES:
                 self._give_up(fault)
                 return
-            self._fault("its timer", fault, f"it is tried again after a beat, {WAKES - self._failed} more times")
+            self._fault(
+                "its timer", fault, f"it is tried again after a beat, {WAKES - self._failed} more times"
+            )
             due = self._not_before = self.clock.now() + self.told.ways.beat
         else:
             self._failed = 0
@@ -391,24 +420,38 @@
     def _told(self, word: str) -> bytes:
         try:
             if word not in WORDS:
-                return json.dumps({"fault": f"{word!r} was asked, and it knows {', '.join(WORDS)}",
-                                   "name": "control.no-such-word"}).encode()
+                return json.dumps(
+                    {
+                        "fault": f"{word!r} was asked, and it knows {', '.join(WORDS)}",
+                        "name": "control.no-such-word",
+                    }
+                ).encode()
             if self.ended:
-                return json.dumps({"fault": f"its membership has ended by a fault of its own: {self.ended}",
-                                   "name": "control.ended"}).encode()
+                return json.dumps(
+                    {
+                        "fault": f"its membership has ended by a fault of its own: {self.ended}",
+                        "name": "control.ended",
+                    }
+                ).encode()
             if word == "budgets":
                 if self.shared is None:
-                    return json.dumps({"fault": "its charter's [fleet.budgets] names none", "name": "control.no-budgets"}).encode()
+                    return json.dumps(
+                        {"fault": "its charter's [fleet.budgets] names none", "name": "control.no-budgets"}
+                    ).encode()
                 return json.dumps(self.shared.view(self.clock.now())).encode()
             if word == "control":
                 if self.control is None:
-                    return json.dumps({"fault": "its charter's [control] has meter = false", "name": "control.unmetered"}).encode()
+                    return json.dumps(
+                        {"fault": "its charter's [control] has meter = false", "name": "control.unmetered"}
+                    ).encode()
                 return json.dumps({"name": self.told.name, "life": self.life, **self.control()}).encode()
             return json.dumps(self.view()).encode()
         except Exception as fault:  # noqa: BLE001  # a defect of ours, whatever it is
             self.counters.add("fleet.fault")
             logbook.fault_control(fault, why=_said(fault))
-            return json.dumps({"fault": f"a fault of its own: {_said(fault)}", "name": "control.fault"}).encode()
+            return json.dumps(
+                {"fault": f"a fault of its own: {_said(fault)}", "name": "control.fault"}
+            ).encode()
 
     def view(self) -> dict[str, Any]:
         """What this member believes, times in milliseconds ago."""
@@ -416,12 +459,32 @@
 
         def ago(moment: int) -> int | None:
             return (now - moment) // MILLISECOND if moment >= 0 else None
+
         return {
-            "fleet": core.ways.fleet, "name": core.me.name, "life": core.me.life, "zone": core.me.zone,
-            "address": core.me.address, "health": core.health, "silent": core.silent, "alone": core.alone(),
+            "fleet": core.ways.fleet,
+            "name": core.me.name,
+            "life": core.me.life,
+            "zone": core.me.zone,
+            "address": core.me.address,
+            "health": core.health,
+            "silent": core.silent,
+            "alone": core.alone(),
             "counts": dict(sorted(core.counts.items())),
-            "members": [{"name": row.name, "life": row.life, "count": row.count, "state": STATES[row.state],
-                         "zone": row.zone, "address": row.address, "form": row.form, "by": row.by,
-                         "for": ago(member.since), "heard": ago(member.heard), "heard_by": ago(member.heard_by)}
-                        for member in (core.members[name] for name in sorted(core.members))
-                        for row in (member.row,)]}
+            "members": [
+                {
+                    "name": row.name,
+                    "life": row.life,
+                    "count": row.count,
+                    "state": STATES[row.state],
+                    "zone": row.zone,
+                    "address": row.address,
+                    "form": row.form,
+                    "by": row.by,
+                    "for": ago(member.since),
+                    "heard": ago(member.heard),
+                    "heard_by": ago(member.heard_by),
+                }
+                for member in (core.members[name] for name in sorted(core.members))
+                for row in (member.row,)
+            ],
+        }
--- a/pathsaddle/fleet/members.py
+++ b/pathsaddle/fleet/members.py
@@ -239,7 +239,9 @@
         if self.probe is not None:
             due = min(due, self.probe.late if not self.probe.asked else self.probe.end, self.probe.end)
         if self.walk is not None:
-            due = min(due, self.walk.sent + self.ways.beat if self.walk.sent > NEVER else now + self.ways.beat // 8)
+            due = min(
+                due, self.walk.sent + self.ways.beat if self.walk.sent > NEVER else now + self.ways.beat // 8
+            )
         for member in self.accused.values():
             due = min(due, member.until)
         for indirect in self.indirect_probes.values():
@@ -268,7 +270,9 @@
             member.until += late + self.ways.beat
             member.begun += late + self.ways.beat
         self._health(1)
-        self.changes.append(Change(now, self.me.name, self.me.life, ALIVE, f"stood still for {late // 10} ms"))
+        self.changes.append(
+            Change(now, self.me.name, self.me.life, ALIVE, f"stood still for {late // 10} ms")
+        )
 
     def _health(self, step: int) -> None:
         if self.ways.lifeguard:
@@ -338,8 +342,12 @@
 
     def _suspect(self, member: Member, now: int, why: str, row: Row | None = None) -> None:
         local = row is None and self.alone()
-        self._believe(member, row or self._said_of(member, SUSPECT), now,
-                      why + (", nor does anybody" if local else f", says {row.by}" if row is not None else ""))
+        self._believe(
+            member,
+            row or self._said_of(member, SUSPECT),
+            now,
+            why + (", nor does anybody" if local else f", says {row.by}" if row is not None else ""),
+        )
         member.local = local
         self.judged_alone = self.judged_alone or local
         self._accuse(member, now)
@@ -438,8 +446,12 @@
             # Another life: nothing of the old is credited to it.
             self.accused.pop(row.name, None)
             member = self.members[row.name] = Member(old, now)
-        elif row.state == DEAD and old.state < DEAD and self.ways.lifeguard and (
-                compared or member.last_heard >= now - 4 * self.ways.beat):
+        elif (
+            row.state == DEAD
+            and old.state < DEAD
+            and self.ways.lifeguard
+            and (compared or member.last_heard >= now - 4 * self.ways.beat)
+        ):
             # Ours: a judgement from the other side of a partition, or against what was heard lately, must first be
             # open to refutation: when two halves met again, half of each took the rest of itself for dead.
             if old.state == SUSPECT:
@@ -461,7 +473,9 @@
                 self._count("accused")
                 self._health(1)
                 self._claim(me.life, row.count + 1)
-                self.changes.append(Change(now, me.name, me.life, ALIVE, f"refuted: {row.by} says {STATES[row.state]}"))
+                self.changes.append(
+                    Change(now, me.name, me.life, ALIVE, f"refuted: {row.by} says {STATES[row.state]}")
+                )
         elif row.life > me.life:
             # An old life of ours, from a clock that was ahead; or another process under our name. Ours: whoever
             # answers a claim that we made since we began, twice, is there, and we leave the name to it.
@@ -469,10 +483,14 @@
                 self.foreign.append(now)
                 if len(self.foreign) == 2 and self.foreign[0] > now - 60 * self.ways.beat:
                     self.silent = True
-                    self.changes.append(Change(now, me.name, me.life, LEFT, f"{row.address} has our name too"))
+                    self.changes.append(
+                        Change(now, me.name, me.life, LEFT, f"{row.address} has our name too")
+                    )
                     return
             self._claim((row.life // OVER + 1) * OVER + self.chance.randrange(OVER), 0)
-            self.changes.append(Change(now, me.name, self.me.life, ALIVE, "a higher life of our name was told"))
+            self.changes.append(
+                Change(now, me.name, self.me.life, ALIVE, "a higher life of our name was told")
+            )
 
     def _claim(self, life: int, count: int) -> None:
         me = self.me
@@ -504,7 +522,9 @@
         self.join_tries += 1
         self._meet("", self.chance.choice(self.seeds))
         # Full jitter: all that were started at once must not come again at once.
-        self.join_due = now + 1 + int(min(20, 2 ** min(self.join_tries, 5)) * self.ways.beat * self.chance.random())
+        self.join_due = (
+            now + 1 + int(min(20, 2 ** min(self.join_tries, 5)) * self.ways.beat * self.chance.random())
+        )
 
     def _reach_the_dead(self, now: int) -> None:
         """A partition that has ended is noticed by nobody else. As many try as bring each of the dead about one
@@ -547,7 +567,9 @@
             return
         walk.echo = self.chance.getrandbits(53)
         rows, last = self._page(walk.first, MOST - 220)
-        if self._send(now, walk.address, walk.name, PAGE, walk.echo, first=walk.first, last=last, page=rows, spare=ASKED):
+        if self._send(
+            now, walk.address, walk.name, PAGE, walk.echo, first=walk.first, last=last, page=rows, spare=ASKED
+        ):
             walk.tries += 1
             walk.sent = now
 
@@ -570,8 +592,11 @@
             return
         theirs = {row.name: row for row in said.rows}
         room, rows, last = MOST - 220, [], said.last
-        names = sorted(name for name, member in self.members.items()
-                       if name > said.first and (not said.last or name <= said.last) and not member.local)
+        names = sorted(
+            name
+            for name, member in self.members.items()
+            if name > said.first and (not said.last or name <= said.last) and not member.local
+        )
         before = said.first
         for name in names:
             row = self.members[name].row
@@ -582,14 +607,34 @@
                     break
                 rows.append(row)
             before = name
-        self._send(now, said.me.address, said.me.name, PAGED, said.echo, first=said.first, last=last, page=rows,
-                   spare=PAGES)
+        self._send(
+            now,
+            said.me.address,
+            said.me.name,
+            PAGED,
+            said.echo,
+            first=said.first,
+            last=last,
+            page=rows,
+            spare=PAGES,
+        )
 
     # Datagrams.
 
-    def _send(self, now: int, address: str, to: str, kind: int, echo: int, about: str = "", first: str = "",
-              last: str = "", page: list[Row] | None = None, spare: float = 0.0,
-              heard: list[tuple[str, int, int]] | None = None) -> bool:
+    def _send(
+        self,
+        now: int,
+        address: str,
+        to: str,
+        kind: int,
+        echo: int,
+        about: str = "",
+        first: str = "",
+        last: str = "",
+        page: list[Row] | None = None,
+        spare: float = 0.0,
+        heard: list[tuple[str, int, int]] | None = None,
+    ) -> bool:
         """False: there is nothing left for it in this second."""
         if self.silent:
             return False
@@ -605,8 +650,10 @@
         if self.purse.could(MOST, now, NEWS):
             rows += self._news(to, room, {row.name for row in rows})
         self.number += 1
-        data = encode(Said(self.ways.fleet, self.me, self.number, to, kind, echo, about, first, last, heard, rows),
-                      self.ways.key)
+        data = encode(
+            Said(self.ways.fleet, self.me, self.number, to, kind, echo, about, first, last, heard, rows),
+            self.ways.key,
+        )
         if len(data) > MOST or not self.purse.pays(len(data), now, spare):
             self._count("held back")
             return False
@@ -650,7 +697,11 @@
         self._stalled(now)
         try:
             said = decode(data, self.ways.key, self.ways.fleet)
-            if said.to not in (self.me.name, "") or said.me.name == self.me.name and said.me.life == self.me.life:
+            if (
+                said.to not in (self.me.name, "")
+                or said.me.name == self.me.name
+                and said.me.life == self.me.life
+            ):
                 raise Refused("misdirected")
             self._new(said)
         except Refused as fault:
@@ -695,9 +746,20 @@
             indirect = self.indirect_probes.get(said.echo)
             if indirect is not None and indirect.about == said.me.name:
                 del self.indirect_probes[said.echo]
-                self._send(now, indirect.asker.address, indirect.asker.name, RELAYED, indirect.echo,
-                           indirect.about, heard=[(said.me.name, said.me.life, 0)])
-            elif self.probe is not None and self.probe.echo == said.echo and self.probe.whom.row.name == said.me.name:
+                self._send(
+                    now,
+                    indirect.asker.address,
+                    indirect.asker.name,
+                    RELAYED,
+                    indirect.echo,
+                    indirect.about,
+                    heard=[(said.me.name, said.me.life, 0)],
+                )
+            elif (
+                self.probe is not None
+                and self.probe.echo == said.echo
+                and self.probe.whom.row.name == said.me.name
+            ):
                 self._answered(sender, self.probe.sent, now)
                 self._heard_of(said, self.probe.sent)
                 self.probe = None
@@ -706,7 +768,9 @@
             whom = self.members.get(said.about)
             if whom is not None and len(self.indirect_probes) < 256:
                 echo = self.chance.getrandbits(53)
-                self.indirect_probes[echo] = IndirectProbe(said.me, said.echo, said.about, now + self.patience())
+                self.indirect_probes[echo] = IndirectProbe(
+                    said.me, said.echo, said.about, now + self.patience()
+                )
                 self._say(now, whom.row, PING, echo=echo)
         elif kind in (RELAYED, MISSED):
             probe = self.probe
--- a/pathsaddle/fleet/overload/beside.py
+++ b/pathsaddle/fleet/overload/beside.py
@@ -41,9 +41,18 @@
         key = txn.key if txn.key is not None else f"{txn.hint} {txn.slots} {txn.memory}"
         customer = str(txn.customer.index) if txn.customer is not None else ""
         spent = sum(run * txn.slots * 0.5 for posting in txn.postings if posting.may_have_run)
-        return Ask(customer, key, str(txn.scheme.index), choice.worth(txn), txn.scheme.late_value,
-                   run * txn.slots,
-                   choice.in_time_until(txn) + int(run) - choice.now, int(run), spent, txn.repeat)
+        return Ask(
+            customer,
+            key,
+            str(txn.scheme.index),
+            choice.worth(txn),
+            txn.scheme.late_value,
+            run * txn.slots,
+            choice.in_time_until(txn) + int(run) - choice.now,
+            int(run),
+            spent,
+            txn.repeat,
+        )
 
     def looks_at(self, choice: Choice) -> None:
         """What the mechanism believes of the workers, in the gate's figures."""
@@ -93,6 +102,9 @@
         """None where clients take none; what lies past the longest that the deployment allows is not said
         either, for cut down to it all would be told the same."""
         verdict = self.verdicts.pop(txn, None)
-        wait = (verdict.come_back if verdict is not None
-                else self.core.advises(self.ask_of(txn, choice), choice.now))
+        wait = (
+            verdict.come_back
+            if verdict is not None
+            else self.core.advises(self.ask_of(txn, choice), choice.now)
+        )
         return wait if wait <= choice.come_back else 0
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -19,8 +19,9 @@
     """One process's gate in its fleet. `before`: called before each of its moments, to tell it what was seen;
     `after` it, with the level as it stands."""
 
-    def __init__(self, fellows: Fellows, gate: Gate, before: Callable[[], None],
-                 after: Callable[[], None]) -> None:
+    def __init__(
+        self, fellows: Fellows, gate: Gate, before: Callable[[], None], after: Callable[[], None]
+    ) -> None:
         assert fellows.shared is not None, "a charter with [fleet.budgets] has shared state"
         self.fellows, self.shared, self.gate = fellows, fellows.shared, gate
         self.before, self.after = before, after
@@ -48,8 +49,10 @@
 
     def _moment(self, now: int) -> int:
         self.before()
-        rows = ((shown.member, shown.life, shown.version, shown.body, (shown.least, shown.most))
-                for shown in self.shared.carry.records(TOPIC, now))
+        rows = (
+            (shown.member, shown.life, shown.version, shown.body, (shown.least, shown.most))
+            for shown in self.shared.carry.records(TOPIC, now)
+        )
         self.gate.hears(rows, now)
         due = self.gate.wake(now)
         self.after()
--- a/pathsaddle/fleet/overload/gate.py
+++ b/pathsaddle/fleet/overload/gate.py
@@ -152,9 +152,15 @@
         rates = {who: rate for who, fading in self.customers.items() if (rate := fading.rate(now)) > 0.0}
         if len(rates) > TELLS:
             rates = {who: rates[who] for who in sorted(rates, key=lambda who: (-rates[who], who))[:TELLS]}
-        return Word(self.could, self.trim, self.idle, self.line, self.steady.rate(now),
-                    [fading.rate(now) for fading in self.offered],
-                    {short(who): rate for who, rate in rates.items()})
+        return Word(
+            self.could,
+            self.trim,
+            self.idle,
+            self.line,
+            self.steady.rate(now),
+            [fading.rate(now) for fading in self.offered],
+            {short(who): rate for who, rate in rates.items()},
+        )
 
     def word(self, now: int) -> bytes:
         return packed(self.own(now))
@@ -224,8 +230,11 @@
         # 2x it took the room of what could be (0.81 of the value for 0.84, one that sees all, emulated). Else
         # the mechanism decides. Who comes before its time while a level stands waits out what it was told:
         # advice that need not be kept bunches.
-        if (stands >= level and (level == 0.0 and ask.late > 0.0 or ask.left >= ask.run)
-                and not (early and level > 0.0)):
+        if (
+            stands >= level
+            and (level == 0.0 and ask.late > 0.0 or ask.left >= ask.run)
+            and not (early and level > 0.0)
+        ):
             self.known.pop(mark, None)
             return Verdict(True, stands, level, over, period=period)
         why = "level" if stands < level else "early" if early else "late"
--- a/pathsaddle/fleet/overload/level.py
+++ b/pathsaddle/fleet/overload/level.py
@@ -60,8 +60,10 @@
         if all(scale == 1.0 for scale in scales):
             rows: list[list[float]] = [word.offered for word in words]
         else:
-            rows = [[one * scale for one in word.offered] if scale < 1.0 else word.offered
-                    for word, scale in zip(words, scales)]
+            rows = [
+                [one * scale for one in word.offered] if scale < 1.0 else word.offered
+                for word, scale in zip(words, scales)
+            ]
         self.offered = [sum(column) for column in zip(*rows)] if rows else [0.0] * BANDS
         # A burst of a second is not overload: lines take it up. A second that is quieter than those before it
         # counts at once. The lesser of both is taken of the sum: of each member's own few txns it would be
@@ -108,6 +110,6 @@
         self.at = max(self.at, now)
         off = target - self.stands
         if abs(off) > DEAD / max(0.001, heard) ** 0.5 or target == 0.0:
-            spent *= max(0.25, heard ** 0.5)
+            spent *= max(0.25, heard**0.5)
             self.stands += min(RISES * spent, max(-FALLS * spent, off))
         return self.stands
--- a/pathsaddle/fleet/overload/word.py
+++ b/pathsaddle/fleet/overload/word.py
@@ -44,8 +44,16 @@
 
 def packed(word: Word) -> bytes:
     rows = sorted(word.customers.items(), key=lambda row: (-row[1], row[0]))[:TELLS]
-    head = HEAD.pack(FORM, len(rows), word.could, word.trim, word.free, word.line, word.steady,
-                     *(min(HIGHEST, part) for part in word.offered))
+    head = HEAD.pack(
+        FORM,
+        len(rows),
+        word.could,
+        word.trim,
+        word.free,
+        word.line,
+        word.steady,
+        *(min(HIGHEST, part) for part in word.offered),
+    )
     return head + b"".join(CUSTOMER.pack(who, min(HIGHEST, rate)) for who, rate in rows)
 
 
