--- a/pathsaddle/fleet/state/carry.py
+++ b/pathsaddle/fleet/state/carry.py
@@ -130,11 +130,18 @@
 
 
 class Carry:
-    def __init__(self, name: str, life: int, fleet: str, key: bytes, purse: Purse, beat: int, chance: Random,
-                 now: int) -> None:
+    def __init__(
+        self, name: str, life: int, fleet: str, key: bytes, purse: Purse, beat: int, chance: Random, now: int
+    ) -> None:
         """`beat`: between two comparisons."""
-        self.name, self.fleet, self.key, self.purse, self.beat, self.chance = (name, fleet, key, purse, beat,
-                                                                               chance)
+        self.name, self.fleet, self.key, self.purse, self.beat, self.chance = (
+            name,
+            fleet,
+            key,
+            purse,
+            beat,
+            chance,
+        )
         self.mine = Origin(life)
         self.peers: dict[str, Peer] = {}  # who is taken to be there
         self.lives: dict[str, int] = {}  # the highest life heard of
@@ -146,7 +153,9 @@
         self.counts: dict[str, int] = {}
         # echo -> (when, whom) of comparisons that may still be answered
         self.asked: dict[int, tuple[int, str]] = {}
-        self.compared: str | None = None  # the last name of the last page compared; "": of all; None: none was
+        self.compared: str | None = (
+            None  # the last name of the last page compared; "": of all; None: none was
+        )
         self.documents: dict[bytes, bytes] = {}
         self.partial: dict[bytes, Partial] = {}
         self.giving: dict[tuple[str, bytes, int], None] = {}  # (to, digest, number) asked of us
@@ -183,8 +192,9 @@
             if origin is self.mine:
                 sure: int | None = 0
             else:
-                sure = (now - origin.stood_at if origin.seen >= origin.stood
-                        and origin.stood_at > NEVER else None)
+                sure = (
+                    now - origin.stood_at if origin.seen >= origin.stood and origin.stood_at > NEVER else None
+                )
             found.append(Shown(name, origin.life, record.version, record.body, *record.age(now), sure))
         return found
 
@@ -402,7 +412,8 @@
             rows.append(row)
         echo = self.chance.getrandbits(53)
         for old in [old for old, (when, _) in self.asked.items() if when < now - 60 * self.beat][:32] or (
-                [next(iter(self.asked))] if len(self.asked) >= 64 else []):
+            [next(iter(self.asked))] if len(self.asked) >= 64 else []
+        ):
             del self.asked[old]
         if self.send(to, [Compare(echo, first, last, rows)], now, COMPARISONS):
             self.asked[echo] = now, to
@@ -493,8 +504,11 @@
                 continue
             if name == to:  # of itself it needs to be told only what we lack
                 since = max(since, origin.seen)
-            later = (name != to and mine.ago >= 0
-                     and (row is None or row.ago < 0 or mine.ago < row.ago or since < origin.seen))
+            later = (
+                name != to
+                and mine.ago >= 0
+                and (row is None or row.ago < 0 or mine.ago < row.ago or since < origin.seen)
+            )
             if later or row is not None and since > origin.seen:
                 if room - size_of(mine) < 0:
                     more = True
@@ -557,8 +571,9 @@
             if partial.only:
                 partial.only = self.chance.choice(sorted(self.peers))
         there = [name for name in partial.holders if name in self.peers]
-        whom = (partial.only
-                or (self.chance.choice(there) if there else self.chance.choice(sorted(self.peers))))
+        whom = partial.only or (
+            self.chance.choice(there) if there else self.chance.choice(sorted(self.peers))
+        )
         if partial.size < 0:
             most, lacks = 1, b""
         else:
@@ -580,12 +595,14 @@
             numbers = sorted(partial.pieces)
         else:
             return
-        lacks = int.from_bytes(said.lacks[:LARGEST // PIECE], "little")
-        numbers = [n for n in numbers if (not lacks or lacks >> n & 1)
-                   and (to, said.digest, n) not in self.giving]
+        lacks = int.from_bytes(said.lacks[: LARGEST // PIECE], "little")
+        numbers = [
+            n for n in numbers if (not lacks or lacks >> n & 1) and (to, said.digest, n) not in self.giving
+        ]
         # In no order: those who have some then have different ones for one another.
-        for number in self.chance.sample(numbers, max(0, min(said.most, WINDOW, len(numbers),
-                                                             MOST_GIVING - len(self.giving)))):
+        for number in self.chance.sample(
+            numbers, max(0, min(said.most, WINDOW, len(numbers), MOST_GIVING - len(self.giving)))
+        ):
             self.giving[to, said.digest, number] = None
         self._give_on(now)
 
@@ -594,7 +611,7 @@
         for to, digest, number in list(self.giving):
             whole, partial = self.documents.get(digest), self.partial.get(digest)
             if whole is not None:
-                piece = Piece(digest, len(whole), number, whole[number * PIECE:(number + 1) * PIECE])
+                piece = Piece(digest, len(whole), number, whole[number * PIECE : (number + 1) * PIECE])
             elif partial is not None and number in partial.pieces:
                 piece = Piece(digest, partial.size, number, partial.pieces[number])
             else:
@@ -632,8 +649,9 @@
         # Somebody's piece is false, and whose is not known: once more, all of it from one.
         self._count("document false")
         others = [name for name in sorted(self.peers) if name != partial.only]
-        self.partial[said.digest] = Partial(partial.holders,
-                                            only=self.chance.choice(others) if others else "")
+        self.partial[said.digest] = Partial(
+            partial.holders, only=self.chance.choice(others) if others else ""
+        )
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
--- a/pathsaddle/fleet/state/check.py
+++ b/pathsaddle/fleet/state/check.py
@@ -50,8 +50,12 @@
 
 def start(parts: tuple[int, ...], guard: int = 0) -> World:
     """All were born long ago."""
-    return World(tuple(born(f"m{i}", 1, part, LEASE, -10 * LEASE, guard) for i, part in enumerate(parts)),
-                 (0,) * len(parts), frozenset(), sum(parts))
+    return World(
+        tuple(born(f"m{i}", 1, part, LEASE, -10 * LEASE, guard) for i, part in enumerate(parts)),
+        (0,) * len(parts),
+        frozenset(),
+        sum(parts),
+    )
 
 
 def steps(world: World, wants: int, lives: int, uses: bool = False) -> list[tuple[str, World]]:
@@ -59,8 +63,11 @@
     found = []
 
     def member(i: int, state: State, air: frozenset[Message] | None = None) -> World:
-        return replace(world, members=(*world.members[:i], state, *world.members[i + 1:]),
-                       air=world.air if air is None else air)
+        return replace(
+            world,
+            members=(*world.members[:i], state, *world.members[i + 1 :]),
+            air=world.air if air is None else air,
+        )
 
     for i, (state, clock) in enumerate(zip(world.members, world.clocks, strict=True)):
         name, using = state.name, world.using(i)
@@ -75,19 +82,33 @@
                 after, back = state.returns(number, clock)
                 found.append((f"{name} gives back to {owner}", member(i, after, world.air | {back})))
         if state.life <= lives:
-            found.append((f"{name} begins anew",
-                          member(i, born(name, state.life + 1, state.part, LEASE, clock, state.guard))))
+            found.append(
+                (
+                    f"{name} begins anew",
+                    member(i, born(name, state.life + 1, state.part, LEASE, clock, state.guard)),
+                )
+            )
         if uses and using < state.usable(clock) and clock >= state.born + WINDOW:
-            found.append((f"{name} uses one", replace(world, uses=(
-                *(row for row in world.uses if row[3] >= world.moments - 2),
-                (i, state.life, clock, world.moments)))))
+            found.append(
+                (
+                    f"{name} uses one",
+                    replace(
+                        world,
+                        uses=(
+                            *(row for row in world.uses if row[3] >= world.moments - 2),
+                            (i, state.life, clock, world.moments),
+                        ),
+                    ),
+                )
+            )
         spare = min(state.part, state.usable(clock) - using)
         for message in sorted(world.air, key=repr):
             if isinstance(message, Want) and message.name != name and clock >= state.born + state.guard:
                 after, lend = state.asked_by(message, spare, clock)
                 if lend is not None:
-                    found.append((f"{name} lends {lend.units} to {message.name}",
-                                  member(i, after, world.air | {lend})))
+                    found.append(
+                        (f"{name} lends {lend.units} to {message.name}", member(i, after, world.air | {lend}))
+                    )
             elif isinstance(message, Lend) and message.taker == name:
                 after = state.lent_by(message, clock)
                 if after != state:
@@ -96,18 +117,33 @@
                 after = state.returned(message, clock)
                 if after != state:
                     found.append((f"{name} has back from {message.taker}", member(i, after)))
-    found.append(("a moment", replace(world, clocks=tuple(clock + MOMENT for clock in world.clocks),
-                                      moments=world.moments + 1)))
+    found.append(
+        (
+            "a moment",
+            replace(world, clocks=tuple(clock + MOMENT for clock in world.clocks), moments=world.moments + 1),
+        )
+    )
     for slow in range(len(world.clocks)):
         # Of a clock that runs slow: within a lease it falls behind by what the stated drift allows.
         behind = MOMENT - MOMENT // SLOW
-        found.append((f"a moment, m{slow} slow", replace(world, moments=world.moments + 1, clocks=tuple(
-            clock + (behind if i == slow else MOMENT) for i, clock in enumerate(world.clocks)))))
+        found.append(
+            (
+                f"a moment, m{slow} slow",
+                replace(
+                    world,
+                    moments=world.moments + 1,
+                    clocks=tuple(
+                        clock + (behind if i == slow else MOMENT) for i, clock in enumerate(world.clocks)
+                    ),
+                ),
+            )
+        )
     return found
 
 
-def check(depth: int, parts: tuple[int, ...] = (2, 2, 2), wants: int = 1, lives: int = 1,
-          uses: bool = False) -> int:
+def check(
+    depth: int, parts: tuple[int, ...] = (2, 2, 2), wants: int = 1, lives: int = 1, uses: bool = False
+) -> int:
     """How many worlds there are within `depth` steps; raises Exceeded where a bound fails in one."""
     first = start(parts, WINDOW if uses else 0)
     seen, edge = {first}, [(first, ())]
@@ -121,8 +157,9 @@
                 if after.usable() > after.budget:
                     raise Exceeded(f"{after.usable()} units of {after.budget}: " + ", ".join((*path, name)))
                 if after.used() > after.budget:
-                    raise Exceeded(f"{after.used()} uses of {after.budget} in a second: "
-                                   + ", ".join((*path, name)))
+                    raise Exceeded(
+                        f"{after.used()} uses of {after.budget} in a second: " + ", ".join((*path, name))
+                    )
                 following.append((after, (*path, name)))
         edge = following  # type: ignore[assignment]  # paths of any length
     return len(seen)
--- a/pathsaddle/fleet/state/check_carry.py
+++ b/pathsaddle/fleet/state/check_carry.py
@@ -55,11 +55,20 @@
 
     def key(self) -> Any:
         def of(one: Carry) -> Any:
-            return (tuple((name, o.life, o.seen, tuple(sorted((t, r.version) for t, r in o.records.items())))
-                          for name, o in sorted(one.origins.items())), tuple(sorted(one.news.items())),
-                    tuple(one.asked.values()))
-        return (tuple(of(self.members[name]) for name in NAMES), frozenset(self.air),
-                tuple(sorted(self.told.items())))
+            return (
+                tuple(
+                    (name, o.life, o.seen, tuple(sorted((t, r.version) for t, r in o.records.items())))
+                    for name, o in sorted(one.origins.items())
+                ),
+                tuple(sorted(one.news.items())),
+                tuple(one.asked.values()),
+            )
+
+        return (
+            tuple(of(self.members[name]) for name in NAMES),
+            frozenset(self.air),
+            tuple(sorted(self.told.items())),
+        )
 
     def collect(self) -> None:
         for one in self.members.values():
@@ -112,28 +121,36 @@
     life = world.members["a"].mine.life
     if sum(map(len, world.written.values())) < writes:
         for topic in ("s", "t"):
+
             def write(made: World, topic: str = topic) -> None:
                 made.written[life].append(topic)
                 made.members["a"].put(topic, str(len(made.written[life])).encode(), 0)
+
             after(f"a writes {topic}", write)
     if life == 1 and world.written[1]:
+
         def anew(made: World) -> None:
             made.members["a"] = _carry("a", 2)
             made.written[2] = []
+
         after("a begins anew", anew)
     for name in NAMES[1:]:
         if world.told[name] < life:
+
             def tell(made: World, name: str = name) -> None:
                 made.members[name].joined("a", life, "a")
                 made.told[name] = life
+
             after(f"{name} is told of a/{life}", tell)
     for name in NAMES:
         if world.members[name].news:
             after(f"{name} passes on", lambda made, name=name: made.members[name]._pass_on(0))
         for to in NAMES:
             if to != name and not world.members[name].asked:
-                after(f"{name} compares with {to}",
-                      lambda made, name=name, to=to: made.members[name]._compare(0, to, ""))
+                after(
+                    f"{name} compares with {to}",
+                    lambda made, name=name, to=to: made.members[name]._compare(0, to, ""),
+                )
     for to, data in world.air:
         after(f"{to} takes a message", lambda made, to=to, data=data: made.members[to].heard(data, 0))
     return found
--- a/pathsaddle/fleet/state/limiter.py
+++ b/pathsaddle/fleet/state/limiter.py
@@ -87,15 +87,18 @@
 class Limiter:
     """Several budgets. `out`: (member, budget, what), to be sent; `notes`: to be logged."""
 
-    def __init__(self, name: str, life: int, dealt: dict[str, Dealt], chance: Random, now: int,
-                 window: int = WINDOW) -> None:
+    def __init__(
+        self, name: str, life: int, dealt: dict[str, Dealt], chance: Random, now: int, window: int = WINDOW
+    ) -> None:
         self.name, self.life, self.chance, self.born, self.window = name, life, chance, now, window
         self.closed = self.leaving = False
         # called when there is something to send before the next `wake`
         self.stir: Callable[[], None] = lambda: None
         self.due = now  # when it wants to be woken
-        self.budgets = {budget: Budget(budget, told, born(name, life, told.part, told.lease, now, window))
-                        for budget, told in dealt.items()}
+        self.budgets = {
+            budget: Budget(budget, told, born(name, life, told.part, told.lease, now, window))
+            for budget, told in dealt.items()
+        }
         self.numbered = 0  # the highest number of an asking for a budget that was taken out
         self.out: list[tuple[str, str, Want | Lend | Back]] = []
         self.notes: list[Note] = []
@@ -235,8 +238,9 @@
         there = [name for name in self.there if name != self.name]
         if not there:
             return
-        rich = sorted((name for name in there if told.get(name, 0) > 0),
-                      key=lambda name: -told[name])[:3 * ASKED]
+        rich = sorted((name for name in there if told.get(name, 0) > 0), key=lambda name: -told[name])[
+            : 3 * ASKED
+        ]
         whom = self.chance.sample(rich, min(ASKED - 1, len(rich)))
         others = [name for name in there if name not in whom]
         whom += self.chance.sample(others, min(ASKED - len(whom), len(others)))
@@ -302,6 +306,11 @@
         alone = bool(self.there) and now - self.heard_at > one.dealt.lease
         if alone != one.alone:
             one.alone = alone
-            self.notes.append(Note("alone" if alone else "back", one.name, one.state.usable(now),
-                                   f"nobody heard for {(now - self.heard_at) // 10} ms" if alone
-                                   else "others are heard"))
+            self.notes.append(
+                Note(
+                    "alone" if alone else "back",
+                    one.name,
+                    one.state.usable(now),
+                    f"nobody heard for {(now - self.heard_at) // 10} ms" if alone else "others are heard",
+                )
+            )
--- a/pathsaddle/fleet/state/shared.py
+++ b/pathsaddle/fleet/state/shared.py
@@ -23,9 +23,18 @@
 class Shared:
     """Fed datagrams, moments and who is there; `out` is to be sent, `notes` of the limiter to be logged."""
 
-    def __init__(self, name: str, life: int, fleet: str, key: bytes, purse: Purse, beat: int,
-                 dealt: dict[str, Dealt],
-                 chance: Random, now: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        life: int,
+        fleet: str,
+        key: bytes,
+        purse: Purse,
+        beat: int,
+        dealt: dict[str, Dealt],
+        chance: Random,
+        now: int,
+    ) -> None:
         self.carry = Carry(name, life, fleet, key, purse, beat, chance, now)
         self.limiter = Limiter(name, life, dealt, chance, now)
         self.beat = beat
@@ -69,14 +78,25 @@
         limiter = self.limiter
         for said in packet.said:
             if isinstance(said, Wanted):
-                limiter.asked(said.budget, Want(packet.name, packet.life, said.number, said.units,
-                                                 said.renews), now)
+                limiter.asked(
+                    said.budget, Want(packet.name, packet.life, said.number, said.units, said.renews), now
+                )
             elif isinstance(said, Returned):
                 limiter.returned(said.budget, Back(packet.name, packet.life, said.number), now)
             elif isinstance(said, Lent):
-                limiter.lent(said.budget,
-                             Lend(packet.name, packet.life, packet.to, said.taker_life, said.number,
-                                  said.units, said.lease), now)
+                limiter.lent(
+                    said.budget,
+                    Lend(
+                        packet.name,
+                        packet.life,
+                        packet.to,
+                        said.taker_life,
+                        said.number,
+                        said.units,
+                        said.lease,
+                    ),
+                    now,
+                )
 
     def wake(self, now: int) -> int:
         """Does what is due; when it wants to be called again."""
@@ -128,9 +148,12 @@
         to: dict[str, list[Saying]] = {}
         for name, budget, said in out:
             to.setdefault(name, []).append(
-                Wanted(budget, said.number, said.units, said.renews) if isinstance(said, Want) else
-                Returned(budget, said.number) if isinstance(said, Back) else
-                Lent(budget, said.taker_life, said.number, said.units, said.lease))
+                Wanted(budget, said.number, said.units, said.renews)
+                if isinstance(said, Want)
+                else Returned(budget, said.number)
+                if isinstance(said, Back)
+                else Lent(budget, said.taker_life, said.number, said.units, said.lease)
+            )
         for name, sayings in to.items():
             self.carry.send(name, sayings, now, SHARES)
 
@@ -140,24 +163,46 @@
         budgets = []
         for name, one in self.limiter.budgets.items():
             state = one.state.at(now)
-            budgets.append({
-                "budget": name, "rate": one.dealt.rate, "part": one.dealt.part, "usable": state.usable(now),
-                "free": self.limiter.free(name, now), "taken": one.taken, "refused": one.refused,
-                "alone": one.alone,
-                "lent": [{"to": loan.key[0] or "-", "units": loan.units, "for": (loan.until - now) // 10}
-                         for loan in state.lent],
-                "held": [{"of": row[0], "units": row[3].units, "for": (row[3].until - now) // 10}
-                         for row in state.held]})
+            budgets.append(
+                {
+                    "budget": name,
+                    "rate": one.dealt.rate,
+                    "part": one.dealt.part,
+                    "usable": state.usable(now),
+                    "free": self.limiter.free(name, now),
+                    "taken": one.taken,
+                    "refused": one.refused,
+                    "alone": one.alone,
+                    "lent": [
+                        {"to": loan.key[0] or "-", "units": loan.units, "for": (loan.until - now) // 10}
+                        for loan in state.lent
+                    ],
+                    "held": [
+                        {"of": row[0], "units": row[3].units, "for": (row[3].until - now) // 10}
+                        for row in state.held
+                    ],
+                }
+            )
         others = []
         for shown in self.carry.records(SPARE, now):
             try:
                 told = _decode(shown.body)
             except msgspec.MsgspecError:
                 continue
-            others.append({"member": shown.member, "life": shown.life, "spare": told,
-                           "least": shown.least // 10,
-                           "most": None if shown.most is None else shown.most // 10,
-                           "sure": None if shown.sure is None else shown.sure // 10})
-        return {"name": self.carry.name, "life": self.carry.mine.life,
-                "counts": dict(sorted(self.carry.counts.items())),
-                "budgets": budgets, "others": others}
+            others.append(
+                {
+                    "member": shown.member,
+                    "life": shown.life,
+                    "spare": told,
+                    "least": shown.least // 10,
+                    "most": None if shown.most is None else shown.most // 10,
+                    "sure": None if shown.sure is None else shown.sure // 10,
+                }
+            )
+        return {
+            "name": self.carry.name,
+            "life": self.carry.mine.life,
+            "counts": dict(sorted(self.carry.counts.items())),
+            "budgets": budgets,
+            "others": others,
+        }
--- a/pathsaddle/fleet/state/shares.py
+++ b/pathsaddle/fleet/state/shares.py
@@ -126,16 +126,21 @@
     def want(self, units: int, now: int, renews: int = 0) -> tuple[State, Want]:
         state = self.at(now)
         number = state.asked + 1
-        return (replace(state, asked=number, open=(*state.open, (number, now, renews))[-16:]),
-                Want(state.name, state.life, number, units, renews))
+        return (
+            replace(state, asked=number, open=(*state.open, (number, now, renews))[-16:]),
+            Want(state.name, state.life, number, units, renews),
+        )
 
     def asked_by(self, want: Want, spare: int, now: int) -> tuple[State, Lend | None]:
         """Another asks; `spare`: how many of its units this one does not want itself; under 0, so many it
         lacks. One asking is answered once: what comes twice, or again while its loan runs, gets nothing."""
         state = self.at(now)
         key = (want.name, want.life, want.number)
-        if (want.name == self.name or now < state.born + state._surely()
-                or any(loan.key == key for loan in state.lent)):
+        if (
+            want.name == self.name
+            or now < state.born + state._surely()
+            or any(loan.key == key for loan in state.lent)
+        ):
             return state, None
         if want.renews:
             return state._renewed(want, key, spare, now)
@@ -143,11 +148,14 @@
         units = min(want.units, spare, free)
         if units <= 0:
             return state, None
-        return (replace(state, lent=(*state.lent, Loan(units, now + state._surely(), key))),
-                state._lend(key, units))
-
-    def _renewed(self, want: Want, key: tuple[str, int, int], spare: int, now: int) -> tuple[State,
-                                                                                             Lend | None]:
+        return (
+            replace(state, lent=(*state.lent, Loan(units, now + state._surely(), key))),
+            state._lend(key, units),
+        )
+
+    def _renewed(
+        self, want: Want, key: tuple[str, int, int], spare: int, now: int
+    ) -> tuple[State, Lend | None]:
         old = next((loan for loan in self.lent if loan.key == (want.name, want.life, want.renews)), None)
         units = min(want.units, old.units, old.units + spare) if old is not None else 0
         if old is None or units <= 0:
@@ -164,30 +172,46 @@
         """An answer: taken once, by the life that asked, while its lease surely runs."""
         state = self.at(now)
         asked = next((row for row in state.open if row[0] == lend.number), None)
-        if (asked is None or (lend.taker, lend.taker_life) != (state.name, state.life)
-                or lend.lease != state.lease):
+        if (
+            asked is None
+            or (lend.taker, lend.taker_life) != (state.name, state.life)
+            or lend.lease != state.lease
+        ):
             return state
         # Whatever life its owner has by now: it still counts the loan once.
         held = tuple(row for row in state.held if not asked[2] or (row[0], row[2]) != (lend.owner, asked[2]))
         loan = Loan(lend.units, asked[1] + state._maybe())
-        return replace(state, held=(*held, (lend.owner, lend.life, lend.number, loan)),
-                       open=tuple(row for row in state.open if row is not asked)).at(now)
+        return replace(
+            state,
+            held=(*held, (lend.owner, lend.life, lend.number, loan)),
+            open=tuple(row for row in state.open if row is not asked),
+        ).at(now)
 
     def returns(self, number: int, now: int) -> tuple[State, Back]:
         """What the taker gives back before its time; what would renew it is not taken any more."""
         state = self.at(now)
-        return (replace(state, held=tuple(row for row in state.held if row[2] != number),
-                        open=tuple(row for row in state.open if row[2] != number)),
-                Back(state.name, state.life, number))
+        return (
+            replace(
+                state,
+                held=tuple(row for row in state.held if row[2] != number),
+                open=tuple(row for row in state.open if row[2] != number),
+            ),
+            Back(state.name, state.life, number),
+        )
 
     def returned(self, back: Back, now: int) -> State:
         """Its owner has it again when what was done with it has rested."""
         state = self.at(now)
         rested = now + int(self.guard * (1 + DRIFT)) + 1
-        return replace(state, lent=tuple(
-            replace(loan, until=min(loan.until, rested)) if loan.key == (back.taker, back.life, back.number)
-            else loan
-            for loan in state.lent))
+        return replace(
+            state,
+            lent=tuple(
+                replace(loan, until=min(loan.until, rested))
+                if loan.key == (back.taker, back.life, back.number)
+                else loan
+                for loan in state.lent
+            ),
+        )
 
 
 def born(name: str, life: int, part: int, lease: int, now: int, guard: int = 0) -> State:
--- a/pathsaddle/fleet/wire.py
+++ b/pathsaddle/fleet/wire.py
@@ -14,7 +14,9 @@
 FORM = 1  # of this text; a datagram of a higher one is not read
 MOST = 1200  # bytes: under what passes a usual link in one piece
 SUM = 16
-CARRIED = 2  # what is not membership's (fleet/state): not read by members that tell a lower form of themselves
+CARRIED = (
+    2  # what is not membership's (fleet/state): not read by members that tell a lower form of themselves
+)
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
@@ -115,7 +117,12 @@
         raise Refused("cut") from None
     if said.fleet != fleet:
         raise Refused("fleet")
-    if any(row.state not in range(4) or not 0 <= row.life < 1 << 62 or not 0 <= row.count < 1 << 62 or not row.name
-           for row in (said.me, *said.rows)):
+    if any(
+        row.state not in range(4)
+        or not 0 <= row.life < 1 << 62
+        or not 0 <= row.count < 1 << 62
+        or not row.name
+        for row in (said.me, *said.rows)
+    ):
         raise Refused("cut")
     return said
--- a/pathsaddle/histories/__main__.py
+++ b/pathsaddle/histories/__main__.py
@@ -58,8 +58,9 @@
         return checker(name, skew, **bounds)
     except TypeError as fault:
         unknown = next((key for key in bounds if repr(key) in str(fault)), ", ".join(bounds))
-        raise UnknownKey(file=path, key=f"{name}.{unknown}",
-                         known=f"the bounds of {name} in docs/histories.md") from fault
+        raise UnknownKey(
+            file=path, key=f"{name}.{unknown}", known=f"the bounds of {name} in docs/histories.md"
+        ) from fault
 
 
 def told(findings: list[Finding], counts: dict[str, int]) -> None:
@@ -75,8 +76,9 @@
 @commands.command("check")
 @click.argument("folder", type=click.Path(path_type=Path))
 @click.option("--only", help="names of checkers, with commas between them")
-@click.option("--keep", type=click.Path(path_type=Path),
-              help="a folder: the first of each name, made small, goes there")
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="a folder: the first of each name, made small, goes there"
+)
 @click.option("--lanes", "show", is_flag=True, help="the first of each name, made small, as lanes")
 def check_folder(folder: Path, only: str | None, keep: Path | None, show: bool) -> None:
     """All checkers over a folder of logs (or one file); 1 where something is found."""
@@ -103,8 +105,9 @@
     sys.exit(int(bool(findings)))
 
 
-def less(events: list[Event], finding: Finding, skew: int, bounds: dict[str, Any], keep: Path | None,
-         show: bool) -> None:
+def less(
+    events: list[Event], finding: Finding, skew: int, bounds: dict[str, Any], keep: Path | None, show: bool
+) -> None:
     def make() -> Checker:
         return checker(finding.checker, skew, **bounds)
 
@@ -118,8 +121,12 @@
             keep.mkdir(parents=True, exist_ok=True)
             Kept(finding.checker, finding.name, rows, skew, bounds, finding.says).write(path)
         except OSError as fault:
-            raise Unwritable("", f"name a folder instead of the file {keep}" if keep.is_file() else
-                             access(fault, keep, keep), folder=keep, why=why(fault)) from None
+            raise Unwritable(
+                "",
+                f"name a folder instead of the file {keep}" if keep.is_file() else access(fault, keep, keep),
+                folder=keep,
+                why=why(fault),
+            ) from None
         click.echo(f"kept as {path}")
 
 
--- a/pathsaddle/histories/checkers.py
+++ b/pathsaddle/histories/checkers.py
@@ -15,8 +15,14 @@
 from pathsaddle.histories.txns import Txns
 
 CHECKERS: dict[str, Callable[..., Checker]] = {
-    "register": Register, "shares": Shares, "counts": Counts, "shedding": Shedding, "placement": Placement,
-    "federation": Federation, "txns": Txns, "settings": Settings,
+    "register": Register,
+    "shares": Shares,
+    "counts": Counts,
+    "shedding": Shedding,
+    "placement": Placement,
+    "federation": Federation,
+    "txns": Txns,
+    "settings": Settings,
 }
 
 
@@ -25,8 +31,12 @@
     return CHECKERS[name](skew, **bounds)
 
 
-def judged(events: Iterable[Event], skew: int = 0, bounds: Mapping[str, Mapping[str, Any]] | None = None,
-           only: Iterable[str] = tuple(CHECKERS)) -> list[Finding]:
+def judged(
+    events: Iterable[Event],
+    skew: int = 0,
+    bounds: Mapping[str, Mapping[str, Any]] | None = None,
+    only: Iterable[str] = tuple(CHECKERS),
+) -> list[Finding]:
     """All that is found in the logs of one run, put in order here. skew: ticks by which any clock may be off
     true time. bounds: of checkers by name, that they can't know (`Shedding`)."""
     rows = in_order(events)
--- a/pathsaddle/histories/faults.py
+++ b/pathsaddle/histories/faults.py
@@ -34,8 +34,10 @@
 class Headless(HistoryError):
     name = "histories.headless"
     what = "{file}: its first line is no `history`: {why}"
-    do = "write the first line of {file} as docs/histories.md shows, or check it as a log: " \
-         "`python -m pathsaddle.histories check {file}`"
+    do = (
+        "write the first line of {file} as docs/histories.md shows, or check it as a log: "
+        "`python -m pathsaddle.histories check {file}`"
+    )
 
 
 class NoToml(HistoryError):
--- a/pathsaddle/histories/federation.py
+++ b/pathsaddle/histories/federation.py
@@ -23,8 +23,9 @@
         if self.may is None:
             return False
         if event.what == "data.read":
-            return (event.more["data"] not in self.data
-                    or event.more["region"] in self.data[event.more["data"]])
+            return (
+                event.more["data"] not in self.data or event.more["region"] in self.data[event.more["data"]]
+            )
         return _place(event) in self.may.get(event.more["scheme"], ())
 
     def narrower(self, other: Version, event: Event) -> bool:
@@ -33,8 +34,9 @@
             return False
         if event.what == "data.read":
             name = event.more["data"]
-            return (name not in other.data
-                    or all(place in other.data[name] for place in self.data.get(name, ())))
+            return name not in other.data or all(
+                place in other.data[name] for place in self.data.get(name, ())
+            )
         scheme = event.more["scheme"]
         return all(place in other.may.get(scheme, ()) for place in self.may.get(scheme, ()))
 
@@ -69,10 +71,19 @@
         self.waiting: dict[str, dict[Hashable, Event]] = {}  # own jobs that wait in a region
         self.crossings: dict[Hashable, dict[Hashable, tuple[Event, str]]] = {}
         self.ran: dict[Hashable, Event] = {}
-        self.on = {"member.began": self._began, "member.ended": self._ended, "spec.version": self._version,
-                   "abroad.sent": self._sent, "abroad.ended": self._abroad_ended, "data.read": self._read,
-                   "region.ran": self._ran, "spec.offered": self._offered, "work.queued": self._queued,
-                   "work.left": self._left, "work.ended": self._left}
+        self.on = {
+            "member.began": self._began,
+            "member.ended": self._ended,
+            "spec.version": self._version,
+            "abroad.sent": self._sent,
+            "abroad.ended": self._abroad_ended,
+            "data.read": self._read,
+            "region.ran": self._ran,
+            "spec.offered": self._offered,
+            "work.queued": self._queued,
+            "work.left": self._left,
+            "work.ended": self._left,
+        }
 
     def _began(self, event: Event) -> None:
         region = event.more.get("region")
@@ -132,8 +143,12 @@
                 continue
             row = stood[-1]
             if row.more["version"] < number and row.more.get("until", 1 << 60) > event.at + slack:
-                self.find("force-early", f"version {number} was told in force while {who} still held "
-                          f"{row.more['version']}", row, event)
+                self.find(
+                    "force-early",
+                    f"version {number} was told in force while {who} still held {row.more['version']}",
+                    row,
+                    event,
+                )
 
     def _sent(self, event: Event) -> None:
         more = event.more
@@ -146,9 +161,13 @@
         if more.get("kind") == ONCE:
             for sent, how in rows.values():
                 if how != "declined" and sent.more["who"] == who:
-                    self.find("crossed-again",
-                              f"once-only {txn} crosses to {to} while {sent.more['post']} to "
-                              f"{sent.more['to']} is {how}", sent, event)
+                    self.find(
+                        "crossed-again",
+                        f"once-only {txn} crosses to {to} while {sent.more['post']} to "
+                        f"{sent.more['to']} is {how}",
+                        sent,
+                        event,
+                    )
                     break
         rows[more["post"]] = event, "open"
         self._go_by(event, True)
@@ -162,8 +181,12 @@
     def _read(self, event: Event) -> None:
         more = event.more
         if "age" in more and "staleness" in more and more["age"] > more["staleness"]:
-            self.find("stale-copy", f"{more['who']} read {more['data']} in {more['region']}, a copy "
-                      f"{more['age'] / 10:g} ms old where {more['staleness'] / 10:g} are allowed", event)
+            self.find(
+                "stale-copy",
+                f"{more['who']} read {more['data']} in {more['region']}, a copy "
+                f"{more['age'] / 10:g} ms old where {more['staleness'] / 10:g} are allowed",
+                event,
+            )
         home = self.regions.get(more["who"])
         self._go_by(event, home is not None and home != more["region"])
 
@@ -177,23 +200,43 @@
         # Without a lease the home of the scheme is left, wherever the txn came from.
         abroad = abroad and ("home" not in more or more["home"] != _place(event))
         if abroad and held is not None and event.at - slack >= held.more.get("until", 1 << 60):
-            self.find("beyond-lease",
-                      f"{who} went abroad {(event.at - held.more['until']) / 10:g} ms after its hold on "
-                      "the spec had ended", held, event)
-        if (held is not None and held.at <= event.at - slack
-                and more.get("version", 0) <= held.more["version"]):
+            self.find(
+                "beyond-lease",
+                f"{who} went abroad {(event.at - held.more['until']) / 10:g} ms after its hold on "
+                "the spec had ended",
+                held,
+                event,
+            )
+        if (
+            held is not None
+            and held.at <= event.at - slack
+            and more.get("version", 0) <= held.more["version"]
+        ):
             version = self.versions[held.more["version"]]
             if version.may is not None and not version.allows(event):
-                self.find("tightening-ignored", f"{who} holds version {version.number} and went against it"
-                          f"{self._by(event)}: {self._what(event)}", held, event)
+                self.find(
+                    "tightening-ignored",
+                    f"{who} holds version {version.number} and went against it"
+                    f"{self._by(event)}: {self._what(event)}",
+                    held,
+                    event,
+                )
         for row in self.offered.get(who, ()):
             version = self.versions[row.more["version"]]
-            if version.may is not None and row.at <= event.at - slack and not version.allows(event) \
-                    and version.number >= max(more.get("version", 0),
-                                              held.more["version"] if held is not None else 0):
-                self.find("tightening-ignored",
-                          f"{who} had the text of version {version.number} and went against it"
-                          f"{self._by(event)}: {self._what(event)}", row, event)
+            if (
+                version.may is not None
+                and row.at <= event.at - slack
+                and not version.allows(event)
+                and version.number
+                >= max(more.get("version", 0), held.more["version"] if held is not None else 0)
+            ):
+                self.find(
+                    "tightening-ignored",
+                    f"{who} had the text of version {version.number} and went against it"
+                    f"{self._by(event)}: {self._what(event)}",
+                    row,
+                    event,
+                )
                 break
         if self.versions:
             self.later(self._allowed, event)
@@ -221,22 +264,30 @@
         if force > self.live_from:
             self.live = [version for version in self.live if version.number >= force]
             self.live_from = force
-        there = [version for version in self.live if version.committed is not None
-                 and version.committed.at <= by_then]
+        there = [
+            version
+            for version in self.live
+            if version.committed is not None and version.committed.at <= by_then
+        ]
         if "version" in event.more:
             used = self.versions.get(event.more["version"])
-            if (used is None or used.committed is None or used.committed.at > by_then) \
-                    and not (used is not None and there and used.narrower(there[-1], event)):
+            if (used is None or used.committed is None or used.committed.at > by_then) and not (
+                used is not None and there and used.narrower(there[-1], event)
+            ):
                 rows = [event] if used is None or used.committed is None else [event, used.committed]
-                self.find("loosened-early", f"{self._what(event)}{self._by(event)}, which was not committed",
-                          *rows)
+                self.find(
+                    "loosened-early", f"{self._what(event)}{self._by(event)}, which was not committed", *rows
+                )
                 return
         if not any(version.allows(event) for version in there):
             last = there[-1].committed if there else None
             rows = [row for row in (last, by, event) if row is not None]
-            self.find("forbidden-region",
-                      f"{self._what(event)}{self._by(event)}; {force or 'none'} was in force, and "
-                      "nothing since allows it", *rows)
+            self.find(
+                "forbidden-region",
+                f"{self._what(event)}{self._by(event)}; {force or 'none'} was in force, and "
+                "nothing since allows it",
+                *rows,
+            )
 
     def _ran(self, event: Event) -> None:
         region, home = event.more["region"], event.more.get("home")
@@ -246,15 +297,22 @@
         if waiting:
             waiting.pop(event.more["post"], None)
             if home is not None and home != region and waiting:
-                self.find("own-after-foreign",
-                          f"{region} began {event.more['txn']} of {home} while own work waited",
-                          next(iter(waiting.values())), event)
+                self.find(
+                    "own-after-foreign",
+                    f"{region} began {event.more['txn']} of {home} while own work waited",
+                    next(iter(waiting.values())),
+                    event,
+                )
         if event.more.get("kind") != ONCE:
             return
         first = self.ran.setdefault(event.more["txn"], event)
         if first.more["region"] != event.more["region"]:
-            self.find("two-regions", f"once-only {event.more['txn']} ran in {first.more['region']} and in "
-                      f"{event.more['region']}", first, event)
+            self.find(
+                "two-regions",
+                f"once-only {event.more['txn']} ran in {first.more['region']} and in {event.more['region']}",
+                first,
+                event,
+            )
 
 
 FEW = 32  # versions told by one member that are kept
--- a/pathsaddle/histories/keeping.py
+++ b/pathsaddle/histories/keeping.py
@@ -37,9 +37,19 @@
         return self.expects in names if self.expects else not names
 
     def write(self, path: Path) -> None:
-        head = Event(0, "history",
-                     {"who": "history", "checker": self.checker, "expects": self.expects, "skew": self.skew,
-                      "bounds": self.bounds, "about": self.about, "commit": self.commit})
+        head = Event(
+            0,
+            "history",
+            {
+                "who": "history",
+                "checker": self.checker,
+                "expects": self.expects,
+                "skew": self.skew,
+                "bounds": self.bounds,
+                "about": self.about,
+                "commit": self.commit,
+            },
+        )
         write(path, [head, *self.events])
 
 
@@ -51,9 +61,19 @@
         if head.what != "history" or head.more["checker"] not in CHECKERS:
             raise ValueError(f"{head.what!r} stands there, of checker {head.more.get('checker', '')!r}")
         more = head.more
-        return Kept(more["checker"], more["expects"], events[1:], more["skew"], more["bounds"], more["about"],
-                    more["commit"])
+        return Kept(
+            more["checker"],
+            more["expects"],
+            events[1:],
+            more["skew"],
+            more["bounds"],
+            more["about"],
+            more["commit"],
+        )
     except (*BROKEN, IndexError) as fault:
-        said = "it holds no event" if isinstance(fault, IndexError) else (
-            f"it lacks {fault}" if isinstance(fault, KeyError) else why(fault))
+        said = (
+            "it holds no event"
+            if isinstance(fault, IndexError)
+            else (f"it lacks {fault}" if isinstance(fault, KeyError) else why(fault))
+        )
         raise Headless(file=path, why=said) from fault
--- a/pathsaddle/histories/logs.py
+++ b/pathsaddle/histories/logs.py
@@ -22,9 +22,24 @@
 from pathsaddle.errors import access, why
 from pathsaddle.histories.faults import HistoryError, Malformed, NoLogs, Unreadable
 
-__all__ = ["BROKEN", "MOMENTS", "MOST", "NEVER", "SECOND", "Checker", "Clocks", "Event", "Finding",
-           "HistoryError", "check",
-           "in_order", "plain", "read", "read_folder", "write"]
+__all__ = [
+    "BROKEN",
+    "MOMENTS",
+    "MOST",
+    "NEVER",
+    "SECOND",
+    "Checker",
+    "Clocks",
+    "Event",
+    "Finding",
+    "HistoryError",
+    "check",
+    "in_order",
+    "plain",
+    "read",
+    "read_folder",
+    "write",
+]
 
 SECOND = 10_000
 NEVER = -(1 << 60)
--- a/pathsaddle/histories/placement.py
+++ b/pathsaddle/histories/placement.py
@@ -41,13 +41,24 @@
         self.cold: dict[Place, Event] = {}
         self.warmed: dict[Place, int] = {}  # when a unit last served, left or was released
         self.done_steps: dict[Hashable, dict[Hashable, Event]] = {}
-        self.on = {"island.limits": self._limits, "unit.needs": self._needs, "bay.reserve": self._reserve,
-                   "bay.release": self._release, "bay.install": self._walked, "bay.warm": self._walked,
-                   "bay.serve": self._walked, "bay.out": self._out, "bay.leave": self._out,
-                   "bay.fail": self._out,
-                   "bay.hold": self._hold, "planner": self._planner, "planner.did": self._planner,
-                   "plan.new": self._planner,
-                   "cold.budget": self._cold_budget, "plan.step": self._step}
+        self.on = {
+            "island.limits": self._limits,
+            "unit.needs": self._needs,
+            "bay.reserve": self._reserve,
+            "bay.release": self._release,
+            "bay.install": self._walked,
+            "bay.warm": self._walked,
+            "bay.serve": self._walked,
+            "bay.out": self._out,
+            "bay.leave": self._out,
+            "bay.fail": self._out,
+            "bay.hold": self._hold,
+            "planner": self._planner,
+            "planner.did": self._planner,
+            "plan.new": self._planner,
+            "cold.budget": self._cold_budget,
+            "plan.step": self._step,
+        }
 
     def _limits(self, event: Event) -> None:
         self.limits[event.more["island"]] = event.more
@@ -60,8 +71,12 @@
         who, number = event.more["who"], event.more["number"]
         top = self.numbers.get(who)
         if top is not None and number < top[0]:
-            self.find("late-planner", f"{who} let {event.more.get('does', 'a plan')} by {number} after "
-                      f"{top[0]}", top[1], event)
+            self.find(
+                "late-planner",
+                f"{who} let {event.more.get('does', 'a plan')} by {number} after {top[0]}",
+                top[1],
+                event,
+            )
         else:
             self.numbers[who] = number, event
 
@@ -76,9 +91,12 @@
             return
         self.cold[place] = event
         if self.budget is not None and len(self.cold) > self.budget.more["units"]:
-            self.find("cold-over",
-                      f"{len(self.cold)} units are cold at once, {self.budget.more['units']} may be",
-                      self.budget, *self.cold.values())
+            self.find(
+                "cold-over",
+                f"{len(self.cold)} units are cold at once, {self.budget.more['units']} may be",
+                self.budget,
+                *self.cold.values(),
+            )
 
     def _warmed(self, place: Place, at: int) -> None:
         self.warmed[place] = at
@@ -93,19 +111,25 @@
         if more.get("word"):
             pass  # an island told that the unit is there: nobody decided that
         elif top is not None and number < top[0]:
-            self.find("late-planner",
-                      f"{keeper} took a reservation by {more['by']} with number {number} after one with "
-                      f"{top[0]}", top[1], event)
+            self.find(
+                "late-planner",
+                f"{keeper} took a reservation by {more['by']} with number {number} after one with {top[0]}",
+                top[1],
+                event,
+            )
         else:
             self.numbers[keeper] = number, event
         if not more.get("word") and more["revision"] < more["now"]:
-            self.find("stale-revision",
-                      f"{more['by']} reserved {bay} on revision {more['revision']}, {keeper} had "
-                      f"{more['now']}", event)
+            self.find(
+                "stale-revision",
+                f"{more['by']} reserved {bay} on revision {more['revision']}, {keeper} had {more['now']}",
+                event,
+            )
         holder = self.bays.get(bay)
         if holder is not None and holder.more["unit"] != unit:
-            self.find("bay-twice", f"{bay} is held by {holder.more['unit']} and given to {unit}", holder,
-                      event)
+            self.find(
+                "bay-twice", f"{bay} is held by {holder.more['unit']} and given to {unit}", holder, event
+            )
         self.bays[bay] = event
         bays = self.units.setdefault(unit, {})
         for other, row in bays.items():
@@ -131,17 +155,25 @@
         for what in BEARS:
             sums[what] += needs.get(what, 0)
         for what in ("bays", *BEARS):
-            if (what in limits and sums[what] > limits[what] + 1e-9
-                    and (what == "bays" or needs.get(what, 0) > 0)):
-                self.find("island-over",
-                          f"{island} bears {limits[what]:g} {what}, {sums[what]:g} are reserved",
-                          *rows.values())
+            if (
+                what in limits
+                and sums[what] > limits[what] + 1e-9
+                and (what == "bays" or needs.get(what, 0) > 0)
+            ):
+                self.find(
+                    "island-over",
+                    f"{island} bears {limits[what]:g} {what}, {sums[what]:g} are reserved",
+                    *rows.values(),
+                )
                 break
 
     def _two(self, first: Event, second: Event) -> None:
-        self.find("unit-twice",
-                  f"{second.more['unit']} holds {first.more['bay']} and is given {second.more['bay']}",
-                  first, second)
+        self.find(
+            "unit-twice",
+            f"{second.more['unit']} holds {first.more['bay']} and is given {second.more['bay']}",
+            first,
+            second,
+        )
 
     def _units(self, event: Event) -> None:
         """Another keeper had given the same unit a bay: was it surely not released before?"""
@@ -165,9 +197,12 @@
             until, told = row.more["until"], row
         # A hold is told by the clock of who has it.
         if more.get("why") == "lease" and event.at < until - (0 if told is row else 2 * self.skew):
-            self.find("released-early",
-                      f"{bay} was taken from {unit} {(until - event.at) / 10:g} ms before its lease "
-                      "ended", told, event)
+            self.find(
+                "released-early",
+                f"{bay} was taken from {unit} {(until - event.at) / 10:g} ms before its lease ended",
+                told,
+                event,
+            )
         self._warmed((unit, bay), event.at)
         del self.units[unit][bay]
         if self.bays.get(bay) is row:
@@ -205,9 +240,14 @@
         if reserved is None or reserved.at > event.at + slack:
             self.find("unreserved", f"{event.what} of {unit} in {bay}: no reservation is kept for it", event)
         elif released is not None and reserved.at <= released.at < event.at - slack:
-            self.find("unreserved",
-                      f"{event.what} of {unit} in {bay} {(event.at - released.at) / 10:g} ms after its "
-                      "reservation ended", reserved, released, event)
+            self.find(
+                "unreserved",
+                f"{event.what} of {unit} in {bay} {(event.at - released.at) / 10:g} ms after its "
+                "reservation ended",
+                reserved,
+                released,
+                event,
+            )
         before = NEEDS.get(event.what)
         if before is None:
             return
@@ -229,7 +269,9 @@
         for step in more["after"]:
             row = steps.get(step)
             if row is None or row.at > event.at + 2 * self.skew:
-                self.find("step-order",
-                          f"step {more['step']} of plan {more['plan']} began and {step} was not done",
-                          event)
+                self.find(
+                    "step-order",
+                    f"step {more['step']} of plan {more['plan']} began and {step} was not done",
+                    event,
+                )
                 return
--- a/pathsaddle/histories/planted.py
+++ b/pathsaddle/histories/planted.py
@@ -30,18 +30,26 @@
     """With the bounds that hold in the worlds."""
     bounds: dict[str, Any] = {}
     if name == "shedding":
-        bounds = {"value": SheddingWorld.VALUE, "pace": SheddingWorld.PACE, "lag": SheddingWorld.LAG,
-                  "returns": SheddingWorld.RETURNS, "strict": True, "band": SheddingWorld.BAND}
+        bounds = {
+            "value": SheddingWorld.VALUE,
+            "pace": SheddingWorld.PACE,
+            "lag": SheddingWorld.LAG,
+            "returns": SheddingWorld.RETURNS,
+            "strict": True,
+            "band": SheddingWorld.BAND,
+        }
     return CHECKERS[name](skew, **bounds)
 
 
 # Register. Each fault comes now and then, as faults do.
 
+
 class OneVoterReads(RegisterWorld):
     """A read answered by one voter, whose copy is older."""
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         old = list(self.state[key])
         super().arrive(who, op, key, kind, more, called, back)
         if kind in ("take", "set") and old != self.state[key] and self.chance.random() < 0.3:
@@ -50,16 +58,21 @@
 
     def stale(self, op: str, key: str, old: list[Any]) -> None:
         self.say("reg.call", who="m4", op=op, key=key, kind="read")
-        self.then(MS, self.end, "m4", op,
-                  {"outcome": "ok", "number": old[0], "owner": old[1], "value": old[2],
-                   "revision": old[3]})
+        self.then(
+            MS,
+            self.end,
+            "m4",
+            op,
+            {"outcome": "ok", "number": old[0], "owner": old[1], "value": old[2], "revision": old[3]},
+        )
 
 
 class SetsLost(RegisterWorld):
     """A set that was told ok and is not there."""
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         old = self.state[key][2:4]
         super().arrive(who, op, key, kind, more, called, back)
         if kind == "set" and back is not None and self.chance.random() < 0.2:
@@ -69,8 +82,9 @@
 class RefusedYetThere(RegisterWorld):
     """A set that was told refused, and changed the value."""
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         old = self.state[key][3]
         super().arrive(who, op, key, kind, more, called, back)
         if kind == "set" and self.state[key][3] == old and self.chance.random() < 0.2:
@@ -80,12 +94,18 @@
 class TwoMajorities(RegisterWorld):
     """Both sides of a cut grant, by the same number."""
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         if kind == "take" and self.state[key][0] and back is not None and self.chance.random() < 0.2:
             state = self.state[key]
-            told = {"outcome": "ok", "number": state[0], "owner": who, "value": state[2],
-                    "revision": state[3]}
+            told = {
+                "outcome": "ok",
+                "number": state[0],
+                "owner": who,
+                "value": state[2],
+                "revision": state[3],
+            }
             self.then(back, self.end, who, op, told, key, kind, called)
             return
         super().arrive(who, op, key, kind, more, called, back)
@@ -94,8 +114,9 @@
 class LostDisks(RegisterWorld):
     """Voters begin anew from nothing: numbers are dealt out again."""
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         if kind == "take" and self.state[key][0] > 4 and self.chance.random() < 0.2:
             self.state[key] = [1, "", None, 0, -1]
         super().arrive(who, op, key, kind, more, called, back)
@@ -113,8 +134,9 @@
 
     STILL = 0.2
 
-    def end(self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "",
-            called: int = 0) -> None:
+    def end(
+        self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "", called: int = 0
+    ) -> None:
         super().end(who, op, told, key, kind, self.now + 3 * SECOND if kind in ("take", "renew") else called)
 
 
@@ -136,8 +158,9 @@
 class BorrowedNumber(RegisterWorld):
     """A member that was refused acts by the number that it was told, which is another's."""
 
-    def end(self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "",
-            called: int = 0) -> None:
+    def end(
+        self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "", called: int = 0
+    ) -> None:
         super().end(who, op, told, key, kind, called)
         if kind == "take" and told["outcome"] == "refused":
             self.ops += 1
@@ -155,6 +178,7 @@
 
 # Shares and counts.
 
+
 class CreditedTwice(SharesWorld):
     """The same loan delivered twice counts twice."""
 
@@ -262,6 +286,7 @@
 
 # Shedding.
 
+
 class Dice(SheddingWorld):
     """Within the band each throws its own dice."""
 
@@ -284,8 +309,12 @@
         before = len(self.events)
         super().arrive(again)
         event = self.events[-1]
-        if len(self.events) > before and event.what == "shed.out" and "why" not in event.more \
-                and self.chance.random() < 0.1:
+        if (
+            len(self.events) > before
+            and event.what == "shed.out"
+            and "why" not in event.more
+            and self.chance.random() < 0.1
+        ):
             more = {name: value for name, value in event.more.items() if name != "wait"}
             self.txns += 1
             self.say("shed.in", **{**more, "who": "m3", "txn": self.txns})
@@ -333,6 +362,7 @@
 
 # Placement.
 
+
 class Unchecked(PlacementWorld):
     """Now and then a reservation is taken that one check would have refused;
     the books are kept as if it had been."""
@@ -347,9 +377,11 @@
         more, unit, bay, island = event.more, event.more["unit"], event.more["bay"], event.more["island"]
         used, limits, needs = self.used[island], self.limits[island], {"bays": 1, **self.needs[unit]}
         wrong = {
-            "bay": bay in self.bays, "unit": unit in self.held,
+            "bay": bay in self.bays,
+            "unit": unit in self.held,
             "limits": any(used[what] + needs[what] > limits[what] for what in limits),
-            "number": more["number"] < self.number, "revision": more["revision"] < more["now"],
+            "number": more["number"] < self.number,
+            "revision": more["revision"] < more["now"],
         }
         if [what for what, is_ in wrong.items() if is_] in ([self.left_out], [self.left_out, "revision"]):
             event.more["taken"] = True
@@ -427,6 +459,7 @@
 
 # Federation.
 
+
 class ForceByCount(FederationWorld):
     """Told in force when most have it."""
 
@@ -470,8 +503,9 @@
         super().send(name, again)
         event = self.events[-1]
         if event.what == "abroad.sent" and event.more["who"] == name and self.chance.random() < 0.2:
-            event.more["to"] = next(region for region in self.REGIONS
-                                    if region not in (event.more["to"], event.more["origin"]))
+            event.more["to"] = next(
+                region for region in self.REGIONS if region not in (event.more["to"], event.more["origin"])
+            )
 
 
 class CrossesTwice(FederationWorld):
@@ -481,8 +515,18 @@
         if fate == "declined" and self.chance.random() < 0.2:
             origin = self.members[name]
             other = next(region for region in self.REGIONS if region not in (to, origin))
-            self.say("abroad.sent", who=f"{to}0", post=f"{post}/on", txn=again[0], scheme=again[1], kind=kind,
-                     origin=origin, to=self.on_to(other, origin), version=len(self.versions), **{"from": to})
+            self.say(
+                "abroad.sent",
+                who=f"{to}0",
+                post=f"{post}/on",
+                txn=again[0],
+                scheme=again[1],
+                kind=kind,
+                origin=origin,
+                to=self.on_to(other, origin),
+                version=len(self.versions),
+                **{"from": to},
+            )
         super().arrive(name, again, post, kind, to, fate)
 
     def on_to(self, other: str, origin: str) -> str:
@@ -536,6 +580,7 @@
 
 # Settings.
 
+
 class TwoAtOneRevision(SettingsWorld):
     """Two keepers are both told that theirs is the group of a revision."""
 
@@ -552,7 +597,13 @@
         revision, until = self.held.get(name, (group["revision"], self.now))
         if outcome == "refused" and revision <= group["revision"]:
             self.held[name] = group["revision"], until
-            self.say("settings.rows", who=name, revision=group["revision"], digest=group["digest"], rows=group["puts"])
+            self.say(
+                "settings.rows",
+                who=name,
+                revision=group["revision"],
+                digest=group["digest"],
+                rows=group["puts"],
+            )
 
 
 class OutOfNothing(SettingsWorld):
@@ -623,7 +674,9 @@
     """What was offered, and not yet committed, binds where it is wider too."""
 
     def value(self, name: str, row: dict[str, Any] | None) -> dict[str, Any] | None:
-        return {"allowance": 50} if row is not None and self.chance.random() < 0.05 else super().value(name, row)
+        return (
+            {"allowance": 50} if row is not None and self.chance.random() < 0.05 else super().value(name, row)
+        )
 
 
 class ByHalves(SettingsWorld):
@@ -639,6 +692,7 @@
 
 # Txns.
 
+
 class AnswersTwice(TxnsWorld):
     """A late callback answers again."""
 
@@ -673,8 +727,14 @@
     def got(self, txn: str, outcome: str) -> None:
         super().got(txn, outcome)
         if self.chance.random() < 0.05:
-            self.say("post.sent", who=txn.split("/")[0], post=f"{txn}/late", txn=txn, worker="w0",
-                     kind="repeatable")
+            self.say(
+                "post.sent",
+                who=txn.split("/")[0],
+                post=f"{txn}/late",
+                txn=txn,
+                worker="w0",
+                kind="repeatable",
+            )
 
 
 class OnceAgain(TxnsWorld):
--- a/pathsaddle/histories/register.py
+++ b/pathsaddle/histories/register.py
@@ -211,8 +211,9 @@
         revision = min(state[4] for state, _, _ in tried)
         for like, calls in list(lost.items()):
             asked = calls[0].event.more
-            if calls[0].kind != "take" and (asked.get("number", number) < number
-                                            or asked.get("revision", revision) < revision):
+            if calls[0].kind != "take" and (
+                asked.get("number", number) < number or asked.get("revision", revision) < revision
+            ):
                 del lost[like]
         after = Tried()
         for state, known, used in tried:
@@ -220,8 +221,9 @@
         return after.all()
 
     @staticmethod
-    def _through(tried: list[Row], call: Call, flight: dict[int, Call],
-                 lost: dict[int, list[Call]]) -> Tried | None:
+    def _through(
+        tried: list[Row], call: Call, flight: dict[int, Call], lost: dict[int, list[Call]]
+    ) -> Tried | None:
         """All that can stand once this call has ended; None where there is too much of it. Shorter ways
         first: what they reach outdoes most of what longer ones do."""
         after, seen = Tried(), Tried()
@@ -291,8 +293,15 @@
         self.once: dict[tuple[str, Hashable], Event] = {}
         self.leases: dict[str, dict[str, tuple[int, int, Event]]] = {}  # key: who: until, from
         self.held: dict[tuple[str, str], Event] = {}
-        self.on = {"reg.call": self._call, "reg.end": self._end, "act": self._act, "effect": self._effect,
-                   "lease": self._lease, "lease.end": self._lease_end, "member.ended": self._ended}
+        self.on = {
+            "reg.call": self._call,
+            "reg.end": self._end,
+            "act": self._act,
+            "effect": self._effect,
+            "lease": self._lease,
+            "lease.end": self._lease_end,
+            "member.ended": self._ended,
+        }
 
     def group(self, event: Event) -> Hashable:
         key = event.more.get("key")
@@ -325,8 +334,14 @@
             self.calls[more["op"]] = before
             return
         call = Call(event, len(self.calls), more["kind"], more["who"], event.at - self.skew)
-        call.like = (call.kind, more.get("owner", call.who), plain(more.get("value")), more.get("number"),
-                     more.get("revision"), "value" in more)
+        call.like = (
+            call.kind,
+            more.get("owner", call.who),
+            plain(more.get("value")),
+            more.get("number"),
+            more.get("revision"),
+            "value" in more,
+        )
         self.calls[more["op"]] = call
         self.keys.setdefault(more["key"], []).append(call)
 
@@ -350,13 +365,22 @@
         if before >= 0:
             top, by = tops[before]
             if number < top or (call.kind == "take" and number == top):
-                self.find("number-back", f"{call.who} was told {number} for {key} by a call that began after "
-                          f"{top} was told", by, call.event, event)
+                self.find(
+                    "number-back",
+                    f"{call.who} was told {number} for {key} by a call that began after {top} was told",
+                    by,
+                    call.event,
+                    event,
+                )
         if call.kind == "take":
             twin = self.numbers.setdefault((key, number), event)
             if twin is not event:
-                self.find("number-twice", f"{twin.more['who']} and {call.who} both took {key} by {number}",
-                          twin, event)
+                self.find(
+                    "number-twice",
+                    f"{twin.more['who']} and {call.who} both took {key} by {number}",
+                    twin,
+                    event,
+                )
             if not tops or number > tops[-1][0]:
                 times.append(event.at)
                 tops.append((number, event))
@@ -366,11 +390,17 @@
         lease = self.held.get((more["who"], more["key"]))
         if lease is None:
             return
-        if lease.what != "lease" or lease.more["number"] != more["number"] \
-                or not lease.more["from"] <= event.at < lease.more["until"]:
-            self.find("act-without-lease",
-                      f"{more['who']} acts for {more['key']} by {more['number']} outside of its "
-                      "lease", lease, event)
+        if (
+            lease.what != "lease"
+            or lease.more["number"] != more["number"]
+            or not lease.more["from"] <= event.at < lease.more["until"]
+        ):
+            self.find(
+                "act-without-lease",
+                f"{more['who']} acts for {more['key']} by {more['number']} outside of its lease",
+                lease,
+                event,
+            )
 
     def _effect(self, event: Event) -> None:
         more = event.more
@@ -379,23 +409,33 @@
         key, number = more["key"], more["number"]
         twin = self.owners.setdefault((key, number), event)
         if twin.more["by"] != more["by"]:
-            self.find("effect-two-owners",
-                      f"{twin.more['by']} and {more['by']} both act for {key} by {number}",
-                      twin, event)
+            self.find(
+                "effect-two-owners",
+                f"{twin.more['by']} and {more['by']} both act for {key} by {number}",
+                twin,
+                event,
+            )
         place = (more["who"], key)
         top = self.fences.get(place)
         if top is not None and number < top[0]:
-            self.find("effect-unfenced",
-                      f"{more['who']} took an effect for {key} by {number} after one by {top[0]}",
-                      top[1], event)
+            self.find(
+                "effect-unfenced",
+                f"{more['who']} took an effect for {key} by {number} after one by {top[0]}",
+                top[1],
+                event,
+            )
         else:
             self.fences[place] = number, event
         if "id" in more:
             once = self.once.setdefault((key, more["id"]), event)
             if once is not event:
-                self.find("effect-twice",
-                          f"effect {more['id']} for {key} was taken by {once.more['who']} and again by "
-                          f"{more['who']}", once, event)
+                self.find(
+                    "effect-twice",
+                    f"effect {more['id']} for {key} was taken by {once.more['who']} and again by "
+                    f"{more['who']}",
+                    once,
+                    event,
+                )
 
     def _lease(self, event: Event) -> None:
         more = event.more
@@ -416,9 +456,13 @@
                 continue
             begin, end = max(since, event.more["from"]), min(until, event.more["until"])
             if end - begin > 2 * self.skew:
-                self.find("leases-overlap",
-                          f"{other} and {who} both take themselves for the owner of {key} for "
-                          f"{(end - begin) / 10:g} ms", lease, event)
+                self.find(
+                    "leases-overlap",
+                    f"{other} and {who} both take themselves for the owner of {key} for "
+                    f"{(end - begin) / 10:g} ms",
+                    lease,
+                    event,
+                )
 
     def _lease_end(self, event: Event) -> None:
         more = event.more
@@ -431,7 +475,7 @@
     def _ended(self, event: Event) -> None:
         """A life that is over owns nothing; the next one begins with what it tells itself."""
         who = event.more["who"]
-        for (name, key) in list(self.held):
+        for name, key in list(self.held):
             if name == who:
                 self.held[name, key] = event
                 rows = self.leases[key]
@@ -442,19 +486,34 @@
         super().done()
         for key, calls in self.keys.items():
             # A refusal that tells nothing, and a pure call without an answer, ask for nothing.
-            calls = [call for call in calls
-                     if not (call.kind in PURE and call.outcome == "unknown")
-                     and not (call.outcome == "refused" and call.ended is not None
-                              and not {"number", "owner", "value", "revision"} & call.ended.more.keys())]
+            calls = [
+                call
+                for call in calls
+                if not (call.kind in PURE and call.outcome == "unknown")
+                and not (
+                    call.outcome == "refused"
+                    and call.ended is not None
+                    and not {"number", "owner", "value", "revision"} & call.ended.more.keys()
+                )
+            ]
             answer, call = Search(calls).run()
             if call is None or call.ended is None:
                 continue
             if answer == "undecided":
-                self.find("register-undecided", f"{key}: more than {MOST_TRIED} states to try at the end of "
-                          f"{call.event.more['op']}", call.event, call.ended)
+                self.find(
+                    "register-undecided",
+                    f"{key}: more than {MOST_TRIED} states to try at the end of {call.event.more['op']}",
+                    call.event,
+                    call.ended,
+                )
             else:
-                told = ", ".join(f"{name} {value}" for name, value in call.ended.more.items()
-                                 if name not in ("who", "op"))
-                self.find("register-not-linearizable",
-                          f"{key}: no order of calls explains the end of {call.kind} "
-                          f"{call.event.more['op']} by {call.who}: {told}", call.event, call.ended)
+                told = ", ".join(
+                    f"{name} {value}" for name, value in call.ended.more.items() if name not in ("who", "op")
+                )
+                self.find(
+                    "register-not-linearizable",
+                    f"{key}: no order of calls explains the end of {call.kind} "
+                    f"{call.event.more['op']} by {call.who}: {told}",
+                    call.event,
+                    call.ended,
+                )
--- a/pathsaddle/histories/settings.py
+++ b/pathsaddle/histories/settings.py
@@ -21,7 +21,9 @@
     before: str
     puts: dict[str, Any]
     calls: list[Event] = field(default_factory=list)
-    refused: dict[Any, Event] = field(default_factory=dict)  # by op, ends of calls that surely changed nothing
+    refused: dict[Any, Event] = field(
+        default_factory=dict
+    )  # by op, ends of calls that surely changed nothing
 
     def never(self) -> bool:
         return len(self.refused) >= len(self.calls)
@@ -56,9 +58,15 @@
         self.highest: dict[str, Event] = {}
         self.maybe: dict[Any, tuple[Event, Event, list[Text]]] = {}  # acts that only open groups allow
         self.stands: dict[int, tuple[Text, Event, bool]] = {}  # by what; whether that is sure
-        self.on = {"settings.call": self._call, "settings.end": self._end, "settings.read": self._read,
-                   "settings.act": self._act, "settings.rows": self._rows, "settings.force": self._force,
-                   "disk.lost": self._lost}
+        self.on = {
+            "settings.call": self._call,
+            "settings.end": self._end,
+            "settings.read": self._read,
+            "settings.act": self._act,
+            "settings.rows": self._rows,
+            "settings.force": self._force,
+            "disk.lost": self._lost,
+        }
 
     # What is written
 
@@ -113,8 +121,12 @@
         self._first(self.claims, event)
         before = self.highest.get(more["who"])
         if before is not None and more["revision"] < before.more["revision"]:
-            self.find("went-back", f"{more['who']} goes by {more['revision']}, and went by {before.more['revision']} before",
-                      before, event)
+            self.find(
+                "went-back",
+                f"{more['who']} goes by {more['revision']}, and went by {before.more['revision']} before",
+                before,
+                event,
+            )
         else:
             self.highest[more["who"]] = event
 
@@ -140,14 +152,23 @@
         if text is not None:
             value, by = self._value(key, text)
             if not self._allows(key, used, value, text):
-                self.find("more-than-allowed", f"{who} goes by {key} {used}, where {text.revision} says {value}",
-                          *([] if by is None else [by]), event)
+                self.find(
+                    "more-than-allowed",
+                    f"{who} goes by {key} {used}, where {text.revision} says {value}",
+                    *([] if by is None else [by]),
+                    event,
+                )
         force = next((row for row in reversed(self.force) if self._surely(row, event)), None)
         if force is None or force.more["revision"] <= more["revision"]:
             return
         if leased:
-            self.find("leased-behind", f"{who}, leased, goes by {more['revision']}, after {force.more['revision']} was told "
-                      "in force", force, event)
+            self.find(
+                "leased-behind",
+                f"{who}, leased, goes by {more['revision']}, after {force.more['revision']} was told "
+                "in force",
+                force,
+                event,
+            )
         self._in_force(force, event)
 
     def _in_force(self, force: Event, event: Event) -> None:
@@ -173,9 +194,14 @@
         self._forbidden(event, force, by)
 
     def _forbidden(self, event: Event, force: Event, by: Event | None) -> None:
-        self.find("forbidden-in-force", f"{event.more['who']} goes by {event.more['key']} {event.more['value']} of "
-                  f"{event.more['revision']}, which {force.more['revision']}, told in force before, forbids",
-                  *([] if by is None else [by]), force, event)
+        self.find(
+            "forbidden-in-force",
+            f"{event.more['who']} goes by {event.more['key']} {event.more['value']} of "
+            f"{event.more['revision']}, which {force.more['revision']}, told in force before, forbids",
+            *([] if by is None else [by]),
+            force,
+            event,
+        )
 
     def _seen(self, event: Event) -> None:
         more = event.more
@@ -185,8 +211,12 @@
         for key, seen in more["rows"].items():
             value, by = self._value(key, text)
             if value is not UNSEEN and value != seen:
-                self.find("group-in-part", f"{more['who']} sees {key} as {seen} at {text.revision}, where it is {value}",
-                          *([] if by is None else [by]), event)
+                self.find(
+                    "group-in-part",
+                    f"{more['who']} sees {key} as {seen} at {text.revision}, where it is {value}",
+                    *([] if by is None else [by]),
+                    event,
+                )
                 return
 
     def _value(self, key: str, text: Text) -> tuple[Any, Event | None]:
@@ -210,8 +240,11 @@
         if used is None or value is UNSEEN or used == value or not key.startswith("customers."):
             return True
         if value is None:  # no such customer; where there is none at all, anybody is one
-            return all(self._value(other, text)[0] in (None, UNSEEN) for other in self.puts
-                       if other.startswith("customers."))
+            return all(
+                self._value(other, text)[0] in (None, UNSEEN)
+                for other in self.puts
+                if other.startswith("customers.")
+            )
         return _wide(used) <= _wide(value)
 
     # What was committed, once all is read
@@ -222,10 +255,17 @@
         for key, event in [*self.sure.items(), *self.claims.items()]:
             text = self.texts.get(key)
             if text is None:
-                self.find("never-committed", f"{self._says(event)} {key[0]} ({key[1]}), which nobody began", event)
+                self.find(
+                    "never-committed", f"{self._says(event)} {key[0]} ({key[1]}), which nobody began", event
+                )
             elif text.never():
-                self.find("never-committed", f"{self._says(event)} {key[0]} ({key[1]}), which was refused", *text.calls,
-                          *text.refused.values(), event)
+                self.find(
+                    "never-committed",
+                    f"{self._says(event)} {key[0]} ({key[1]}), which was refused",
+                    *text.calls,
+                    *text.refused.values(),
+                    event,
+                )
             else:
                 self._stand(text, event, key in self.sure)
         self._early()
@@ -253,21 +293,39 @@
                 if there[0] is at:
                     return
                 if at is not text:
-                    self.find("chain-broken", f"{at.revision + 1} comes after {at.digest}, where {there[0].digest} is committed",
-                              there[1], event)
+                    self.find(
+                        "chain-broken",
+                        f"{at.revision + 1} comes after {at.digest}, where {there[0].digest} is committed",
+                        there[1],
+                        event,
+                    )
                 elif not sure and there[2]:
-                    self.find("never-committed", f"{self._says(event)} {text.revision} ({text.digest}), where "
-                              f"{there[0].digest} is committed", there[1], event)
+                    self.find(
+                        "never-committed",
+                        f"{self._says(event)} {text.revision} ({text.digest}), where "
+                        f"{there[0].digest} is committed",
+                        there[1],
+                        event,
+                    )
                 else:
-                    self.find("two-digests", f"{text.revision} is {there[0].digest}, and {self._says(event)} {text.digest}",
-                              there[1], event)
+                    self.find(
+                        "two-digests",
+                        f"{text.revision} is {there[0].digest}, and {self._says(event)} {text.digest}",
+                        there[1],
+                        event,
+                    )
                 return
             if at.revision <= self.lowest:
                 return
             before = self.texts.get((at.revision - 1, at.before))
             if before is None or before.never():
-                self.find("chain-broken", f"{at.revision} ({at.digest}) comes after {at.before}, which never was committed",
-                          *(before.calls + list(before.refused.values()) if before is not None else ()), at.calls[0], event)
+                self.find(
+                    "chain-broken",
+                    f"{at.revision} ({at.digest}) comes after {at.before}, which never was committed",
+                    *(before.calls + list(before.refused.values()) if before is not None else ()),
+                    at.calls[0],
+                    event,
+                )
                 return
             at = before
 
@@ -280,5 +338,10 @@
             latest = begun if latest is None or begun.at > latest.at else latest
             for told in (self.sure.get((revision, text.digest)), self.claims.get((revision, text.digest))):
                 if told is not None and self._surely(told, latest):
-                    self.find("before-commit", f"{self._says(told)} {revision} before it can have been committed", told, latest)
+                    self.find(
+                        "before-commit",
+                        f"{self._says(told)} {revision} before it can have been committed",
+                        told,
+                        latest,
+                    )
                     break
--- a/pathsaddle/histories/shares.py
+++ b/pathsaddle/histories/shares.py
@@ -83,8 +83,12 @@
         # (when, falls before rises, order, budget, who, by how much, version of what is held or -1, kind)
         self.steps: list[tuple[int, int, int, Budget, str, float, int, str]] = []
         self.order = 0
-        self.on = {"share.budget": self._budget, "share.rights": self._rights, "share.spend": self._spend,
-                   "member.ended": self._ended}
+        self.on = {
+            "share.budget": self._budget,
+            "share.rights": self._rights,
+            "share.spend": self._spend,
+            "member.ended": self._ended,
+        }
 
     def group(self, event: Event) -> Hashable:
         return event.more.get("budget")
@@ -107,8 +111,10 @@
         most = max(row.more["units"] for row in budget.charters.values())
         if most < budget.most:
             # Until a window has passed in which the greater one held, it is what that window is held to.
-            budget.before, budget.before_until = (budget.allowed(event.at),
-                                                  event.at + budget.per + 2 * self.skew)
+            budget.before, budget.before_until = (
+                budget.allowed(event.at),
+                event.at + budget.per + 2 * self.skew,
+            )
         budget.most = most
 
     def _push(self, at: int, budget: Budget, who: str, units: float, version: int, kind: str) -> None:
@@ -127,8 +133,9 @@
             steps.append((until, left))
         self._hold(self._get(more["budget"]), more["who"], event, more["units"], tuple(steps))
 
-    def _hold(self, budget: Budget, who: str, event: Event, units: float,
-              steps: tuple[tuple[int, float], ...]) -> None:
+    def _hold(
+        self, budget: Budget, who: str, event: Event, units: float, steps: tuple[tuple[int, float], ...]
+    ) -> None:
         held = budget.held.get(who)
         if held is None:
             held = budget.held[who] = Held(event, 0)
@@ -145,8 +152,9 @@
         held.event, held.units, held.steps = event, units, steps
         for until, left in steps:
             if left < units:
-                self._push(max(until, event.at) - self.skew, budget, who, left - units, held.version,
-                           "rights")
+                self._push(
+                    max(until, event.at) - self.skew, budget, who, left - units, held.version, "rights"
+                )
                 units = left
 
     def _spend(self, event: Event) -> None:
@@ -169,9 +177,12 @@
             budget.spent_over = False
         elif not budget.spent_over:
             budget.spent_over = True
-            self.find("spent-over-budget",
-                      f"{budget.name}: {budget.sum:g} spent within {budget.per / 10:g} ms, "
-                      f"{allowed:g} are there", *budget.charter(), *list(budget.spent)[-ROWS:])
+            self.find(
+                "spent-over-budget",
+                f"{budget.name}: {budget.sum:g} spent within {budget.per / 10:g} ms, {allowed:g} are there",
+                *budget.charter(),
+                *list(budget.spent)[-ROWS:],
+            )
 
     def _by_right(self, budget: Budget, who: str, event: Event) -> None:
         """Its own clock: no skew."""
@@ -181,9 +192,12 @@
         had = max(held.last, held.over()) if held is not None else NEVER
         if had < event.at - budget.per:
             rows = (held.event, event) if held is not None else (event,)
-            self.find("spent-without-rights",
-                      f"{who} spends {event.more['units']:g} of {budget.name} and has had no "
-                      f"right for {budget.per / 10:g} ms", *rows)
+            self.find(
+                "spent-without-rights",
+                f"{who} spends {event.more['units']:g} of {budget.name} and has had no "
+                f"right for {budget.per / 10:g} ms",
+                *rows,
+            )
 
     def _ended(self, event: Event) -> None:
         self._until(event.at - self.skew)
@@ -207,10 +221,13 @@
                     budget.spent_over = False
                 elif units > 0 and budget.charters and not budget.spent_over:
                     budget.spent_over = True
-                    self.find("spent-over-budget",
-                              f"{budget.name}: {budget.open:g} open at once at {when / 10:g} ms, "
-                              f"{budget.allowed(when):g} are there", *budget.charter(),
-                              *[row for units, row in budget.opened.values() if units > 0])
+                    self.find(
+                        "spent-over-budget",
+                        f"{budget.name}: {budget.open:g} open at once at {when / 10:g} ms, "
+                        f"{budget.allowed(when):g} are there",
+                        *budget.charter(),
+                        *[row for units, row in budget.opened.values() if units > 0],
+                    )
                 continue
             if version >= 0 and version != budget.held[who].version:
                 continue  # it was told anew before its end
@@ -221,11 +238,15 @@
             elif units > 0 and budget.charters and not budget.over:
                 budget.over = True
                 rows = [held.event for name, held in budget.held.items() if budget.surely.get(name, 0) > 0]
-                self.find("rights-over-budget",
-                          f"{budget.name}: {budget.rights:g} usable at once at {when / 10:g} ms by "
-                          f"{sum(units > 0 for units in budget.surely.values())} members, "
-                          f"{budget.allowed(when):g} "
-                          "are there", *budget.charter(), *rows)
+                self.find(
+                    "rights-over-budget",
+                    f"{budget.name}: {budget.rights:g} usable at once at {when / 10:g} ms by "
+                    f"{sum(units > 0 for units in budget.surely.values())} members, "
+                    f"{budget.allowed(when):g} "
+                    "are there",
+                    *budget.charter(),
+                    *rows,
+                )
 
     def done(self) -> None:
         super().done()
@@ -256,14 +277,16 @@
         """Each member's last word before the age begins and its last one in it: what it counted between only
         adds to the sums that were there."""
         told = finding.events[0]
-        first = ((told.at - told.more["age"] - 2 * self.skew) // BUCKET - 4 * self.skew // BUCKET
-                 - 2) * BUCKET
+        first = (
+            (told.at - told.more["age"] - 2 * self.skew) // BUCKET - 4 * self.skew // BUCKET - 2
+        ) * BUCKET
         last: dict[tuple[str, bool], int] = {}
         for place, event in enumerate(events):
             if event.at > told.at + 2 * self.skew:
                 break
-            if (event.what == "member.ended"
-                    or (event.what == "count.true" and event.more["name"] == told.more["name"])):
+            if event.what == "member.ended" or (
+                event.what == "count.true" and event.more["name"] == told.more["name"]
+            ):
                 last[event.more["who"], event.at < first] = place
         return list(last.values())
 
@@ -313,5 +336,9 @@
             if bucket < first - near:
                 break
         if most < low or least > high:
-            self.find("count-outside", f"{event.more['who']} told {low:g} to {high:g} of {name}; in the last "
-                      f"{event.more['age'] / 10:g} ms it was {least:g} to {most:g}", event)
+            self.find(
+                "count-outside",
+                f"{event.more['who']} told {low:g} to {high:g} of {name}; in the last "
+                f"{event.more['age'] / 10:g} ms it was {least:g} to {most:g}",
+                event,
+            )
--- a/pathsaddle/histories/shedding.py
+++ b/pathsaddle/histories/shedding.py
@@ -47,9 +47,18 @@
 
     name = "shedding"
 
-    def __init__(self, skew: int = 0, value: float | None = None, pace: float = 0, lag: int = 0,
-                 window: int = SECOND,
-                 returns: int = 0, settles: int = 0, strict: bool = False, band: float = 0) -> None:
+    def __init__(
+        self,
+        skew: int = 0,
+        value: float | None = None,
+        pace: float = 0,
+        lag: int = 0,
+        window: int = SECOND,
+        returns: int = 0,
+        settles: int = 0,
+        strict: bool = False,
+        band: float = 0,
+    ) -> None:
         super().__init__(skew)
         self.pace, self.window, self.returns = pace / SECOND, window, returns
         self.allowed = float("inf") if value is None else value + self.pace * (lag + 2 * skew)
@@ -68,9 +77,13 @@
         self.order = 0
         self.back: deque[tuple[int, Event]] = deque()
         self.bunched = False
-        self.on = {"shed.level": self._level, "shed.in": self._in, "shed.out": self._out,
-                   "shed.back": self._back,
-                   "fault": self._fault}
+        self.on = {
+            "shed.level": self._level,
+            "shed.in": self._in,
+            "shed.out": self._out,
+            "shed.back": self._back,
+            "fault": self._fault,
+        }
 
     def _level(self, event: Event) -> None:
         self.levels[event.more["who"]] = event.more["level"]
@@ -95,17 +108,20 @@
             self.upset_members.setdefault(who, []).append((event.at, end + self.settles))
 
     def _settled(self, event: Event) -> bool:
-        return not any(since <= event.at < until for since, until in self.upset) \
-            and not any(since <= event.at < until
-                        for since, until in self.upset_members.get(event.more["who"], ()))
+        return not any(since <= event.at < until for since, until in self.upset) and not any(
+            since <= event.at < until for since, until in self.upset_members.get(event.more["who"], ())
+        )
 
     def _decided(self, event: Event, known: Known, level: float | None, let: bool) -> None:
         """By its own level, and by the draw that its identity has everywhere."""
         standing = event.more["standing"]
         if self.strict and level is not None and let != (standing >= level):
-            self.find("against-level",
-                      f"{event.more['who']} {'let in' if let else 'declined'} {event.more['txn']} of "
-                      f"standing {standing:g} by level {level:g}", event)
+            self.find(
+                "against-level",
+                f"{event.more['who']} {'let in' if let else 'declined'} {event.more['txn']} of "
+                f"standing {standing:g} by level {level:g}",
+                event,
+            )
         if self.band:
             draw = standing % self.band
             if known.draw is None:
@@ -113,10 +129,13 @@
             else:
                 apart = abs(known.draw[0] - draw)
                 if min(apart, self.band - apart) > 1e-6:
-                    self.find("draw-differs",
-                              f"{'/'.join(map(str, identity(event)))} draws {known.draw[0]:.3f} at "
-                              f"{known.draw[1].more['who']} and {draw:.3f} at {event.more['who']}",
-                              known.draw[1], event)
+                    self.find(
+                        "draw-differs",
+                        f"{'/'.join(map(str, identity(event)))} draws {known.draw[0]:.3f} at "
+                        f"{known.draw[1].more['who']} and {draw:.3f} at {event.more['who']}",
+                        known.draw[1],
+                        event,
+                    )
 
     def _in(self, event: Event) -> None:
         at, more, known = event.at, event.more, self._get(event)
@@ -125,9 +144,13 @@
             return
         standing = more["standing"]
         if known.waits is not None and at < known.until - 2 * self.skew:
-            self.find("let-in-against-advice",
-                      f"{more['who']} let in {more['txn']}, which {known.waits.more['who']} had "
-                      f"told to wait {(known.until - at) / 10:g} ms more", known.waits, event)
+            self.find(
+                "let-in-against-advice",
+                f"{more['who']} let in {more['txn']}, which {known.waits.more['who']} had "
+                f"told to wait {(known.until - at) / 10:g} ms more",
+                known.waits,
+                event,
+            )
         level = self._by(event)
         self._decided(event, known, level, True)
         if level is not None:
@@ -182,24 +205,32 @@
         self.outs.append((at, stands, event))
 
     def _inversion(self, let: Event, out: Event) -> None:
-        self.find("inversion",
-                  f"{out.more['who']} declined {out.more['txn']} of standing {out.more['standing']:g}, "
-                  f"{let.more['who']} let in {let.more['txn']} of {let.more['standing']:g}, "
-                  f"{abs(let.at - out.at) / 10:g} ms apart", *sorted((let, out), key=lambda row: row.at))
+        self.find(
+            "inversion",
+            f"{out.more['who']} declined {out.more['txn']} of standing {out.more['standing']:g}, "
+            f"{let.more['who']} let in {let.more['txn']} of {let.more['standing']:g}, "
+            f"{abs(let.at - out.at) / 10:g} ms apart",
+            *sorted((let, out), key=lambda row: row.at),
+        )
 
     def _split(self, let: Event, out: Event) -> None:
-        self.find("identity-split", f"{'/'.join(map(str, identity(let)))} was let in by {let.more['who']} "
-                  f"({let.more['txn']}) and declined by {out.more['who']} ({out.more['txn']}), whose level "
-                  f"was no higher",
-                  *sorted((let, out), key=lambda row: row.at))
+        self.find(
+            "identity-split",
+            f"{'/'.join(map(str, identity(let)))} was let in by {let.more['who']} "
+            f"({let.more['txn']}) and declined by {out.more['who']} ({out.more['txn']}), whose level "
+            f"was no higher",
+            *sorted((let, out), key=lambda row: row.at),
+        )
 
     def _back(self, event: Event) -> None:
         more = event.more
         until = more.get("until", NEVER)
         if more.get("obeys") and event.at < until - 2 * self.skew:
-            self.find("back-early",
-                      f"{more['txn']} is back {(until - event.at) / 10:g} ms before it was told to be",
-                      event)
+            self.find(
+                "back-early",
+                f"{more['txn']} is back {(until - event.at) / 10:g} ms before it was told to be",
+                event,
+            )
 
     def _returned(self, at: int) -> None:
         """Advised returns that fall due are counted; all of them up to now are known, since a wait is never
@@ -213,8 +244,12 @@
                 self.bunched = False
             elif not self.bunched:
                 self.bunched = True
-                self.find("advice-bunched", f"{len(self.back)} were told to be back within the second before "
-                          f"{when / 10:g} ms; {self.returns} have room", *(row[1] for row in self.back))
+                self.find(
+                    "advice-bunched",
+                    f"{len(self.back)} were told to be back within the second before "
+                    f"{when / 10:g} ms; {self.returns} have room",
+                    *(row[1] for row in self.back),
+                )
 
     def done(self) -> None:
         super().done()
--- a/pathsaddle/histories/small.py
+++ b/pathsaddle/histories/small.py
@@ -38,8 +38,9 @@
         end = max((self.rows[place][1].at for place in self.accused), default=None)
         if end is not None:
             self._try([row for row in self.rows if row[1].at <= end])
-        self._try([row for row in self.rows if self.groups[row[0]] in self.own
-                   or self.groups[row[0]] is None])
+        self._try(
+            [row for row in self.rows if self.groups[row[0]] in self.own or self.groups[row[0]] is None]
+        )
         self._near()
         self._fewer(lambda row: row[1].more.get("who"), True)
         self._fewer(self._txn, False)
@@ -56,8 +57,16 @@
             often[event.what] = often.get(event.what, 0) + 1
         near = SECOND // 10
         while near < begin and len(self.rows) > SELDOM:
-            if self._try([row for row in self.rows if row[1].at >= begin - near or row[0] in self.fixed
-                          or often[row[1].what] <= SELDOM or row[0] in self.accused]):
+            if self._try(
+                [
+                    row
+                    for row in self.rows
+                    if row[1].at >= begin - near
+                    or row[0] in self.fixed
+                    or often[row[1].what] <= SELDOM
+                    or row[0] in self.accused
+                ]
+            ):
                 return
             near *= 8
 
@@ -74,9 +83,11 @@
         checker = self.make()
         check([event for _, event in rows], [checker])
         places = {id(event): place for place, event in rows}
-        return any(finding.name == self.finding.name
-                   and all(places.get(id(event), -1) in self.accused for event in finding.events)
-                   for finding in checker.findings)
+        return any(
+            finding.name == self.finding.name
+            and all(places.get(id(event), -1) in self.accused for event in finding.events)
+            for finding in checker.findings
+        )
 
     def _try(self, rows: list[Row]) -> bool:
         if len(rows) == len(self.rows) or self.plays >= MOST_PLAYS or not self._holds(rows):
@@ -99,7 +110,7 @@
         while left and self.plays < MOST_PLAYS:
             gone = False
             for first in range(0, len(left), size):
-                part = dict.fromkeys(left[first:first + size])
+                part = dict.fromkeys(left[first : first + size])
                 if part and self._try([row for row in self.rows if by(row) not in part]):
                     left = [name for name in left if name not in part]
                     gone = True
@@ -115,9 +126,14 @@
         """Cuts gaps between neighbouring moments, the longest first, and begins at nothing; order stays."""
         for cut in (1, 10, 100):
             moments = sorted({moment for _, event in self.rows for moment in _moments(event)})
-            gaps = sorted(((after - before, before)
-                           for before, after in zip([0, *moments], moments, strict=False)
-                           if after - before > cut), reverse=True)
+            gaps = sorted(
+                (
+                    (after - before, before)
+                    for before, after in zip([0, *moments], moments, strict=False)
+                    if after - before > cut
+                ),
+                reverse=True,
+            )
             shift: list[tuple[int, int]] = []
             for gap, before in gaps[:200]:
                 if self.plays >= MOST_PLAYS:
@@ -138,8 +154,10 @@
     def back(at: int) -> int:
         return at - by if at > after else at
 
-    more: dict[str, Any] = {name: back(value) if name in MOMENTS and isinstance(value, int) else value
-                            for name, value in event.more.items()}
+    more: dict[str, Any] = {
+        name: back(value) if name in MOMENTS and isinstance(value, int) else value
+        for name, value in event.more.items()
+    }
     return Event(back(event.at), event.what, more)
 
 
--- a/pathsaddle/histories/smoke.py
+++ b/pathsaddle/histories/smoke.py
@@ -42,8 +42,12 @@
     seconds: float = 40.0
 
 
-MAY: dict[type, str] = {str: "a text", list: "a list of checkers' names", int: "a whole number, 1 or more",
-                        float: "seconds, 0 or more"}
+MAY: dict[type, str] = {
+    str: "a text",
+    list: "a list of checkers' names",
+    int: "a whole number, 1 or more",
+    float: "seconds, 0 or more",
+}
 
 
 def table(path: Path) -> dict[str, Any]:
@@ -66,7 +70,12 @@
         if key not in known:
             raise UnknownKey(file=path, key=key, known=", ".join(known))
         if not isinstance(value, (int, float) if known[key] is float else known[key]) or (
-                isinstance(value, bool) or known[key] in (int, float) and value < 0 or key == "events" and value < 1):
+            isinstance(value, bool)
+            or known[key] in (int, float)
+            and value < 0
+            or key == "events"
+            and value < 1
+        ):
             raise WrongValue(file=path, key=key, shown=repr(value), may=MAY[known[key]])
         setattr(plan, key, value)
     if plan.ground != "histories":
@@ -92,13 +101,18 @@
                     played += 1
                     found += expected in names
                     if expected not in names:
-                        say(f"MISSED {name}: {kind}, seed {seed}, skew {skew}: {expected} is not among "
-                            f"{', '.join(sorted(names)) or 'nothing'}")
+                        say(
+                            f"MISSED {name}: {kind}, seed {seed}, skew {skew}: {expected} is not among "
+                            f"{', '.join(sorted(names)) or 'nothing'}"
+                        )
         bad += played - found
         looks = looks_wrong(name)
         rights = [(kind, events, 0) for kind, events in looks.items()]
-        rights += [(f"seed {seed}", right(name, seed, plan.events, skew), skew)
-                   for seed in range(2 * plan.seeds) for skew in (0, plan.skew)]
+        rights += [
+            (f"seed {seed}", right(name, seed, plan.events, skew), skew)
+            for seed in range(2 * plan.seeds)
+            for skew in (0, plan.skew)
+        ]
         for kind, events, skew in rights:
             findings = check(events, [proving(name, skew)])
             passed += not findings
@@ -121,8 +135,10 @@
     say(f"{'checker':<12}{'kinds':>6}{'found':>10}{'passed':>10}{'small':>7}{'s a million':>13}")
     for name, kinds, found, played, passed, of, left, took in rows:
         say(f"{name:<12}{kinds:>6}{f'{found}/{played}':>10}{f'{passed}/{of}':>10}{left:>7}{took:>13.1f}")
-    say(f"{whole:.1f} s, {process_time() - cpu:.1f} s of processor time; "
-        f"{'every bound holds' if not bad else f'{bad} do not hold'}")
+    say(
+        f"{whole:.1f} s, {process_time() - cpu:.1f} s of processor time; "
+        f"{'every bound holds' if not bad else f'{bad} do not hold'}"
+    )
     return not bad
 
 
--- a/pathsaddle/histories/worlds.py
+++ b/pathsaddle/histories/worlds.py
@@ -99,8 +99,9 @@
             return
         self.then(arrives, self.arrive, who, op, key, kind, more, self.now, back)
 
-    def arrive(self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int,
-               back: int | None) -> None:
+    def arrive(
+        self, who: str, op: str, key: str, kind: str, more: dict[str, Any], called: int, back: int | None
+    ) -> None:
         state = self.state[key]
         fine = True
         if kind == "take":
@@ -120,13 +121,18 @@
                 state[2], state[3] = more["value"], state[3] + 1
         if back is None:
             return
-        told = {"outcome": "ok" if fine else "refused", "number": state[0], "owner": state[1],
-                "value": state[2],
-                "revision": state[3]}
+        told = {
+            "outcome": "ok" if fine else "refused",
+            "number": state[0],
+            "owner": state[1],
+            "value": state[2],
+            "revision": state[3],
+        }
         self.then(back, self.end, who, op, told, key, kind, called)
 
-    def end(self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "",
-            called: int = 0) -> None:
+    def end(
+        self, who: str, op: str, told: dict[str, Any], key: str = "", kind: str = "", called: int = 0
+    ) -> None:
         self.say("reg.end", who=who, op=op, **told)
         if not kind:
             return
@@ -147,8 +153,15 @@
             return
         self.ops += 1
         self.say("act", who=who, key=key, number=number, id=self.ops)
-        self.then(self.some(8 * SECOND), self.effect, self.chance.choice(("w1", "w2", "w3")), who, key,
-                  number, self.ops)
+        self.then(
+            self.some(8 * SECOND),
+            self.effect,
+            self.chance.choice(("w1", "w2", "w3")),
+            who,
+            key,
+            number,
+            self.ops,
+        )
 
     def effect(self, receiver: str, who: str, key: str, number: int, name: int) -> None:
         taken = number >= self.fences.get((receiver, key), 0)
@@ -193,7 +206,7 @@
         free = [unit for unit in self.units[budget] if unit[0] == unit[1] == owner]
         if owner in self.dead or taker in self.dead or len(free) < 2:
             return
-        moved = free[:self.some(len(free) - 1)]
+        moved = free[: self.some(len(free) - 1)]
         end = self.now + self.some(3 * SECOND) + SECOND
         for unit in moved:
             unit[1] = ""
@@ -283,9 +296,14 @@
         self.then(self.some(20 * MS), self.tell)
         when, sum_ = self.past[max(0, len(self.past) - self.some(200))]
         wide = self.chance.randrange(3)
-        self.say("count.told", who=self.chance.choice(self.names), name="open", low=sum_ - wide,
-                 high=sum_ + wide,
-                 age=self.now - when)
+        self.say(
+            "count.told",
+            who=self.chance.choice(self.names),
+            name="open",
+            low=sum_ - wide,
+            high=sum_ + wide,
+            age=self.now - when,
+        )
 
 
 class SheddingWorld(World):
@@ -409,13 +427,27 @@
         unit, island = self.chance.choice(list(self.needs)), self.chance.choice(list(self.limits))
         bay = f"{island}/{self.chance.randrange(8)}"
         used, limits, needs = self.used[island], self.limits[island], {"bays": 1, **self.needs[unit]}
-        taken = (number == self.number and revision == self.revision and unit not in self.held
-                 and bay not in self.bays
-                 and all(used[what] + needs[what] <= limits[what] for what in limits))
+        taken = (
+            number == self.number
+            and revision == self.revision
+            and unit not in self.held
+            and bay not in self.bays
+            and all(used[what] + needs[what] <= limits[what] for what in limits)
+        )
         until = self.now + 5 * SECOND + self.some(20 * SECOND)
-        self.say("bay.reserve", who="k", unit=unit, bay=bay, island=island, by=who, number=number,
-                 revision=revision,
-                 now=self.revision, taken=taken, until=until)
+        self.say(
+            "bay.reserve",
+            who="k",
+            unit=unit,
+            bay=bay,
+            island=island,
+            by=who,
+            number=number,
+            revision=revision,
+            now=self.revision,
+            taken=taken,
+            until=until,
+        )
         self.planners[who] = number, self.revision
         if not taken:
             return
@@ -440,9 +472,17 @@
             self.cold.pop(unit, None)
         does = ("install", "warm", "serve")[step]
         after = [first + step - 1] if step else []
-        self.say("plan.step", who=who, plan=plan, step=first + step, state="begun", does=does, unit=unit,
-                 bay=bay,
-                 after=after)
+        self.say(
+            "plan.step",
+            who=who,
+            plan=plan,
+            step=first + step,
+            state="begun",
+            does=does,
+            unit=unit,
+            bay=bay,
+            after=after,
+        )
         self.say(f"bay.{does}", who=who, unit=unit, bay=bay, number=plan)
         self.then(self.some(SECOND // 10), self.walked, who, plan, first, unit, bay, step)
 
@@ -493,8 +533,10 @@
 
     def commit(self) -> None:
         self.then(self.some(6 * SECOND), self.commit)
-        may = {scheme: [region for region in self.REGIONS if self.chance.random() < 0.6]
-               for scheme in ("render", "sign")}
+        may = {
+            scheme: [region for region in self.REGIONS if self.chance.random() < 0.6]
+            for scheme in ("render", "sign")
+        }
         data = {"textures": [region for region in self.REGIONS if self.chance.random() < 0.7]}
         self.versions.append({"may": may, "data": data})
         self.say("spec.version", who="k", version=len(self.versions), state="committed", may=may, data=data)
@@ -509,8 +551,9 @@
         self.held[name] = version, self.now + self.LEASE
         self.say("spec.version", who=name, version=version, state="held", until=self.now + self.LEASE)
         for number in range(self.force + 1, len(self.versions) + 1):
-            if all(held >= number or until + SECOND // 2 < self.now for held, until in self.held.values()) \
-                    and len(self.held) == len(self.members):
+            if all(
+                held >= number or until + SECOND // 2 < self.now for held, until in self.held.values()
+            ) and len(self.held) == len(self.members):
                 self.force = number
                 self.say("spec.version", who="k", version=number, state="force")
 
@@ -531,17 +574,35 @@
         txn, scheme = again
         places = [region for region in rules["may"][scheme] if region != home]
         if self.chance.random() < 0.3 and rules["data"]["textures"]:
-            self.say("data.read", who=name, region=self.chance.choice(rules["data"]["textures"]),
-                     data="textures",
-                     scheme=scheme, txn=txn, version=version, age=self.some(SECOND), staleness=SECOND)
+            self.say(
+                "data.read",
+                who=name,
+                region=self.chance.choice(rules["data"]["textures"]),
+                data="textures",
+                scheme=scheme,
+                txn=txn,
+                version=version,
+                age=self.some(SECOND),
+                staleness=SECOND,
+            )
         if not places:
             return
         to = self.chance.choice(places)
         self._order += 1
         post = f"{txn}/{self._order}"
         kind = "once-only" if scheme == "sign" else "repeatable"
-        self.say("abroad.sent", who=name, post=post, txn=txn, scheme=scheme, kind=kind, origin=home, to=to,
-                 version=version, **{"from": home})
+        self.say(
+            "abroad.sent",
+            who=name,
+            post=post,
+            txn=txn,
+            scheme=scheme,
+            kind=kind,
+            origin=home,
+            to=to,
+            version=version,
+            **{"from": home},
+        )
         fate = self.chance.choice(("settled", "declined", "unknown", "unknown, ran"))
         self.then(self.some(SECOND // 2), self.arrive, name, again, post, kind, to, fate)
 
@@ -599,8 +660,9 @@
         fate = self.chance.choice(("settled", "settled", "declined", "broken", "broken, ran"))
         self.then(self.some(SECOND // 10), self.reach, who, life, txn, kind, post, worker, fate, tries)
 
-    def reach(self, who: str, life: int, txn: str, kind: str, post: str, worker: str, fate: str,
-              tries: int) -> None:
+    def reach(
+        self, who: str, life: int, txn: str, kind: str, post: str, worker: str, fate: str, tries: int
+    ) -> None:
         if fate in ("settled", "broken, ran"):
             self.say("post.ran", who=worker, post=post, txn=txn, kind=kind)
         else:
@@ -663,8 +725,13 @@
 
     def call(self, keeper: str, puts: dict[str, Any], fate: str) -> None:
         self.ops += 1
-        group = {"op": f"{keeper}/{self.ops}", "revision": len(self.line) + 1, "digest": f"d{self.ops}",
-                 "before": self.line[-1]["digest"] if self.line else "", "puts": puts}
+        group = {
+            "op": f"{keeper}/{self.ops}",
+            "revision": len(self.line) + 1,
+            "digest": f"d{self.ops}",
+            "before": self.line[-1]["digest"] if self.line else "",
+            "puts": puts,
+        }
         self.say("settings.call", who=keeper, **group)
         if fate != "lost":
             self.then(self.some(50 * MS), self.arrive, keeper, group, fate)
@@ -692,7 +759,9 @@
         self.say("settings.read", who=keeper, revision=group["revision"], digest=group["digest"])
 
     def newest(self, name: str) -> int:
-        return max(1, self.held.get(name, (0, 0))[0], self.force, len(self.line) - self.chance.choice((0, 0, 0, 1)))
+        return max(
+            1, self.held.get(name, (0, 0))[0], self.force, len(self.line) - self.chance.choice((0, 0, 0, 1))
+        )
 
     def renew(self, name: str) -> None:
         self.then(SECOND // 2 + self.some(SECOND // 2), self.renew, name)
@@ -703,8 +772,10 @@
     def judge(self) -> None:
         """In force: who is behind has no lease, and nothing that it may do was withdrawn."""
         for number in range(self.force + 1, len(self.line) + 1):
-            if all(revision >= number or until < self.now and self.stands(revision, number)
-                   for revision, until in self.held.values()):
+            if all(
+                revision >= number or until < self.now and self.stands(revision, number)
+                for revision, until in self.held.values()
+            ):
                 self.force = number
                 self.say("settings.force", who="k1", revision=number, digest=self.line[number - 1]["digest"])
 
@@ -713,6 +784,7 @@
 
         def most(row: dict[str, Any] | None) -> int:
             return 0 if row is None else row["allowance"] or 1000
+
         return all(most(old[key]) <= most(new[key]) for key in self.keys)
 
     def act(self, name: str) -> None:
@@ -723,9 +795,18 @@
         group = self.line[revision - 1]
         key = self.chance.choice(self.keys)
         told = {"revision": revision, "digest": group["digest"]}
-        self.say("settings.act", who=name, key=key, value=self.value(name, group["rows"][key]), leased=until > self.now, **told)
+        self.say(
+            "settings.act",
+            who=name,
+            key=key,
+            value=self.value(name, group["rows"][key]),
+            leased=until > self.now,
+            **told,
+        )
         if self.chance.random() < 0.3:
-            self.say("settings.rows", who=name, rows={key: group["rows"][key] for key in group["puts"]}, **told)
+            self.say(
+                "settings.rows", who=name, rows={key: group["rows"][key] for key in group["puts"]}, **told
+            )
 
     def value(self, name: str, row: dict[str, Any] | None) -> dict[str, Any] | None:
         """Less, where an offer that is not committed says so."""
@@ -748,8 +829,13 @@
 
 
 WORLDS: dict[str, type[World]] = {
-    "register": RegisterWorld, "shares": SharesWorld, "counts": CountsWorld, "shedding": SheddingWorld,
-    "placement": PlacementWorld, "federation": FederationWorld, "txns": TxnsWorld,
+    "register": RegisterWorld,
+    "shares": SharesWorld,
+    "counts": CountsWorld,
+    "shedding": SheddingWorld,
+    "placement": PlacementWorld,
+    "federation": FederationWorld,
+    "txns": TxnsWorld,
     "settings": SettingsWorld,
 }
 
@@ -763,8 +849,10 @@
     rows = []
     for event in events:
         by = off[str(event.more["who"])]
-        more = {name: value + by if name in MOMENTS and isinstance(value, int) else value
-                for name, value in event.more.items()}
+        more = {
+            name: value + by if name in MOMENTS and isinstance(value, int) else value
+            for name, value in event.more.items()
+        }
         rows.append(Event(event.at + by, event.what, more))
     return in_order(rows)
 
--- a/pathsaddle/jobs/model.py
+++ b/pathsaddle/jobs/model.py
@@ -73,8 +73,21 @@
         self.kinds = kinds
         self.workers = workers
         many, few = len(kinds), range(workers)
-        self.start = State(True, (), (), (), (), (), tuple(() for _ in few), tuple((0,) * many for _ in few),
-                           (False,) * workers, (0,) * many, (False,) * many, (None,) * many, crashes)
+        self.start = State(
+            True,
+            (),
+            (),
+            (),
+            (),
+            (),
+            tuple(() for _ in few),
+            tuple((0,) * many for _ in few),
+            (False,) * workers,
+            (0,) * many,
+            (False,) * many,
+            (None,) * many,
+            crashes,
+        )
 
     def job(self, records: tuple[Rec, ...], number: int) -> Job | None:
         """The job as its records tell it, by `life`'s own steps; none: not accepted."""
@@ -95,7 +108,10 @@
         else:
             yield from self._dispatcher(state)
             if state.crashes:
-                yield "crash", replace(state, up=False, queue=(), sent=(), unsure=(), crashes=state.crashes - 1)
+                yield (
+                    "crash",
+                    replace(state, up=False, queue=(), sent=(), unsure=(), crashes=state.crashes - 1),
+                )
         yield from self._workers(state)
 
     def _restart(self, state: State) -> State:
@@ -137,11 +153,22 @@
                     yield f"intent {number} at {worker}", self._write(state, rec)
             for rec in state.disk:  # on disk first, then the bytes
                 mark = (rec.job, rec.number)
-                if rec.kind is Kind.INTENT and rec.job == number and mark not in state.sent \
-                        and mark not in state.unsure and job.leases[-1].number == rec.number \
-                        and not job.leases[-1].never_ran:
-                    yield f"send {number}", replace(
-                        state, sent=(*state.sent, mark), flying=(*state.flying, (number, rec.number, rec.worker)))
+                if (
+                    rec.kind is Kind.INTENT
+                    and rec.job == number
+                    and mark not in state.sent
+                    and mark not in state.unsure
+                    and job.leases[-1].number == rec.number
+                    and not job.leases[-1].never_ran
+                ):
+                    yield (
+                        f"send {number}",
+                        replace(
+                            state,
+                            sent=(*state.sent, mark),
+                            flying=(*state.flying, (number, rec.number, rec.worker)),
+                        ),
+                    )
             for lease in job.in_doubt():
                 mark = (number, lease.number)
                 if mark in state.unsure or mark in state.sent:
@@ -157,18 +184,23 @@
                 return (Word.DONE if held.done else Word.RUNNING), state
         if state.restarted[worker]:
             return Word.NONE, state
-        fences = _put(state.fences, worker, _put(state.fences[worker], number,
-                                                 max(lease, state.fences[worker][number])))
+        fences = _put(
+            state.fences, worker, _put(state.fences[worker], number, max(lease, state.fences[worker][number]))
+        )
         return Word.NEVER, replace(state, fences=fences)
 
-    def _ask(self, state: State, number: int, lease: int, worker: int,
-             after: bool) -> Iterator[tuple[str, State]]:
+    def _ask(
+        self, state: State, number: int, lease: int, worker: int, after: bool
+    ) -> Iterator[tuple[str, State]]:
         word, asked = self._word(state, number, lease, worker)
         semantics = self.kinds[number]
         follows = life.after_restart(word, 0, EXPIRES) if after else life.lapsed(word, semantics, 0, EXPIRES)
         mark = (number, lease)
-        matched = replace(asked, unsure=tuple(m for m in asked.unsure if m != mark),
-                          sent=asked.sent if mark in asked.sent else (*asked.sent, mark))
+        matched = replace(
+            asked,
+            unsure=tuple(m for m in asked.unsure if m != mark),
+            sent=asked.sent if mark in asked.sent else (*asked.sent, mark),
+        )
         name = f"ask {number} of {worker}: {word.name}"
         if follows is Next.SETTLE:
             yield name, self._write(matched, Rec(Kind.FINAL, number, end=End.SETTLED))
@@ -185,8 +217,11 @@
             known = any(held.job == number for held in state.held[worker])
             if lease <= state.fences[worker][number] or known:
                 continue
-            begun = replace(rest, held=_put(rest.held, worker, (*rest.held[worker], Held(number, lease, False))),
-                            runs=_put(rest.runs, number, rest.runs[number] + 1))
+            begun = replace(
+                rest,
+                held=_put(rest.held, worker, (*rest.held[worker], Held(number, lease, False))),
+                runs=_put(rest.runs, number, rest.runs[number] + 1),
+            )
             yield f"begin {number} at {worker}", begun
         for worker in range(self.workers):
             for held in state.held[worker]:
@@ -197,14 +232,22 @@
                     # Its callback, again and again: late, doubled, of an older lease.
                     job = self.job(state.disk + state.queue, held.job)
                     if job is not None and job.open and job.lease_of(str(worker), None) is not None:
-                        yield f"callback {held.job}", self._write(
-                            state, Rec(Kind.FINAL, held.job, end=End.SETTLED))
+                        yield (
+                            f"callback {held.job}",
+                            self._write(state, Rec(Kind.FINAL, held.job, end=End.SETTLED)),
+                        )
             if state.crashes and (state.held[worker] or any(state.fences[worker])):
-                yield f"worker {worker} dies", replace(
-                    state, crashes=state.crashes - 1, held=_put(state.held, worker, ()),
-                    flying=tuple(f for f in state.flying if f[2] != worker),
-                    fences=_put(state.fences, worker, (0,) * len(self.kinds)),
-                    restarted=_put(state.restarted, worker, True))
+                yield (
+                    f"worker {worker} dies",
+                    replace(
+                        state,
+                        crashes=state.crashes - 1,
+                        held=_put(state.held, worker, ()),
+                        flying=tuple(f for f in state.flying if f[2] != worker),
+                        fences=_put(state.fences, worker, (0,) * len(self.kinds)),
+                        restarted=_put(state.restarted, worker, True),
+                    ),
+                )
 
     def check(self, state: State) -> None:
         """Raises Broken."""
@@ -253,4 +296,4 @@
 
 
 def _put(row: tuple, at: int, value: object) -> tuple:  # type: ignore[type-arg]
-    return (*row[:at], value, *row[at + 1:])
+    return (*row[:at], value, *row[at + 1 :])
--- a/pathsaddle/jobs/store.py
+++ b/pathsaddle/jobs/store.py
@@ -102,9 +102,15 @@
     if code.startswith(("SQLITE_BUSY", "SQLITE_LOCKED")):
         return InUse(path=path)
     if code.startswith("SQLITE_READONLY"):
-        return Unusable("", f"let the user who runs this write {path} and in {path.parent}", path=path, why=why(fault))
-    return Unusable("", f"see that {path.parent} is there, has room, and can be written by the user who runs this",
-                    path=path, why=why(fault))
+        return Unusable(
+            "", f"let the user who runs this write {path} and in {path.parent}", path=path, why=why(fault)
+        )
+    return Unusable(
+        "",
+        f"see that {path.parent} is there, has room, and can be written by the user who runs this",
+        path=path,
+        why=why(fault),
+    )
 
 
 @dataclass(slots=True)
@@ -123,8 +129,9 @@
     @property
     def sum(self) -> int:
         # What schema 1 had not is left out, so that its rows' sums still hold.
-        text = "\0".join((self.job, self.owner, self.key or "", self.semantics.name, str(self.accepted),
-                          str(self.expires)))
+        text = "\0".join(
+            (self.job, self.owner, self.key or "", self.semantics.name, str(self.accepted), str(self.expires))
+        )
         return zlib.crc32(self.call, zlib.crc32(text.encode()))
 
 
@@ -140,7 +147,9 @@
 
 def final_sum(record: Record) -> int:
     assert record.end is not None
-    return zlib.crc32(record.result, zlib.crc32(f"{record.job}\0{record.end.value}\0{record.status}".encode()))
+    return zlib.crc32(
+        record.result, zlib.crc32(f"{record.job}\0{record.end.value}\0{record.status}".encode())
+    )
 
 
 class Writer(Protocol):
@@ -368,7 +377,9 @@
     def under(self, owner: str, key: str) -> str | None:
         """The job that was handed in so."""
         assert self._reader is not None
-        row = self._reader.execute("SELECT job FROM jobs WHERE owner = ? AND key = ?", (owner, key)).fetchone()
+        row = self._reader.execute(
+            "SELECT job FROM jobs WHERE owner = ? AND key = ?", (owner, key)
+        ).fetchone()
         return None if row is None else str(row[0])
 
     def knows(self, job: str) -> bool:
@@ -409,23 +420,38 @@
 
 def _write(db: sqlite3.Connection, write: Write) -> None:
     if isinstance(write, Accepted):
-        db.execute("INSERT INTO jobs (job, owner, key, semantics, accepted, expires, call, sum, digest) "
-                   "VALUES (?,?,?,?,?,?,?,?,?)",
-                   (write.job, write.owner, write.key, write.semantics.name, write.accepted, write.expires,
-                    write.call, write.sum, write.digest))
+        db.execute(
+            "INSERT INTO jobs (job, owner, key, semantics, accepted, expires, call, sum, digest) "
+            "VALUES (?,?,?,?,?,?,?,?,?)",
+            (
+                write.job,
+                write.owner,
+                write.key,
+                write.semantics.name,
+                write.accepted,
+                write.expires,
+                write.call,
+                write.sum,
+                write.digest,
+            ),
+        )
     elif isinstance(write, Forget):
         _forget(db, write.before)
     elif write.kind is Kind.INTENT:
-        db.execute("INSERT INTO leases (job, number, worker, at) VALUES (?,?,?,?)",
-                   (write.job, write.number, write.worker, write.at))
+        db.execute(
+            "INSERT INTO leases (job, number, worker, at) VALUES (?,?,?,?)",
+            (write.job, write.number, write.worker, write.at),
+        )
     elif write.kind is Kind.CLEAR:
         db.execute("UPDATE leases SET never_ran = 1 WHERE job = ? AND number = ?", (write.job, write.number))
     elif write.kind is Kind.CANCEL:
         db.execute("INSERT OR IGNORE INTO cancels VALUES (?,?)", (write.job, write.at))
     elif write.kind is Kind.FINAL:
         assert write.end is not None
-        db.execute("INSERT INTO finals VALUES (?,?,?,?,?,?)",
-                   (write.job, write.end.value, write.status, write.at, write.result, final_sum(write)))
+        db.execute(
+            "INSERT INTO finals VALUES (?,?,?,?,?,?)",
+            (write.job, write.end.value, write.status, write.at, write.result, final_sum(write)),
+        )
 
 
 JOB = "SELECT job, owner, key, digest, semantics, accepted, expires, call, sum FROM jobs"
@@ -509,8 +535,10 @@
     except OSError as fault:
         raise unusable(to, fault) from None
     try:
-        with contextlib.closing(sqlite3.connect(f"file:{path}?mode=ro", uri=True)) as source, \
-                contextlib.closing(sqlite3.connect(part)) as target:
+        with (
+            contextlib.closing(sqlite3.connect(f"file:{path}?mode=ro", uri=True)) as source,
+            contextlib.closing(sqlite3.connect(part)) as target,
+        ):
             source.backup(target)
         with part.open("rb") as file:
             os.fsync(file.fileno())
--- a/pathsaddle/jobs/txn_service.py
+++ b/pathsaddle/jobs/txn_service.py
@@ -34,7 +34,9 @@
 ILL = SECOND  # after a failed commit: new jobs are declined at once
 BEHIND = SECOND  # of waiting for one commit beyond which new jobs are declined
 SLICE = 100  # jobs taken up again between two turns of the loop
-FORGETS = 60 * SECOND  # at most between two lettings go: an eighth of a month's jobs at once keeps the disk for seconds
+FORGETS = (
+    60 * SECOND
+)  # at most between two lettings go: an eighth of a month's jobs at once keeps the disk for seconds
 FULL_TOLD = 60 * SECOND  # between two log lines of memory that is full of open jobs
 ASKED = 64  # workers asked at a time after a restart
 LIVE = 512  # jobs that stand before the decisions at once; the others wait in order
@@ -159,8 +161,10 @@
             self.counters.add("jobs.full")
             if now >= self.full_told + FULL_TOLD:
                 self.full_told = now
-                logbook.note(text=f"new jobs are declined: the open ones take {self.open_bytes} bytes of the {self.ways.open} "
-                                  "that limits.memory leaves them")
+                logbook.note(
+                    text=f"new jobs are declined: the open ones take {self.open_bytes} bytes of the {self.ways.open} "
+                    "that limits.memory leaves them"
+                )
             return "as many jobs are open as its memory has room for"
         return None
 
@@ -204,10 +208,14 @@
             async with gate:
                 try:
                     await self._take_up(kept)
-                except (Broken, ValueError):  # its scheme is gone since: that job alone waits for its worker's word
+                except (
+                    Broken,
+                    ValueError,
+                ):  # its scheme is gone since: that job alone waits for its worker's word
                     self._start(self._wait_for_word(kept))
+
         for i in range(0, len(doubtful), SLICE):
-            await asyncio.gather(*(ask(kept) for kept in doubtful[i:i + SLICE]))
+            await asyncio.gather(*(ask(kept) for kept in doubtful[i : i + SLICE]))
         for i, kept in enumerate(open_jobs):
             if kept.job.open and kept.entry is None and not kept.job.in_doubt():
                 if kept.job.cancel:
@@ -219,8 +227,12 @@
             if i % SLICE == 0:
                 await asyncio.sleep(0)
         self.recovered = True
-        logbook.recovered(jobs=len(self.jobs) + self.on_disk, open=len(open_jobs), asked=len(doubtful),
-                          ms=(self.clock.now() - begun) // MILLISECOND)
+        logbook.recovered(
+            jobs=len(self.jobs) + self.on_disk,
+            open=len(open_jobs),
+            asked=len(doubtful),
+            ms=(self.clock.now() - begun) // MILLISECOND,
+        )
         early, self.early = self.early, []
         for told_back, answer in early:
             self.heard(told_back, answer)
@@ -304,7 +316,9 @@
         """Nobody on the list has it and it may have run: its worker may come back before its expiry."""
         job = kept.job
         while job.open and self.clock.now() < job.expires - self.ways.margin:
-            await asyncio.sleep(seconds(min(self.ways.lease, max(MILLISECOND, job.expires - self.clock.now()))) / 2)
+            await asyncio.sleep(
+                seconds(min(self.ways.lease, max(MILLISECOND, job.expires - self.clock.now()))) / 2
+            )
             for lease in job.in_doubt():
                 if job.open and lease.worker in self.known:
                     word, result = await self._ask(job, lease)
@@ -317,8 +331,9 @@
         """The worker's own word on a lease; those that know none of this say 404 without a fence, or nothing."""
         try:
             async with asyncio.timeout(seconds(self.workers.connect_within)):
-                answer = await self.workers.call(lease.worker, "GET", b"/jobs/%s?fence=%d" % (
-                    job.tag.encode(), lease.number), [])
+                answer = await self.workers.call(
+                    lease.worker, "GET", b"/jobs/%s?fence=%d" % (job.tag.encode(), lease.number), []
+                )
         except (NeverSent, Lost, TimeoutError):
             return Word.NONE, b""
         try:
@@ -383,8 +398,16 @@
         txn = self.words.txn(call, self.loop.now)
         if txn.tag in self.jobs or self.ledger.knows(txn.tag) or self._known_on_disk(txn.tag):
             raise Broken(409, "this id is not new")
-        told = Accepted(txn.tag, self._owner(call), None, digest(call), txn.scheme.semantics, txn.arrived,
-                        txn.expires, pack(call))
+        told = Accepted(
+            txn.tag,
+            self._owner(call),
+            None,
+            digest(call),
+            txn.scheme.semantics,
+            txn.arrived,
+            txn.expires,
+            pack(call),
+        )
         kept = Kept(Job(txn.tag, txn.scheme.semantics, txn.arrived, txn.expires), told, running=True)
         self._opened(kept)
         # In order before its first intent, which is waited for: it needs no wait of its own.
@@ -478,7 +501,7 @@
 
     def _status(self, call: Message, answer: Answer) -> None:
         path, _, query = call.target.partition(b"?")
-        tag = path[len(PATH):].decode("latin-1")
+        tag = path[len(PATH) :].decode("latin-1")
         asked = dict(part.split("=", 1) for part in query.decode("latin-1").split("&") if "=" in part)
         if not self.recovered:
             self._say(answer, 503, {"why": "recovering"}, come_back=SECOND // 2)
@@ -511,7 +534,7 @@
         if not self.recovered:
             self._say(answer, 503, {"why": "recovering"}, come_back=SECOND // 2)
             return
-        tag = call.target.partition(b"?")[0][len(PATH):].decode("latin-1")
+        tag = call.target.partition(b"?")[0][len(PATH) :].decode("latin-1")
         kept = self.jobs.get(tag) or self._ended_on_disk(tag)
         if kept is None or self._owner(call) != kept.told.owner:
             raise Broken(404, "no such job")
@@ -644,13 +667,15 @@
             return
         exchange.entry.call.headers[b"job-lease"] = b"%d" % lease.number
         exchange.entry.call.lines = [
-            pair for pair in exchange.entry.call.lines if pair[0].lower() != b"job-lease"]
+            pair for pair in exchange.entry.call.lines if pair[0].lower() != b"job-lease"
+        ]
         exchange.entry.call.lines.append((b"Job-Lease", b"%d" % lease.number))
         self._start(self._heartbeat(kept, exchange, lease))
         await super()._carry(exchange)
 
-    def _end(self, exchange: Exchange, outcome: Outcome, report: Report | None = None,
-             result: bytes = b"") -> None:
+    def _end(
+        self, exchange: Exchange, outcome: Outcome, report: Report | None = None, result: bytes = b""
+    ) -> None:
         posting = exchange.posting
         kept = self.jobs.get(posting.txn.tag)
         if kept is not None and posting.out and outcome.never_ran:
@@ -709,14 +734,22 @@
         if commit is None:
             answer(204, b"", (), True)
         else:
-            commit.add_done_callback(lambda done: answer(
-                204 if not done.cancelled() and done.exception() is None else 503, b"", (), True))
+            commit.add_done_callback(
+                lambda done: answer(
+                    204 if not done.cancelled() and done.exception() is None else 503, b"", (), True
+                )
+            )
 
     def called_back(self, told: Callback) -> None:
         kept = self.jobs.get(told.tag)
         exchange = self.ledger.exchange(told.tag, told.worker)
-        if (kept is not None and kept.job.open and exchange is None and told.outcome is Outcome.SETTLED
-                and kept.job.lease_of(told.worker, None) is not None):
+        if (
+            kept is not None
+            and kept.job.open
+            and exchange is None
+            and told.outcome is Outcome.SETTLED
+            and kept.job.lease_of(told.worker, None) is not None
+        ):
             # A lease that was given up, and its worker has done the job all the same.
             self.counters.add("jobs.late_result")
             self._settle(kept, told.result)
@@ -736,8 +769,15 @@
 
     # The one final answer.
 
-    def _answer(self, txn: Txn, kind: str, status: int, body: bytes = b"", headers: tuple[str, ...] = (),
-                keep: bool = True) -> None:
+    def _answer(
+        self,
+        txn: Txn,
+        kind: str,
+        status: int,
+        body: bytes = b"",
+        headers: tuple[str, ...] = (),
+        keep: bool = True,
+    ) -> None:
         kept = self.jobs.get(txn.tag)
         if kept is None:
             super()._answer(txn, kind, status, body, headers, keep)
@@ -752,6 +792,7 @@
                     answer(status, body, headers, keep)
                 else:  # nothing can be promised of it: nobody will ever know what became of it here
                     answer(500, b"", (), keep)
+
         self._end_job(kept, ENDS[kind], status, body, tell)
         self._events.call_soon(self.ledger.close, entry)
 
@@ -762,8 +803,9 @@
         if kept is not None and kept.job.open:
             self._end_job(kept, End.CANCELLED, 499, b"")
 
-    def _end_job(self, kept: Kept, end: End, status: int, body: bytes,
-                 tell: Callable[[bool], None] = lambda fine: None) -> asyncio.Future[None] | None:
+    def _end_job(
+        self, kept: Kept, end: End, status: int, body: bytes, tell: Callable[[bool], None] = lambda fine: None
+    ) -> asyncio.Future[None] | None:
         """On disk first, then whoever waits is told. Nothing that comes later makes another end of it."""
         job = kept.job
         if not job.open:
@@ -782,8 +824,9 @@
             self._events.call_soon(self._admit)
         return kept.pending
 
-    async def _ending(self, kept: Kept, record: Record, pending: asyncio.Future[None],
-                      tell: Callable[[bool], None]) -> None:
+    async def _ending(
+        self, kept: Kept, record: Record, pending: asyncio.Future[None], tell: Callable[[bool], None]
+    ) -> None:
         """A caller that waits is told that nothing is known where its expiry comes before the disk is done."""
         told = False
         while True:
@@ -821,7 +864,9 @@
             now = self.clock.now()
             late = [kept for kept in self.waiting if now >= kept.job.expires - self.ways.margin]
             if late:  # never before the decisions, so never posted: said now, not when there would be room
-                self.waiting = deque(kept for kept in self.waiting if now < kept.job.expires - self.ways.margin)
+                self.waiting = deque(
+                    kept for kept in self.waiting if now < kept.job.expires - self.ways.margin
+                )
                 for kept in late:
                     self._end_job(kept, End.DECLINED, 503, b"")
             if now < due:
--- a/pathsaddle/loop.py
+++ b/pathsaddle/loop.py
@@ -60,8 +60,9 @@
         if not txn.closed and txn.cut_to(by):
             self._resume(txn, None)
 
-    def ended(self, posting: Posting, outcome: Outcome, spent: int, closes: bool,
-              report: Report | None) -> None:
+    def ended(
+        self, posting: Posting, outcome: Outcome, spent: int, closes: bool, report: Report | None
+    ) -> None:
         posting.outcome = outcome
         posting.ended = self.now
         self.choice.ended(posting, spent, report)
@@ -111,8 +112,9 @@
         while (grant := self.choice.grant()) is not None:
             self._resume(*grant)
         nearest = self.choice.housekeeping()
-        while self._timers and (self._timers[0][2].closed
-                                or self._timers[0][2].pending != self._timers[0][3]):
+        while self._timers and (
+            self._timers[0][2].closed or self._timers[0][2].pending != self._timers[0][3]
+        ):
             heapq.heappop(self._timers)
         if self._timers:
             nearest = min(nearest, self._timers[0][0])
--- a/pathsaddle/metering.py
+++ b/pathsaddle/metering.py
@@ -16,10 +16,37 @@
 from collections.abc import Awaitable, Callable, Generator
 from typing import Any, Literal, TypeVar
 
-Purpose = Literal["list", "membership", "carrying", "shares", "owners", "spec", "settings", "level", "reports", "looks", "log"]
+Purpose = Literal[
+    "list",
+    "membership",
+    "carrying",
+    "shares",
+    "owners",
+    "spec",
+    "settings",
+    "level",
+    "reports",
+    "looks",
+    "log",
+]
 PURPOSES: tuple[Purpose, ...] = (
-    "list", "membership", "carrying", "shares", "owners", "spec", "settings", "level", "reports", "looks", "log")
-WITH_TXNS: tuple[Purpose, ...] = ("reports", "looks", "log")  # that grow with txns: no budget of control binds them
+    "list",
+    "membership",
+    "carrying",
+    "shares",
+    "owners",
+    "spec",
+    "settings",
+    "level",
+    "reports",
+    "looks",
+    "log",
+)
+WITH_TXNS: tuple[Purpose, ...] = (
+    "reports",
+    "looks",
+    "log",
+)  # that grow with txns: no budget of control binds them
 T = TypeVar("T")
 
 
@@ -61,16 +88,23 @@
     `thread_ns`: processor time of this thread; `steady_ns`: a clock that never goes back.
     """
 
-    def __init__(self, thread_ns: Callable[[], int] = time.thread_time_ns,
-                 steady_ns: Callable[[], int] = time.monotonic_ns) -> None:
+    def __init__(
+        self,
+        thread_ns: Callable[[], int] = time.thread_time_ns,
+        steady_ns: Callable[[], int] = time.monotonic_ns,
+    ) -> None:
         self.thread_ns, self.steady_ns = thread_ns, steady_ns
         self.spent: dict[Purpose, Spent] = {purpose: Spent() for purpose in PURPOSES}
         self.all = Spent()  # of those that a budget binds
         self.begun = steady_ns()
         self.second = 0  # the running one
-        self._inner: list[int] = []  # a frame for each call that is out: nanoseconds that calls within it have taken
+        self._inner: list[
+            int
+        ] = []  # a frame for each call that is out: nanoseconds that calls within it have taken
         self._outer: list[Purpose] = []  # what each of them is for
-        self.second_ended: Callable[[], None] = lambda: None  # told when a second has ended, in the next one's first call
+        self.second_ended: Callable[[], None] = lambda: (
+            None
+        )  # told when a second has ended, in the next one's first call
 
     # Bytes.
 
@@ -113,7 +147,9 @@
             self.spent[purpose].calls += 1
             self._adds(purpose, max(0, took - inner), 0, 0)
 
-    async def steps(self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = lambda: None) -> T:
+    async def steps(
+        self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = lambda: None
+    ) -> T:
         """A coroutine whose every step, from one wait to the next, is metered; what is thrown into it, such as its
         cancellation, reaches it. `after` each step."""
         return await _Steps(self, purpose, work, after)
@@ -134,17 +170,33 @@
         seconds = max(1e-9, (self.steady_ns() - self.begun) / 1e9)
 
         def told(one: Spent) -> dict[str, Any]:
-            return {"us": one.ns // 1000, "core": round(one.ns / 1e9 / seconds, 7), "in": one.got, "out": one.said,
-                    "in_s": round(one.got / seconds, 1), "out_s": round(one.said / seconds, 1),
-                    "most_us": max(one.most_ns, one.second[0]) // 1000, "most_in": max(one.most_got, one.second[1]),
-                    "most_out": max(one.most_said, one.second[2])}
-        return {"seconds": round(seconds, 3), "control": told(self.all),
-                "purposes": {purpose: {"calls": one.calls, **told(one), "txns": purpose in WITH_TXNS}
-                             for purpose, one in self.spent.items() if one.calls or one.got or one.said}}
+            return {
+                "us": one.ns // 1000,
+                "core": round(one.ns / 1e9 / seconds, 7),
+                "in": one.got,
+                "out": one.said,
+                "in_s": round(one.got / seconds, 1),
+                "out_s": round(one.said / seconds, 1),
+                "most_us": max(one.most_ns, one.second[0]) // 1000,
+                "most_in": max(one.most_got, one.second[1]),
+                "most_out": max(one.most_said, one.second[2]),
+            }
+
+        return {
+            "seconds": round(seconds, 3),
+            "control": told(self.all),
+            "purposes": {
+                purpose: {"calls": one.calls, **told(one), "txns": purpose in WITH_TXNS}
+                for purpose, one in self.spent.items()
+                if one.calls or one.got or one.said
+            },
+        }
 
 
 class _Steps(Awaitable[T]):
-    def __init__(self, meter: ControlMeter, purpose: Purpose, work: Awaitable[T], after: Callable[[], None]) -> None:
+    def __init__(
+        self, meter: ControlMeter, purpose: Purpose, work: Awaitable[T], after: Callable[[], None]
+    ) -> None:
         self.meter, self.purpose, self.work, self.after = meter, purpose, work, after
 
     def __await__(self) -> Generator[Any, Any, T]:
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -99,8 +99,11 @@
 
     def ambiguous(self, exchange: Exchange) -> bool:
         """Whether an earlier posting to the same worker was given up or lost: word from there may be about that one."""
-        return any(other.posting.worker is exchange.posting.worker and other.posting.may_have_run
-                   for other in exchange.entry.exchanges if other is not exchange)
+        return any(
+            other.posting.worker is exchange.posting.worker and other.posting.may_have_run
+            for other in exchange.entry.exchanges
+            if other is not exchange
+        )
 
     def schemes(self) -> list[Scheme]:
         """By which something here was taken that is not over yet."""
--- a/pathsaddle/net/memory/links.py
+++ b/pathsaddle/net/memory/links.py
@@ -179,8 +179,11 @@
                 return
 
     def let_go_oldest(self) -> None:
-        pool = min((pool for pool in self.pools.values() if pool.rested or pool.resting),
-                    key=lambda pool: (pool.rested or pool.resting)[0].idle_since, default=None)
+        pool = min(
+            (pool for pool in self.pools.values() if pool.rested or pool.resting),
+            key=lambda pool: (pool.rested or pool.resting)[0].idle_since,
+            default=None,
+        )
         link = pool.oldest() if pool is not None else None
         if link is not None:
             link.end("room")
--- a/pathsaddle/net/service/clock.py
+++ b/pathsaddle/net/service/clock.py
@@ -11,8 +11,9 @@
 class Clock:
     """Workers' starts come as Unix time; everything else is measured from here, and must never step back."""
 
-    def __init__(self, wall: Callable[[], float] = time.time,
-                 steady: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+    ) -> None:
         self._steady = steady
         self._offset = wall() - steady()
 
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -34,7 +34,9 @@
         self.known = discovery.index  # the version that was asked for
         self.counted = 0  # bytes of it that have been fed
         self.lines = 0  # that have come, beats among them
-        self.heard = asyncio.get_running_loop().time()  # when the last of them was read; before any: when it was called
+        self.heard = (
+            asyncio.get_running_loop().time()
+        )  # when the last of them was read; before any: when it was called
         self.ended = ""  # how, where the answer itself says so
 
     def comes(self, count: int) -> None:
@@ -89,8 +91,9 @@
 
 
 class DiscoveryWatch:
-    def __init__(self, address: str, index: int, service: TxnService, counters: Counters,
-                 opening: Opening = stream) -> None:
+    def __init__(
+        self, address: str, index: int, service: TxnService, counters: Counters, opening: Opening = stream
+    ) -> None:
         self.opening = opening
         self.address = address
         self.index = index  # the version of the list that we hold
@@ -166,7 +169,9 @@
             await events.sock_connect(sock, peer)
         watch = self._watch = Watch(self, sock)
         watch.heard = begun
-        await events.sock_sendall(sock, watch.machine.ask("GET", forms.watch_target(self.index), self.address, []))
+        await events.sock_sendall(
+            sock, watch.machine.ask("GET", forms.watch_target(self.index), self.address, [])
+        )
         while not watch.ended:
             # Bytes that never make a line are no word.
             within, lines = LIST_SILENT if watch.lines else FIRST, watch.lines
--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -20,15 +20,25 @@
 
 BACKLOG = 1024
 UNREAD = 10 * SECOND  # time in which a peer must take what is written to it
-AHEAD = 16 * 1024  # bytes of answers that wait for their reader: no further call of his is taken before they went
+AHEAD = (
+    16 * 1024
+)  # bytes of answers that wait for their reader: no further call of his is taken before they went
 COMES = 5 * SECOND // 2  # in which a call must be here whole, from the accept or from its first byte
 QUIET = SECOND  # of silence after which a peer whose call was no good is taken to have our answer
 LINGER = 5 * SECOND  # and for so long what it still sends is read and thrown away
 LAST = 100 * MILLISECOND  # and no longer than this when we are about to end
 FIRST = SECOND // 5  # in which a stranger's first bytes come, if any do: not closed for room before
 HEARING = 10 * MILLISECOND  # in which our reader gets to what the kernel holds, after a stall of ours
-FULL = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # an accept fails for want of room, here or beyond
-ITS_OWN = (errno.ECONNABORTED, errno.EPROTO)  # or for what has become of that one connection: the next may be had
+FULL = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # an accept fails for want of room, here or beyond
+ITS_OWN = (
+    errno.ECONNABORTED,
+    errno.EPROTO,
+)  # or for what has become of that one connection: the next may be had
 NO_ROOM = 50 * MILLISECOND  # between accepts that the kernel fails, and between looks for room
 
 
@@ -109,7 +119,8 @@
                     machine.spill()
                 wasted = machine.over or machine.spilt
                 count = await self._events.sock_recv_into(
-                    self.sock, self.front.waste if wasted else self.inward.space())
+                    self.sock, self.front.waste if wasted else self.inward.space()
+                )
                 self.taken += count
                 self.heard = self.front.clock.now()
                 if wasted and count:
@@ -210,8 +221,9 @@
             if not self._at_work:
                 self._events.call_soon(self.work)
 
-    def _answer(self, status: int, body: bytes = b"", headers: tuple[str, ...] = (),
-                keep: bool = True) -> None:
+    def _answer(
+        self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
+    ) -> None:
         keep = self.worker or keep and not self.front.stopping
         self._put(self.machine.answer(status, body, headers, keep))
         self.idle_since = self.front.clock.now()
@@ -303,8 +315,16 @@
 
 
 class Front:
-    def __init__(self, listen: str, free: int, room: Room, service: TxnService, clock: Clock,
-                 counters: Counters, opening: Opening = stream) -> None:
+    def __init__(
+        self,
+        listen: str,
+        free: int,
+        room: Room,
+        service: TxnService,
+        clock: Clock,
+        counters: Counters,
+        opening: Opening = stream,
+    ) -> None:
         self.service = service
         self.clock = clock
         self.counters = counters
@@ -377,10 +397,16 @@
         them whose leaving costs least, if need be in a moment. By hundreds they had cut off all usual peers' idle
         connections; these go after them, the longest idle first."""
         now = self.clock.now()
-        leaving = [connection for connection in self.connections
-                   if connection.lingers is not None and connection.spare(now)]
-        for connection in sorted(leaving or self.strangers or self.connections, reverse=True,
-                                 key=lambda connection: (connection.spare(now), -connection.idle_since)):
+        leaving = [
+            connection
+            for connection in self.connections
+            if connection.lingers is not None and connection.spare(now)
+        ]
+        for connection in sorted(
+            leaving or self.strangers or self.connections,
+            reverse=True,
+            key=lambda connection: (connection.spare(now), -connection.idle_since),
+        ):
             if not connection.spare(now):
                 break
             if connection.machine.over or not connection.unheard:
@@ -440,9 +466,15 @@
     def in_use(self) -> bool:
         """Whether a connection is open on which a client's next txn may come, or a first one is about to."""
         now = self.clock.now()
-        return any(connection.machine.busy or connection.outward or connection.fresh(now)
-                   or connection.known and not connection.worker and not connection.machine.over
-                   for connection in self.connections)
+        return any(
+            connection.machine.busy
+            or connection.outward
+            or connection.fresh(now)
+            or connection.known
+            and not connection.worker
+            and not connection.machine.over
+            for connection in self.connections
+        )
 
     def quiet(self) -> bool:
         """Closes what is idle; whether nothing is left that a client, or a worker for its callback, waits on."""
@@ -451,11 +483,17 @@
             if connection.lingers is not None:
                 if now - connection.lingers >= LAST:
                     connection.end(connection.left())
-            elif (connection.idle and not connection.worker and not connection.fresh(now)
-                  and not connection.unheard):
+            elif (
+                connection.idle
+                and not connection.worker
+                and not connection.fresh(now)
+                and not connection.unheard
+            ):
                 connection.end("stopping")
-        return all(connection.worker and not connection.outward and not connection.unheard
-                   for connection in self.connections)
+        return all(
+            connection.worker and not connection.outward and not connection.unheard
+            for connection in self.connections
+        )
 
     def freed(self) -> None:
         self._room.set()
--- a/pathsaddle/net/service/logbook.py
+++ b/pathsaddle/net/service/logbook.py
@@ -19,7 +19,9 @@
     from loguru import Record
 
 CATALOGUE: dict[str, Line] = {}
-METERED: list[Callable[[Callable[[], None]], None]] = []  # what stands around the writing of each line, one at most
+METERED: list[
+    Callable[[Callable[[], None]], None]
+] = []  # what stands around the writing of each line, one at most
 TEXT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
@@ -70,16 +72,25 @@
 recovered = line("recovered", "INFO", "recovered jobs={jobs} open={open} asked={asked} ms={ms}")
 fleet_member = line("fleet-member", "INFO", "fleet member={member} life={life} now={now}: {why}")
 fleet_self = line("fleet-self", "INFO", "fleet ourselves={member} life={life}: {why}")
-fleet_doubled = line("fleet-doubled", "ERROR", "fleet name={member} life={life} is another process's too, we are "
-                     "silent from now on: {why}")
+fleet_doubled = line(
+    "fleet-doubled",
+    "ERROR",
+    "fleet name={member} life={life} is another process's too, we are silent from now on: {why}",
+)
 fleet_socket = line("fleet-socket", "WARNING", "fleet socket: {why}")
 fleet_disk = line("fleet-disk", "WARNING", "fleet life can't be kept: {why}")
 fault_member = line("fault-member", "ERROR", "fault in the membership at {step}: {why}; {then}")
-fault_control = line("fault-control", "ERROR", "fault in an answer at the control address: {why}; its asker is told, "
-                     "others are answered")
-fault_level = line("fault-level", "ERROR", "fault in the level of overload: {why}; it is tried again half a second later")
-fault_hearer = line("fault-hearer", "ERROR", "fault in what hears of members, at {member}: {why}; the membership "
-                    "goes on")
+fault_control = line(
+    "fault-control",
+    "ERROR",
+    "fault in an answer at the control address: {why}; its asker is told, others are answered",
+)
+fault_level = line(
+    "fault-level", "ERROR", "fault in the level of overload: {why}; it is tried again half a second later"
+)
+fault_hearer = line(
+    "fault-hearer", "ERROR", "fault in what hears of members, at {member}: {why}; the membership goes on"
+)
 fleet_budget = line("fleet-budget", "INFO", "fleet budget={budget} now={now} usable={usable}: {why}")
 owner = line("owner", "INFO", "owner key={key} number={number}")
 owner_lost = line("owner-lost", "WARNING", "owner lost key={key} number={number}: {why}")
@@ -97,8 +108,12 @@
 
 def as_json(record: Record) -> str:
     """A line as one JSON object; loguru formats what is returned once more, so it is only named here."""
-    told: dict[str, Any] = {"time": record["time"].isoformat(timespec="milliseconds"),
-                            "level": record["level"].name, **record["extra"], "text": record["message"]}
+    told: dict[str, Any] = {
+        "time": record["time"].isoformat(timespec="milliseconds"),
+        "level": record["level"].name,
+        **record["extra"],
+        "text": record["message"],
+    }
     if record["exception"] is not None:
         told["fault"] = repr(record["exception"].value)
     record["extra"]["_json"] = json.dumps(told, default=str)
@@ -108,5 +123,10 @@
 def open_log(level: str = "INFO", form: str = "text", to: Callable[[Any], None] | None = None) -> None:
     """To standard error, or by `to`, which takes each line as it is written; `form`: text or json."""
     logger.remove()
-    logger.add(to or sys.stderr, format=as_json if form == "json" else TEXT, level=level, backtrace=False,
-               diagnose=False)
+    logger.add(
+        to or sys.stderr,
+        format=as_json if form == "json" else TEXT,
+        level=level,
+        backtrace=False,
+        diagnose=False,
+    )
--- a/pathsaddle/net/service/place.py
+++ b/pathsaddle/net/service/place.py
@@ -44,7 +44,12 @@
     do = "write another address at {key} in {file}"
 
 
-KINDS = {errno.EADDRINUSE: Taken, errno.EADDRNOTAVAIL: NotOurs, errno.EACCES: Forbidden, errno.EPERM: Forbidden}
+KINDS = {
+    errno.EADDRINUSE: Taken,
+    errno.EADDRNOTAVAIL: NotOurs,
+    errno.EACCES: Forbidden,
+    errno.EPERM: Forbidden,
+}
 
 
 def unhad(fault: Exception, key: str, address: str, file: str) -> Error:
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -43,20 +43,30 @@
         free = told.sockets - ground.descriptors() - SPARE
         # So is memory: a part of what is left goes to connections, one to bodies, the rest is for all else.
         spare = max(0.0, 0.9 * told.memory_mb - ground.memory_mb())
-        room = Room(max(FEW, int(min(free, spare / 3 / CONNECTION_MB))),
-                    int(max(FEW_MB, min(1e3, spare / 4)) * 1e6))
+        room = Room(
+            max(FEW, int(min(free, spare / 3 / CONNECTION_MB))), int(max(FEW_MB, min(1e3, spare / 4)) * 1e6)
+        )
         self.workers = Workers(told.reach, free // 4, self.clock, self.counters, ground.stream)
         told.terms.most_open = min(told.terms.most_open, min(room.connections, free - free // 4) * 3 // 4)
-        self.service = ground.service(told.terms, told.words, told.seed, self.clock, self.workers,
-                                      self.counters, lambda: self.discovery.ask())
+        self.service = ground.service(
+            told.terms,
+            told.words,
+            told.seed,
+            self.clock,
+            self.workers,
+            self.counters,
+            lambda: self.discovery.ask(),
+        )
         self.discovery = ground.watch(told.discovery, told.index, self.service, self.counters)
         self.service.catch_up = self.discovery.catch_up
         self.service.listed(ListNews.REMEMBERED, told.rows)
         try:
-            self.front = Front(told.listen, free, room, self.service, self.clock, self.counters,
-                               ground.stream)
+            self.front = Front(
+                told.listen, free, room, self.service, self.clock, self.counters, ground.stream
+            )
         except (OSError, ValueError) as fault:
             from pathsaddle.net.service.place import unhad
+
             raise unhad(fault, "listen", told.listen, ground.file()) from None
         self.workers.make_room = self.front.spare_descriptor
         self.fellows = ground.fellows(self.counters)
@@ -95,7 +105,8 @@
         # Clients go on with the connections they have, and nobody else may be there for them: closed at once,
         # four in ten txns of a zone with one dispatcher failed until the next was ready.
         while self.clock.now() < begun + longest and (
-                self.clock.now() < begun + COMING or self.front.in_use()):
+            self.clock.now() < begun + COMING or self.front.in_use()
+        ):
             await asyncio.sleep(seconds(LAST_BYTES) / 5)
         self.front.stopping = True
         # Workers' callbacks may still want a new connection; clients' are closed as they come to rest.
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -32,8 +32,16 @@
 
 
 class TxnService:
-    def __init__(self, terms: Terms, words: Words, seed: int, clock: Clock, workers: Workers,
-                 counters: Counters, watch: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        terms: Terms,
+        words: Words,
+        seed: int,
+        clock: Clock,
+        workers: Workers,
+        counters: Counters,
+        watch: Callable[[], None],
+    ) -> None:
         self.two_at_once = terms.two_at_once
         self.dropped_stay_open = terms.dropped_stay_open
         self.look_target = forms.look_target(terms.reports_in_probes)
@@ -75,8 +83,12 @@
         else:
             self._give_up(exchange)  # no byte goes out after this; what has gone, the socket has counted
             # The end of the connection takes its time, and the next copy may have a shorter way.
-            self._events.call_later(seconds(ON_ITS_WAY if exchange.sent and not self.two_at_once else 0),
-                                    self._end, exchange, Outcome.CANCELLED if exchange.sent else Outcome.MOOT)
+            self._events.call_later(
+                seconds(ON_ITS_WAY if exchange.sent and not self.two_at_once else 0),
+                self._end,
+                exchange,
+                Outcome.CANCELLED if exchange.sent else Outcome.MOOT,
+            )
 
     def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None:
         self._answer(txn, "declined", 503, b"", forms.come_back_header(come_back), keep=not elsewhere)
@@ -191,14 +203,19 @@
         could be amiss was found before (`charter/service.py`)."""
         self._at()
         self.words, self.dropped_stay_open = words, terms.dropped_stay_open
-        self.loop.choice.retune(terms, [scheme for scheme in self.ledger.schemes() if scheme not in terms.schemes])
+        self.loop.choice.retune(
+            terms, [scheme for scheme in self.ledger.schemes() if scheme not in terms.schemes]
+        )
 
     @property
     def ready(self) -> bool:
         """Whether a worker is known that can be posted to: the front sends nobody before, and who is held meanwhile
         could be served elsewhere. Once a call has failed it's said all the same: others may have no list either."""
-        return (self.stopping is None and self.loop.list_told(self.clock.now())
-                and any(w.standing is Standing.READY for w in self.known.values()))
+        return (
+            self.stopping is None
+            and self.loop.list_told(self.clock.now())
+            and any(w.standing is Standing.READY for w in self.known.values())
+        )
 
     # One posting, from its order to its one outcome.
 
@@ -219,7 +236,8 @@
 
         try:
             answer = await self.workers.call(
-                posting.worker.tag, "POST", call.target, headers, call.body, begins)
+                posting.worker.tag, "POST", call.target, headers, call.body, begins
+            )
         except Withheld:
             self._end(exchange, Outcome.MOOT)
         except NeverSent:
@@ -260,17 +278,22 @@
         self.counters.add("withdrawal")
         try:
             async with asyncio.timeout(seconds(self.workers.connect_within)):
-                await self.workers.call(exchange.posting.worker.tag, "DELETE",
-                                        forms.withdrawal_target(exchange.posting.txn.tag), [],
-                                        begins=told.append)
+                await self.workers.call(
+                    exchange.posting.worker.tag,
+                    "DELETE",
+                    forms.withdrawal_target(exchange.posting.txn.tag),
+                    [],
+                    begins=told.append,
+                )
         except (NeverSent, Lost, TimeoutError) as fault:
             self.counters.add("withdrawal.unanswered")
             if isinstance(fault, Lost):
                 return False  # a reset may have overtaken it on its way
         return any(sending.whole for sending in told)
 
-    def _end(self, exchange: Exchange, outcome: Outcome, report: Report | None = None,
-             result: bytes = b"") -> None:
+    def _end(
+        self, exchange: Exchange, outcome: Outcome, report: Report | None = None, result: bytes = b""
+    ) -> None:
         posting = exchange.posting
         if not posting.out:
             return
@@ -350,8 +373,15 @@
         self.reverse(txn)
         self.loop.hang_up(txn)
 
-    def _answer(self, txn: Txn, kind: str, status: int, body: bytes = b"",
-                headers: tuple[str, ...] = (), keep: bool = True) -> None:
+    def _answer(
+        self,
+        txn: Txn,
+        kind: str,
+        status: int,
+        body: bytes = b"",
+        headers: tuple[str, ...] = (),
+        keep: bool = True,
+    ) -> None:
         entry = self.ledger[txn.tag]
         answer, entry.answer = entry.answer, None
         if answer is not None:
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -48,8 +48,9 @@
 class Link:
     """One connection to a worker."""
 
-    def __init__(self, sock: Tallied, peer: str, counters: Counters,
-                 broke: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self, sock: Tallied, peer: str, counters: Counters, broke: Callable[[], None] = lambda: None
+    ) -> None:
         self.sock = sock
         self.peer = peer
         self.counters = counters
@@ -168,8 +169,9 @@
 
 
 class Workers:
-    def __init__(self, reach: Reach, sockets: int, clock: Clock, counters: Counters,
-                 opening: Opening = stream) -> None:
+    def __init__(
+        self, reach: Reach, sockets: int, clock: Clock, counters: Counters, opening: Opening = stream
+    ) -> None:
         self.opening = opening
         self.clock = clock
         self.counters = counters
@@ -177,7 +179,9 @@
         self.broke: Callable[[str], None] = lambda worker: None  # told whose connection was ended from there
         margin = max(500, reach.idle_within // 10)
         self.links: Links[Link] = Links(sockets, max(0, reach.idle_within - margin), REST)
-        self.make_room: Callable[[], object] = lambda: None  # asked for a descriptor before each new connection
+        self.make_room: Callable[[], object] = lambda: (
+            None
+        )  # asked for a descriptor before each new connection
         self.addresses: dict[str, str] = {}
 
     def located(self, worker: str, address: str) -> None:
@@ -186,8 +190,15 @@
             self.addresses[worker] = address
             self.links.pool(worker)
 
-    async def call(self, worker: str, method: str, target: bytes, headers: list[tuple[bytes, bytes]],
-                   body: bytes = b"", begins: Callable[[Sending], None] = lambda sending: None) -> Message:
+    async def call(
+        self,
+        worker: str,
+        method: str,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes = b"",
+        begins: Callable[[Sending], None] = lambda sending: None,
+    ) -> Message:
         """One call and its answer. `begins` is told right before the first byte and may raise to stop it; what it
         is given says later whether the last one is out."""
         pool = self.links.pool(worker)
--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -113,8 +113,18 @@
     known.ask_within = known.ask_within or 10 * SECOND
     words = Words(given, known)
     index, rows = _known(words, Told(told.get("known"), "known"))
-    return Birth(told["listen"], told["discovery"], seed, sockets, memory_mb, known, words,
-                 terms.reach(given), index, rows)
+    return Birth(
+        told["listen"],
+        told["discovery"],
+        seed,
+        sockets,
+        memory_mb,
+        known,
+        words,
+        terms.reach(given),
+        index,
+        rows,
+    )
 
 
 def _seed(told: dict[str, Any]) -> int:
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -31,8 +31,19 @@
 READY, CALLBACK = b"/ready", b"/callback"
 HEALTH, LOAD = b"/health", b"/status/load"
 # What belongs to one connection, or what we set ourselves; all else that a client says goes on to the worker.
-OWN = (b"connection", b"content-length", b"expect", b"host", b"keep-alive", b"proxy-connection",
-       b"req-deadline-ms", b"te", b"trailer", b"transfer-encoding", b"upgrade")
+OWN = (
+    b"connection",
+    b"content-length",
+    b"expect",
+    b"host",
+    b"keep-alive",
+    b"proxy-connection",
+    b"req-deadline-ms",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+)
 STANDINGS = {"active": Standing.READY, "leaving": Standing.DRAINING, "left": Standing.GONE}
 ENDS = {"done": Outcome.SETTLED, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 ID = re.compile(r"[!-~]{1,128}")
@@ -106,8 +117,12 @@
             found[name] = None
         return list(found)
 
-    def retuned(self, schemes: Mapping[str, Scheme | None], customers: Mapping[str, Customer | None],
-                zones: Iterable[str] = ()) -> Words:
+    def retuned(
+        self,
+        schemes: Mapping[str, Scheme | None],
+        customers: Mapping[str, Customer | None],
+        zones: Iterable[str] = (),
+    ) -> Words:
         """Words with these by name, new or changed, or gone (None). An index stays with its name until that is gone.
 
         A changed scheme is another object, so that a txn goes to its end by the one under which it was taken. A
@@ -159,10 +174,18 @@
             slots, memory = figure(extra.get("slots", "1")), extra.get("memory")
             if lasts > terms.LONGEST or slots <= 0:
                 raise ValueError("out of all bounds")
-            return Txn(tag, scheme, customer, now, now + min(lasts, scheme.expiry or lasts),
-                       hint=max(1, -(-int(cost) // 100)) if cost > 0 else None,
-                       slots=slots, memory=None if memory is None else figure(memory), key=key_of(call.target),
-                       repeat=call.text(b"req-retry") == "1")
+            return Txn(
+                tag,
+                scheme,
+                customer,
+                now,
+                now + min(lasts, scheme.expiry or lasts),
+                hint=max(1, -(-int(cost) // 100)) if cost > 0 else None,
+                slots=slots,
+                memory=None if memory is None else figure(memory),
+                key=key_of(call.target),
+                repeat=call.text(b"req-retry") == "1",
+            )
         except ValueError as fault:
             raise Broken(400, f"a figure that is none: {fault}") from None
 
@@ -177,9 +200,16 @@
             load, state = told.get("load"), str(told["state"])
             outcome, note = ENDS.get(state), state in (STARTED, RUNNING)
             return Callback(
-                str(told["id"]), str(told["from"]), state if outcome or note else "other", outcome, note,
-                state == STARTED, float(told.get("share") or 0.0), result.encode("utf-8", "surrogatepass"),
-                self.report(load) if load is not None else None)
+                str(told["id"]),
+                str(told["from"]),
+                state if outcome or note else "other",
+                outcome,
+                note,
+                state == STARTED,
+                float(told.get("share") or 0.0),
+                result.encode("utf-8", "surrogatepass"),
+                self.report(load) if load is not None else None,
+            )
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             raise Broken(400, f"no callback: {type(fault).__name__}") from None
 
@@ -224,13 +254,21 @@
             since, name = int(entry.get("since_ms") or 0), str(entry["name"])
             # Nothing new for a worker whose status we can't read; the others' lines still count.
             standing = STANDINGS.get(entry.get("status"), Standing.DRAINING)
-            rows.append(Row(Worker(
-                name, self.zones.setdefault(str(entry.get("zone")), len(self.zones)),
-                int(entry.get("group") or 0),
-                self.machines.setdefault(str(entry.get("type")), len(self.machines)),
-                1.0 if (weight := entry.get("weight")) is None else float(weight),
-                since * MILLISECOND if since > 0 else None,
-                standing, crc32(name.encode())), str(entry.get("address") or "")))
+            rows.append(
+                Row(
+                    Worker(
+                        name,
+                        self.zones.setdefault(str(entry.get("zone")), len(self.zones)),
+                        int(entry.get("group") or 0),
+                        self.machines.setdefault(str(entry.get("type")), len(self.machines)),
+                        1.0 if (weight := entry.get("weight")) is None else float(weight),
+                        since * MILLISECOND if since > 0 else None,
+                        standing,
+                        crc32(name.encode()),
+                    ),
+                    str(entry.get("address") or ""),
+                )
+            )
         return int(told["index"]), ListNews.WHOLE if told.get("snapshot") else ListNews.CHANGES, rows
 
 
--- a/pathsaddle/net/wire/http.py
+++ b/pathsaddle/net/wire/http.py
@@ -12,10 +12,23 @@
 MOST_HEAD = 16 * 1024
 MOST_RECORD = 4 * 1024 * 1024  # of the list: some twenty thousand workers
 MOST_RAW = 8 * MOST_BODY  # with its framing, in however small chunks
-REASONS = {200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
-           405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-           431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-           503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    202: "Accepted",
+    204: "No Content",
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # of JSON: none goes on over the end of a line
 ONCE = (b"host", b"content-type")  # and all that speak of the job: said twice, which one counts is a guess
 
@@ -104,8 +117,9 @@
     def _object(self, status: int, why: str) -> None:
         raise self.object(status, why)
 
-    def _parse(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser,
-               data: bytes | memoryview) -> None:
+    def _parse(
+        self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes | memoryview
+    ) -> None:
         try:
             parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -202,8 +216,9 @@
         self.part, self.chunks = None, []
         return self.answer(self.fault.status, str(self.fault).encode())
 
-    def answer(self, status: int, body: bytes = b"", headers: tuple[str, ...] = (),
-               keep: bool = True) -> bytes:
+    def answer(
+        self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
+    ) -> bytes:
         """The bytes of the one answer to the call under way."""
         assert self.busy and not self.over
         self.busy = False
@@ -226,13 +241,17 @@
         self.streams = streams  # body bytes are handed on as they come, not gathered
         self.status = 0  # of an answer whose head is here
         self.flow = bytearray()
-        self.record, self.depth = bytearray(), 0  # of an object that is not yet whole: its lines, its open braces
+        self.record, self.depth = (
+            bytearray(),
+            0,
+        )  # of an object that is not yet whole: its lines, its open braces
         self.asked = False
         self.more = False  # something came behind the last answer in one piece with it
         self.behind: list[Message] = []  # what of that is whole
 
-    def ask(self, method: str, target: bytes, host: str, headers: list[tuple[bytes, bytes]],
-            body: bytes = b"") -> bytes:
+    def ask(
+        self, method: str, target: bytes, host: str, headers: list[tuple[bytes, bytes]], body: bytes = b""
+    ) -> bytes:
         self.asked, self.status, self.more, self.behind = True, 0, False, []
         lines = [method.encode() + b" " + target + b" HTTP/1.1", b"Host: " + host.encode()]
         lines += [name + b": " + value for name, value in headers]
@@ -246,8 +265,11 @@
             raise Broken(400, "an answer to nothing")
         self._parse(self._parser, data)
         self.fed += len(data)
-        if self.part is not None and self.fed > (MOST_RAW if self.headed else MOST_HEAD) and not (
-                self.streams and self.headed):
+        if (
+            self.part is not None
+            and self.fed > (MOST_RAW if self.headed else MOST_HEAD)
+            and not (self.streams and self.headed)
+        ):
             self.object(400, "an answer without end")
         if self.fault is not None:
             raise self.fault
--- a/pathsaddle/net/wire/ring.py
+++ b/pathsaddle/net/wire/ring.py
@@ -34,7 +34,7 @@
             self._head = 0
         tail = self._head + self._size
         if tail >= len(self._room):
-            return memoryview(self._room)[tail - len(self._room):self._head]
+            return memoryview(self._room)[tail - len(self._room) : self._head]
         return memoryview(self._room)[tail:]
 
     def fill(self, count: int) -> None:
@@ -42,7 +42,7 @@
 
     def data(self) -> memoryview:
         """The longest run of kept bytes that can be written or parsed at once."""
-        return memoryview(self._room)[self._head:min(len(self._room), self._head + self._size)]
+        return memoryview(self._room)[self._head : min(len(self._room), self._head + self._size)]
 
     def drop(self, count: int) -> None:
         self._size -= count
@@ -60,7 +60,7 @@
         while at < len(data):
             space = self.space()
             count = min(len(space), len(data) - at)
-            space[:count] = data[at:at + count]
+            space[:count] = data[at : at + count]
             self.fill(count)
             at += count
 
@@ -69,7 +69,7 @@
         size, at = self._size, 0
         while self._size:
             part = self.data()
-            room[at:at + len(part)] = part
+            room[at : at + len(part)] = part
             at += len(part)
             self._head = (self._head + len(part)) % len(self._room)
             self._size -= len(part)
--- a/pathsaddle/net/wire/terms.py
+++ b/pathsaddle/net/wire/terms.py
@@ -15,8 +15,17 @@
 TICK = 100_000  # nanoseconds in a tenth of a millisecond
 
 SEMANTICS = {"safe": Semantics.REPEATABLE, "keyed": Semantics.REFERENCED, "unsafe": Semantics.ONCE_ONLY}
-REPORT_FIELDS = {"x0": "free", "waiting": "waiting", "queue": "waiting", "active": "held", "inflight": "held",
-                 "err_rps": "errors", "eps": "errors", "rps": "rate", "qps": "rate"}
+REPORT_FIELDS = {
+    "x0": "free",
+    "waiting": "waiting",
+    "queue": "waiting",
+    "active": "held",
+    "inflight": "held",
+    "err_rps": "errors",
+    "eps": "errors",
+    "rps": "rate",
+    "qps": "rate",
+}
 GROUPS = tuple(group.value for group in Group)
 # What is meant for ever may come as the longest span that the platform's language has. Nothing is meant beyond.
 MOST = 1 << 63
@@ -146,7 +155,7 @@
         return bool(value)
 
     def text(self, name: str) -> str:
-        """"" where it is missing."""
+        """ "" where it is missing."""
         value = self._given.get(name)
         if value is not None and not isinstance(value, str):
             raise self.amiss(name, "a word")
@@ -187,7 +196,8 @@
     """Raises Amiss; docs/settings.md has each key's default, what 0 means there and what is refused."""
     told = Told(given, "settings")
     job, allowed, duty, price, report = map(
-        told.part, ("FamilyInfo", "Limits", "Obligations", "Prices", "Report"))
+        told.part, ("FamilyInfo", "Limits", "Obligations", "Prices", "Report")
+    )
     source, zone, number = report.text("Source"), told.whole("Zone"), told.whole("Me")
     if zone >= (len(told.names("Azs")) or MOST):
         raise told.amiss("Zone", "a place among those of settings.Azs, from 0,")
@@ -195,8 +205,10 @@
     advised = limit(allowed.whole("MaxRetryAfter"))
     return Terms(
         schemes=[scheme(i, row, job, machines) for i, row in enumerate(told.rows("Schemes"))],
-        customers=[Customer(i, row.number("AllowancePerS"), row.number("Portion"))
-                   for i, row in enumerate(told.rows("Customers"))],
+        customers=[
+            Customer(i, row.number("AllowancePerS"), row.number("Portion"))
+            for i, row in enumerate(told.rows("Customers"))
+        ],
         # Told of fewer than our own number says, we would take another's part of what a cold worker bears.
         dispatchers=max(1, told.whole("Balancers"), number + 1),
         number=number,
@@ -256,5 +268,6 @@
 
 def reach(given: dict[str, Any]) -> Reach:
     allowed = Told(given, "settings").part("Limits")
-    return Reach(bound(allowed.whole("ConnectTimeout")) or SECOND,
-                 bound(allowed.whole("IdleClose")) or 60 * SECOND)
+    return Reach(
+        bound(allowed.whole("ConnectTimeout")) or SECOND, bound(allowed.whole("IdleClose")) or 60 * SECOND
+    )
--- a/pathsaddle/ownership/bid.py
+++ b/pathsaddle/ownership/bid.py
@@ -75,9 +75,18 @@
         """A new ballot: to own the key, or, owning it, to go on or to change its data."""
         bid = self.lapsed(now)
         ballot = Ballot(bid.round + 1, bid.name, bid.life)
-        bid = replace(bid, round=ballot.round, phase=PREPARING, ballot=ballot, promises=(), refusals=(),
-                      votes=(), asks=(),
-                      shaken=False, put=bid.put if put is None else (bid.value.revision + 1, put))
+        bid = replace(
+            bid,
+            round=ballot.round,
+            phase=PREPARING,
+            ballot=ballot,
+            promises=(),
+            refusals=(),
+            votes=(),
+            asks=(),
+            shaken=False,
+            put=bid.put if put is None else (bid.value.revision + 1, put),
+        )
         return bid, [(voter, Prepare(bid.key, ballot)) for voter in bid.voters]
 
     def again(self, ask: int, now: int) -> tuple[Bid, Out]:
@@ -90,11 +99,19 @@
             return bid, []
         there = {row[0] for row in bid.votes}
         bid = replace(bid, asks=(*bid.asks, (ask, now))[-ASKS:])
-        return bid, [(voter, Hold(bid.key, bid.ballot, ask) if voter in there and bid.phase == CHOSEN else
-                      Accept(bid.key, bid.ballot, bid.value, ask)) for voter in bid.voters]
-
-    def heard(self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int,
-              now: int) -> tuple[Bid, Out]:
+        return bid, [
+            (
+                voter,
+                Hold(bid.key, bid.ballot, ask)
+                if voter in there and bid.phase == CHOSEN
+                else Accept(bid.key, bid.ballot, bid.value, ask),
+            )
+            for voter in bid.voters
+        ]
+
+    def heard(
+        self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
+    ) -> tuple[Bid, Out]:
         """`start`: of the voter, as its answer says; `known`: the highest of each that any voter told. `ask`:
         a number for an asking that may come of it."""
         bid = self.lapsed(now)
@@ -104,8 +121,11 @@
             rows = [row for row in bid.promises if row[0] != voter]
             bid = replace(bid, promises=(*rows, (voter, start, message.accepted, message.value)))
             return bid._promised(known, ask, now)
-        if (isinstance(message, Accepted) and message.ballot == bid.ballot
-                and bid.phase in (ACCEPTING, CHOSEN)):
+        if (
+            isinstance(message, Accepted)
+            and message.ballot == bid.ballot
+            and bid.phase in (ACCEPTING, CHOSEN)
+        ):
             sent = dict(bid.asks).get(message.ask)
             if sent is None:
                 return bid, []
