--- a/pathsaddle/ownership/check.py
+++ b/pathsaddle/ownership/check.py
@@ -72,12 +72,19 @@
 
 def start(ways: Ways, bid: type[Bid] = Bid) -> World:
     bids = tuple(bid("k", f"c{i}", 1, LEASE, VOTERS) for i in range(2))
-    return World((Seat(),) * 3, bids, ((1, 1, 1),) * 2, frozenset(), 0, (),
-                 (ways.ballots, ways.renewals, ways.gives, ways.ends, ways.kills, ways.losses, ways.moments))
+    return World(
+        (Seat(),) * 3,
+        bids,
+        ((1, 1, 1),) * 2,
+        frozenset(),
+        0,
+        (),
+        (ways.ballots, ways.renewals, ways.gives, ways.ends, ways.kills, ways.losses, ways.moments),
+    )
 
 
 def _spent(world: World, which: int) -> tuple[int, ...]:
-    return (*world.left[:which], world.left[which] - 1, *world.left[which + 1:])
+    return (*world.left[:which], world.left[which] - 1, *world.left[which + 1 :])
 
 
 def _bid(world: World, i: int, bid: Bid, out: Out, **more: object) -> World:
@@ -86,12 +93,16 @@
     if bid.number and bid.number != before.number:
         numbers = (*numbers, (bid.number, i, bid.life))
     air = world.air | {(bid.name, to, 0, world.known[i], message) for to, message in out}
-    bids = (*world.bids[:i], bid, *world.bids[i + 1:])
+    bids = (*world.bids[:i], bid, *world.bids[i + 1 :])
     return replace(world, bids=bids, numbers=numbers, air=air, **more)  # type: ignore[arg-type]
 
 
-def _to_seat(world: World, v: int, message: Message, hasty: bool,
-             ) -> tuple[World, tuple[str, str, int, tuple[int, ...], Message] | None]:
+def _to_seat(
+    world: World,
+    v: int,
+    message: Message,
+    hasty: bool,
+) -> tuple[World, tuple[str, str, int, tuple[int, ...], Message] | None]:
     """A voter takes a message: the world after it, and its answer."""
     seat = world.seats[v]
     if seat.told is not None:
@@ -100,7 +111,7 @@
     if row == seat.row and answer is None:
         return world, None
     after = replace(seat, row=row, disk=seat.disk if hasty else row)
-    seats = (*world.seats[:v], after, *world.seats[v + 1:])
+    seats = (*world.seats[:v], after, *world.seats[v + 1 :])
     if isinstance(answer, Accepted | Promise) and not isinstance(answer, Refused):
         to = message.ballot.name  # type: ignore[union-attr]
         said = (VOTERS[v], to, seat.start, seat.starts, answer)
@@ -111,11 +122,16 @@
 def _to_bid(world: World, i: int, said: tuple[str, str, int, tuple[int, ...], Message]) -> World:
     voter, _, number, starts, message = said
     known = tuple(max(a, b) for a, b in zip(world.known[i], starts, strict=True))
-    world = replace(world, known=(*world.known[:i], known, *world.known[i + 1:]))
+    world = replace(world, known=(*world.known[:i], known, *world.known[i + 1 :]))
     before = world.bids[i]
-    bid, out = before.heard(voter, number, dict(zip(VOTERS, known, strict=True)), message,
-                            world.moments * 8 + 1,
-                            world.moments * SLOW)
+    bid, out = before.heard(
+        voter,
+        number,
+        dict(zip(VOTERS, known, strict=True)),
+        message,
+        world.moments * 8 + 1,
+        world.moments * SLOW,
+    )
     return _bid(world, i, bid, out)
 
 
@@ -151,9 +167,11 @@
         else:
             found.append((what, _to_bid(world, int(to[1]), said)))
     for v, seat in enumerate(world.seats):
+
         def with_seat(seat: Seat, which: int = -1, v: int = v) -> World:
-            seats = (*world.seats[:v], seat, *world.seats[v + 1:])
+            seats = (*world.seats[:v], seat, *world.seats[v + 1 :])
             return replace(world, seats=seats, left=_spent(world, which) if which >= 0 else left)
+
         if ways.hasty and seat.disk.kept != seat.row.kept:
             found.append((f"{VOTERS[v]} syncs", with_seat(replace(seat, disk=seat.row))))
         if left[4] and seat.told is None:
@@ -162,15 +180,21 @@
         if left[5] and seat.told is None and all(other.told is None for other in world.seats):
             number = max(other.starts[v] for other in world.seats) + 1
             starts = tuple(number if j == v else 0 for j in range(3))
-            found.append((f"{VOTERS[v]} loses its disk",
-                          with_seat(Seat(start=number, starts=starts, told=()), 5)))
+            found.append(
+                (f"{VOTERS[v]} loses its disk", with_seat(Seat(start=number, starts=starts, told=()), 5))
+            )
         if seat.told is not None:
             for x, other in enumerate(world.seats):
                 if x != v and x not in seat.told and other.told is None:
                     starts = tuple(seat.start if j == v else n for j, n in enumerate(other.starts))
                     row = seat.row.joined(*other.row.kept)
-                    now = replace(seat, row=row, disk=row, told=(*seat.told, x),
-                                  starts=tuple(max(a, b) for a, b in zip(seat.starts, starts, strict=True)))
+                    now = replace(
+                        seat,
+                        row=row,
+                        disk=row,
+                        told=(*seat.told, x),
+                        starts=tuple(max(a, b) for a, b in zip(seat.starts, starts, strict=True)),
+                    )
                     if len(seat.told) == 1:
                         row = row.begun(fast)
                         now = replace(now, row=row, disk=row, told=None)
@@ -185,13 +209,16 @@
 def _without_the_dead(world: World) -> World:
     """Messages that can never again change anything: below what their voter has promised for good, or for a
     ballot that is not its candidate's any more. Worlds that differ by these alone are one."""
+
     def lives(said: tuple[str, str, int, tuple[int, ...], Message]) -> bool:
         _, to, _, _, message = said
         if to in VOTERS:
             return message.ballot >= world.seats[VOTERS.index(to)].row.promised  # type: ignore[union-attr]
         bid = world.bids[int(to[1])]
         return message.ballot == bid.ballot and (  # type: ignore[union-attr]
-            bid.phase == PREPARING if isinstance(message, Promise) else bid.phase != IDLE)
+            bid.phase == PREPARING if isinstance(message, Promise) else bid.phase != IDLE
+        )
+
     air = frozenset(said for said in world.air if lives(said))
     return replace(world, air=air) if len(air) < len(world.air) else world
 
--- a/pathsaddle/ownership/driver.py
+++ b/pathsaddle/ownership/driver.py
@@ -53,6 +53,7 @@
 MEND = SECOND  # until a voter whose disk failed is tried again
 TO_VOTERS = (Prepare, Accept, Hold, Free, Read, Ask, Tell)
 
+
 def steady() -> int:
     """Ticks of the monotonic clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 100_000
@@ -100,8 +101,10 @@
             life = life_of(lives.last(), chance)
             lives.keep(life)
         except OSError as fault:
-            raise NoDisk(f"{told.folder}: {why(fault)}",
-                         access(fault, told.folder, told.folder) + f", at fleet.owners.folder in {told.file}") from None
+            raise NoDisk(
+                f"{told.folder}: {why(fault)}",
+                access(fault, told.folder, told.folder) + f", at fleet.owners.folder in {told.file}",
+            ) from None
         self.owner = Owner(told.name, life, told.voters, told.lease, chance)
         self.log: Log | None = None
         self.voter: Voter | None = None
@@ -114,6 +117,7 @@
             self.sock.bind(peer)
         except (OSError, ValueError) as fault:
             from pathsaddle.net.service.place import unhad
+
             raise unhad(fault, "fleet.owners.listen", told.listen, told.file) from None
         self.peers: dict[str, Peer] = {name: peer_of(address) for name, address in told.voters.items()}
         self.inbox: list[tuple[str, dict[str, int], Message]] = []
@@ -188,9 +192,15 @@
         told = self.told
         self.log = Log(told.folder, told.name, told.voters)
         held = self.log.held
-        self.voter = Voter(told.name, told.voters, held.rows, held.starts, life_of(held.start, self.chance),
-                           held.whole,
-                           steady())
+        self.voter = Voter(
+            told.name,
+            told.voters,
+            held.rows,
+            held.starts,
+            life_of(held.start, self.chance),
+            held.whole,
+            steady(),
+        )
         self._shown = False
         if not held.whole:
             logbook.voter_out(why=held.why or "it was not let in before its last end")
@@ -405,12 +415,25 @@
     def view(self) -> dict[str, Any]:
         """What this process believes, for who asks it."""
         now, voter = steady(), self.voter
-        return {"name": self.told.name, "life": self.owner.life,
-                "owns": {key: there.bid.number for key, there in self.owner.standing.items()
-                         if there.bid.may_act(now)},
-                "voter": None if voter is None else {
-                    "part": voter.part, "start": voter.start, "keys": len(voter.rows),
-                    "rows": {key: {"owner": row.value.owner, "number": row.value.number,
-                                   "left_ms": max(0, row.until - now) // 10}
-                             for key, row in sorted(voter.rows.items())[:100]}}}
-
+        return {
+            "name": self.told.name,
+            "life": self.owner.life,
+            "owns": {
+                key: there.bid.number for key, there in self.owner.standing.items() if there.bid.may_act(now)
+            },
+            "voter": None
+            if voter is None
+            else {
+                "part": voter.part,
+                "start": voter.start,
+                "keys": len(voter.rows),
+                "rows": {
+                    key: {
+                        "owner": row.value.owner,
+                        "number": row.value.number,
+                        "left_ms": max(0, row.until - now) // 10,
+                    }
+                    for key, row in sorted(voter.rows.items())[:100]
+                },
+            },
+        }
--- a/pathsaddle/ownership/fellows.py
+++ b/pathsaddle/ownership/fellows.py
@@ -17,11 +17,19 @@
     fleet = charter.fleet
     assert fleet is not None and fleet.owners is not None
     owners, zone = fleet.owners, charter.zone or charter.zones[0]
-    return Told(charter.name, fleet.name, fleet.key.encode(), dict(owners.voters), owners.listen,
-                Path(owners.folder),
-                int(owners.lease), {key: owners.zones.get(key, zone) == zone for key in owners.keys},
-                owners.bytes,
-                owners.datagrams, file)
+    return Told(
+        charter.name,
+        fleet.name,
+        fleet.key.encode(),
+        dict(owners.voters),
+        owners.listen,
+        Path(owners.folder),
+        int(owners.lease),
+        {key: owners.zones.get(key, zone) == zone for key in owners.keys},
+        owners.bytes,
+        owners.datagrams,
+        file,
+    )
 
 
 class OwningFellows(Fellows):
--- a/pathsaddle/ownership/forms.py
+++ b/pathsaddle/ownership/forms.py
@@ -162,7 +162,7 @@
     rows: list[tuple[str, Ballot, Ballot, Value]]
 
 
-Message = (Prepare | Promise | Accept | Hold | Accepted | Refused | Free | Open | Read | Stands | Ask | Tell)
+Message = Prepare | Promise | Accept | Hold | Accepted | Refused | Free | Open | Read | Stands | Ask | Tell
 
 
 class Said(Struct, array_like=True, frozen=True):
--- a/pathsaddle/ownership/log.py
+++ b/pathsaddle/ownership/log.py
@@ -73,8 +73,10 @@
         if ctypes.CDLL(None).statx(-100, os.fsencode(path), 0, 0x800, found) == 0:
             mask = int.from_bytes(found.raw[:4], sys.byteorder)
             seconds = int.from_bytes(found.raw[80:88], sys.byteorder, signed=True)
-            return (inode, seconds * 10 ** 9 + int.from_bytes(found.raw[88:92], sys.byteorder) if mask & 0x800
-                    else 0)
+            return (
+                inode,
+                seconds * 10**9 + int.from_bytes(found.raw[88:92], sys.byteorder) if mask & 0x800 else 0,
+            )
     except (AttributeError, OSError):
         pass
     return inode, 0
@@ -86,8 +88,9 @@
 
 
 def _lines(writes: Iterable[Write]) -> list[bytes]:
-    return [msgspec.msgpack.encode(Line(one.key, one.kept, one.voter, one.start, one.whole))
-            for one in writes]
+    return [
+        msgspec.msgpack.encode(Line(one.key, one.kept, one.voter, one.start, one.whole)) for one in writes
+    ]
 
 
 class Log:
@@ -105,18 +108,20 @@
             else:
                 self.file = os.open(self.path, os.O_WRONLY | os.O_APPEND)
         except OSError as fault:
-            raise NoDisk(f"{self.path}: {why(fault)}", access(fault, self.path, self.path.parent)
-                         + ", at fleet.owners.folder, on a disk with room") from None
+            raise NoDisk(
+                f"{self.path}: {why(fault)}",
+                access(fault, self.path, self.path.parent) + ", at fleet.owners.folder, on a disk with room",
+            ) from None
 
     def _read(self) -> Held:
         data = self.path.read_bytes()
         bodies, at, told = [], 0, b""
         held = Held(whole=True)
         while at < len(data):
-            size = int.from_bytes(data[at:at + 4], "big")
-            body = data[at + 4 + SUM:at + 4 + SUM + size]
+            size = int.from_bytes(data[at : at + 4], "big")
+            body = data[at + 4 + SUM : at + 4 + SUM + size]
             record, told = _record(told, body)
-            if size > MOST or data[at:at + len(record)] != record or len(body) < size:
+            if size > MOST or data[at : at + len(record)] != record or len(body) < size:
                 held.whole, held.why = False, f"torn at byte {at}"
                 break
             bodies.append(body)
@@ -130,7 +135,8 @@
                 f"{self.name} among "
                 f"{', '.join(self.voters)}",
                 "write the same names at fleet.owners.voters as the register was founded with "
-                "(a voter's machine is replaced under its old name, with an empty folder)")
+                "(a voter's machine is replaced under its old name, with an empty folder)",
+            )
         for body in bodies[1:]:
             line = msgspec.msgpack.decode(body, type=Line)
             if line.kept is not None:
@@ -211,7 +217,7 @@
 
 def _write(file: int, data: bytes) -> None:
     while data:
-        data = data[os.write(file, data):]
+        data = data[os.write(file, data) :]
 
 
 def found(folder: Path, name: str, voters: Iterable[str]) -> None:
@@ -219,13 +225,16 @@
     Founded, NoDisk."""
     path = folder / NAME
     if path.exists():
-        raise Founded(f"{path}: a register is there already",
-                      f"go on with {path}: it is founded once in its life, also where it was lost since")
+        raise Founded(
+            f"{path}: a register is there already",
+            f"go on with {path}: it is founded once in its life, also where it was lost since",
+        )
     log = Log.__new__(Log)
     log.path, log.name, log.voters, log.file, log.held = path, name, sorted(voters), -1, Held()
     try:
         log._anew(True)
     except OSError as fault:
-        raise NoDisk(f"{path}: {why(fault)}", access(fault, path, path.parent) + ", at fleet.owners.folder") from None
+        raise NoDisk(
+            f"{path}: {why(fault)}", access(fault, path, path.parent) + ", at fleet.owners.folder"
+        ) from None
     log.close()
-
--- a/pathsaddle/ownership/owner.py
+++ b/pathsaddle/ownership/owner.py
@@ -276,8 +276,11 @@
             there.tries = 0
             if before.phase == ACCEPTING:
                 self._ended(key, there, "ok")
-            if (before.phase == ACCEPTING and there.putting is not None
-                    and after.value.revision >= there.putting[0]):
+            if (
+                before.phase == ACCEPTING
+                and there.putting is not None
+                and after.value.revision >= there.putting[0]
+            ):
                 self.happened.append(Happened("put", key, after.number, there.putting[0]))
                 there.putting = None
             if after.number != before.number:
@@ -302,8 +305,9 @@
         before = there.bid
         there.bid = before.lapsed(now)
         if before.number and not there.bid.number:
-            self.happened.append(Happened("lost", key, before.number, until=before.until,
-                                          why="no majority renewed it"))
+            self.happened.append(
+                Happened("lost", key, before.number, until=before.until, why="no majority renewed it")
+            )
             self._ended(key, there, "unknown" if before.phase == ACCEPTING else "refused")
             self._unput(key, there)
             self._off(there, now, 0)
@@ -314,15 +318,25 @@
             kind = "take" if not bid.number else "set" if bid.put is not None else "renew"
             there.op = f"{self.name}/{self.life}/{key}/{bid.ballot.round}", kind
             revision, data = bid.put if bid.put is not None else (1, b"")
-            self.happened.append(Happened("call", key, bid.number, revision - 1, op=there.op[0], kind=kind,
-                                          data=data))
+            self.happened.append(
+                Happened("call", key, bid.number, revision - 1, op=there.op[0], kind=kind, data=data)
+            )
 
     def _ended(self, key: str, there: Standing, outcome: str) -> None:
         if there.op[0]:
             value = there.bid.value
-            self.happened.append(Happened("end", key, value.number, value.revision, op=there.op[0],
-                                          why=outcome,
-                                          kind=there.op[1], data=value.data))
+            self.happened.append(
+                Happened(
+                    "end",
+                    key,
+                    value.number,
+                    value.revision,
+                    op=there.op[0],
+                    why=outcome,
+                    kind=there.op[1],
+                    data=value.data,
+                )
+            )
             there.op = "", ""
 
     def _unput(self, key: str, there: Standing) -> None:
@@ -341,6 +355,7 @@
         for _, ballot, value in there:
             if sum(1 for row in there if row[1] == ballot) > len(self.voters) // 2:
                 del self.reads[message.ask]
-                self.happened.append(Happened("read", message.key, ask=message.ask,
-                                              value=NOBODY if ballot == NEVER else value))
+                self.happened.append(
+                    Happened("read", message.key, ask=message.ask, value=NOBODY if ballot == NEVER else value)
+                )
                 return
--- a/pathsaddle/ownership/voter.py
+++ b/pathsaddle/ownership/voter.py
@@ -78,8 +78,10 @@
             mine = (self.value.owner, self.value.life) == (ballot.name, ballot.life)
             if ballot < self.promised or (now < self.until and not mine):
                 return self, self.refuses(message.key, ballot, now)
-            return (replace(self, promised=ballot) if ballot > self.promised else self,
-                    Promise(message.key, ballot, self.accepted, self.value))
+            return (
+                replace(self, promised=ballot) if ballot > self.promised else self,
+                Promise(message.key, ballot, self.accepted, self.value),
+            )
         if isinstance(message, Accept):
             # Not asked whether it holds for another: a majority promised, so that other's lease has ended.
             ballot = message.ballot
@@ -93,8 +95,10 @@
                 return self, self.refuses(message.key, message.ballot, now)
             if message.ballot != self.accepted or message.ballot == self.freed:
                 return self, None
-            return (replace(self, until=max(self.until, now + surely(self.value.lease))),
-                    Accepted(message.key, message.ballot, message.ask))
+            return (
+                replace(self, until=max(self.until, now + surely(self.value.lease))),
+                Accepted(message.key, message.ballot, message.ask),
+            )
         if isinstance(message, Free):
             if message.ballot == self.accepted and message.ballot != self.freed:
                 return replace(self, until=0, freed=message.ballot), Open(message.key)
@@ -104,8 +108,9 @@
         return self, None
 
     def refuses(self, key: str, ballot: Ballot, now: int) -> Refused:
-        return Refused(key, ballot, self.promised, max(0, self.until - now), self.value.owner,
-                       self.value.number)
+        return Refused(
+            key, ballot, self.promised, max(0, self.until - now), self.value.owner, self.value.number
+        )
 
     def joined(self, promised: Ballot, accepted: Ballot, value: Value) -> Row:
         """With what another told."""
@@ -133,8 +138,16 @@
 
 
 class Voter:
-    def __init__(self, name: str, voters: Iterable[str], rows: dict[str, tuple[Ballot, Ballot, Value]],
-                 starts: dict[str, int], start: int, whole: bool, now: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        voters: Iterable[str],
+        rows: dict[str, tuple[Ballot, Ballot, Value]],
+        starts: dict[str, int],
+        start: int,
+        whole: bool,
+        now: int,
+    ) -> None:
         """`rows`, `starts`: what the disk holds. `start`: the number of this start, above the disk's own.
         `whole`: nothing was lost of the disk, as far as it can tell by itself."""
         self.name, self.voters = name, tuple(sorted(voters))
--- a/pathsaddle/placement/__main__.py
+++ b/pathsaddle/placement/__main__.py
@@ -37,29 +37,36 @@
 
 
 def ticks() -> int:
-    return time.time_ns() * SECOND // 10 ** 9
+    return time.time_ns() * SECOND // 10**9
 
 
 def steady() -> int:
     """A clock that goes on while this process stands still, and that nobody sets."""
-    return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) * SECOND // 10 ** 9
+    return time.clock_gettime_ns(getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)) * SECOND // 10**9
 
 
 def chosen(problem: Problem, seconds: float) -> tuple[Counts, str, float]:
     # The solver is loaded here alone, in a planner's process.
     from pathsaddle.placement.solver import planned
+
     answer = planned(problem, seconds, time.monotonic)
     return answer.counts, answer.by, answer.gap
 
 
 def shown(plan: Plan) -> str:
-    rows = [f"plan {plan.name}: {len(plan.steps)} steps, by {plan.by}, at most {100 * plan.gap:.1f}% from the bound"]
+    rows = [
+        f"plan {plan.name}: {len(plan.steps)} steps, by {plan.by}, at most {100 * plan.gap:.1f}% from the bound"
+    ]
     for at, step in enumerate(plan.steps):
         wide = ", ".join(f"{kind} {width}" for kind, width in step.widest.items())
-        rows.append(f"{at + 1:5} {step.does:8} {step.unit} {'in' if step.does == 'place' else 'out of'} {step.bay}"
-                    f"   fits after a loss: {wide}" + (f"   BELOW THE TARGET: {step.why}" if step.why else ""))
-    rows.append("at the end a job fits after a loss of: "
-                + ", ".join(f"{kind} {width}" for kind, width in plan.reaches.items()))
+        rows.append(
+            f"{at + 1:5} {step.does:8} {step.unit} {'in' if step.does == 'place' else 'out of'} {step.bay}"
+            f"   fits after a loss: {wide}" + (f"   BELOW THE TARGET: {step.why}" if step.why else "")
+        )
+    rows.append(
+        "at the end a job fits after a loss of: "
+        + ", ".join(f"{kind} {width}" for kind, width in plan.reaches.items())
+    )
     return "\n".join([*rows, *(f"note: {note}" for note in plan.notes)])
 
 
@@ -87,7 +94,9 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--seconds", default=10.0, show_default=True, help="How long it may think.")
 @click.option("--json", "as_json", is_flag=True, help="The plan as one JSON object.")
-@click.option("--ledger", type=click.Path(path_type=Path), help="Keep the inventory and the plan there: a new file.")
+@click.option(
+    "--ledger", type=click.Path(path_type=Path), help="Keep the inventory and the plan there: a new file."
+)
 def plan(file: Path, seconds: float, as_json: bool, ledger: Path | None) -> None:
     """The plan for the inventory in FILE (also without the word `plan`)."""
     inventory = read(file)
@@ -100,15 +109,29 @@
 
 @main.command()
 @click.argument("ledger", type=click.Path(path_type=Path))
-@click.option("--number", type=int, help="This planner's, from whoever says who plans; else the next of the ledger.")
-@click.option("--charter", type=click.Path(path_type=Path),
-              help="With [fleet.owners]: its voters say who plans, and under which number.")
+@click.option(
+    "--number", type=int, help="This planner's, from whoever says who plans; else the next of the ledger."
+)
+@click.option(
+    "--charter",
+    type=click.Path(path_type=Path),
+    help="With [fleet.owners]: its voters say who plans, and under which number.",
+)
 @click.option("--name", default="planner", show_default=True)
-@click.option("--lease", default=60.0, show_default=True, help="Seconds for which it keeps a bay without renewing.")
+@click.option(
+    "--lease", default=60.0, show_default=True, help="Seconds for which it keeps a bay without renewing."
+)
 @click.option("--seconds", default=10.0, show_default=True, help="How long it may think.")
 @click.option("--once", is_flag=True, help="End when nothing is left to do.")
-def walk(ledger: Path, number: int | None, charter: Path | None, name: str, lease: float, seconds: float,
-         once: bool) -> None:
+def walk(
+    ledger: Path,
+    number: int | None,
+    charter: Path | None,
+    name: str,
+    lease: float,
+    seconds: float,
+    once: bool,
+) -> None:
     """Walks the plan of LEDGER: reserves, says what is to be installed, warmed and pulled, plans anew where
     it must.
 
@@ -123,6 +146,7 @@
     def tell(what: str, /, **more: Any) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(Event(ticks(), what, {"who": name} | more)) + b"\n")
         sys.stdout.buffer.flush()
+
     kept = File(ledger, ticks)
     if charter is None:
         mine = number if number is not None else kept.read().number + 1
@@ -133,6 +157,7 @@
             sys.exit(1)
         return
     from pathsaddle.placement.owning import Owning  # sockets and voters, where they are asked for alone
+
     owning = Owning(charter)
     owning.begin()
     try:
@@ -155,8 +180,16 @@
         owning.end()
 
 
-def walked(kept: File, number: int, may: Callable[[], bool], tell: Tell, ended: threading.Event, lease: float,
-           seconds: float, once: bool) -> None:
+def walked(
+    kept: File,
+    number: int,
+    may: Callable[[], bool],
+    tell: Tell,
+    ended: threading.Event,
+    lease: float,
+    seconds: float,
+    once: bool,
+) -> None:
     """Under one number, to the end. may: asked just before each change. Raises Ended, Lost."""
     try:
         book = kept.do("take", number)
@@ -197,8 +230,14 @@
         tell("order", does=order.does, unit=order.unit, bay=order.bay, number=walker.number)
 
 
-def round_(kept: File, walker: Walk, tell: Tell, ordered: dict[tuple[str, str, str], int],
-           seconds: float, may: Callable[[], bool]) -> list[Order]:
+def round_(
+    kept: File,
+    walker: Walk,
+    tell: Tell,
+    ordered: dict[tuple[str, str, str], int],
+    seconds: float,
+    may: Callable[[], bool],
+) -> list[Order]:
     """One look, and all that is due by it. Raises Ended, Lost, Unusable."""
     book = kept.read()
     orders = walker.due(book, steady())
@@ -213,8 +252,10 @@
             continue
         if order.does == "plan":
             tell("plan.began", revision=book.inventory.base, number=walker.number)
-            words = ("replaced", plan_of(book.inventory, walker.number, book.plan,
-                                         lambda problem: chosen(problem, seconds)))
+            words = (
+                "replaced",
+                plan_of(book.inventory, walker.number, book.plan, lambda problem: chosen(problem, seconds)),
+            )
         elif order.does in ("reserve", "withdraw"):
             assert book.plan is not None
             words = (order.does, walker.number, book.inventory.base, book.plan.name, order.step)
@@ -245,8 +286,17 @@
     return orders
 
 
-WORDS = {"put": ("unit", "bay"), "warmed": ("unit",), "dead": ("unit",), "pulled": ("unit",), "cleared": ("bay",),
-         "here": ("unit", "kind"), "ordered": ("unit", "kind"), "lost": ("island",), "back": ("island",)}
+WORDS = {
+    "put": ("unit", "bay"),
+    "warmed": ("unit",),
+    "dead": ("unit",),
+    "pulled": ("unit",),
+    "cleared": ("bay",),
+    "here": ("unit", "kind"),
+    "ordered": ("unit", "kind"),
+    "lost": ("island",),
+    "back": ("island",),
+}
 
 
 @main.command()
@@ -269,8 +319,12 @@
     if len(more) != len(WORDS[word]):
         raise click.UsageError(f"{word} " + " ".join(one.upper() for one in WORDS[word]))
     for one, value in zip(WORDS[word], more, strict=True):
-        known: Any = {"unit": book.inventory.unit, "kind": book.inventory.kind, "bay": book.inventory.island_of,
-                      "island": {island.name: island for island in book.inventory.islands}}[one]
+        known: Any = {
+            "unit": book.inventory.unit,
+            "kind": book.inventory.kind,
+            "bay": book.inventory.island_of,
+            "island": {island.name: island for island in book.inventory.islands},
+        }[one]
         if value not in known and not (one == "unit" and word in ("here", "ordered", "put", "pulled")):
             raise click.UsageError(f"the ledger has no {one} {value}")
     if word in ("here", "ordered"):
--- a/pathsaddle/placement/book.py
+++ b/pathsaddle/placement/book.py
@@ -53,8 +53,11 @@
     def renew(self, number: int) -> Book:
         """All reservations of this planner: their leases begin anew."""
         self._number(number)
-        mine = [replace(unit, renewed=unit.renewed + 1) for unit in self.inventory.units
-                if unit.state is State.RESERVED and unit.number == number]
+        mine = [
+            replace(unit, renewed=unit.renewed + 1)
+            for unit in self.inventory.units
+            if unit.state is State.RESERVED and unit.number == number
+        ]
         return self._changed(*mine)
 
     def lapse(self, number: int, name: str, renewed: int) -> Book:
@@ -89,8 +92,13 @@
     def came(self, *units: Unit) -> Book:
         """Ordered, or here: a batch is told at once."""
         known = self.inventory.unit
-        new = [unit for unit in units if unit.name not in known
-               or known[unit.name].state is State.ORDERED and unit.state is not State.ORDERED]
+        new = [
+            unit
+            for unit in units
+            if unit.name not in known
+            or known[unit.name].state is State.ORDERED
+            and unit.state is not State.ORDERED
+        ]
         return self._changed(*new, base=any(unit.state is not State.ORDERED for unit in new)) if new else self
 
     def put(self, name: str, bay: str) -> Book:
@@ -130,8 +138,9 @@
         if unit is None or not unit.fit:
             return self
         state = State.FAILING if unit.bay and unit.state is not State.RESERVED else State.WITHDRAWN
-        return self._changed(replace(unit, fit=False, state=state, bay=unit.bay if state is State.FAILING else ""),
-                             base=True)
+        return self._changed(
+            replace(unit, fit=False, state=state, bay=unit.bay if state is State.FAILING else ""), base=True
+        )
 
     def pulled(self, name: str) -> Book:
         """It is out of its bay, or of the bay where it should not have been."""
@@ -151,9 +160,13 @@
         blocked = tuple(row for row in self.inventory.blocked if row[0] != bay)
         if blocked == self.inventory.blocked:
             return self
-        rows = [replace(unit, state=State.HERE) for _, name in self.inventory.blocked if _ == bay
-                for unit in (self.inventory.unit.get(name),)
-                if unit is not None and unit.state is State.FAILING and not unit.bay]
+        rows = [
+            replace(unit, state=State.HERE)
+            for _, name in self.inventory.blocked
+            if _ == bay
+            for unit in (self.inventory.unit.get(name),)
+            if unit is not None and unit.state is State.FAILING and not unit.bay
+        ]
         return self._changed(*rows, base=True, blocked=blocked)
 
     def island(self, told: Island) -> Book:
@@ -162,8 +175,15 @@
         known = {island.name: island for island in self.inventory.islands}
         if known.get(told.name) == told:
             return self
-        rows = [] if told.up else [replace(unit, state=State.HERE, bay="") for unit in self.inventory.units
-                                   if unit.state is State.RESERVED and unit.bay in told.bays]
+        rows = (
+            []
+            if told.up
+            else [
+                replace(unit, state=State.HERE, bay="")
+                for unit in self.inventory.units
+                if unit.state is State.RESERVED and unit.bay in told.bays
+            ]
+        )
         known[told.name] = told
         return self._changed(*rows, base=True, islands=tuple(known.values()))
 
@@ -174,8 +194,11 @@
             return self
         old = {(row.kind, row.width): row.high for row in self.inventory.demand}
         new = {(row.kind, row.width): row.high for row in demand}
-        same = targets == self.inventory.targets and old.keys() == new.keys() and all(
-            abs(new[key] - was) <= max(1, SAME * was) for key, was in old.items())
+        same = (
+            targets == self.inventory.targets
+            and old.keys() == new.keys()
+            and all(abs(new[key] - was) <= max(1, SAME * was) for key, was in old.items())
+        )
         if same:
             return self
         return self._changed(base=True, demand=demand, targets=targets)
@@ -202,12 +225,18 @@
             raise Refused("bay", f"{bay} is held or blocked")
         if not island.holds(unit.kind):
             raise Refused("limit", f"{island.name} holds no {unit.kind}")
-        there = [self.inventory.kind[one.kind] for name in island.bays
-                 for one in (self.inventory.holder.get(name),) if one is not None]
+        there = [
+            self.inventory.kind[one.kind]
+            for name in island.bays
+            for one in (self.inventory.holder.get(name),)
+            if one is not None
+        ]
         there.append(self.inventory.kind[unit.kind])
-        for limit, drawn, name in ((island.power, sum(kind.power for kind in there), "power"),
-                                   (island.ports, sum(kind.ports for kind in there), "ports"),
-                                   (island.carries, sum(kind.carries for kind in there), "carries")):
+        for limit, drawn, name in (
+            (island.power, sum(kind.power for kind in there), "power"),
+            (island.ports, sum(kind.ports for kind in there), "ports"),
+            (island.carries, sum(kind.carries for kind in there), "carries"),
+        ):
             if drawn > limit:
                 raise Refused("limit", f"{island.name}: {name} {drawn} of {limit}")
 
@@ -215,8 +244,7 @@
         self._number(number)
         self._base(base)
         plan = self.plan
-        if plan is None or plan.name != name or not 0 <= at < len(plan.steps) \
-                or plan.steps[at].does != does:
+        if plan is None or plan.name != name or not 0 <= at < len(plan.steps) or plan.steps[at].does != does:
             raise Refused("plan", f"step {at} of {name}, and {plan.name if plan else 'none'} counts")
         # Not what the planner says that it looked at, but what its plan was reckoned on: a look between two steps at
         # a newer book does not make an old plan new.
@@ -237,6 +265,13 @@
         rows = dict(self.inventory.unit)
         for unit in units:
             rows[unit.name] = unit
-        return replace(self, inventory=replace(
-            self.inventory, units=tuple(rows.values()), revision=self.inventory.revision + 1,
-            base=self.inventory.base + base, **more))  # type: ignore[arg-type]  # fields by name
+        return replace(
+            self,
+            inventory=replace(
+                self.inventory,
+                units=tuple(rows.values()),
+                revision=self.inventory.revision + 1,
+                base=self.inventory.base + base,
+                **more,  # type: ignore[arg-type]  # fields by name
+            ),
+        )
--- a/pathsaddle/placement/check.py
+++ b/pathsaddle/placement/check.py
@@ -44,8 +44,12 @@
         for at, draws in enumerate((kind.power, kind.ports, kind.carries)):
             sums[island.name][at] += draws
     for island in inventory.islands:
-        for name, limit, drawn in zip(("power", "ports", "carries"), (island.power, island.ports, island.carries),
-                                      sums[island.name], strict=True):
+        for name, limit, drawn in zip(
+            ("power", "ports", "carries"),
+            (island.power, island.ports, island.carries),
+            sums[island.name],
+            strict=True,
+        ):
             if drawn > limit:
                 found.append((f"{name}-over", f"island {island.name}: {drawn} of {limit}"))
     if cold > inventory.cold:
--- a/pathsaddle/placement/greedy.py
+++ b/pathsaddle/placement/greedy.py
@@ -36,8 +36,12 @@
                 break
             while counts[i][k] < wanted and put(i, k):
                 pass
-    heap = [(counts[i][k] * problem.kinds[k].slots * PER * PER // problem.part[i][k], i, k)
-            for i in islands for k in kinds if problem.part[i][k]]
+    heap = [
+        (counts[i][k] * problem.kinds[k].slots * PER * PER // problem.part[i][k], i, k)
+        for i in islands
+        for k in kinds
+        if problem.part[i][k]
+    ]
     heapify(heap)
     while heap:
         _, i, k = heappop(heap)
--- a/pathsaddle/placement/inventory.py
+++ b/pathsaddle/placement/inventory.py
@@ -21,7 +21,9 @@
     COLD = "cold"
     SERVING = "serving"
     FAILING = "failing"  # in its bay or, with none, found where it should not be
-    WITHDRAWN = "withdrawn"  # with a bay: takes nothing new and leaves when what runs on it ends; with none: gone
+    WITHDRAWN = (
+        "withdrawn"  # with a bay: takes nothing new and leaves when what runs on it ends; with none: gone
+    )
 
 
 HOLDS = (State.RESERVED, State.INSTALLING, State.COLD, State.SERVING, State.FAILING, State.WITHDRAWN)
@@ -125,7 +127,9 @@
         told = [target.width for target in self.targets if target.kind == kind]
         if told:
             return max(told)
-        return max((row.width for row in self.demand if row.kind == kind and getattr(row, end) > 0), default=0)
+        return max(
+            (row.width for row in self.demand if row.kind == kind and getattr(row, end) > 0), default=0
+        )
 
     def usual(self, kind: str) -> int:
         """The width of the middle job asked for."""
--- a/pathsaddle/placement/ledger.py
+++ b/pathsaddle/placement/ledger.py
@@ -32,8 +32,14 @@
     CREATE TABLE units (name TEXT PRIMARY KEY, place INTEGER NOT NULL, value BLOB NOT NULL) WITHOUT ROWID;
     CREATE TABLE story (row INTEGER PRIMARY KEY, at INTEGER NOT NULL, what TEXT NOT NULL, more BLOB NOT NULL);
 """
-PARTS: dict[str, Any] = {"kinds": tuple[Kind, ...], "islands": tuple[Island, ...], "demand": tuple[Demand, ...],
-                         "targets": tuple[Target, ...], "blocked": tuple[tuple[str, str], ...], "plan": Plan | None}
+PARTS: dict[str, Any] = {
+    "kinds": tuple[Kind, ...],
+    "islands": tuple[Island, ...],
+    "demand": tuple[Demand, ...],
+    "targets": tuple[Target, ...],
+    "blocked": tuple[tuple[str, str], ...],
+    "plan": Plan | None,
+}
 
 
 class Ledger(Protocol):
@@ -49,7 +55,9 @@
 class Memory:
     """A book that lives no longer than its process: for planning alone, and for the virtual ground."""
 
-    def __init__(self, book: Book, tell: Callable[[str, dict[str, Any]], None] = lambda what, more: None) -> None:
+    def __init__(
+        self, book: Book, tell: Callable[[str, dict[str, Any]], None] = lambda what, more: None
+    ) -> None:
         self.book = book
         self.tell = tell
         for what, more in opening(book):
@@ -72,8 +80,15 @@
         return self.book
 
 
-SURROUNDINGS = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_IOERR, sqlite3.SQLITE_FULL,
-                sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_PERM)
+SURROUNDINGS = (
+    sqlite3.SQLITE_BUSY,
+    sqlite3.SQLITE_LOCKED,
+    sqlite3.SQLITE_READONLY,
+    sqlite3.SQLITE_IOERR,
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_CANTOPEN,
+    sqlite3.SQLITE_PERM,
+)
 
 
 class File:
@@ -82,19 +97,27 @@
 
     def __init__(self, path: Path, clock: Callable[[], int]) -> None:
         if not path.exists():
-            raise Unusable(f"{path}: no such file", f"make one with `python -m pathsaddle.placement FILE --ledger {path}`")
+            raise Unusable(
+                f"{path}: no such file",
+                f"make one with `python -m pathsaddle.placement FILE --ledger {path}`",
+            )
         self.path, self.clock = path, clock
         self.cache: Book | None = None
         try:
             self.base = _opened(path)
             row = self.base.execute("SELECT value FROM meta WHERE key = 'version'").fetchone()
         except sqlite3.Error as fault:
-            raise Unusable(f"{path}: can't be opened: {why(fault)}", f"name a placement ledger that this user may write, in place "
-                           f"of {path}, or make one with `python -m pathsaddle.placement FILE --ledger NEW`") from None
+            raise Unusable(
+                f"{path}: can't be opened: {why(fault)}",
+                f"name a placement ledger that this user may write, in place "
+                f"of {path}, or make one with `python -m pathsaddle.placement FILE --ledger NEW`",
+            ) from None
         if row is None or row[0] != VERSION:
-            raise Unusable(f"{path}: is of version {row[0] if row else 0}, and this program writes {VERSION}",
-                           f"run the release that wrote {path}, or make a new one with `python -m pathsaddle.placement FILE "
-                           "--ledger NEW`")
+            raise Unusable(
+                f"{path}: is of version {row[0] if row else 0}, and this program writes {VERSION}",
+                f"run the release that wrote {path}, or make a new one with `python -m pathsaddle.placement FILE "
+                "--ledger NEW`",
+            )
 
     def close(self) -> None:
         self.base.close()
@@ -113,12 +136,18 @@
         meta = self._meta()
         if self.cache is not None and self.cache.inventory.revision == meta["revision"]:
             return self.cache
-        parts = {name: msgspec.json.decode(value, type=PARTS[name])
-                 for name, value in self.base.execute("SELECT name, value FROM parts")}
-        units = tuple(msgspec.json.decode(row[0], type=Unit)
-                      for row in self.base.execute("SELECT value FROM units ORDER BY place"))
+        parts = {
+            name: msgspec.json.decode(value, type=PARTS[name])
+            for name, value in self.base.execute("SELECT name, value FROM parts")
+        }
+        units = tuple(
+            msgspec.json.decode(row[0], type=Unit)
+            for row in self.base.execute("SELECT value FROM units ORDER BY place")
+        )
         plan = parts.pop("plan")
-        inventory = Inventory(units=units, cold=meta["cold"], revision=meta["revision"], base=meta["base"], **parts)
+        inventory = Inventory(
+            units=units, cold=meta["cold"], revision=meta["revision"], base=meta["base"], **parts
+        )
         self.cache = Book(inventory, meta["number"], plan)
         return self.cache
 
@@ -140,15 +169,21 @@
 
     def _damaged(self, fault: Exception) -> Unusable:
         said = f"it lacks {fault}" if isinstance(fault, KeyError) else why(fault)
-        return Unusable(f"{self.path}: is damaged: {said}", f"put a copy from before in place of {self.path}, or make a new one "
-                        "with `python -m pathsaddle.placement FILE --ledger NEW`")
+        return Unusable(
+            f"{self.path}: is damaged: {said}",
+            f"put a copy from before in place of {self.path}, or make a new one "
+            "with `python -m pathsaddle.placement FILE --ledger NEW`",
+        )
 
     def _unusable(self, fault: sqlite3.Error) -> Unusable:
         # The low byte of SQLite's code; what is not of the file's surroundings is in the file.
         if getattr(fault, "sqlite_errorcode", 0) & 0xFF not in SURROUNDINGS:
             return self._damaged(fault)
-        return Unusable(f"{self.path}: can't be used: {why(fault)}", f"wait for who holds {self.path} open for writing, or end "
-                        f"it (`fuser {self.path}` names it), or make room on its disk")
+        return Unusable(
+            f"{self.path}: can't be used: {why(fault)}",
+            f"wait for who holds {self.path} open for writing, or end "
+            f"it (`fuser {self.path}` names it), or make room on its disk",
+        )
 
     def _do(self, does: str, words: tuple[Any, ...]) -> Book:
         self.base.execute("BEGIN IMMEDIATE")
@@ -178,8 +213,10 @@
     def story(self) -> list[tuple[int, str, dict[str, Any]]]:
         """All that became true, in order: (at, what, more). Raises Unusable."""
         try:
-            return [(at, what, msgspec.json.decode(more))
-                    for at, what, more in self.base.execute("SELECT at, what, more FROM story ORDER BY row")]
+            return [
+                (at, what, msgspec.json.decode(more))
+                for at, what, more in self.base.execute("SELECT at, what, more FROM story ORDER BY row")
+            ]
         except sqlite3.Error as fault:
             raise self._unusable(fault) from None
         except msgspec.MsgspecError as fault:
@@ -194,8 +231,10 @@
 
 
 def _tell(base: sqlite3.Connection, at: int, rows: list[tuple[str, dict[str, Any]]]) -> None:
-    base.executemany("INSERT INTO story (at, what, more) VALUES (?, ?, ?)",
-                     [(at, what, msgspec.json.encode({"who": KEEPER} | more)) for what, more in rows])
+    base.executemany(
+        "INSERT INTO story (at, what, more) VALUES (?, ?, ?)",
+        [(at, what, msgspec.json.encode({"who": KEEPER} | more)) for what, more in rows],
+    )
 
 
 def _written(base: sqlite3.Connection, before: Book | None, after: Book) -> None:
@@ -206,19 +245,32 @@
         if before is None or value is not (before.plan if name == "plan" else getattr(old, name)):
             base.execute("INSERT OR REPLACE INTO parts VALUES (?, ?)", (name, msgspec.json.encode(value)))
     known = {} if old is None else old.unit
-    base.executemany("INSERT OR REPLACE INTO units VALUES (?, ?, ?)", [
-        (unit.name, place, msgspec.json.encode(unit)) for place, unit in enumerate(new.units)
-        if known.get(unit.name) is not unit])
-    for key, value in (("version", VERSION), ("revision", new.revision), ("base", new.base), ("cold", new.cold),
-                       ("number", after.number)):
+    base.executemany(
+        "INSERT OR REPLACE INTO units VALUES (?, ?, ?)",
+        [
+            (unit.name, place, msgspec.json.encode(unit))
+            for place, unit in enumerate(new.units)
+            if known.get(unit.name) is not unit
+        ],
+    )
+    for key, value in (
+        ("version", VERSION),
+        ("revision", new.revision),
+        ("base", new.base),
+        ("cold", new.cold),
+        ("number", after.number),
+    ):
         base.execute("INSERT OR REPLACE INTO meta VALUES (?, ?)", (key, value))
 
 
 def made(path: Path, inventory: Inventory, clock: Callable[[], int]) -> File:
     """A new ledger. Raises Unusable where one stands there, Untrue where the inventory breaks a rule."""
     if path.exists():
-        raise Unusable(f"{path}: stands there already", f"name another file after --ledger, or tell what changed by `python -m "
-                       f"pathsaddle.placement tell {path}`")
+        raise Unusable(
+            f"{path}: stands there already",
+            f"name another file after --ledger, or tell what changed by `python -m "
+            f"pathsaddle.placement tell {path}`",
+        )
     for name, what in broken(inventory):
         raise Untrue(f"{path}: {name}: {what}", MENDS[name].format("the inventory that it was to be made of"))
     try:
@@ -232,6 +284,9 @@
         base.execute("COMMIT")
         base.close()
     except sqlite3.Error as fault:
-        raise Unusable(f"{path}: can't be made: {why(fault)}", f"make the folder {path.parent}, or let the user who runs this "
-                       "write there, or name another file after --ledger") from None
+        raise Unusable(
+            f"{path}: can't be made: {why(fault)}",
+            f"make the folder {path.parent}, or let the user who runs this "
+            "write there, or name another file after --ledger",
+        ) from None
     return File(path, clock)
--- a/pathsaddle/placement/owning.py
+++ b/pathsaddle/placement/owning.py
@@ -29,8 +29,10 @@
         """Raises Unreadable, and what the charter's check and ownership's Register do."""
         made = read(charter)
         if made.fleet is None or made.fleet.owners is None or KEY not in made.fleet.owners.keys:
-            raise Unreadable(f"{charter}: fleet.owners.keys has no {KEY!r}",
-                             f'write keys = ["{KEY}"] into [fleet.owners] of {charter}, as docs/ownership.md shows')
+            raise Unreadable(
+                f"{charter}: fleet.owners.keys has no {KEY!r}",
+                f'write keys = ["{KEY}"] into [fleet.owners] of {charter}, as docs/ownership.md shows',
+            )
         self.register = Register(told(made, str(charter)), Ground(), SystemRandom(), Counters())
         self.events = asyncio.new_event_loop()
         self.events.call_soon(self.register.begin)
@@ -49,7 +51,9 @@
     def end(self) -> None:
         """The key is given back, so that the next planner needn't wait for the lease's end."""
         self.events.call_soon_threadsafe(self.register.stop)
-        asyncio.run_coroutine_threadsafe(asyncio.sleep(2 * self.register.owner.pace / SECOND), self.events).result()
+        asyncio.run_coroutine_threadsafe(
+            asyncio.sleep(2 * self.register.owner.pace / SECOND), self.events
+        ).result()
         self.events.call_soon_threadsafe(self.register.end)
         self.events.call_soon_threadsafe(self.events.stop)
         self.thread.join()
--- a/pathsaddle/placement/plan.py
+++ b/pathsaddle/placement/plan.py
@@ -75,8 +75,10 @@
         at = {island.name: i for i, island in enumerate(problem.islands)}
         of = {kind.name: k for k, kind in enumerate(problem.kinds)}
         blocked = {bay: unit for bay, unit in inventory.blocked}
-        self.free = [[bay for bay in island.bays if bay not in inventory.holder and bay not in blocked]
-                     for island in problem.islands]
+        self.free = [
+            [bay for bay in island.bays if bay not in inventory.holder and bay not in blocked]
+            for island in problem.islands
+        ]
         self.draws = [[0, 0, 0] for _ in problem.islands]
         self.now = [list(row) for row in problem.serving]
         self.pool: list[list[Unit]] = [[] for _ in self.kinds]
@@ -94,13 +96,25 @@
                 elif unit.state in (State.FAILING, State.WITHDRAWN):
                     self.leaving.append((unit, unit.bay))
         for bay, name in inventory.blocked:
-            if name in inventory.unit and inventory.unit[name].state is State.FAILING and not inventory.unit[name].bay:
+            if (
+                name in inventory.unit
+                and inventory.unit[name].state is State.FAILING
+                and not inventory.unit[name].bay
+            ):
                 self.leaving.append((inventory.unit[name], bay))
         self.of, self.at, self.island_of = of, at, inventory.island_of
-        self.todo = {(i, k): counts[i][k] - problem.stay[i][k] for i in range(len(counts)) for k in self.kinds
-                     if counts[i][k] > problem.stay[i][k]}
-        self.over = {(i, k): problem.stay[i][k] - counts[i][k] for i in range(len(counts)) for k in self.kinds
-                     if counts[i][k] < problem.stay[i][k]}
+        self.todo = {
+            (i, k): counts[i][k] - problem.stay[i][k]
+            for i in range(len(counts))
+            for k in self.kinds
+            if counts[i][k] > problem.stay[i][k]
+        }
+        self.over = {
+            (i, k): problem.stay[i][k] - counts[i][k]
+            for i in range(len(counts))
+            for k in self.kinds
+            if counts[i][k] < problem.stay[i][k]
+        }
 
     def draw(self, i: int, k: int, by: int) -> None:
         kind = self.problem.kinds[k]
@@ -108,14 +122,19 @@
             self.draws[i][at] += by * one
 
     def widest(self) -> dict[str, int]:
-        return {kind.name: widest([row[k] * kind.slots for row in self.now])
-                for k, kind in enumerate(self.problem.kinds)}
+        return {
+            kind.name: widest([row[k] * kind.slots for row in self.now])
+            for k, kind in enumerate(self.problem.kinds)
+        }
 
     def can(self, i: int, k: int) -> bool:
         kind, limit = self.problem.kinds[k], self.problem.limits[i]
         return bool(self.todo.get((i, k)) and self.free[i] and self.pool[k]) and all(
-            drawn + one <= most for drawn, one, most in
-            zip(self.draws[i], (kind.power, kind.ports, kind.carries), limit, strict=True))
+            drawn + one <= most
+            for drawn, one, most in zip(
+                self.draws[i], (kind.power, kind.ports, kind.carries), limit, strict=True
+            )
+        )
 
     def place(self, i: int, k: int) -> tuple[str, str]:
         unit, bay = self.pool[k].pop(0), self.free[i].pop(0)
@@ -139,11 +158,15 @@
         headroom."""
         kind, part = self.problem.kinds[k], self.problem.part[i][k]
         slots = self.now[i][k] * kind.slots
-        lacks = short.get(kind.name, 0) > 0 and self.counts[i][k] * kind.slots >= self.problem.width[k] > slots
-        return (0, -slots, i, k) if lacks else (1, slots * PER * PER // part if part else 10 ** 9, i, k)
+        lacks = (
+            short.get(kind.name, 0) > 0 and self.counts[i][k] * kind.slots >= self.problem.width[k] > slots
+        )
+        return (0, -slots, i, k) if lacks else (1, slots * PER * PER // part if part else 10**9, i, k)
 
 
-def steps_of(inventory: Inventory, problem: Problem, counts: Counts) -> tuple[tuple[Step, ...], tuple[str, ...]]:
+def steps_of(
+    inventory: Inventory, problem: Problem, counts: Counts
+) -> tuple[tuple[Step, ...], tuple[str, ...]]:
     """(steps, notes): from what is there to `counts`."""
     sim = _Sim(inventory, problem, counts)
     steps: list[Step] = []
@@ -152,11 +175,19 @@
     final = figures(problem, counts)
     last = {kind.name: final.widest[k] for k, kind in enumerate(problem.kinds)}
 
-    def add(does: str, unit: str, bay: str, wide: dict[str, int], because: str, after: Iterable[int] = ()) -> None:
+    def add(
+        does: str, unit: str, bay: str, wide: dict[str, int], because: str, after: Iterable[int] = ()
+    ) -> None:
         short = [name for name, width in target.items() if wide[name] < width]
-        why = "; ".join(f"{name}: {wide[name]} of {target[name]}, "
-                        + (f"no plan reaches more than {last[name]} with what is here" if last[name] <= wide[name]
-                           else because) for name in short)
+        why = "; ".join(
+            f"{name}: {wide[name]} of {target[name]}, "
+            + (
+                f"no plan reaches more than {last[name]} with what is here"
+                if last[name] <= wide[name]
+                else because
+            )
+            for name in short
+        )
         steps.append(Step(does, unit, bay, wide, why, tuple(sorted(after))))
 
     floor = sim.widest()
@@ -184,8 +215,17 @@
                 heappush(heap, again)
                 continue
             name, bay = sim.place(i, k)
-            add(PLACE, name, bay, floor, "what is still to be installed does not serve yet",
-                [*frees.get(i, ()), *([out[name]] if name in out and out[name] not in frees.get(i, ()) else ())])
+            add(
+                PLACE,
+                name,
+                bay,
+                floor,
+                "what is still to be installed does not serve yet",
+                [
+                    *frees.get(i, ()),
+                    *([out[name]] if name in out and out[name] not in frees.get(i, ()) else ()),
+                ],
+            )
             wide = sim.widest() if short.get(problem.kinds[k].name, 0) > 0 else wide
             short = {name: width - wide[name] for name, width in target.items()}
             if sim.can(i, k):
@@ -200,6 +240,7 @@
             fall = max(0, problem.width[k] - sim.widest()[problem.kinds[k].name])
             sim.now[i][k] += 1
             return fall, not any(j == i for j, _ in sim.todo), i, k
+
         i, k = min(sim.over, key=lost)
         unit = sim.there[i, k].pop()
         sim.now[i][k] -= 1
@@ -211,40 +252,69 @@
         floor = {name: min(floor[name], one) for name, one in wide.items()}
         frees.setdefault(i, []).append(len(steps))
         out[unit.name] = len(steps)
-        add(WITHDRAW, unit.name, unit.bay, wide,
+        add(
+            WITHDRAW,
+            unit.name,
+            unit.bay,
+            wide,
             f"{unit.name} must leave {problem.islands[i].name} before its room or it can be used elsewhere",
-            range(barrier, len(steps)))
+            range(barrier, len(steps)),
+        )
         barrier = len(steps) - 1
         sim.pulled(unit, unit.bay)
     for i, k in sim.todo:
-        notes.append(f"{problem.islands[i].name}: {sim.todo[i, k]} of {problem.kinds[k].name} find no room on the way")
+        notes.append(
+            f"{problem.islands[i].name}: {sim.todo[i, k]} of {problem.kinds[k].name} find no room on the way"
+        )
     for k, kind in enumerate(problem.kinds):
         if left := len(sim.pool[k]):
             notes.append(f"{left} of {kind.name} stay out: no bay, power, port or switch has room for more")
         if not final.reached[k]:
             whole = (problem.pool[k] + sum(row[k] for row in problem.stay)) * kind.slots
-            notes.append(f"{kind.name}: {final.widest[k]} of {problem.width[k]} slots fit after the loss of an island: "
-                         + (f"two islands need {2 * problem.width[k]}, {whole} are here" if
-                            whole < 2 * problem.width[k] else "no two islands have room for so many"))
+            notes.append(
+                f"{kind.name}: {final.widest[k]} of {problem.width[k]} slots fit after the loss of an island: "
+                + (
+                    f"two islands need {2 * problem.width[k]}, {whole} are here"
+                    if whole < 2 * problem.width[k]
+                    else "no two islands have room for so many"
+                )
+            )
         if final.widest[k] < problem.width_low[k]:
-            notes.append(f"{kind.name}: nor does what is asked for at the low end, {problem.width_low[k]}, fit")
+            notes.append(
+                f"{kind.name}: nor does what is asked for at the low end, {problem.width_low[k]}, fit"
+            )
     for bay, name in inventory.blocked:
-        notes.append(f"bay {bay} is not used: {name} was found there; have it pulled, or say that it is not there")
+        notes.append(
+            f"bay {bay} is not used: {name} was found there; have it pulled, or say that it is not there"
+        )
     for island, limits in zip(problem.islands, problem.limits, strict=True):
         if limits > (island.power, island.ports, island.carries):
             notes.append(f"{island.name}: more stands there than its limits now allow; nothing is added")
     return tuple(steps), tuple(notes)
 
 
-def plan_of(inventory: Inventory, number: int, last: Plan | None,
-            choose: Callable[[Problem], tuple[Counts, str, float]]) -> Plan:
+def plan_of(
+    inventory: Inventory,
+    number: int,
+    last: Plan | None,
+    choose: Callable[[Problem], tuple[Counts, str, float]],
+) -> Plan:
     """choose: from a problem to (counts, by whom, distance from the bound)."""
     problem = problem_of(inventory, None if last is None else last.wanted)
     counts, by, gap = choose(problem)
     steps, notes = steps_of(inventory, problem, counts)
-    return Plan(f"{number}/{inventory.base}", number, inventory.base, steps,
-                {island.name: {kind.name: counts[i][k] for k, kind in enumerate(problem.kinds)}
-                 for i, island in enumerate(problem.islands)},
-                {kind.name: problem.width[k] for k, kind in enumerate(problem.kinds)},
-                dict(zip((kind.name for kind in problem.kinds), figures(problem, counts).widest, strict=True)),
-                by, gap, notes)
+    return Plan(
+        f"{number}/{inventory.base}",
+        number,
+        inventory.base,
+        steps,
+        {
+            island.name: {kind.name: counts[i][k] for k, kind in enumerate(problem.kinds)}
+            for i, island in enumerate(problem.islands)
+        },
+        {kind.name: problem.width[k] for k, kind in enumerate(problem.kinds)},
+        dict(zip((kind.name for kind in problem.kinds), figures(problem, counts).widest, strict=True)),
+        by,
+        gap,
+        notes,
+    )
--- a/pathsaddle/placement/problem.py
+++ b/pathsaddle/placement/problem.py
@@ -28,7 +28,9 @@
     width: tuple[int, ...]
     width_low: tuple[int, ...]
     usual: tuple[int, ...]
-    limits: tuple[tuple[int, int, int], ...]  # power, ports, what switches carry; where more is held already, that
+    limits: tuple[
+        tuple[int, int, int], ...
+    ]  # power, ports, what switches carry; where more is held already, that
     last: tuple[tuple[int, ...], ...] | None = None  # what the plan before wanted
 
     def fits(self, counts: Counts, i: int, k: int) -> bool:
@@ -92,12 +94,24 @@
     slots = [[row[k] * problem.kinds[k].slots for row in counts] for k in kinds]
     wide = tuple(widest(row) for row in slots)
     fitting = sum(one for k in kinds for one in slots[k] if one >= problem.usual[k])
-    whole = sum((problem.pool[k] + sum(row[k] for row in problem.stay)) * problem.kinds[k].slots for k in kinds)
+    whole = sum(
+        (problem.pool[k] + sum(row[k] for row in problem.stay)) * problem.kinds[k].slots for k in kinds
+    )
     moves = sum(max(0, problem.stay[i][k] - row[k]) for i, row in enumerate(counts) for k in kinds)
-    changes = 0 if problem.last is None else sum(
-        abs(row[k] - problem.last[i][k]) for i, row in enumerate(counts) for k in kinds) // 2
-    return Figures(wide, tuple(wide[k] >= problem.width[k] for k in kinds), least(problem, counts, problem.part),
-                   least(problem, counts, problem.part_low), whole - fitting, moves, changes)
+    changes = (
+        0
+        if problem.last is None
+        else sum(abs(row[k] - problem.last[i][k]) for i, row in enumerate(counts) for k in kinds) // 2
+    )
+    return Figures(
+        wide,
+        tuple(wide[k] >= problem.width[k] for k in kinds),
+        least(problem, counts, problem.part),
+        least(problem, counts, problem.part_low),
+        whole - fitting,
+        moves,
+        changes,
+    )
 
 
 def problem_of(inventory: Inventory, last: dict[str, dict[str, int]] | None = None) -> Problem:
@@ -120,12 +134,18 @@
                 serving[i][k] += unit.state is State.SERVING
     blocked = {bay: why for bay, why in inventory.blocked}
     # A limit that was lowered below what stands there: nothing is added, and nothing has to go for it.
-    rooms = tuple(max(sum(bay not in blocked for bay in island.bays), sum(row))
-                  for island, row in zip(islands, stay, strict=True))
-    limits = tuple((max(island.power, sum(units * kind.power for units, kind in zip(row, kinds, strict=True))),
-                    max(island.ports, sum(units * kind.ports for units, kind in zip(row, kinds, strict=True))),
-                    max(island.carries, sum(units * kind.carries for units, kind in zip(row, kinds, strict=True))))
-                   for island, row in zip(islands, stay, strict=True))
+    rooms = tuple(
+        max(sum(bay not in blocked for bay in island.bays), sum(row))
+        for island, row in zip(islands, stay, strict=True)
+    )
+    limits = tuple(
+        (
+            max(island.power, sum(units * kind.power for units, kind in zip(row, kinds, strict=True))),
+            max(island.ports, sum(units * kind.ports for units, kind in zip(row, kinds, strict=True))),
+            max(island.carries, sum(units * kind.carries for units, kind in zip(row, kinds, strict=True))),
+        )
+        for island, row in zip(islands, stay, strict=True)
+    )
     parts = {}
     for end in ("low", "high"):
         parts[end] = [[0] * len(kinds) for _ in islands]
@@ -141,17 +161,38 @@
                     parts[end][i][k] += -(-row.width * getattr(row, end) * PER * rooms[i] // bays)
     before = None
     if last is not None:
-        before = tuple(tuple(last.get(island.name, {}).get(kind.name, 0) for kind in kinds) for island in islands)
-    return Problem(islands, kinds, _rows(stay), _rows(serving), tuple(pool), rooms, _rows(parts["high"]),
-                   _rows(parts["low"]), tuple(inventory.width(kind.name) for kind in kinds),
-                   tuple(inventory.width(kind.name, "low") for kind in kinds),
-                   tuple(inventory.usual(kind.name) for kind in kinds), limits, before)
+        before = tuple(
+            tuple(last.get(island.name, {}).get(kind.name, 0) for kind in kinds) for island in islands
+        )
+    return Problem(
+        islands,
+        kinds,
+        _rows(stay),
+        _rows(serving),
+        tuple(pool),
+        rooms,
+        _rows(parts["high"]),
+        _rows(parts["low"]),
+        tuple(inventory.width(kind.name) for kind in kinds),
+        tuple(inventory.width(kind.name, "low") for kind in kinds),
+        tuple(inventory.usual(kind.name) for kind in kinds),
+        limits,
+        before,
+    )
 
 
 def _most(kind: Kind, rooms: int, limits: tuple[int, int, int]) -> int:
     """Slots of this kind alone that an island could hold."""
-    return kind.slots * min([rooms, *(limit // one for limit, one in
-                                      zip(limits, (kind.power, kind.ports, kind.carries), strict=True) if one)])
+    return kind.slots * min(
+        [
+            rooms,
+            *(
+                limit // one
+                for limit, one in zip(limits, (kind.power, kind.ports, kind.carries), strict=True)
+                if one
+            ),
+        ]
+    )
 
 
 def _rows(rows: Counts) -> tuple[tuple[int, ...], ...]:
--- a/pathsaddle/placement/solver.py
+++ b/pathsaddle/placement/solver.py
@@ -68,6 +68,7 @@
         if not problem.islands[i].holds(problem.kinds[k].name):
             return problem.stay[i][k]
         return max(problem.stay[i][k], min(problem.rooms[i], whole[k]))
+
     n = [[model.column(problem.least(i, k), most(i, k)) for k in kinds] for i in islands]
     for i, limits in enumerate(problem.limits):
         model.row(-INF, problem.rooms[i], *((n[i][k], 1.0) for k in kinds))
@@ -89,8 +90,13 @@
         if problem.width[k]:
             for i in can:
                 cols.two[i, k] = model.column(0, 1)
-                model.row(-INF, problem.width[k], (cols.wide[k], 1.0), (n[i][k], -float(kind.slots)),
-                          (cols.two[i, k], float(problem.width[k])))
+                model.row(
+                    -INF,
+                    problem.width[k],
+                    (cols.wide[k], 1.0),
+                    (n[i][k], -float(kind.slots)),
+                    (cols.two[i, k], float(problem.width[k])),
+                )
             model.row(2, INF, *((cols.two[i, k], 1.0) for i in can))
         for i in can:
             fit = cols.fit[i, k] = model.column(0, most(i, k), False)
@@ -119,16 +125,20 @@
         for k in kinds:
             found[row[k]] = counts[i][k]
     for k, kind in enumerate(problem.kinds):
-        heads = [counts[i][k] * kind.slots * PER * PER / problem.part[i][k]
-                 for i in range(len(counts)) if problem.part[i][k]]
+        heads = [
+            counts[i][k] * kind.slots * PER * PER / problem.part[i][k]
+            for i in range(len(counts))
+            if problem.part[i][k]
+        ]
         found[cols.heads[k]] = min(*heads, 100 * PER) if heads else 0
         order = sorted(((i, j) for i, j in cols.two if j == k), key=lambda at: -counts[at[0]][k])[:2]
         for at in order:
             found[cols.two[at]] = 1
         if len(order) == 2:
             found[cols.wide[k]] = min(problem.width[k], counts[order[1][0]][k] * kind.slots)
-    found[cols.head] = min((found[cols.heads[k]] for k in kinds
-                            if any(row[k] for row in problem.part)), default=0)
+    found[cols.head] = min(
+        (found[cols.heads[k]] for k in kinds if any(row[k] for row in problem.part)), default=0
+    )
     for (i, k), enough in cols.enough.items():
         found[enough] = counts[i][k] * problem.kinds[k].slots >= problem.usual[k]
     for (i, k), fit in cols.fit.items():
@@ -141,8 +151,9 @@
     return found
 
 
-def solve(model: Model, costs: dict[int, float], start: list[float], seconds: float,
-          seed: int) -> tuple[list[float] | None, float]:
+def solve(
+    model: Model, costs: dict[int, float], start: list[float], seconds: float, seed: int
+) -> tuple[list[float] | None, float]:
     """Greatest sum of costs: (columns, or None where it has no answer in time; its bound)."""
     highs = highspy.Highs()  # type: ignore[no-untyped-call]
     highs.setOptionValue("output_flag", False)
@@ -160,8 +171,9 @@
     lp.col_upper_ = np.array(model.high, dtype=float)
     lp.row_lower_ = np.array([row[0] for row in model.rows], dtype=float)
     lp.row_upper_ = np.array([row[1] for row in model.rows], dtype=float)
-    lp.integrality_ = [highspy.HighsVarType.kInteger if one else highspy.HighsVarType.kContinuous
-                       for one in model.whole]
+    lp.integrality_ = [
+        highspy.HighsVarType.kInteger if one else highspy.HighsVarType.kContinuous for one in model.whole
+    ]
     lp.sense_ = highspy.ObjSense.kMaximize
     lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
     lp.a_matrix_.start_ = np.cumsum([0, *(len(row[2]) for row in model.rows)])
@@ -220,16 +232,23 @@
     for at in reach:
         model.low[at] = now[at]
     asked = [k for k in kinds if any(row[k] for row in problem.part)]
-    aim = ({cols.head: 1.0} | {cols.heads[k]: KINDS / len(asked) for k in asked}
-           | {at: -PRICE for at in moves} | {at: -CHANGE / 2 for at in changes})
+    aim = (
+        {cols.head: 1.0}
+        | {cols.heads[k]: KINDS / len(asked) for k in asked}
+        | {at: -PRICE for at in moves}
+        | {at: -CHANGE / 2 for at in changes}
+    )
     bound = stage(aim, 0.7)
     value = _sum(aim, now)
     # What the second aim reached is kept but for a thousandth, so that the last ones have something to choose from.
     model.row(value - 0.001 * abs(value), INF, *aim.items())
     # What fits no job of usual width is better in a bay than in the store, but for that nothing else is given up.
-    last = ({at: float(problem.kinds[k].slots) for (_, k), at in cols.fit.items()}
-            | {row[k]: 0.05 * problem.kinds[k].slots for row in cols.n for k in kinds}
-            | {at: -0.1 for at in moves} | {at: -0.02 for at in changes})
+    last = (
+        {at: float(problem.kinds[k].slots) for (_, k), at in cols.fit.items()}
+        | {row[k]: 0.05 * problem.kinds[k].slots for row in cols.n for k in kinds}
+        | {at: -0.1 for at in moves}
+        | {at: -0.02 for at in changes}
+    )
     stage(last, 0.9)
     counts = [[round(now[at]) for at in row] for row in cols.n]
     return Answer(counts, by, value, bound)
@@ -237,5 +256,3 @@
 
 def _sum(costs: dict[int, float], found: list[float]) -> float:
     return sum(one * found[at] for at, one in costs.items())
-
-
--- a/pathsaddle/placement/story.py
+++ b/pathsaddle/placement/story.py
@@ -21,8 +21,14 @@
 
 
 def limits(island: Island) -> Row:
-    return "island.limits", {"island": island.name, "zone": island.zone, "bays": len(island.bays),
-                             "power": island.power, "ports": island.ports, "carries": island.carries}
+    return "island.limits", {
+        "island": island.name,
+        "zone": island.zone,
+        "bays": len(island.bays),
+        "power": island.power,
+        "ports": island.ports,
+        "carries": island.carries,
+    }
 
 
 def opening(book: Book) -> list[Row]:
@@ -46,8 +52,14 @@
 
 def _needs(book: Book, unit: Unit) -> Row:
     kind = book.inventory.kind[unit.kind]
-    return "unit.needs", {"unit": unit.name, "kind": kind.name, "slots": kind.slots, "power": kind.power,
-                          "ports": kind.ports, "carries": kind.carries}
+    return "unit.needs", {
+        "unit": unit.name,
+        "kind": kind.name,
+        "slots": kind.slots,
+        "power": kind.power,
+        "ports": kind.ports,
+        "carries": kind.carries,
+    }
 
 
 def _moved(book: Book, was: Unit, unit: Unit, **more: Any) -> list[Row]:
@@ -65,12 +77,28 @@
         # What an island found is no planner's doing: it is told under the number that counts.
         word = more.get("word", True)
         number = book.number if word else unit.number
-        rows.append(("bay.reserve", bay | {"by": KEEPER if word else f"p{number}", "number": number, "taken": True,
-                                           "revision": more.get("base", book.inventory.base),
-                                           "now": more.get("now", book.inventory.base), "word": word}))
+        rows.append(
+            (
+                "bay.reserve",
+                bay
+                | {
+                    "by": KEEPER if word else f"p{number}",
+                    "number": number,
+                    "taken": True,
+                    "revision": more.get("base", book.inventory.base),
+                    "now": more.get("now", book.inventory.base),
+                    "word": word,
+                },
+            )
+        )
     if unit.state is not was.state or was.bay != unit.bay:
-        for state, what in ((State.INSTALLING, "bay.install"), (State.COLD, "bay.warm"), (State.SERVING, "bay.serve"),
-                            (State.FAILING, "bay.fail"), (State.WITHDRAWN, "bay.leave")):
+        for state, what in (
+            (State.INSTALLING, "bay.install"),
+            (State.COLD, "bay.warm"),
+            (State.SERVING, "bay.serve"),
+            (State.FAILING, "bay.fail"),
+            (State.WITHDRAWN, "bay.leave"),
+        ):
             if unit.state is state:
                 rows.append((what, bay | ({"step": more["step"]} if "step" in more else {})))
     return rows
@@ -83,8 +111,20 @@
         rows.append(("planner", {"number": words[0]}))
     if does == "replaced" and after.plan is not None:
         new = after.plan
-        rows.append(("plan.new", {"plan": new.name, "number": new.number, "revision": new.base, "by": new.by,
-                                  "gap": new.gap, "steps": len(new.steps), "notes": list(new.notes)}))
+        rows.append(
+            (
+                "plan.new",
+                {
+                    "plan": new.name,
+                    "number": new.number,
+                    "revision": new.base,
+                    "by": new.by,
+                    "gap": new.gap,
+                    "steps": len(new.steps),
+                    "notes": list(new.notes),
+                },
+            )
+        )
     if does in ("renew", "lapse", "cold"):
         rows.append(("planner.did", {"does": does, "number": words[0]}))
     more: dict[str, Any] = {}
@@ -93,11 +133,28 @@
         plan = before.plan
         assert plan is not None
         step = plan.steps[at]
-        rows.append(("plan.step", {
-            "plan": name, "step": at, "state": "begun", "does": "reserve" if does == "reserve" else "release",
-            "unit": step.unit, "bay": step.bay, "number": number, "widest": step.widest, "target": plan.target,
-            "why": step.why, "after": list(step.after),
-            "before": [[plan.steps[one].does, plan.steps[one].unit, plan.steps[one].bay] for one in step.after]}))
+        rows.append(
+            (
+                "plan.step",
+                {
+                    "plan": name,
+                    "step": at,
+                    "state": "begun",
+                    "does": "reserve" if does == "reserve" else "release",
+                    "unit": step.unit,
+                    "bay": step.bay,
+                    "number": number,
+                    "widest": step.widest,
+                    "target": plan.target,
+                    "why": step.why,
+                    "after": list(step.after),
+                    "before": [
+                        [plan.steps[one].does, plan.steps[one].unit, plan.steps[one].bay]
+                        for one in step.after
+                    ],
+                },
+            )
+        )
         more = {"base": min(base, plan.base), "now": before.inventory.base, "word": False, "step": at}
     if does == "lapse":
         more = {"why": "lease"}
@@ -117,21 +174,49 @@
     if does in ("warmed", "pulled", "replaced") and after.plan is not None:
         for at, step in enumerate(after.plan.steps):
             # Of a new plan, what became so between its look and now.
-            if done(after.inventory, step) and (does == "replaced" or step.unit == words[0]
-                                                and not done(before.inventory, step)):
-                rows.append(("plan.step", {"plan": after.plan.name, "step": at, "state": "done", "unit": step.unit,
-                                           "does": "serve" if step.does == PLACE else "release", "bay": step.bay}))
+            if done(after.inventory, step) and (
+                does == "replaced" or step.unit == words[0] and not done(before.inventory, step)
+            ):
+                rows.append(
+                    (
+                        "plan.step",
+                        {
+                            "plan": after.plan.name,
+                            "step": at,
+                            "state": "done",
+                            "unit": step.unit,
+                            "does": "serve" if step.does == PLACE else "release",
+                            "bay": step.bay,
+                        },
+                    )
+                )
     return rows
 
 
 def refused(does: str, words: tuple[Any, ...], before: Book, why: Refused) -> list[Row]:
     """What a planner asked for and did not get: nothing was changed."""
     rows: list[Row] = [("refused", {"does": does, "why": why.why, "more": str(why)})]
-    if does == "reserve" and before.plan is not None and words[2] == before.plan.name \
-            and before.plan.steps[words[3]].does == PLACE:
+    if (
+        does == "reserve"
+        and before.plan is not None
+        and words[2] == before.plan.name
+        and before.plan.steps[words[3]].does == PLACE
+    ):
         step = before.plan.steps[words[3]]
         island = before.inventory.island_of.get(step.bay)
-        rows.append(("bay.reserve", {"unit": step.unit, "bay": step.bay, "island": island.name if island else "",
-                                     "by": f"p{words[0]}", "number": words[0], "revision": words[1],
-                                     "now": before.inventory.base, "taken": False}))
+        rows.append(
+            (
+                "bay.reserve",
+                {
+                    "unit": step.unit,
+                    "bay": step.bay,
+                    "island": island.name if island else "",
+                    "by": f"p{words[0]}",
+                    "number": words[0],
+                    "revision": words[1],
+                    "now": before.inventory.base,
+                    "taken": False,
+                },
+            )
+        )
     return rows
--- a/pathsaddle/placement/walk.py
+++ b/pathsaddle/placement/walk.py
@@ -60,16 +60,25 @@
 
     def unheard(self, inventory: Inventory, now: int) -> list[Order]:
         """With no word from the book: what it has reserved it still has installed, while its lease runs."""
-        return [Order("install", unit.name, unit.bay) for unit in inventory.units
-                if unit.state is State.RESERVED and unit.number == self.number
-                and now < self.hold.get(unit.name, now)]
+        return [
+            Order("install", unit.name, unit.bay)
+            for unit in inventory.units
+            if unit.state is State.RESERVED
+            and unit.number == self.number
+            and now < self.hold.get(unit.name, now)
+        ]
 
     def over(self, book: Book) -> bool:
         """All steps of the plan that counts are done, and nothing is on its way in or out."""
         plan, inventory = book.plan, book.inventory
-        return plan is not None and plan.base == inventory.base and all(
-            done(inventory, step) for step in plan.steps) and not any(
-            unit.state in COMING or unit.state is State.WITHDRAWN and unit.bay for unit in inventory.units)
+        return (
+            plan is not None
+            and plan.base == inventory.base
+            and all(done(inventory, step) for step in plan.steps)
+            and not any(
+                unit.state in COMING or unit.state is State.WITHDRAWN and unit.bay for unit in inventory.units
+            )
+        )
 
     def due(self, book: Book, now: int) -> list[Order]:
         inventory, plan = book.inventory, book.plan
@@ -107,13 +116,19 @@
         for at, step in enumerate(plan.steps):
             unit = inventory.unit[step.unit]
             if step.does == PLACE:
-                if unit.state is State.HERE and busy < inventory.cold + AHEAD and not waits(inventory, plan, at):
+                if (
+                    unit.state is State.HERE
+                    and busy < inventory.cold + AHEAD
+                    and not waits(inventory, plan, at)
+                ):
                     found.append(Order("reserve", unit.name, step.bay, at))
                     busy += 1
             elif done(inventory, step):
                 continue
             elif unit.state is State.FAILING and not unit.bay:
-                found.append(Order("pull", unit.name, step.bay))  # it is where it should not be, and holds nothing
+                found.append(
+                    Order("pull", unit.name, step.bay)
+                )  # it is where it should not be, and holds nothing
             elif unit.state in (State.SERVING, State.FAILING) and not waits(inventory, plan, at):
                 found.append(Order("withdraw", unit.name, step.bay, at))
         return found
--- a/pathsaddle/settings/__main__.py
+++ b/pathsaddle/settings/__main__.py
@@ -35,6 +35,7 @@
 def found_command(file: str, keeper: str) -> None:
     """Begins the register of a keeper that votes: once in its life, before its first start."""
     from pathsaddle.ownership.log import found
+
     ground = ground_of(file)
     row = named(file, "keepers", ground.keepers, keeper)
     named(file, "voters.names", ground.voters.names, keeper)
@@ -42,7 +43,9 @@
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as fault:
-        raise NoDisk(f"{folder}: {why(fault)}", access(fault, folder, folder) + f", at keepers.{keeper}.disk in {file}") from None
+        raise NoDisk(
+            f"{folder}: {why(fault)}", access(fault, folder, folder) + f", at keepers.{keeper}.disk in {file}"
+        ) from None
     found(folder, keeper, ground.voters.names)
 
 
@@ -56,11 +59,29 @@
     row = named(file, "keepers", ground.keepers, name)
     voters = ground.voters
     at = row.votes_at or voters.names.get(name, "") or f"{(row.listen or row.address).rpartition(':')[0]}:0"
-    told = Told(name, row.region, ground.key.encode(), row.listen or row.address,
-                {one: keeper.address for one, keeper in ground.keepers.items()}, Path(row.disk), f"keepers.{name} in {file}",
-                int(ground.lease), row.control, ground.bytes, max(200, ground.bytes // 200))
-    asyncio.run(_runs(lambda: KeeperProcess(told, Electorate(dict(voters.names), voters.fleet, voters.key.encode(), int(voters.lease),
-                                                             at), SystemRandom(), _log(ground, name))))
+    told = Told(
+        name,
+        row.region,
+        ground.key.encode(),
+        row.listen or row.address,
+        {one: keeper.address for one, keeper in ground.keepers.items()},
+        Path(row.disk),
+        f"keepers.{name} in {file}",
+        int(ground.lease),
+        row.control,
+        ground.bytes,
+        max(200, ground.bytes // 200),
+    )
+    asyncio.run(
+        _runs(
+            lambda: KeeperProcess(
+                told,
+                Electorate(dict(voters.names), voters.fleet, voters.key.encode(), int(voters.lease), at),
+                SystemRandom(),
+                _log(ground, name),
+            )
+        )
+    )
 
 
 @main.command("follow")
@@ -76,8 +97,13 @@
 
     def made() -> MemberDriver:
         member = MemberDriver(told, chance, tell)
-        member.hear.append(lambda acting: tell("acting", revision=acting.revision, digest=acting.digest, rows=len(acting.rows)))
+        member.hear.append(
+            lambda acting: tell(
+                "acting", revision=acting.revision, digest=acting.digest, rows=len(acting.rows)
+            )
+        )
         return member
+
     asyncio.run(_runs(made, None if not acts else lambda member: _acts(member, acts, chance, tell)))
 
 
@@ -92,8 +118,17 @@
                 whole = (acting, "" if acting.offers else hashed(repr(sorted(acting.rows.items())).encode()))
             key = chance.choice(sorted(acting.rows)) if acting.rows else "zones"
             value = acting.rows.get(key)
-            tell("acts", at, life=member.life, revision=acting.revision, digest=acting.digest, leased=leased, key=key,
-                 value=None if value is None else value.decode(), whole=whole[1])
+            tell(
+                "acts",
+                at,
+                life=member.life,
+                revision=acting.revision,
+                digest=acting.digest,
+                leased=leased,
+                key=key,
+                value=None if value is None else value.decode(),
+                whole=whole[1],
+            )
         await asyncio.sleep(chance.uniform(0.5, 1.5) / rate)
 
 
@@ -105,7 +140,10 @@
         events.add_signal_handler(number, stop.set)
     driver = made()
     await driver.begin()
-    waits: list[asyncio.Future[Any]] = [asyncio.ensure_future(stop.wait()), asyncio.ensure_future(driver.ended.wait())]
+    waits: list[asyncio.Future[Any]] = [
+        asyncio.ensure_future(stop.wait()),
+        asyncio.ensure_future(driver.ended.wait()),
+    ]
     if works is not None:
         waits.append(asyncio.ensure_future(works(driver)))
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -128,14 +166,21 @@
             folder.mkdir(parents=True, exist_ok=True)
             file = (folder / f"{name}.jsonl").open("ab", buffering=0)
         except OSError as fault:
-            raise NoDisk(f"{folder}: {why(fault)}", access(fault, folder, folder) + ", at log in the file of keepers") from None
+            raise NoDisk(
+                f"{folder}: {why(fault)}", access(fault, folder, folder) + ", at log in the file of keepers"
+            ) from None
         write = file.write
     else:
         write = sys.stderr.buffer.raw.write if hasattr(sys.stderr.buffer, "raw") else sys.stderr.buffer.write
 
     def tell(what: str, at: int | None = None, **more: Any) -> None:
-        row = {"at": steady() if at is None else at, "what": what, "more": {"time": time.time_ns() // 1_000_000, "who": name, **more}}
+        row = {
+            "at": steady() if at is None else at,
+            "what": what,
+            "more": {"time": time.time_ns() // 1_000_000, "who": name, **more},
+        }
         write(msgspec.json.encode(row) + b"\n")
+
     return tell
 
 
--- a/pathsaddle/settings/applied.py
+++ b/pathsaddle/settings/applied.py
@@ -38,15 +38,20 @@
 def _plain(value: Any) -> Any:
     """As TOML would have it: durations by their unit, without loss."""
     if isinstance(value, Duration):
-        unit, ticks = next((unit, ticks) for unit, ticks in (("s", 10_000), ("ms", 10), ("us", 1)) if value % ticks == 0)
+        unit, ticks = next(
+            (unit, ticks) for unit, ticks in (("s", 10_000), ("ms", 10), ("us", 1)) if value % ticks == 0
+        )
         return f"{value // ticks * (100 if unit == 'us' else 1)}{unit}"
     return value
 
 
 def _row(form: Scheme | Customer | Rules) -> bytes:
     """Without its name, which is the key's, and without what is none."""
-    told = {name: _plain(value) for name in form.__struct_fields__
-            if name != "name" and (value := getattr(form, name)) is not None}
+    told = {
+        name: _plain(value)
+        for name in form.__struct_fields__
+        if name != "name" and (value := getattr(form, name)) is not None
+    }
     return _json(told)
 
 
@@ -74,7 +79,9 @@
     return [f"{key}: {why}" for key, why in service.restarts(before, after).items()]
 
 
-def charter_with(charter: Charter, rows: Mapping[str, bytes], stands: Mapping[str, bytes] | None = None) -> Charter:
+def charter_with(
+    charter: Charter, rows: Mapping[str, bytes], stands: Mapping[str, bytes] | None = None
+) -> Charter:
     """The charter with these rows in place of its own; `charter` itself is left as it is.
 
     stands: the rows that `charter` stands for, where the caller has them: what has the same value there isn't read again.
@@ -102,25 +109,40 @@
         elif key == "rules":
             rules = rules if known.get(key) == value else _read(Rules, key, value, faults)
         elif table != "members" or not name:
-            faults.append(UnknownKey(WHERE, key, hint="known are customers.NAME, schemes.NAME, budgets.NAME, zones, rules"))
+            faults.append(
+                UnknownKey(
+                    WHERE, key, hint="known are customers.NAME, schemes.NAME, budgets.NAME, zones, rules"
+                )
+            )
     fleet = _fleet(charter, budgets, faults)
     if not (isinstance(zones, list) and all(isinstance(zone, str) for zone in zones)):
         faults.append(WrongKind(WHERE, "zones", shown=shown(zones), may="a list, each a text"))
     if faults:
         raise Faulty(faults)
-    found = replace(charter, customers=made["customers"], schemes=made["schemes"], zones=zones, rules=rules, fleet=fleet)
+    found = replace(
+        charter, customers=made["customers"], schemes=made["schemes"], zones=zones, rules=rules, fleet=fleet
+    )
     amiss = [_keyed(one, found) for one in found.amiss()]
     if amiss:
         raise Faulty(amiss)
     return found
 
 
-def fitting(rows: Mapping[str, bytes], before: tuple[Charter, Mapping[str, bytes]] | None = None
-            ) -> tuple[Charter, Mapping[str, bytes]]:
+def fitting(
+    rows: Mapping[str, bytes], before: tuple[Charter, Mapping[str, bytes]] | None = None
+) -> tuple[Charter, Mapping[str, bytes]]:
     """Whether rows fit together, in a charter that says of all else the least; what was made of them, for the next call's
     `before`, which spares reading again what hasn't changed. What only a member's own charter tells (its machines, its zone,
     its parts of budgets) isn't judged, nor that no scheme is there yet. Raises Faulty, each fault a line with its key."""
-    made, stands = before or (Charter(listen="127.0.0.1:1", discovery="127.0.0.1:1", schemes=[], fleet=Fleet(name="any", key="0" * 16, listen="127.0.0.1:1")), {})
+    made, stands = before or (
+        Charter(
+            listen="127.0.0.1:1",
+            discovery="127.0.0.1:1",
+            schemes=[],
+            fleet=Fleet(name="any", key="0" * 16, listen="127.0.0.1:1"),
+        ),
+        {},
+    )
     if not any(key.startswith("schemes.") for key in rows):
         rows = {**rows, "schemes.any": b'{"expiry":"10s","semantics":"repeatable","sla":"2s"}'}
     machines: dict[str, None] = {}
@@ -130,7 +152,9 @@
     # Of zones and rules without a row the defaults hold, not those of the revision before.
     blank = Charter(listen="127.0.0.1:1", discovery="127.0.0.1:1", schemes=[])
     stands = {key: value for key, value in stands.items() if key.partition(".")[0] in NAMED}
-    return charter_with(replace(made, machines=list(machines), zones=blank.zones, rules=blank.rules), rows, stands), rows
+    return charter_with(
+        replace(made, machines=list(machines), zones=blank.zones, rules=blank.rules), rows, stands
+    ), rows
 
 
 def _keyed(amiss: Amiss, charter: Charter) -> Fault:
@@ -178,7 +202,11 @@
         return charter.fleet
     for name, rate in budgets.items():
         if type(rate) is not int or not 1 <= rate <= 1_000_000:
-            faults.append(WrongKind(WHERE, f"budgets.{name}", shown=shown(rate), may="a whole number at least 1 at most 1e+06"))
+            faults.append(
+                WrongKind(
+                    WHERE, f"budgets.{name}", shown=shown(rate), may="a whole number at least 1 at most 1e+06"
+                )
+            )
     found = replace(charter.fleet, budgets=budgets)
     if not faults:
         faults += [one.of(WHERE, "fleet") for one in found.amiss()]
--- a/pathsaddle/settings/asking.py
+++ b/pathsaddle/settings/asking.py
@@ -30,7 +30,9 @@
     try:
         answer = json.loads(told)
     except ValueError:
-        raise Unreached(address=address, word=word, why="what it says is no JSON" if told else "it closed") from None
+        raise Unreached(
+            address=address, word=word, why="what it says is no JSON" if told else "it closed"
+        ) from None
     if not isinstance(answer, dict):
         raise Unreached(address=address, word=word, why="what it says is no answer")
     if "error" in answer:
--- a/pathsaddle/settings/batch.py
+++ b/pathsaddle/settings/batch.py
@@ -61,8 +61,12 @@
         return tuple(group for _, group in self.taken)
 
 
-def together(store: Store, waiting: Iterable[C], fits: Callable[[Terms], None],
-             joins: Callable[[Sequence[Group]], bool]) -> Round[C]:
+def together(
+    store: Store,
+    waiting: Iterable[C],
+    fits: Callable[[Terms], None],
+    joins: Callable[[Sequence[Group]], bool],
+) -> Round[C]:
     """store: all that is committed, not changed here. fits: raises Error where rows don't fit together. joins: whether groups
     may go together."""
     at = store.copy()
@@ -104,9 +108,16 @@
 
 def next_of(store: Store, change: Change) -> Group | None:
     """As the group after what `store` has, without what is so already. None: all of it is."""
-    puts = tuple(put for put in change.puts if store.terms.get(put.key) != put.value or (
-        put.value is None and store.terms.get(put.key) is None))
-    return Group(store.revision + 1, store.digest, change.author, change.reason, change.at, puts) if puts else None
+    puts = tuple(
+        put
+        for put in change.puts
+        if store.terms.get(put.key) != put.value or (put.value is None and store.terms.get(put.key) is None)
+    )
+    return (
+        Group(store.revision + 1, store.digest, change.author, change.reason, change.at, puts)
+        if puts
+        else None
+    )
 
 
 def way(last: str, first: str, groups: Callable[[str], Group | None]) -> tuple[Group, ...]:
--- a/pathsaddle/settings/check.py
+++ b/pathsaddle/settings/check.py
@@ -93,14 +93,35 @@
 
     def key(self) -> Hashable:
         """All that what comes next depends on."""
-        members = tuple((one.life, one.holder, one.store.revision, tuple(one.pending), tuple(one.held), one.lag_tries > 0)
-                        for one in self.members)
+        members = tuple(
+            (one.life, one.holder, one.store.revision, tuple(one.pending), tuple(one.held), one.lag_tries > 0)
+            for one in self.members
+        )
         one = self.keeper
-        keeper = (one.life, one.core, one.core.learnt, one.store.revision, tuple(one.offers), tuple(sorted(one.clients.items(), key=_first)),
-                  tuple(one.waiting.items()), tuple((number, tuple(asked.items())) for number, asked in one.answering.items()),
-                  one.proposal is not None)
-        return (members, tuple(disk.revision for disk in self.disks), keeper, self.disk[0].revision, len(self.disk[1]),
-                self.clocks, self.air, self.register, self.reading, self.force, self.lives)
+        keeper = (
+            one.life,
+            one.core,
+            one.core.learnt,
+            one.store.revision,
+            tuple(one.offers),
+            tuple(sorted(one.clients.items(), key=_first)),
+            tuple(one.waiting.items()),
+            tuple((number, tuple(asked.items())) for number, asked in one.answering.items()),
+            one.proposal is not None,
+        )
+        return (
+            members,
+            tuple(disk.revision for disk in self.disks),
+            keeper,
+            self.disk[0].revision,
+            len(self.disk[1]),
+            self.clocks,
+            self.air,
+            self.register,
+            self.reading,
+            self.force,
+            self.lives,
+        )
 
 
 def _first(row: tuple[str, Any]) -> tuple[str, int]:
@@ -147,8 +168,16 @@
     keeper.propose(line.groups[1], 0, line.groups[2:] if batch else ())
     ready = keeper.ready()
     offers = tuple(write.group for write in ready.writes if write.group is not None)
-    return World(line, tuple(held), tuple(line.store(1) for _ in held), keeper, (line.store(1), offers), (0,) * (members + 1),
-                 frozenset(ready.out), batch=batch)
+    return World(
+        line,
+        tuple(held),
+        tuple(line.store(1) for _ in held),
+        keeper,
+        (line.store(1), offers),
+        (0,) * (members + 1),
+        frozenset(ready.out),
+        batch=batch,
+    )
 
 
 def _member(name: str, life: int, disk: Store, now: int) -> Member:
@@ -170,21 +199,45 @@
 
     def member(name: str, i: int, state: Member, **more: Any) -> None:
         air, writes, _ = sent(state)
-        found.append((name, replace(world, members=(*world.members[:i], state, *world.members[i + 1:]), air=air, disks=(
-            *world.disks[:i], kept(world.disks[i], writes), *world.disks[i + 1:]), **more)))
+        found.append(
+            (
+                name,
+                replace(
+                    world,
+                    members=(*world.members[:i], state, *world.members[i + 1 :]),
+                    air=air,
+                    disks=(*world.disks[:i], kept(world.disks[i], writes), *world.disks[i + 1 :]),
+                    **more,
+                ),
+            )
+        )
 
     def keeper(name: str, state: Keeper, **more: Any) -> None:
         air, writes, told = sent(state)
         store, offers = world.disk
-        offers = (*offers, *(write.group for write in writes if not write.committed and write.group is not None))
+        offers = (
+            *offers,
+            *(write.group for write in writes if not write.committed and write.group is not None),
+        )
         force = max([world.force, *(one.revision for one in told if one.what == "force")])
-        found.append((name, replace(world, keeper=state, air=air, disk=(kept(store, writes), offers), force=force, **more)))
-
-    following = line.groups[world.register:][:None if world.batch else 1]
+        found.append(
+            (
+                name,
+                replace(
+                    world, keeper=state, air=air, disk=(kept(store, writes), offers), force=force, **more
+                ),
+            )
+        )
+
+    following = line.groups[world.register :][: None if world.batch else 1]
     last = following[-1].revision if following else 0
     if following and all(group in world.disk[1] for group in following):
         found.append((f"the register takes {last}", replace(world, register=last)))
-    if following and world.keeper.store.revision == world.register and not all(group in world.disk[1] for group in following):
+    if (
+        following
+        and world.keeper.store.revision == world.register
+        and not all(group in world.disk[1] for group in following)
+    ):
         state = cloned(world.keeper)
         state.propose(following[0], now, following[1:])
         keeper(f"the keeper proposes {last}", state)
@@ -203,16 +256,24 @@
         if state.core.force > world.keeper.core.force:
             keeper("the keeper judges", state)
     if world.lives < lives:
-        keeper("the keeper begins again", _keeper(world.keeper.life + 1, *world.disk, now), reading=None,
-               lives=world.lives + 1)
+        keeper(
+            "the keeper begins again",
+            _keeper(world.keeper.life + 1, *world.disk, now),
+            reading=None,
+            lives=world.lives + 1,
+        )
     for i, (one, clock) in enumerate(zip(world.members, world.clocks, strict=False)):
         if one.holder.echo < asks + 1:
             state = cloned(one)
             state.asks(clock)
             member(f"{one.name} asks", i, state)
         if world.lives < lives:
-            member(f"{one.name} begins again", i, _member(one.name, one.life + 1, world.disks[i], clock),
-                   lives=world.lives + 1)
+            member(
+                f"{one.name} begins again",
+                i,
+                _member(one.name, one.life + 1, world.disks[i], clock),
+                lives=world.lives + 1,
+            )
     for to, said in sorted(world.air, key=repr):
         if to == "k":
             state = cloned(world.keeper)
@@ -224,8 +285,18 @@
             state.heard(said, world.clocks[i])
             member(f"{to} hears {type(said).__name__}", i, state)
     for slow in range(-1, len(world.clocks)):
-        found.append((f"a moment, clock {slow} slow" if slow >= 0 else "a moment", replace(world, clocks=tuple(
-            clock + (MOMENT - MOMENT // SLOW if i == slow else MOMENT) for i, clock in enumerate(world.clocks)))))
+        found.append(
+            (
+                f"a moment, clock {slow} slow" if slow >= 0 else "a moment",
+                replace(
+                    world,
+                    clocks=tuple(
+                        clock + (MOMENT - MOMENT // SLOW if i == slow else MOMENT)
+                        for i, clock in enumerate(world.clocks)
+                    ),
+                ),
+            )
+        )
     return found
 
 
@@ -248,15 +319,24 @@
             if disk.revision != base.number:
                 return f"back: {one.name} acts by {base.number} with {disk.revision} on disk"
             if disk.revision < before.disks[i].revision or base.number < (
-                    old.holder.base.number if old.life == one.life else before.disks[i].revision):
+                old.holder.base.number if old.life == one.life else before.disks[i].revision
+            ):
                 return f"back: {one.name} went from {old.holder.base.number} to {base.number}"
         if base.number < world.force and (one.leased(clock) or mine.withdrawn(line.terms[world.force], "")):
             return f"in-force: {one.name} acts by {base.number} with {world.force} in force"
     return ""
 
 
-def check(depth: int, members: int = 2, asks: int = 1, lives: int = 1, *, allowances: tuple[int, ...] = TIGHTER,
-          first: World | None = None, batch: bool = False) -> int:
+def check(
+    depth: int,
+    members: int = 2,
+    asks: int = 1,
+    lives: int = 1,
+    *,
+    allowances: tuple[int, ...] = TIGHTER,
+    first: World | None = None,
+    batch: bool = False,
+) -> int:
     """How many worlds there are within `depth` steps of the start; raises Forbidden where a bound fails in one."""
     world = first or start(Line(members, allowances), members, batch)
     seen: dict[Hashable, None] = {world.key(): None}
@@ -282,20 +362,40 @@
     """By the first step of each name that changes anything."""
     for name in names:
         here = world.key()
-        world = next(after for found, after in steps(world, asks, lives) if found == name and after.key() != here)
+        world = next(
+            after for found, after in steps(world, asks, lives) if found == name and after.key() != here
+        )
     return world
 
 
 def left_behind(members: int = 2) -> World:
     """LOOSER's revision 2 is in force by the end of leases: m0 has heard nothing of it and acts by 1, alone. What was before
     2 is cut from the keeper's history; 3, which forbids what both allow, is proposed."""
-    words = [word for i in range(1, members) for word in (f"m{i} hears Commit", f"the keeper hears Have of m{i}")]
-    return led(start(Line(members, LOOSER), members), "the register takes 2", "a reading begins", "it read 2", *words,
-               "a moment", "a moment", "the keeper judges", "the keeper proposes 3")
-
-
-def walk(seed: int, length: int = 60, members: int = 3, asks: int = 8, lives: int = 4,
-         allowances: tuple[int, ...] = TIGHTER, batch: bool = False) -> World:
+    words = [
+        word for i in range(1, members) for word in (f"m{i} hears Commit", f"the keeper hears Have of m{i}")
+    ]
+    return led(
+        start(Line(members, LOOSER), members),
+        "the register takes 2",
+        "a reading begins",
+        "it read 2",
+        *words,
+        "a moment",
+        "a moment",
+        "the keeper judges",
+        "the keeper proposes 3",
+    )
+
+
+def walk(
+    seed: int,
+    length: int = 60,
+    members: int = 3,
+    asks: int = 8,
+    lives: int = 4,
+    allowances: tuple[int, ...] = TIGHTER,
+    batch: bool = False,
+) -> World:
     """One order of events, far longer than all can be tried, drawn by chance; where it ended. Raises Forbidden."""
     chance = Random(seed)
     world = start(Line(members, allowances), members, batch)
--- a/pathsaddle/settings/disk.py
+++ b/pathsaddle/settings/disk.py
@@ -41,7 +41,9 @@
 
 def framed(body: bytes) -> bytes:
     length = len(body).to_bytes(4, "big")
-    return length + zlib.crc32(length).to_bytes(4, "big") + hashlib.blake2b(body, digest_size=16).digest() + body
+    return (
+        length + zlib.crc32(length).to_bytes(4, "big") + hashlib.blake2b(body, digest_size=16).digest() + body
+    )
 
 
 def frames(data: bytes) -> tuple[list[bytes], int]:
@@ -50,13 +52,15 @@
     found: list[bytes] = []
     at = 0
     while at < len(data):
-        head = data[at:at + HEAD]
-        if len(head) < HEAD or (not any(head) and not any(data[at:])):  # or space that was given and never written
+        head = data[at : at + HEAD]
+        if len(head) < HEAD or (
+            not any(head) and not any(data[at:])
+        ):  # or space that was given and never written
             break
         length = int.from_bytes(head[:4], "big")
         if zlib.crc32(head[:4]) != int.from_bytes(head[4:8], "big"):
             raise Wrong(f"no frame begins at byte {at}")
-        body = data[at + HEAD:at + HEAD + length]
+        body = data[at + HEAD : at + HEAD + length]
         if len(body) < length:
             break
         if hashlib.blake2b(body, digest_size=16).digest() != head[8:]:
@@ -88,8 +92,11 @@
             self.store = Store(snapshot, groups, keep=self.keep)
             offers = [group_at(body) for body in self._frames("offers")]
         except Wrong as fault:
-            raise NoDisk(f"{self.folder}: {fault}", "move the folder away, keep it for who looks into this, and start again: what is "
-                         f"committed comes from the keepers; its place is said at {self.at}") from None
+            raise NoDisk(
+                f"{self.folder}: {fault}",
+                "move the folder away, keep it for who looks into this, and start again: what is "
+                f"committed comes from the keepers; its place is said at {self.at}",
+            ) from None
         self.offers = [one for one in offers if one.revision > self.store.revision]
         self.count, self.last = len(groups), self.store.revision
 
@@ -108,7 +115,9 @@
         """Milliseconds since `log` or `snapshot` was last written; now: seconds since 1970. None: nothing is there."""
         if not self.store.revision:
             return None
-        times = [path.stat().st_mtime for path in (self.folder / "log", self.folder / "snapshot") if path.exists()]
+        times = [
+            path.stat().st_mtime for path in (self.folder / "log", self.folder / "snapshot") if path.exists()
+        ]
         return max(0, int((now - max(times)) * 1000))
 
     def write(self, writes: Sequence[Write]) -> None:
@@ -152,16 +161,16 @@
     def _appends(self, groups: Sequence[Group]) -> None:
         data = memoryview(framed(_encode([encoded(one) for one in groups])))
         while data:
-            data = data[os.write(self._log, data):]
+            data = data[os.write(self._log, data) :]
         os.fsync(self._log)
         self.count += len(groups)
 
     def _compacts(self) -> None:
         snapshot = self._snapshot()
         groups = self._groups(snapshot)
-        store = Store(snapshot, groups[:-self.keep], keep=1)
+        store = Store(snapshot, groups[: -self.keep], keep=1)
         self._replaces("snapshot", framed(encoded(store.snapshot())))
-        self._begins_log(groups[-self.keep:])
+        self._begins_log(groups[-self.keep :])
         self.count = self.keep
 
     def _begins_log(self, groups: Sequence[Group]) -> None:
@@ -229,5 +238,6 @@
         try:
             return call()
         except OSError as fault:
-            raise NoDisk(f"{self.folder}: {why(fault)}",
-                         access(fault, self.folder, self.folder) + f", at {self.at}") from None
+            raise NoDisk(
+                f"{self.folder}: {why(fault)}", access(fault, self.folder, self.folder) + f", at {self.at}"
+            ) from None
--- a/pathsaddle/settings/driver.py
+++ b/pathsaddle/settings/driver.py
@@ -210,8 +210,14 @@
         try:
             await self._events.run_in_executor(self.disk, self.folder.write, writes)
         except Exception as fault:  # noqa: BLE001  # its own, or a defect of ours: the same
-            self._dies(fault if isinstance(fault, Error) else NoDisk(
-                f"{self.told.folder}: {type(fault).__name__}: {fault}", "report the trace in the log"), fault)
+            self._dies(
+                fault
+                if isinstance(fault, Error)
+                else NoDisk(
+                    f"{self.told.folder}: {type(fault).__name__}: {fault}", "report the trace in the log"
+                ),
+                fault,
+            )
             return
         finally:
             self.syncing = False
@@ -230,8 +236,13 @@
             self._acts(acting)
         except Exception as fault:  # noqa: BLE001  # of who listens
             # What isn't in service must not be said to be: silence, and keepers name it as the one they wait for.
-            self._dies(Unfit(f"revision {acting.revision} could not be taken into service: {type(fault).__name__}: {fault}",
-                             f"report the trace at driver.fault in the log of {self.told.name}, and restart it"), fault)
+            self._dies(
+                Unfit(
+                    f"revision {acting.revision} could not be taken into service: {type(fault).__name__}: {fault}",
+                    f"report the trace at driver.fault in the log of {self.told.name}, and restart it",
+                ),
+                fault,
+            )
             return
         for one in made.told:
             try:
@@ -373,15 +384,31 @@
             if call is None:
                 raise Unfit("no such word", f"ask one of {', '.join(self._words())}")
             if self.core is None:
-                raise NoMajority(f"{self.told.name} has ended, or is made anew after a fault of ours",
-                                 f"look in the log of {self.told.name}, and ask again, or another")
+                raise NoMajority(
+                    f"{self.told.name} has ended, or is made anew after a fault of ours",
+                    f"look in the log of {self.told.name}, and ask again, or another",
+                )
             return await call(asked)
         except Error as fault:
-            return {"error": {"name": fault.name, "what": fault.what, "do": fault.do, "code": fault.code,
-                              "lines": list(getattr(fault, "lines", ()))}}
+            return {
+                "error": {
+                    "name": fault.name,
+                    "what": fault.what,
+                    "do": fault.do,
+                    "code": fault.code,
+                    "lines": list(getattr(fault, "lines", ())),
+                }
+            }
         except Exception as fault:  # noqa: BLE001  # a defect of ours ends this answer alone
             self._says_fault(fault)
-            return {"error": {"name": "settings.defect", "what": f"{type(fault).__name__}: {fault}", "do": "", "code": 1}}
+            return {
+                "error": {
+                    "name": "settings.defect",
+                    "what": f"{type(fault).__name__}: {fault}",
+                    "do": "",
+                    "code": 1,
+                }
+            }
 
     def _words(self) -> dict[str, Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]]:
         raise NotImplementedError
@@ -389,7 +416,11 @@
 
 def _rows(rows: Mapping[str, bytes], key: str) -> dict[str, Any]:
     """key: the whole or the beginning, up to a dot, of those that are wanted."""
-    return {one: value_of(value) for one, value in sorted(rows.items()) if not key or one == key or one.startswith(key + ".")}
+    return {
+        one: value_of(value)
+        for one, value in sorted(rows.items())
+        if not key or one == key or one.startswith(key + ".")
+    }
 
 
 class MemberDriver(Driver[Member]):
@@ -403,8 +434,17 @@
 
     def _made(self) -> Member:
         told = self.told
-        return Member(told.name, told.region, self.life, self.folder.store, list(told.keepers), self.chance, self.purse,
-                      steady(), told.lease)
+        return Member(
+            told.name,
+            told.region,
+            self.life,
+            self.folder.store,
+            list(told.keepers),
+            self.chance,
+            self.purse,
+            steady(),
+            told.lease,
+        )
 
     def _acting(self, core: Member) -> Acting:
         base = core.holder.base
@@ -419,8 +459,14 @@
                 hear(acting)
 
     async def begin(self) -> None:
-        self.tell("member.began", life=self.life, revision=self.acting.revision, digest=self.acting.digest,
-                  rows=len(self.acting.rows), age_ms=self.folder.age(time.time()))
+        self.tell(
+            "member.began",
+            life=self.life,
+            revision=self.acting.revision,
+            digest=self.acting.digest,
+            rows=len(self.acting.rows),
+            age_ms=self.folder.age(time.time()),
+        )
         for hear in self.hear:
             hear(self.acting)
         await super().begin()
@@ -431,24 +477,42 @@
         if core is None:
             return False
         base = core.holder.base
-        return core.leased(steady()) and (self.acting.revision, self.acting.digest) == (base.number, base.digest)
+        return core.leased(steady()) and (self.acting.revision, self.acting.digest) == (
+            base.number,
+            base.digest,
+        )
 
     def view(self) -> dict[str, Any]:
         assert self.core is not None
         now = steady()
         told = self.core.status(now)
-        return {"name": self.told.name, "region": self.told.region, "life": self.life, "revision": self.acting.revision,
-                "digest": self.acting.digest, "rows": len(self.acting.rows), "known": told.known, "leased": self.leased(),
-                "left_ms": max(0, told.until - now) // 10 if told.leased else 0,
-                "proved_ms": None if told.age is None else told.age // 10, "offers": list(told.offers),
-                "keeper": told.keeper, "disk_age_ms": self.folder.age(time.time()), "datagrams": dict(self.refused)}
+        return {
+            "name": self.told.name,
+            "region": self.told.region,
+            "life": self.life,
+            "revision": self.acting.revision,
+            "digest": self.acting.digest,
+            "rows": len(self.acting.rows),
+            "known": told.known,
+            "leased": self.leased(),
+            "left_ms": max(0, told.until - now) // 10 if told.leased else 0,
+            "proved_ms": None if told.age is None else told.age // 10,
+            "offers": list(told.offers),
+            "keeper": told.keeper,
+            "disk_age_ms": self.folder.age(time.time()),
+            "datagrams": dict(self.refused),
+        }
 
     def _words(self) -> dict[str, Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]]:
         return {"get": self._get, "status": self._status}
 
     async def _get(self, asked: dict[str, Any]) -> dict[str, Any]:
-        return {"revision": self.acting.revision, "digest": self.acting.digest, "leased": self.leased(),
-                "rows": _rows(self.acting.rows, str(asked.get("key", "")))}
+        return {
+            "revision": self.acting.revision,
+            "digest": self.acting.digest,
+            "leased": self.leased(),
+            "rows": _rows(self.acting.rows, str(asked.get("key", ""))),
+        }
 
     async def _status(self, asked: dict[str, Any]) -> dict[str, Any]:
         return self.view()
@@ -466,7 +530,9 @@
     try:
         revision, digest, _ = msgspec.msgpack.decode(value.data, type=tuple[int, bytes, int])
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise Wrong(f"the voters' key {KEY!r} holds what is no revision: take it out of fleet.owners.keys") from None
+        raise Wrong(
+            f"the voters' key {KEY!r} holds what is no revision: take it out of fleet.owners.keys"
+        ) from None
     return revision, digest.hex()
 
 
@@ -487,8 +553,21 @@
     def __init__(self, told: Told, voters: Electorate, chance: Random) -> None:
         host = peer_of(voters.listen)[0]
         self.register = Register(
-            Standing(f"{told.name}.commits", voters.fleet, voters.key, voters.names, f"[{host}]:0" if ":" in host else f"{host}:0",
-                     told.folder, voters.lease, {KEY: True}, file=told.at), Ground(), chance, Counters())
+            Standing(
+                f"{told.name}.commits",
+                voters.fleet,
+                voters.key,
+                voters.names,
+                f"[{host}]:0" if ":" in host else f"{host}:0",
+                told.folder,
+                voters.lease,
+                {KEY: True},
+                file=told.at,
+            ),
+            Ground(),
+            chance,
+            Counters(),
+        )
 
     async def owns(self, until: float) -> tuple[int, tuple[int, str]]:
         """Its number, and what the register held under it. Raises NoMajority, Wrong."""
@@ -498,8 +577,10 @@
             if value is not None and value.number == number == self.register.may_act(KEY):
                 return number, unpacked(value)
             await asyncio.sleep(0.02)
-        raise NoMajority("no majority of the voters lets us own the register: nothing was committed",
-                         "start those of voters.names that are down, or mend the ways to them, then apply again")
+        raise NoMajority(
+            "no majority of the voters lets us own the register: nothing was committed",
+            "start those of voters.names that are down, or mend the ways to them, then apply again",
+        )
 
     async def end(self) -> None:
         """The key is given back, and that may be lost once."""
@@ -543,22 +624,48 @@
         self.committing: Committing | None = None
         self.changes = 0  # that were begun
         self.fitting: tuple[Charter, Mapping[str, bytes]] | None = None  # of the rows that were judged last
-        self.kept = ""  # the digest of the last proposal that a majority of keepers, this one among them, has on disk
+        self.kept = (
+            ""  # the digest of the last proposal that a majority of keepers, this one among them, has on disk
+        )
         super().__init__(told, chance, tell)
         self.logged = self.folder.store.revision  # the highest told whole
         self.register = Register(
-            Standing(told.name, voters.fleet, voters.key, voters.names, voters.listen, told.folder, voters.lease, file=told.at),
-            Ground(), chance, Counters())
+            Standing(
+                told.name,
+                voters.fleet,
+                voters.key,
+                voters.names,
+                voters.listen,
+                told.folder,
+                voters.lease,
+                file=told.at,
+            ),
+            Ground(),
+            chance,
+            Counters(),
+        )
 
     def _made(self) -> Keeper:
         told = self.told
         peers = [name for name in told.keepers if name != told.name]
-        return Keeper(told.name, told.region, self.life, self.folder.store, peers, self.chance, self.purse, steady(), told.lease,
-                      offers=self.folder.offers)
+        return Keeper(
+            told.name,
+            told.region,
+            self.life,
+            self.folder.store,
+            peers,
+            self.chance,
+            self.purse,
+            steady(),
+            told.lease,
+            offers=self.folder.offers,
+        )
 
     async def begin(self) -> None:
         assert self.core is not None
-        self.tell("keeper.began", life=self.life, revision=self.core.store.revision, digest=self.core.store.digest)
+        self.tell(
+            "keeper.began", life=self.life, revision=self.core.store.revision, digest=self.core.store.digest
+        )
         self.register.begin()
         await super().begin()
 
@@ -590,8 +697,16 @@
             groups = store.since(self.logged)
             for group in groups if groups is not None else tuple(group for _, group in store.log):
                 if self.logged < group.revision <= one.revision:
-                    self.tell("group", revision=group.revision, digest=digest_of(group), author=group.author, reason=group.reason,
-                              puts=[(put.key, None if put.value is None else put.value.decode()) for put in group.puts])
+                    self.tell(
+                        "group",
+                        revision=group.revision,
+                        digest=digest_of(group),
+                        author=group.author,
+                        reason=group.reason,
+                        puts=[
+                            (put.key, None if put.value is None else put.value.decode()) for put in group.puts
+                        ],
+                    )
             self.logged = max(self.logged, one.revision)
 
     def _after(self, core: Keeper) -> None:
@@ -674,9 +789,11 @@
                 raise self._untold(mine)
             if mine in self.queued and mine.group is None:
                 self.queued.remove(mine)
-                raise NoMajority("no majority of the voters let us own the register, or other changes were before it: "
-                                 "nothing was committed",
-                                 "start those of voters.names that are down, or mend the ways to them, then apply again")
+                raise NoMajority(
+                    "no majority of the voters let us own the register, or other changes were before it: "
+                    "nothing was committed",
+                    "start those of voters.names that are down, or mend the ways to them, then apply again",
+                )
         return await mine.done
 
     async def _rounds(self) -> None:
@@ -699,7 +816,9 @@
                             one.group = None
         except Exception as fault:  # noqa: BLE001  # a defect of ours: of these changes alone
             self._says_fault(fault)
-            self._fails(self.queued, Defect(address=self.told.control, why=f"{type(fault).__name__}: {fault}"))
+            self._fails(
+                self.queued, Defect(address=self.told.control, why=f"{type(fault).__name__}: {fault}")
+            )
         finally:
             self.rounds = None
             self._runs(self._lingers(self.changes))
@@ -722,17 +841,23 @@
     def _keeps(self) -> Keeper:
         """Raises NoMajority."""
         if self.core is None:
-            raise NoMajority(f"{self.told.name} had a fault of ours: whether it was committed can't be told",
-                             "look at `pathsaddle settings history`, and apply again if it isn't there")
+            raise NoMajority(
+                f"{self.told.name} had a fault of ours: whether it was committed can't be told",
+                "look at `pathsaddle settings history`, and apply again if it isn't there",
+            )
         return self.core
 
     async def _round(self, committing: Committing) -> None:
         """One through the register, with all of the queue that can go together. Raises Error, Wrong: of all that wait."""
         now, waiting = time.monotonic(), list(self.queued)
         try:
-            self._fails([one for one in waiting if one.until <= now], NoMajority(
-                "no round through the voters and keepers ended in time: nothing was committed",
-                "start those of voters.names and keepers that are down, or mend the ways to them, then apply again"))
+            self._fails(
+                [one for one in waiting if one.until <= now],
+                NoMajority(
+                    "no round through the voters and keepers ended in time: nothing was committed",
+                    "start those of voters.names and keepers that are down, or mend the ways to them, then apply again",
+                ),
+            )
             if self.queued:
                 number, latest = await committing.owns(max(one.until for one in self.queued))
         except NoMajority as fault:
@@ -741,8 +866,10 @@
         if not self.queued:
             return
         if not await self._has(latest, max(one.until for one in self.queued)):
-            raise NoMajority(f"no keeper has the text of revision {latest[0]}: nothing was committed",
-                             "start the keepers that are down, and apply again")
+            raise NoMajority(
+                f"no keeper has the text of revision {latest[0]}: nothing was committed",
+                "start the keepers that are down, and apply again",
+            )
         core = self._keeps()
         found = batch.together(core.store, self.queued, self._fits, core.joins)
         for told in found.told:
@@ -761,9 +888,13 @@
         until = min(one.until for one in under)
         if not await self._kept_by_most(core, digest, until):
             self._withdraws()
-            self._fails([one for one in under if one.until <= time.monotonic()], NoMajority(
-                f"no majority of the keepers has revision {last.revision} on disk: nothing was committed",
-                "start those of keepers that are down, or mend the ways to them, then apply again"))
+            self._fails(
+                [one for one in under if one.until <= time.monotonic()],
+                NoMajority(
+                    f"no majority of the keepers has revision {last.revision} on disk: nothing was committed",
+                    "start those of keepers that are down, or mend the ways to them, then apply again",
+                ),
+            )
             return  # the others' time isn't over: once more, without those
         if self._keeps() is not core or committing.register.may_act(KEY) != number:
             self._withdraws()
@@ -772,14 +903,17 @@
             one.sent = True
             one.tried.append((group.revision, digest_of(group)))
         # From here on the number guards it: voters take the change only while this very owning is the last.
-        await committing.register.put(KEY, packed(last.revision, digest, sum(len(encoded(group)) for group in groups)))
+        await committing.register.put(
+            KEY, packed(last.revision, digest, sum(len(encoded(group)) for group in groups))
+        )
         try:
             settled = await self._settled(last.revision, max(one.until for one in under))
         except NoMajority as fault:
             self._fails(under, fault)
             return
         made = settled == (last.revision, digest) or (
-            settled[0] > last.revision and self._has_made(last.revision, digest))
+            settled[0] > last.revision and self._has_made(last.revision, digest)
+        )
         for one, group in found.taken:
             if one not in self.queued:
                 continue  # its time was over
@@ -810,8 +944,10 @@
 
     def _untold(self, one: Queued) -> NoMajority:
         revision, digest = one.tried[-1]
-        return NoMajority(f"no majority of the voters answers: whether revision {revision} was committed can't be told",
-                          f"start those of voters.names that are down, then see whether `pathsaddle settings history` has {digest[:8]}")
+        return NoMajority(
+            f"no majority of the voters answers: whether revision {revision} was committed can't be told",
+            f"start those of voters.names that are down, then see whether `pathsaddle settings history` has {digest[:8]}",
+        )
 
     def _fits(self, terms: Terms) -> None:
         """Rows that don't fit together are refused here: no dispatcher could take them into service. Raises Refused."""
@@ -830,6 +966,7 @@
             except Wrong as fault:
                 wrong.append(fault)
                 return core.wake(now)
+
         self._turn(call)
         if wrong:
             raise wrong[0]
@@ -841,14 +978,17 @@
         def call(core: Keeper, now: int) -> int:
             core.withdraw(now)
             return core.wake(now)
+
         self._turn(call)
 
     async def _has(self, known: tuple[int, str], until: float) -> bool:
         """Whether this keeper has the text of it, by its disk."""
         while time.monotonic() < until:
             self._reads_at_once()
-            if await self._until(lambda: self.core is None or self.core.store.revision >= known[0],
-                                 min(until, time.monotonic() + 0.2)):
+            if await self._until(
+                lambda: self.core is None or self.core.store.revision >= known[0],
+                min(until, time.monotonic() + 0.2),
+            ):
                 return self._keeps().store.digest_at(known[0]) == known[1]
         return False
 
@@ -872,8 +1012,12 @@
     def _outrun(self, found: tuple[int, str], expected: Any) -> Outrun:
         core = self._keeps()
         last = core.store.log[-1][1] if core.store.log and core.store.digest == found[1] else None
-        return Outrun(revision=found[0], author=last.author if last else "somebody", reason=last.reason if last else "",
-                      expected=expected)
+        return Outrun(
+            revision=found[0],
+            author=last.author if last else "somebody",
+            reason=last.reason if last else "",
+            expected=expected,
+        )
 
     # What is asked at the control address
 
@@ -885,22 +1029,48 @@
 
     async def _get(self, asked: dict[str, Any]) -> dict[str, Any]:
         store = self._keeps().store
-        return {"revision": store.revision, "digest": store.digest, "proved_ms": self._proved_ms(),
-                "rows": _rows(store.terms.rows(), str(asked.get("key", "")))}
+        return {
+            "revision": store.revision,
+            "digest": store.digest,
+            "proved_ms": self._proved_ms(),
+            "rows": _rows(store.terms.rows(), str(asked.get("key", ""))),
+        }
 
     async def _history(self, asked: dict[str, Any]) -> dict[str, Any]:
         store = self._keeps().store
         most = max(1, int(asked.get("most") or HISTORY))
-        return {"revision": store.revision, "groups": [
-            {"revision": group.revision, "digest": digest, "author": group.author, "reason": group.reason, "at": group.at,
-             "puts": {put.key: None if put.value is None else value_of(put.value) for put in group.puts}}
-            for digest, group in store.log[-most:]]}
+        return {
+            "revision": store.revision,
+            "groups": [
+                {
+                    "revision": group.revision,
+                    "digest": digest,
+                    "author": group.author,
+                    "reason": group.reason,
+                    "at": group.at,
+                    "puts": {
+                        put.key: None if put.value is None else value_of(put.value) for put in group.puts
+                    },
+                }
+                for digest, group in store.log[-most:]
+            ],
+        }
 
     async def _status(self, asked: dict[str, Any]) -> dict[str, Any]:
         now, core = steady(), self._keeps()
         found = core.status(now)
         revision = asked.get("revision")
-        return {"name": self.told.name, "region": self.told.region, "life": self.life, **found, "proved_ms": self._proved_ms(),
-                "in_force": revision is not None and core.core.force >= int(revision),
-                "members": sorted(core.store.terms.members()), "gone": list(core.core.gone), "clients": sorted(core.clients),
-                "keepers": list(self.told.keepers), "voters": sorted(self.voters.names), "datagrams": dict(self.refused)}
+        return {
+            "name": self.told.name,
+            "region": self.told.region,
+            "life": self.life,
+            **found,
+            "proved_ms": self._proved_ms(),
+            "in_force": revision is not None and core.core.force >= int(revision),
+            "members": sorted(core.store.terms.members()),
+            "gone": list(core.core.gone),
+            "clients": sorted(core.clients),
+            "keepers": list(self.told.keepers),
+            "voters": sorted(self.voters.names),
+            "datagrams": dict(self.refused),
+        }
--- a/pathsaddle/settings/faults.py
+++ b/pathsaddle/settings/faults.py
@@ -13,7 +13,9 @@
 
 class Outrun(SettingsFault):
     name = "settings.outrun"
-    what = "revision {revision} was committed meanwhile by {author!r} ({reason!r}), and {expected} was expected"
+    what = (
+        "revision {revision} was committed meanwhile by {author!r} ({reason!r}), and {expected} was expected"
+    )
     do = "read what holds now by `pathsaddle settings get`, and apply again with --expect {revision}"
     code = FINDING
 
@@ -58,16 +60,20 @@
 class Waits(SettingsFault):
     name = "settings.waits"
     what = "revision {revision} is committed, and not in force after {within:g} s: it waits for {names}"
-    do = ("start or let go on those named, or apply `gone = true` at members.NAME for one that never starts again with its "
-          "disk; `pathsaddle settings status` tells when it is in force")
+    do = (
+        "start or let go on those named, or apply `gone = true` at members.NAME for one that never starts again with its "
+        "disk; `pathsaddle settings status` tells when it is in force"
+    )
     code = FINDING
 
 
 class Unreached(SettingsFault):
     name = "settings.unreached"
     what = "{address}: no answer to {word!r}: {why}"
-    do = ("start the keeper that has {address} at its control (`python -m pathsaddle.settings keep FILE`), or name another "
-          "keeper's by --at")
+    do = (
+        "start the keeper that has {address} at its control (`python -m pathsaddle.settings keep FILE`), or name another "
+        "keeper's by --at"
+    )
     code = FINDING
 
 
--- a/pathsaddle/settings/ground.py
+++ b/pathsaddle/settings/ground.py
@@ -93,31 +93,50 @@
     form = check(GroundForm, load(path), path)
     for key, secret in (("key", form.key), ("voters.key", form.voters.key)):
         if len(secret) < LEAST_KEY:
-            raise BadFile(f"{path}: {key}: a text stands there, of {len(secret)} characters",
-                          f"write {LEAST_KEY} characters at least at {key} in {path}, the same at all that talk to one another")
+            raise BadFile(
+                f"{path}: {key}: a text stands there, of {len(secret)} characters",
+                f"write {LEAST_KEY} characters at least at {key} in {path}, the same at all that talk to one another",
+            )
     if len(form.voters.names) not in (3, 5):
-        raise BadFile(f"{path}: voters.names has {len(form.voters.names)}",
-                      f"write the 3 or 5 voters' names and addresses at voters.names in {path}")
+        raise BadFile(
+            f"{path}: voters.names has {len(form.voters.names)}",
+            f"write the 3 or 5 voters' names and addresses at voters.names in {path}",
+        )
     if min(form.voters.lease, form.lease) < SECOND // 2:
-        raise BadFile(f"{path}: a lease is under half a second", f"write 500ms at least at lease and voters.lease in {path}")
+        raise BadFile(
+            f"{path}: a lease is under half a second",
+            f"write 500ms at least at lease and voters.lease in {path}",
+        )
     if not form.keepers:
         raise BadFile(f"{path}: keepers is empty", f"write a table [keepers.NAME] in {path}")
     addresses = {f"voters.names.{name}": one for name, one in form.voters.names.items()}
     for name, keeper in form.keepers.items():
-        addresses |= {f"keepers.{name}.{key}": one for key, one in (
-            ("address", keeper.address), ("listen", keeper.listen), ("votes_at", keeper.votes_at)) if one}
+        addresses |= {
+            f"keepers.{name}.{key}": one
+            for key, one in (
+                ("address", keeper.address),
+                ("listen", keeper.listen),
+                ("votes_at", keeper.votes_at),
+            )
+            if one
+        }
     addresses |= {f"members.{name}.listen": row.listen for name, row in form.members.items()}
     for key, address in addresses.items():
         try:
             peer_of(address)
         except ValueError:
-            raise BadFile(f"{path}: {key}: {address!r} is no address",
-                          f'write host:port, such as "10.0.0.7:7946", at {key} in {path}') from None
+            raise BadFile(
+                f"{path}: {key}: {address!r} is no address",
+                f'write host:port, such as "10.0.0.7:7946", at {key} in {path}',
+            ) from None
     for table, rows in (("keepers", form.keepers), ("members", form.members)):
         for name, one in rows.items():
             if one.control and not on_loopback(one.control):
-                raise BadFile(f"{path}: {table}.{name}.control: {one.control!r} is no address of the loopback, and nobody "
-                              "signs in there", f'write one such as "127.0.0.1:7198" at {table}.{name}.control in {path}')
+                raise BadFile(
+                    f"{path}: {table}.{name}.control: {one.control!r} is no address of the loopback, and nobody "
+                    "signs in there",
+                    f'write one such as "127.0.0.1:7198" at {table}.{name}.control in {path}',
+                )
     return form
 
 
@@ -132,6 +151,8 @@
 def named(path: str, table: str, rows: Mapping[str, Any], name: str) -> Any:
     """Raises BadFile."""
     if name not in rows:
-        raise BadFile(f"{path}: {table}.{name} is missing",
-                      f"add [{table}.{name}] to {path}, or name one that stands there: {', '.join(sorted(rows)) or 'nobody'}")
+        raise BadFile(
+            f"{path}: {table}.{name} is missing",
+            f"add [{table}.{name}] to {path}, or name one that stands there: {', '.join(sorted(rows)) or 'nobody'}",
+        )
     return rows[name]
--- a/pathsaddle/settings/serving.py
+++ b/pathsaddle/settings/serving.py
@@ -25,8 +25,17 @@
     """A member as the file of keepers has it, keepers of its region first. Raises BadFile."""
     row = named(file, "members", ground.members, name)
     near = nearest({one: keeper.region for one, keeper in ground.keepers.items()}, name, row.region)
-    return Told(name, row.region, ground.key.encode(), row.listen, {one: ground.keepers[one].address for one in near},
-                Path(row.disk), f"members.{name} in {file}", int(ground.lease), row.control)
+    return Told(
+        name,
+        row.region,
+        ground.key.encode(),
+        row.listen,
+        {one: ground.keepers[one].address for one in near},
+        Path(row.disk),
+        f"members.{name} in {file}",
+        int(ground.lease),
+        row.control,
+    )
 
 
 def logged(fault: Error) -> None:
--- a/pathsaddle/settings/store.py
+++ b/pathsaddle/settings/store.py
@@ -26,7 +26,9 @@
 class Store:
     """revision, digest: of the highest group. terms: the rows there. log: the groups up to it, lowest first."""
 
-    def __init__(self, snapshot: Snapshot | None = None, log: Iterable[Group] = (), *, keep: int = LOG) -> None:
+    def __init__(
+        self, snapshot: Snapshot | None = None, log: Iterable[Group] = (), *, keep: int = LOG
+    ) -> None:
         """keep: groups in the log. Raises Wrong where they don't follow one another."""
         snapshot = snapshot or Snapshot(0, "")
         self.revision, self.digest, self.keep = snapshot.revision, snapshot.digest, keep
@@ -45,14 +47,20 @@
         """Raises Wrong where it can't be the next."""
         checked(group)
         if (group.revision, group.before) != (self.revision + 1, self.digest):
-            raise Wrong(f"{group.revision} after {group.before or 'nothing'} doesn't follow {self.revision} {self.digest}")
+            raise Wrong(
+                f"{group.revision} after {group.before or 'nothing'} doesn't follow {self.revision} {self.digest}"
+            )
         rows = len(self.terms)
         for put in group.puts:
             was = self.terms.get(put.key)
             rows += (put.value is not None) - (was is not None)
             if put.value is None and was is None:
                 raise Wrong(f"{put.key} is to be removed and isn't there")
-            if put.value is None and put.key.startswith("members.") and not value_of(was or b"{}").get("gone"):
+            if (
+                put.value is None
+                and put.key.startswith("members.")
+                and not value_of(was or b"{}").get("gone")
+            ):
                 raise Wrong(f'{put.key} can be removed once it says "gone": true, and not before')
         if rows > ROWS:
             raise Wrong(f"{rows} rows, {ROWS} at most")
@@ -62,7 +70,7 @@
         self.fits(group)
         self.terms = terms if terms is not None else self.terms.after(group)
         self.revision, self.digest = group.revision, digest_of(group)
-        self.log = (*self.log, (self.digest, group))[-self.keep:]
+        self.log = (*self.log, (self.digest, group))[-self.keep :]
         return self.terms
 
     def replaced(self, snapshot: Snapshot) -> Terms:
@@ -78,7 +86,7 @@
         first = self.revision - len(self.log)
         if revision < first:
             return None
-        return tuple(group for _, group in self.log[revision - first:])
+        return tuple(group for _, group in self.log[revision - first :])
 
     def digest_at(self, revision: int) -> str | None:
         """None where it isn't known any more, or not yet."""
--- a/pathsaddle/settings/sync.py
+++ b/pathsaddle/settings/sync.py
@@ -279,8 +279,16 @@
 class Machine:
     """What members and keepers have in common: what goes out, and texts that come in pieces."""
 
-    def __init__(self, name: str, region: str, life: int, store: Store, chance: Random, purse: Paying,
-                 size: Callable[[Said], int] | None) -> None:
+    def __init__(
+        self,
+        name: str,
+        region: str,
+        life: int,
+        store: Store,
+        chance: Random,
+        purse: Paying,
+        size: Callable[[Said], int] | None,
+    ) -> None:
         self.name, self.region, self.life, self.store = name, region, life, store
         self.chance, self.purse, self.size = chance, purse, size or size_of
         self.writes: list[Write] = []
@@ -329,8 +337,12 @@
         part = self.parts[key]
         first = next(i for i in range(part.count + 1) if i not in part.have)
         tries = part.tries + 1 if again else 0
-        self.parts[key] = replace(part, until=min(first + WINDOW, part.count), tries=tries,
-                                  due=now + RETRY + self.backoff(tries, 16 * SECOND))
+        self.parts[key] = replace(
+            part,
+            until=min(first + WINDOW, part.count),
+            tries=tries,
+            due=now + RETRY + self.backoff(tries, 16 * SECOND),
+        )
         self.say(part.announce.name, Want(self.name, *key, first, WINDOW), now)
 
     def took(self, said: Piece, now: int) -> tuple[Announce, bytes] | None:
@@ -367,7 +379,9 @@
         """Asks again for what is late; when that is due next."""
         for key in [key for key, part in self.parts.items() if part.due <= now]:
             if self.parts[key].tries >= 8:
-                del self.parts[key]  # whoever announced it is gone; it is announced anew by whoever is asked next
+                del self.parts[
+                    key
+                ]  # whoever announced it is gone; it is announced anew by whoever is asked next
             else:
                 self.wants(key, now, again=True)
         return min((part.due for part in self.parts.values()), default=FAR)
@@ -376,13 +390,25 @@
 class Member(Machine):
     """A dispatcher's part: applies groups in order and whole, asks for its lease, says what it has."""
 
-    def __init__(self, name: str, region: str, life: int, store: Store, keepers: Sequence[str], chance: Random, purse: Paying,
-                 now: int, lease: int = LEASE, size: Callable[[Said], int] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        region: str,
+        life: int,
+        store: Store,
+        keepers: Sequence[str],
+        chance: Random,
+        purse: Paying,
+        now: int,
+        lease: int = LEASE,
+        size: Callable[[Said], int] | None = None,
+    ) -> None:
         """store: what its disk has (committed alone), or an empty one. keepers: names, nearest first; one at least."""
         super().__init__(name, region, life, store, chance, purse, size)
         self.keepers, self.lease = tuple(keepers), lease
         self.holder: Holder[Terms] = versions.holder(
-            name, region, life, lease, Version(store.revision, store.digest, store.terms))
+            name, region, life, lease, Version(store.revision, store.digest, store.terms)
+        )
         self.pending: dict[int, Group] = {}
         self.held: dict[str, Group] = {}  # offers, by digest
         self.at = 0  # which keeper is asked
@@ -416,9 +442,16 @@
 
     def status(self, now: int) -> Status:
         base = self.holder.base
-        return Status(base.number, base.digest, self.holder.known[0], self.leased(now), self.holder.until,
-                      None if self.proved is None else now - self.proved,
-                      tuple(sorted(one.number for one in self.holder.offers)), self.keepers[self.at])
+        return Status(
+            base.number,
+            base.digest,
+            self.holder.known[0],
+            self.leased(now),
+            self.holder.until,
+            None if self.proved is None else now - self.proved,
+            tuple(sorted(one.number for one in self.holder.offers)),
+            self.keepers[self.at],
+        )
 
     # Events
 
@@ -473,7 +506,8 @@
         before, asked = self.store.revision, dict(self.holder.open).get(said.echo)
         self._knows((said.revision, said.digest))
         self.holder = self.holder.renewed(
-            versions.Renewed(said.to, said.life, said.echo, said.revision, said.digest), now)
+            versions.Renewed(said.to, said.life, said.echo, said.revision, said.digest), now
+        )
         if asked is None:
             self._lagging(now)
             return
@@ -535,7 +569,11 @@
         if group.revision <= self.store.revision or group.revision in self.pending:
             return
         if len(self.pending) >= PENDING:
-            self.tell("full", revision=group.revision, why=f"groups that wait for {self.store.revision + 1}: it is dropped")
+            self.tell(
+                "full",
+                revision=group.revision,
+                why=f"groups that wait for {self.store.revision + 1}: it is dropped",
+            )
             return
         self.pending[group.revision] = group
 
@@ -544,8 +582,12 @@
             try:
                 self._applies(group)
             except Wrong as fault:
-                self.tell("diverged" if group.before != self.store.digest else "refused", revision=group.revision,
-                          digest=digest_of(group), why=str(fault))
+                self.tell(
+                    "diverged" if group.before != self.store.digest else "refused",
+                    revision=group.revision,
+                    digest=digest_of(group),
+                    why=str(fault),
+                )
                 self.pending.clear()
         for revision in [one for one in self.pending if one <= self.store.revision]:
             del self.pending[revision]
@@ -553,7 +595,9 @@
     def _applies(self, group: Group) -> None:
         """Whole; on disk before any word of it. Raises Wrong."""
         digest, old = digest_of(group), self.holder
-        offer = next((one for one in old.offers if (one.number, one.digest) == (group.revision, digest)), None)
+        offer = next(
+            (one for one in old.offers if (one.number, one.digest) == (group.revision, digest)), None
+        )
         terms = self.store.append(group, offer.spec if offer is not None else None)
         if self.proven:
             self.writes.append(Write(group))
@@ -568,7 +612,9 @@
         if offers != self.holder.offers:
             self.holder = replace(self.holder, offers=offers)
         over = {key for one in old.offers for key in old.base.spec.differing(one.spec)}
-        self.tell("applied", revision=version.number, digest=version.digest, keys=tuple(sorted(over.union(keys))))
+        self.tell(
+            "applied", revision=version.number, digest=version.digest, keys=tuple(sorted(over.union(keys)))
+        )
 
     def _offered(self, group: Group, sender: str, now: int) -> None:
         digest = digest_of(group)
@@ -576,11 +622,16 @@
         if known == self.holder.known and group.revision > self.store.revision:
             self._committed(known, (group,), sender, now)
             return
-        if (group.revision, group.before) != (self.store.revision + 1, self.store.digest) or any(
-                (one.number, one.digest) == known for one in self.holder.offers) or group.revision <= self.holder.known[0]:
+        if (
+            (group.revision, group.before) != (self.store.revision + 1, self.store.digest)
+            or any((one.number, one.digest) == known for one in self.holder.offers)
+            or group.revision <= self.holder.known[0]
+        ):
             return
         if len(self.holder.offers) >= HELD:
-            self.tell("full", revision=group.revision, digest=digest, why=f"{HELD} offers are held: it is left")
+            self.tell(
+                "full", revision=group.revision, digest=digest, why=f"{HELD} offers are held: it is left"
+            )
             return
         try:
             self.store.fits(group)
@@ -589,11 +640,14 @@
             return
         self.holder = self.holder.offered(Version(group.revision, digest, self.store.terms.after(group)))
         self.held[digest] = group
-        self.tell("offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts))
+        self.tell(
+            "offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts)
+        )
 
     def _announced(self, said: Announce, now: int) -> None:
         if said.known[0] <= self.store.revision or (
-                said.offer and (said.known[0] != self.store.revision + 1 or len(self.holder.offers) >= HELD)):
+            said.offer and (said.known[0] != self.store.revision + 1 or len(self.holder.offers) >= HELD)
+        ):
             return
         if not said.offer:
             before = self.store.revision
@@ -618,8 +672,10 @@
             terms = self.store.replaced(found)
             if self.proven:
                 self.writes.append(Write(snapshot=found))
-            self._goes_by(Version(found.revision, found.digest, terms),
-                          [key for key in old.differing(terms) if old.get(key) != terms.get(key)])
+            self._goes_by(
+                Version(found.revision, found.digest, terms),
+                [key for key in old.differing(terms) if old.get(key) != terms.get(key)],
+            )
             self._drain()
         self._answers(announce.name, before, now)
 
@@ -628,15 +684,29 @@
         if leased and not self.proven:
             self.proven, self._rows = True, None
             self.writes.append(Write(snapshot=self.store.snapshot()))
-            self.tell("applied", revision=self.holder.base.number, digest=self.holder.base.digest,
-                      keys=tuple(sorted(self.holder.base.spec.rows())))
+            self.tell(
+                "applied",
+                revision=self.holder.base.number,
+                digest=self.holder.base.digest,
+                keys=tuple(sorted(self.holder.base.spec.rows())),
+            )
         if leased != self.was_leased:
             self.was_leased = leased
-            self.tell("leased" if leased else "alone", revision=self.holder.base.number, digest=self.holder.base.digest,
-                      until=self.holder.until)
-        return min(self.ask_due, self.again_due, FAR if self.asked is None else self.asked + ANSWER, self.lag_due,
-                   self.home_due if self.asked is None else FAR,
-                   self.holder.ends() if leased else FAR, min((part.due for part in self.parts.values()), default=FAR))
+            self.tell(
+                "leased" if leased else "alone",
+                revision=self.holder.base.number,
+                digest=self.holder.base.digest,
+                until=self.holder.until,
+            )
+        return min(
+            self.ask_due,
+            self.again_due,
+            FAR if self.asked is None else self.asked + ANSWER,
+            self.lag_due,
+            self.home_due if self.asked is None else FAR,
+            self.holder.ends() if leased else FAR,
+            min((part.due for part in self.parts.values()), default=FAR),
+        )
 
 
 @dataclass(frozen=True)
@@ -663,16 +733,33 @@
 class Keeper(Machine):
     """Has the texts, serves who asks it, tells what is in force. Several at once do no harm."""
 
-    def __init__(self, name: str, region: str, life: int, store: Store, peers: Sequence[str], chance: Random, purse: Paying,
-                 now: int, lease: int = LEASE, offers: Sequence[Group] = (),
-                 size: Callable[[Said], int] | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        region: str,
+        life: int,
+        store: Store,
+        peers: Sequence[str],
+        chance: Random,
+        purse: Paying,
+        now: int,
+        lease: int = LEASE,
+        offers: Sequence[Group] = (),
+        size: Callable[[Said], int] | None = None,
+    ) -> None:
         """store, offers: what its disk has. peers: the other keepers' names. lease: the members', the longest of them."""
         super().__init__(name, region, life, store, chance, purse, size)
         self.peers, self.lease = tuple(peers), lease
         version = Version(store.revision, store.digest, store.terms)
         self.core: versions.Keeper[Terms] = versions.Keeper(
-            lease, now, (store.revision, store.digest), (version,), now, begins=store.revision,
-            learnt=((store.revision, now),))
+            lease,
+            now,
+            (store.revision, store.digest),
+            (version,),
+            now,
+            begins=store.revision,
+            learnt=((store.revision, now),),
+        )
         self.offers = {digest_of(group): group for group in offers if group.revision > store.revision}
         self.offers = dict(list(self.offers.items())[-OFFERS:])
         self.clients: dict[str, Client] = {}
@@ -684,7 +771,9 @@
         self.target_due, self.target_tries = FAR, 0
         self.feeds: dict[str, tuple[int, str]] = {}  # who lacks what comes after this
         self.serving: dict[str, Want] = {}
-        self.paced: dict[str, Purse] = {}  # what catch-up may send to each, of those that were sent any lately
+        self.paced: dict[
+            str, Purse
+        ] = {}  # what catch-up may send to each, of those that were sent any lately
         self.snapshots: dict[str, tuple[tuple[int, str], bytes]] = {}
         self.proposal: Proposal | None = None
         self.fresh: dict[str, int] = {}  # of our clients' words: how often each is still told to peers
@@ -755,7 +844,9 @@
             self.gossip_due = now + SECOND // 2 if self.fresh else FAR
         if now >= self.refresh_due:
             self.refresh_due = now + int(self.lease / 2 * self.chance.uniform(0.8, 1.2))
-            self.clients = {name: client for name, client in self.clients.items() if now < client.at + 2 * self.lease}
+            self.clients = {
+                name: client for name, client in self.clients.items() if now < client.at + 2 * self.lease
+            }
             self._gossips(list(self.clients), now)
         if now >= self.push_due:
             self.push_due = now + RETRY
@@ -790,7 +881,9 @@
             return self._due(now)
         for ask in asked.values():
             told = self.core.answers(versions.Ask(ask.name, ask.life, ask.echo))
-            if not self.say(ask.name, Renewal(self.name, told.name, told.life, told.echo, told.number, told.digest), now):
+            if not self.say(
+                ask.name, Renewal(self.name, told.name, told.life, told.echo, told.number, told.digest), now
+            ):
                 self.tell("full", name=ask.name, why="the purse: a renewal was dropped")
         return self._due(now)
 
@@ -804,7 +897,8 @@
     def joins(self, groups: Sequence[Group]) -> bool:
         """Whether these, one after another, may be proposed together: one alone always may."""
         return len(groups) == 1 or (
-            len(groups) <= BATCH and self.size(Offer(self.name, groups[0], tuple(groups[1:]))) <= DATAGRAM)
+            len(groups) <= BATCH and self.size(Offer(self.name, groups[0], tuple(groups[1:]))) <= DATAGRAM
+        )
 
     def propose(self, group: Group, now: int, then: Sequence[Group] = ()) -> int:
         """Offers it to keepers and members, and to keepers what is to be committed with it, all or none: `joins` says so.
@@ -830,7 +924,11 @@
 
     def _kept(self) -> None:
         proposal = self.proposal
-        if proposal is not None and not proposal.told and len(proposal.kept) >= (len(self.peers) + 1) // 2 + 1:
+        if (
+            proposal is not None
+            and not proposal.told
+            and len(proposal.kept) >= (len(self.peers) + 1) // 2 + 1
+        ):
             self.proposal = replace(proposal, told=True)
             self.tell("kept", revision=proposal.groups[-1].revision, digest=proposal.digest)
 
@@ -858,7 +956,10 @@
                     raise Wrong(f"{len(groups)} groups, {BATCH} at most together")
                 for one, after in zip(groups, (*groups[1:], None), strict=True):
                     checked(one)
-                    if after is not None and (after.revision, after.before) != (one.revision + 1, digest_of(one)):
+                    if after is not None and (after.revision, after.before) != (
+                        one.revision + 1,
+                        digest_of(one),
+                    ):
                         raise Wrong(f"{after.revision} doesn't follow {one.revision}, with which it came")
             except Wrong as fault:
                 self.tell("refused", revision=last.revision, digest=digest, name=sender, why=str(fault))
@@ -888,9 +989,17 @@
                     follows[digest_of(at)] = at.revision
                     at = offers.get(at.before)
                 settled = {group.revision: None, **dict.fromkeys(follows.values())}
-                oldest = next((one for one, held in offers.items() if one not in follows and held.revision in settled), None)
+                oldest = next(
+                    (one for one, held in offers.items() if one not in follows and held.revision in settled),
+                    None,
+                )
                 if oldest is None:
-                    self.tell("full", revision=group.revision, digest=digest, why=f"{OFFERS} offers that may count: it is left")
+                    self.tell(
+                        "full",
+                        revision=group.revision,
+                        digest=digest,
+                        why=f"{OFFERS} offers that may count: it is left",
+                    )
                     return False
                 over = (oldest,)
                 del offers[oldest]
@@ -898,14 +1007,23 @@
             new.append((group, digest, over))
         for group, digest, over in new:
             for oldest in over:
-                self.tell("full", revision=self.offers.pop(oldest).revision, digest=oldest, why=f"{OFFERS} offers: the oldest goes")
+                self.tell(
+                    "full",
+                    revision=self.offers.pop(oldest).revision,
+                    digest=oldest,
+                    why=f"{OFFERS} offers: the oldest goes",
+                )
             self.offers[digest] = group
             self.writes.append(Write(group, committed=False, over=over))
-            self.tell("offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts))
+            self.tell(
+                "offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts)
+            )
             if (group.revision, group.before) == (self.store.revision + 1, self.store.digest):
                 for name, client in list(self.clients.items()):
                     # Unpaid it is left: an offer is a favour, the commit comes by itself.
-                    if client.has == (self.store.revision, self.store.digest) and self._offers(name, (group,), now):
+                    if client.has == (self.store.revision, self.store.digest) and self._offers(
+                        name, (group,), now
+                    ):
                         self.clients[name] = replace(client, offer=digest)
         return True
 
@@ -943,7 +1061,9 @@
         self.target_tries += 1
         self.target_due = now + RETRY + self.backoff(self.target_tries, 16 * SECOND)
         if self.peers:
-            self.say(self.chance.choice(self.peers), Have(self.name, self.store.revision, self.store.digest), now)
+            self.say(
+                self.chance.choice(self.peers), Have(self.name, self.store.revision, self.store.digest), now
+            )
 
     def _takes(self, group: Group, now: int) -> bool:
         """One that is surely committed."""
@@ -952,14 +1072,22 @@
         try:
             terms = self.store.append(group)
         except Wrong as fault:
-            self.tell("diverged" if group.before != self.store.digest else "refused", revision=group.revision,
-                      digest=digest_of(group), why=str(fault))
+            self.tell(
+                "diverged" if group.before != self.store.digest else "refused",
+                revision=group.revision,
+                digest=digest_of(group),
+                why=str(fault),
+            )
             return False
         self.writes.append(Write(group))
         digest = self.store.digest
         self._goes_by(Version(group.revision, digest, terms), tuple(put.key for put in group.puts), now)
         proposal = self.proposal
-        if proposal is not None and group.revision >= proposal.groups[0].revision and group not in proposal.groups[:-1]:
+        if (
+            proposal is not None
+            and group.revision >= proposal.groups[0].revision
+            and group not in proposal.groups[:-1]
+        ):
             self.proposal = None  # it is the last of them, or a rival's
             if proposal.digest == digest:
                 for name in self.peers:
@@ -981,7 +1109,11 @@
                 continue
             groups = tuple(taken[1:] if client.offer == digest else taken)
             count = self._fit(groups)
-            said = Commit(self.name, known, groups[:count]) if count or not groups else self._announces(groups[0], False)
+            said = (
+                Commit(self.name, known, groups[:count])
+                if count or not groups
+                else self._announces(groups[0], False)
+            )
             if not self.say(name, said, now):
                 self.feeds[name] = client.has
         self._pump(now)
@@ -1037,8 +1169,9 @@
         if now >= self.read_at + SECOND // 4:
             self.wants_reading = True
         client = self.clients.get(said.name)
-        self.clients[said.name] = (replace(client, at=now) if client is not None
-                                   else Client(now, (said.revision, said.digest)))
+        self.clients[said.name] = (
+            replace(client, at=now) if client is not None else Client(now, (said.revision, said.digest))
+        )
         self._has(said.name, (said.revision, said.digest), now)
 
     def _has(self, name: str, has: tuple[int, str], now: int) -> None:
@@ -1086,8 +1219,18 @@
 
     def over_due(self) -> int:
         """When the leases on what is below some revision not in force are surely over, of those that nobody looked at since."""
-        return next((at for at in (at + versions.surely(self.lease) for number, at in self.core.learnt
-                                   if number > self.core.force) if at > self.judged_at), FAR)
+        return next(
+            (
+                at
+                for at in (
+                    at + versions.surely(self.lease)
+                    for number, at in self.core.learnt
+                    if number > self.core.force
+                )
+                if at > self.judged_at
+            ),
+            FAR,
+        )
 
     def _gossips(self, names: Iterable[str], now: int) -> None:
         """Our clients' words, to the other keepers: by revision, so that the usual case is a list of names."""
@@ -1101,7 +1244,7 @@
         for revision, group in sorted(told.items()):
             digest = known.get(revision) or self.store.digest_at(revision)
             if digest is not None:
-                said += [(revision, digest, tuple(group[i:i + 8])) for i in range(0, len(group), 8)]
+                said += [(revision, digest, tuple(group[i : i + 8])) for i in range(0, len(group), 8)]
         while said:
             count = len(said)
             while count > 1 and self.size(Haves(self.name, tuple(said[:count]))) > DATAGRAM:
@@ -1127,7 +1270,7 @@
             before = len(self.serving)
             for name, want in list(self.serving.items()):
                 data = self._data(want)
-                part = data[want.first * PIECE:(want.first + 1) * PIECE] if data is not None else b""
+                part = data[want.first * PIECE : (want.first + 1) * PIECE] if data is not None else b""
                 said = Piece(self.name, want.what, want.digest, want.first, part)
                 if part and not self._paces(name, said, now):
                     continue
@@ -1137,7 +1280,9 @@
                 del self.serving[name]
                 before = -1
                 if part and want.count > 1:
-                    self.serving[name] = Want(want.name, want.what, want.digest, want.first + 1, min(want.count, WINDOW) - 1)
+                    self.serving[name] = Want(
+                        want.name, want.what, want.digest, want.first + 1, min(want.count, WINDOW) - 1
+                    )
             if before >= 0:
                 break  # each that is left waits for its own pace
 
@@ -1205,14 +1350,27 @@
     def status(self, now: int) -> dict[str, Any]:
         """revision, digest: committed, with its text here. known: committed. force; waits_for: of `known`. rows: name ->
         revision that it said to have. queue: members that wait for what they lack. offers: revisions not committed."""
-        return {"revision": self.store.revision, "digest": self.store.digest, "known": self.core.known[0],
-                "force": self.core.force, "waits_for": list(self.waits_for(now)), "rows": dict(self.core.rows),
-                "queue": len(self.feeds) + len(self.serving),
-                "offers": sorted(group.revision for group in self.offers.values())}
+        return {
+            "revision": self.store.revision,
+            "digest": self.store.digest,
+            "known": self.core.known[0],
+            "force": self.core.force,
+            "waits_for": list(self.waits_for(now)),
+            "rows": dict(self.core.rows),
+            "queue": len(self.feeds) + len(self.serving),
+            "offers": sorted(group.revision for group in self.offers.values()),
+        }
 
     def _due(self, now: int) -> int:
-        return min(FAR if self.wants_reading else self.read_at + (SECOND // 4 if self.waiting else SECOND),
-                   self.gossip_due, self.refresh_due, self.push_due, self.pump_due, self.target_due,
-                   FAR if self.proposal is None else self.proposal.due,
-                   self.judge_due, self.over_due(),
-                   min((part.due for part in self.parts.values()), default=FAR))
+        return min(
+            FAR if self.wants_reading else self.read_at + (SECOND // 4 if self.waiting else SECOND),
+            self.gossip_due,
+            self.refresh_due,
+            self.push_due,
+            self.pump_due,
+            self.target_due,
+            FAR if self.proposal is None else self.proposal.due,
+            self.judge_due,
+            self.over_due(),
+            min((part.due for part in self.parts.values()), default=FAR),
+        )
--- a/pathsaddle/settings/terms.py
+++ b/pathsaddle/settings/terms.py
@@ -42,13 +42,21 @@
 # Defaults are the charter's (charter/form.py); a test holds both together.
 LIMITS: dict[str, tuple[Limit, ...]] = {
     "customers": (Limit("allowance", 0, _quota),),
-    "schemes": (Limit("semantics", "repeatable", _ranked("once-only", "referenced", "repeatable")),
-                Limit("group", "all", _ranked("cell", "zone", "all")),
-                Limit("window", "0s", _ticks)),
-    "rules": (Limit("answer_slack", "0s", _ticks), Limit("drain_grace", "500ms", _ticks),
-              Limit("dropped_stay_open", False, float), Limit("ask_within", "10s", _ticks),
-              Limit("cold_share", 0.3, float), Limit("cold_time", "9s", lambda value: -_ticks(value)),
-              Limit("fall_multiple", 4.0, float), Limit("fall_time", "2s", _ticks)),
+    "schemes": (
+        Limit("semantics", "repeatable", _ranked("once-only", "referenced", "repeatable")),
+        Limit("group", "all", _ranked("cell", "zone", "all")),
+        Limit("window", "0s", _ticks),
+    ),
+    "rules": (
+        Limit("answer_slack", "0s", _ticks),
+        Limit("drain_grace", "500ms", _ticks),
+        Limit("dropped_stay_open", False, float),
+        Limit("ask_within", "10s", _ticks),
+        Limit("cold_share", 0.3, float),
+        Limit("cold_time", "9s", lambda value: -_ticks(value)),
+        Limit("fall_multiple", 4.0, float),
+        Limit("fall_time", "2s", _ticks),
+    ),
     "zones": (),
     "members": (),
 }
@@ -71,8 +79,10 @@
     try:
         if table == "budgets":
             return float(one) <= float(two)
-        return all(limit.wide(one.get(limit.field, limit.missing)) <= limit.wide(two.get(limit.field, limit.missing))
-                   for limit in LIMITS[table])
+        return all(
+            limit.wide(one.get(limit.field, limit.missing)) <= limit.wide(two.get(limit.field, limit.missing))
+            for limit in LIMITS[table]
+        )
     except (AttributeError, TypeError, ValueError):
         return False  # of another form than the charter's: nothing is known of it
 
@@ -211,8 +221,11 @@
         """Whether somebody that hears nothing would, by this, do what `new` forbids; wherever it is."""
         if new.customers and not self.customers:
             return True  # anybody was a customer
-        return any(not (table_of(key) == "customers" and not new.customers) and not allows(key, self.get(key), new.get(key))
-                   for key in self.differing(new))
+        return any(
+            not (table_of(key) == "customers" and not new.customers)
+            and not allows(key, self.get(key), new.get(key))
+            for key in self.differing(new)
+        )
 
     def narrowed(self, other: Terms) -> Terms:
         """With each right the lesser of the two's. Where that would leave no customer, which reads as anybody, customers
--- a/pathsaddle/settings/wire.py
+++ b/pathsaddle/settings/wire.py
@@ -75,7 +75,12 @@
     if isinstance(said, Haves):
         return all(_known(revision, digest) for revision, digest, _ in said.rows)
     if isinstance(said, Announce):
-        return _known(*said.known) and said.what in (GROUP, SNAPSHOT) and len(said.digest) == 32 and said.size > 0
+        return (
+            _known(*said.known)
+            and said.what in (GROUP, SNAPSHOT)
+            and len(said.digest) == 32
+            and said.size > 0
+        )
     if isinstance(said, Want):
         return said.what in (GROUP, SNAPSHOT) and said.first >= 0 and said.count > 0
     if isinstance(said, Piece):
--- a/pathsaddle/trade.py
+++ b/pathsaddle/trade.py
@@ -124,7 +124,8 @@
         """Rule 3: whether something new may go there by the list. Where the settings say that dropped workers
         stay open, a draining that was told binds alone, also after it is listed as gone or left out."""
         return self.standing is Standing.READY or (
-            dropped_stay_open and self.standing is Standing.GONE and not self.drained)
+            dropped_stay_open and self.standing is Standing.GONE and not self.drained
+        )
 
 
 @dataclass(slots=True)
@@ -313,4 +314,6 @@
     dropped_stay_open: bool = False  # a worker listed as gone, or left out, without draining may be posted to
     most_open: int = 1 << 60  # txns that we can hold open at once
     pushed: bool = False  # the list comes to an agent of ours by itself: what that has counts as told
-    beats: bool = False  # an open watch says at least every 2 s that nothing has changed: word stands no longer
+    beats: bool = (
+        False  # an open watch says at least every 2 s that nothing has changed: word stands no longer
+    )
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -74,8 +74,15 @@
 
 
 def run(root: Path, name: str) -> tuple[str, int, str]:
-    done = subprocess.run([sys.executable, "-m", "unittest", "-v", f"tests.{name}"], cwd=root, check=False,
-                          stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, stdin=subprocess.DEVNULL)
+    done = subprocess.run(
+        [sys.executable, "-m", "unittest", "-v", f"tests.{name}"],
+        cwd=root,
+        check=False,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+        stdin=subprocess.DEVNULL,
+    )
     return name, done.returncode, done.stdout
 
 
@@ -85,8 +92,14 @@
         return [], []
     reds, wrong = listed(file.read_text(encoding="utf-8"))
     if reds:
-        loaded = subprocess.run([sys.executable, "-c", LOADS, *(red.test for red in reds)], cwd=root, check=False,
-                                stdout=subprocess.PIPE, text=True, stdin=subprocess.DEVNULL)
+        loaded = subprocess.run(
+            [sys.executable, "-c", LOADS, *(red.test for red in reds)],
+            cwd=root,
+            check=False,
+            stdout=subprocess.PIPE,
+            text=True,
+            stdin=subprocess.DEVNULL,
+        )
         missing = loaded.stdout.split() if loaded.returncode == 0 else [red.test for red in reds]
         wrong += [f"names no story: {red}" for red in reds if red.test in missing]
     return reds, wrong
@@ -99,8 +112,10 @@
     if wrong:
         return 1
     # Those that start many processes take longest, and begin first.
-    names = sorted((path.stem for path in (root / "tests").glob("test_*.py")),
-                   key=lambda name: ("processes" not in name, name))
+    names = sorted(
+        (path.stem for path in (root / "tests").glob("test_*.py")),
+        key=lambda name: ("processes" not in name, name),
+    )
     passed = failed = 0
     met: set[str] = set()
     with ThreadPoolExecutor(AT_ONCE) as pool:
@@ -116,7 +131,9 @@
                 failed += bad
                 print(f"== {name} FAILED, end code {code}", flush=True)
     for red in reds:
-        print(f"known red, {'passed over' if red.test in met else 'but it did not fail: take the line out'}: {red}")
+        print(
+            f"known red, {'passed over' if red.test in met else 'but it did not fail: take the line out'}: {red}"
+        )
         failed += red.test not in met
     print(f"{passed} passed, {failed} failed")
     return int(failed > 0 or not passed)
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -27,40 +27,109 @@
 
 # As the configuration of a dispatcher on sockets gives it.
 SETTINGS: dict[str, Any] = {
-    "Azs": ["a", "b"], "Balancers": 1, "Discovery": "automatic", "Kinds": ["m1", "m2"], "Period": 2_000_000,
+    "Azs": ["a", "b"],
+    "Balancers": 1,
+    "Discovery": "automatic",
+    "Kinds": ["m1", "m2"],
+    "Period": 2_000_000,
     "Customers": [{"AllowancePerS": 50.0, "Name": "acme", "Portion": 1.0}],
-    "Limits": {"Cancelling": True, "ConnectTimeout": 250_000_000, "IdleClose": 2_000_000_000,
-               "MaxPostings": 4, "MaxRetryAfter": 2_000_000_000, "MayDuplicate": True, "Probing": True,
-               "RetryAfter": True},
-    "Obligations": {"AskEvery": 10_000_000_000, "ColdShare": 0.3, "DrainGrace": 500_000_000,
-                    "Fall": 2_000_000_000, "FallMultiple": 4.0, "RampTime": 9_000_000_000},
+    "Limits": {
+        "Cancelling": True,
+        "ConnectTimeout": 250_000_000,
+        "IdleClose": 2_000_000_000,
+        "MaxPostings": 4,
+        "MaxRetryAfter": 2_000_000_000,
+        "MayDuplicate": True,
+        "Probing": True,
+        "RetryAfter": True,
+    },
+    "Obligations": {
+        "AskEvery": 10_000_000_000,
+        "ColdShare": 0.3,
+        "DrainGrace": 500_000_000,
+        "Fall": 2_000_000_000,
+        "FallMultiple": 4.0,
+        "RampTime": 9_000_000_000,
+    },
     "Report": {"Fields": ["x0", "waiting", "active"], "Source": "answers"},
-    "Schemes": [{"Expiry": 10_000_000_000, "Name": "render", "Semantics": "safe", "SlaTime": 2_000_000_000,
-                 "Value": 1.0},
-                {"Expiry": 10_000_000_000, "Name": "charge", "Semantics": "unsafe", "SlaTime": 2_000_000_000,
-                 "Value": 1.0}]}
+    "Schemes": [
+        {
+            "Expiry": 10_000_000_000,
+            "Name": "render",
+            "Semantics": "safe",
+            "SlaTime": 2_000_000_000,
+            "Value": 1.0,
+        },
+        {
+            "Expiry": 10_000_000_000,
+            "Name": "charge",
+            "Semantics": "unsafe",
+            "SlaTime": 2_000_000_000,
+            "Value": 1.0,
+        },
+    ],
+}
 
 
 def scheme(semantics: Semantics = REPEATABLE, **more: object) -> Scheme:
     given = dict(  # noqa: C408  # reads like the call that it is for
-        index=0, semantics=semantics, sla_time=SECOND, expiry=10 * SECOND, value=1.0, late_value=0.0,
-        stretch=1.25, group=Group.ALL, window=5 * SECOND)
+        index=0,
+        semantics=semantics,
+        sla_time=SECOND,
+        expiry=10 * SECOND,
+        value=1.0,
+        late_value=0.0,
+        stretch=1.25,
+        group=Group.ALL,
+        window=5 * SECOND,
+    )
     return Scheme(**{**given, **more})  # type: ignore[arg-type]
 
 
 class FakeHost:
     """A door that writes down what it is asked, and a clock."""
 
-    def __init__(self, *schemes: Scheme, workers: int = 2, customers: list[Customer] | None = None,
-                 news: ListNews = ListNews.WHOLE, seed: int = 7, **terms: object) -> None:
+    def __init__(
+        self,
+        *schemes: Scheme,
+        workers: int = 2,
+        customers: list[Customer] | None = None,
+        news: ListNews = ListNews.WHOLE,
+        seed: int = 7,
+        **terms: object,
+    ) -> None:
         given = dict(  # noqa: C408  # reads like the call that it is for
-            schemes=list(schemes) or [scheme()], customers=customers or [], dispatchers=1, number=0, zone=0,
-            tick=20, must_ask=False, ask_within=10 * SECOND, answer_slack=80, drain_grace=5000,
-            cold_share=0.3, cold_time=9 * SECOND, fall_multiple=4.0, fall_time=2 * SECOND,
-            max_postings=4, two_at_once=True, may_cancel=True, may_probe=False, come_back_most=0,
-            progress_every=2 * SECOND, tells_start=False,
-            over_share=0.1, value_by_work=False, price_cross=0.0, price_probe=0.0, price_waste=0.0,
-            price_late=0.0, price_handshake=0.0, reports_in_answers=True, reports_in_probes=True)
+            schemes=list(schemes) or [scheme()],
+            customers=customers or [],
+            dispatchers=1,
+            number=0,
+            zone=0,
+            tick=20,
+            must_ask=False,
+            ask_within=10 * SECOND,
+            answer_slack=80,
+            drain_grace=5000,
+            cold_share=0.3,
+            cold_time=9 * SECOND,
+            fall_multiple=4.0,
+            fall_time=2 * SECOND,
+            max_postings=4,
+            two_at_once=True,
+            may_cancel=True,
+            may_probe=False,
+            come_back_most=0,
+            progress_every=2 * SECOND,
+            tells_start=False,
+            over_share=0.1,
+            value_by_work=False,
+            price_cross=0.0,
+            price_probe=0.0,
+            price_waste=0.0,
+            price_late=0.0,
+            price_handshake=0.0,
+            reports_in_answers=True,
+            reports_in_probes=True,
+        )
         self.terms = Terms(**{**given, **terms})  # type: ignore[arg-type]
         self.now = 100 * SECOND
         self.posted: list[Posting] = []
@@ -107,8 +176,14 @@
 
     def ask(self, tag: str, of: int = 0, lasts: int | None = None, **more: object) -> Txn:
         asked = self.terms.schemes[of]
-        txn = Txn(tag, asked, more.pop("customer", None), self.now,  # type: ignore[arg-type]
-                  self.now + (lasts or asked.expiry), **more)  # type: ignore[arg-type]
+        txn = Txn(
+            tag,
+            asked,
+            more.pop("customer", None),
+            self.now,  # type: ignore[arg-type]
+            self.now + (lasts or asked.expiry),
+            **more,
+        )  # type: ignore[arg-type]
         self.loop.at(self.now)
         self.loop.arrive(txn)
         self.loop.turn()
--- a/tests/measures/trouble.py
+++ b/tests/measures/trouble.py
@@ -33,7 +33,9 @@
         part.rename(Path(setting.folder) / name)
 
     if setting.how == "a moment":  # it ends by itself, a little later
-        subprocess.Popen([sys.executable, "-c", "import sys; sys.stdin.read()"], stdin=subprocess.PIPE)  # until ours closes
+        subprocess.Popen(
+            [sys.executable, "-c", "import sys; sys.stdin.read()"], stdin=subprocess.PIPE
+        )  # until ours closes
     elif setting.how:
         for name, apart in (("child", False), ("apart", True)):  # apart: in a session of its own
             told(name, subprocess.Popen(STAYS, start_new_session=apart).pid)
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -27,8 +27,9 @@
 
     def __init__(self, *names, bytes_=24_000):
         self.now = 0
-        self.all = {name: Carry(name, 7, "f", KEY, Purse(bytes_, 60, 0), SECOND, Random(name), 0)
-                    for name in names}
+        self.all = {
+            name: Carry(name, 7, "f", KEY, Purse(bytes_, 60, 0), SECOND, Random(name), 0) for name in names
+        }
         for one in self.all.values():
             for name in names:
                 one.joined(name, 7, name)
@@ -200,7 +201,8 @@
     """Three members, one that writes two topics and begins anew: compared, passed on, lost, doubled, late."""
 
     def test_nothing_is_lacked_up_to_what_was_seen_and_no_old_life_shown_in_every_world_within_six_steps(
-            self):
+        self,
+    ):
         count = check_carry.check(6)
         print(f"carry: {count} worlds to depth 6", flush=True)
         self.assertGreater(count, 20_000)
@@ -213,6 +215,7 @@
             origin = self.origins.get(delta.name)
             if origin is not None and origin.life == delta.life:
                 origin.seen = max(origin.seen, delta.upto)
+
         for name, instead in (("_take", over_gaps), ("_life", mutants._all_lives)):
             with self.subTest(name), mock.patch.object(Carry, name, instead), self.assertRaises(Exceeded):
                 check_carry.check(5)
@@ -294,8 +297,9 @@
         b.lent("r", Lend("a", 1, "b", 1, want.number, 2, 10 * SECOND), now)
         b.out.clear()
         b.leave(now + 1)
-        self.assertEqual(([(to, back.number) for to, _, back in b.out], b.free("r", now + 2)),
-                         ([("a", want.number)], 5))
+        self.assertEqual(
+            ([(to, back.number) for to, _, back in b.out], b.free("r", now + 2)), ([("a", want.number)], 5)
+        )
 
     def test_who_hears_nobody_for_a_lease_says_so_once_and_when_it_is_over(self):
         one, now = self.limiter(4)
@@ -306,7 +310,6 @@
         one.wake(now + SECOND)
         self.assertEqual([note.what for note in one.notes], ["alone", "back"])
 
-
     def test_a_limiter_whose_name_is_anothers_too_uses_and_lends_nothing_more(self):
         one, now = self.limiter(6, 30 * SECOND)
         one.close()
@@ -317,13 +320,17 @@
         from pathsaddle.charter.check import Faulty, check
         from pathsaddle.charter.fellows import equal_part
         from pathsaddle.charter.form import Fleet
+
         base = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:3"}
         check(Fleet, {**base, "budgets": {"repeats": 30}, "parts": {"repeats": 12}}, "x")
-        for wrong, word in (({"budgets": {"a b": 1}}, '"a b" stands there'),
-                            ({"budgets": {"a": 0}}, "at least 1"),
-                            ({"budgets": {"a": 3}, "parts": {"a": 4}}, "at most budgets.a (3)"),
-                            ({"budgets": {"a": 3}, "parts": {"b": 1}}, "a name of budgets (a)"),
-                            ({"lease": "1s"}, "write 2s to 10min"), ({"budgets": {f"b{n}": 1 for n in range(17)}}, "write 16 budgets at most")):
+        for wrong, word in (
+            ({"budgets": {"a b": 1}}, '"a b" stands there'),
+            ({"budgets": {"a": 0}}, "at least 1"),
+            ({"budgets": {"a": 3}, "parts": {"a": 4}}, "at most budgets.a (3)"),
+            ({"budgets": {"a": 3}, "parts": {"b": 1}}, "a name of budgets (a)"),
+            ({"lease": "1s"}, "write 2s to 10min"),
+            ({"budgets": {f"b{n}": 1 for n in range(17)}}, "write 16 budgets at most"),
+        ):
             with self.assertRaises(Faulty) as caught:
                 check(Fleet, {**base, **wrong}, "x")
             self.assertIn(word, str(caught.exception))
@@ -335,8 +342,17 @@
 
     def told(self, length):
         names = [f"{n:02d}".ljust(length, "x") for n in range(16)]
-        one = Shared("a", 1, "f", KEY, Purse(24_000, 60, 0), SECOND,
-                     {name: Dealt(200, 20 + n, 10 * SECOND) for n, name in enumerate(names)}, Random(1), 0)
+        one = Shared(
+            "a",
+            1,
+            "f",
+            KEY,
+            Purse(24_000, 60, 0),
+            SECOND,
+            {name: Dealt(200, 20 + n, 10 * SECOND) for n, name in enumerate(names)},
+            Random(1),
+            0,
+        )
         one.wake(60 * SECOND)  # long after its start, when all that may be lent is free
         body = one.carry.mine.records[SPARE].body
         self.assertLessEqual(len(body), BODY)
@@ -346,7 +362,7 @@
         names, told, untold = self.told(32)
         self.assertEqual(len(told) + untold, 16)
         self.assertGreaterEqual(len(told), 10)
-        self.assertEqual(set(told), set(names[-len(told):]))
+        self.assertEqual(set(told), set(names[-len(told) :]))
         self.assertEqual(told[names[-1]], 18)  # half of 35
 
     def test_names_that_have_room_are_all_told(self):
@@ -390,14 +406,23 @@
 
         def whole(ground):
             del ground.cuts[1]
+
         ground, _ = self.play(self.calm(6, 1, seconds=90, hot=1.0), (10, cut), (70, whole))
-        apart = {e.more["who"] for e in ground.events.rows if e.what == "share.spend"
-                 and 30 * SECOND < e.at < 70 * SECOND}
+        apart = {
+            e.more["who"]
+            for e in ground.events.rows
+            if e.what == "share.spend" and 30 * SECOND < e.at < 70 * SECOND
+        }
         self.assertEqual(apart, {f"d{n}" for n in range(6)})
 
     def test_a_way_is_cut_one_way_while_units_are_lent(self):
-        self.play(self.calm(4, 2, lease=2.0), *((at, lambda ground, n=at: ground.strike(
-            "cut one way", ground.places[n % 4], 2 * SECOND)) for at in range(6, 28, 3)))
+        self.play(
+            self.calm(4, 2, lease=2.0),
+            *(
+                (at, lambda ground, n=at: ground.strike("cut one way", ground.places[n % 4], 2 * SECOND))
+                for at in range(6, 28, 3)
+            ),
+        )
 
     def test_owners_are_killed_after_sending_takers_before_their_time(self):
         for who in (self.kill_of_owners, self.kill_of_takers):
@@ -408,13 +433,16 @@
         def die(ground):
             for place in ground.places[1:]:
                 ground.kill(place)
+
         ground, _ = self.play(self.calm(5, 4, lease=2.0), (10, die))
         self.assertEqual(
-            ground.places[0].shared.limiter.budgets[BUDGET].state.usable(ground.places[0].clock()), 20)
+            ground.places[0].shared.limiter.budgets[BUDGET].state.usable(ground.places[0].clock()), 20
+        )
 
     def test_two_hundred_members_for_a_budget_of_ten(self):
-        ground, _ = self.play(self.calm(200, 5, rate=10, hot=0.02, seconds=20, lease=4.0, want=3.0,
-                                        quiet=True))
+        ground, _ = self.play(
+            self.calm(200, 5, rate=10, hot=0.02, seconds=20, lease=4.0, want=3.0, quiet=True)
+        )
         users = {e.more["who"] for e in ground.events.rows if e.what == "share.spend"}
         self.assertTrue(any(int(name[1:]) >= 10 for name in users), users)  # who has no part was lent one
 
@@ -426,21 +454,29 @@
                 ground.kill(ground.places[n])
                 plan.others[n] = 50
                 ground.at(ground.now + 1, ground.restart, ground.places[n], False)
+
         ground, _ = self.play(plan, (12, reread))
         late = [e for e in ground.events.rows if e.at > 15 * SECOND and e.what == "share.spend"]
-        self.assertLessEqual(max(sum(e.more["units"] for e in late if at <= e.at < at + SECOND)
-                                 for at in range(15 * SECOND, 29 * SECOND, SECOND // 2)), 50)
+        self.assertLessEqual(
+            max(
+                sum(e.more["units"] for e in late if at <= e.at < at + SECOND)
+                for at in range(15 * SECOND, 29 * SECOND, SECOND // 2)
+            ),
+            50,
+        )
 
     def test_a_partition_flaps_faster_than_any_repair(self):
         def flap(ground):
             if ground.cuts.pop(1, None) is None:
                 ground.cuts[1] = lambda one, other: (one < 3) != (other < 3)
             ground.at(ground.now + 3 * SECOND // 10, flap, ground)
+
         self.play(self.calm(6, 7, lease=2.0), (5, flap))
 
     def test_a_hundred_join_in_a_second(self):
-        ground, verdict = self.play(self.calm(5, 8, joiners=100, seconds=24, quiet=True, hot=0.05,
-                                              bytes=12_000))
+        ground, verdict = self.play(
+            self.calm(5, 8, joiners=100, seconds=24, quiet=True, hot=0.05, bytes=12_000)
+        )
         self.assertLessEqual(verdict.most_bytes, 12_000)
         self.assertEqual(len(ground.places[0].shared.carry.peers), 104)
 
