--- a/tests/test_charter.py
+++ b/tests/test_charter.py
@@ -44,17 +44,28 @@
         return [f"{fault.path}: {fault.text}" for fault in caught.exception.faults]
 
     def test_all_faults_are_told_at_once_with_the_nearest_key(self) -> None:
-        found = self.faults(GOOD.replace('"400ms"', '"400"') + 'vlaue = 3\n[limits]\nsockets = 3\nmemory = 7\n')
+        found = self.faults(
+            GOOD.replace('"400ms"', '"400"') + "vlaue = 3\n[limits]\nsockets = 3\nmemory = 7\n"
+        )
         self.assertEqual(len(found), 4)
-        self.assertIn("schemes[0].vlaue: no such key; the nearest known key is value; rename schemes[0].vlaue or take "
-                      "it out", found)
-        self.assertIn('schemes[0].sla: "400" stands there; write a duration such as "250ms" at schemes[0].sla', found)
-        self.assertIn("limits.sockets: 3 stands there; write a whole number at least 64 at limits.sockets", found)
+        self.assertIn(
+            "schemes[0].vlaue: no such key; the nearest known key is value; rename schemes[0].vlaue or take "
+            "it out",
+            found,
+        )
+        self.assertIn(
+            'schemes[0].sla: "400" stands there; write a duration such as "250ms" at schemes[0].sla', found
+        )
+        self.assertIn(
+            "limits.sockets: 3 stands there; write a whole number at least 64 at limits.sockets", found
+        )
         self.assertIn('limits.memory: 7 stands there; write a size such as "64MiB" at limits.memory', found)
 
     def test_what_is_missing_or_no_toml_or_not_there(self) -> None:
-        self.assertIn('discovery: is missing; write an address such as "127.0.0.1:8080" at discovery',
-                      self.faults('listen = "a:1"\n'))
+        self.assertIn(
+            'discovery: is missing; write an address such as "127.0.0.1:8080" at discovery',
+            self.faults('listen = "a:1"\n'),
+        )
         self.assertIn("is not TOML: ", self.faults("listen = ")[0])
         self.path.unlink()
         with self.assertRaises(Faulty):
@@ -66,8 +77,9 @@
             self.assertIs(birth(json.dumps(told(read(self.path)))).terms.dropped_stay_open, open_)
 
     def test_what_contradicts_itself(self) -> None:
-        self.assertIn("a referenced scheme needs a window", self.faults(
-            GOOD.replace("once-only", "referenced"))[0])
+        self.assertIn(
+            "a referenced scheme needs a window", self.faults(GOOD.replace("once-only", "referenced"))[0]
+        )
         self.assertIn("less than dispatchers", self.faults("number = 1\n" + GOOD)[0])
         self.assertIn("it names no port", self.faults(GOOD.replace("127.0.0.1:8080", "here"))[0])
         self.assertIn("stands there twice", self.faults(GOOD + GOOD[GOOD.index("[[") :])[0])
@@ -84,10 +96,23 @@
     def test_both_roads_lead_to_the_same_birth(self) -> None:
         self.path.write_text(GOOD)
         one = birth(json.dumps(told(read(self.path))))
-        settings = {"Azs": ["here"], "Discovery": "subscribe", "Period": 2_000_000, "Schemes": [
-            {"Name": "charge", "Semantics": "unsafe", "SlaTime": 400_000_000, "Expiry": 8_000_000_000,
-             "Value": 1.0}]}
-        other = birth(json.dumps({"listen": "127.0.0.1:8080", "discovery": "127.0.0.1:9090", "settings": settings}))
+        settings = {
+            "Azs": ["here"],
+            "Discovery": "subscribe",
+            "Period": 2_000_000,
+            "Schemes": [
+                {
+                    "Name": "charge",
+                    "Semantics": "unsafe",
+                    "SlaTime": 400_000_000,
+                    "Expiry": 8_000_000_000,
+                    "Value": 1.0,
+                }
+            ],
+        }
+        other = birth(
+            json.dumps({"listen": "127.0.0.1:8080", "discovery": "127.0.0.1:9090", "settings": settings})
+        )
         self.assertEqual((one.listen, one.discovery), (other.listen, other.discovery))
         a, b = one.terms.schemes[0], other.terms.schemes[0]
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (Semantics.ONCE_ONLY, 4000, 80_000))
@@ -102,18 +127,25 @@
             with self.assertRaises(Faulty):
                 ground.moved()
             self.assertEqual(ground.charter.discovery, "127.0.0.1:9090", "a broken file changes nothing")
-            self.path.write_text(GOOD.replace("9090", "9091").replace("8080", "8081").replace("400ms", "401ms")
-                                 + '[log]\nlevel = "WARNING"\n[limits]\nsockets = 128\n')
+            self.path.write_text(
+                GOOD.replace("9090", "9091").replace("8080", "8081").replace("400ms", "401ms")
+                + '[log]\nlevel = "WARNING"\n[limits]\nsockets = 128\n'
+            )
             self.assertEqual(ground.moved(), "127.0.0.1:9091")
-            self.assertEqual([call.kwargs["key"] for call in stays.call_args_list], ["listen", "limits.sockets"])
+            self.assertEqual(
+                [call.kwargs["key"] for call in stays.call_args_list], ["listen", "limits.sockets"]
+            )
             self.assertEqual((ground.charter.schemes[0].sla, ground.charter.limits.sockets), (4010, 1024))
             opened.assert_called_once_with("WARNING", "text")
         self.assertIn('"127.0.0.1:8080"', ground.told())
 
     def test_the_pages_are_what_explain_prints(self) -> None:
-        for said, page in ((explained(explain(Charter), IN_SERVICE), "charter.md"), (explained(explain(plan.Plan)), "plan.md"),
-                           (explained(explain(scale.Plan)), "plan.md"),
-                           (explained(explain(capacity.Target)), "scale.md")):
+        for said, page in (
+            (explained(explain(Charter), IN_SERVICE), "charter.md"),
+            (explained(explain(plan.Plan)), "plan.md"),
+            (explained(explain(scale.Plan)), "plan.md"),
+            (explained(explain(capacity.Target)), "scale.md"),
+        ):
             self.assertIn(said, (ROOT / "docs" / page).read_text(), f"docs/{page} is old")
 
     def test_the_example_is_good(self) -> None:
@@ -121,8 +153,11 @@
 
     def test_the_catalogue_of_log_lines_and_the_page_for_those_on_call_agree(self) -> None:
         page = (ROOT / "docs/on-call.md").read_text().partition("## The log")[2].partition("###")[0]
-        rows = {line.split("|")[1].strip().strip("`"): line.split("|")[2].strip()
-                for line in page.splitlines() if line.startswith("| `")}
+        rows = {
+            line.split("|")[1].strip().strip("`"): line.split("|")[2].strip()
+            for line in page.splitlines()
+            if line.startswith("| `")
+        }
         self.assertEqual(sorted(rows), sorted(logbook.CATALOGUE))
         for name, line in logbook.CATALOGUE.items():
             stem = line.text.partition("{")[0].strip()
@@ -132,8 +167,11 @@
 
 
 class PlanStory(unittest.TestCase):
-    GOOD: ClassVar[dict[str, Any]] = {"name": "p", "seconds": 1, "charter": {"schemes": [
-        {"name": "a", "semantics": "repeatable", "expiry": "5s"}]}}
+    GOOD: ClassVar[dict[str, Any]] = {
+        "name": "p",
+        "seconds": 1,
+        "charter": {"schemes": [{"name": "a", "semantics": "repeatable", "expiry": "5s"}]},
+    }
 
     def faults(self, **more: object) -> str:
         with self.assertRaises(Faulty) as caught:
@@ -141,20 +179,27 @@
         return "\n".join(map(str, caught.exception.faults))
 
     def test_bad_plans_end_before_anything_starts(self) -> None:
-        self.assertIn('faults[0].at: "-3s" stands there; write a duration', self.faults(
-            faults=[{"kind": "freeze", "at": "-3s"}]))
-        self.assertIn("no worker is called so", self.faults(
-            faults=[{"kind": "freeze", "at": "1s", "of": "nobody"}]))
+        self.assertIn(
+            'faults[0].at: "-3s" stands there; write a duration',
+            self.faults(faults=[{"kind": "freeze", "at": "-3s"}]),
+        )
+        self.assertIn(
+            "no worker is called so", self.faults(faults=[{"kind": "freeze", "at": "1s", "of": "nobody"}])
+        )
         self.assertIn("one of freeze, crash", self.faults(faults=[{"kind": "frees", "at": "1s"}]))
         self.assertIn("either at or rate", self.faults(faults=[{"kind": "freeze"}]))
         self.assertIn("load.jobs.b: no such scheme", self.faults(load={"jobs": {"b": {}}}))
-        self.assertIn("variants[0]: reach.conect: no such key; the nearest known key is connect", self.faults(
-            variants=[{"name": "v", "charter": {"reach": {"conect": "1s"}}}]))
+        self.assertIn(
+            "variants[0]: reach.conect: no such key; the nearest known key is connect",
+            self.faults(variants=[{"name": "v", "charter": {"reach": {"conect": "1s"}}}]),
+        )
         self.assertIn("seeds", self.faults(seeds="9..3"))
 
     def test_plans_that_are_here_are_good(self) -> None:
         for path in (ROOT / "experiments").glob("*.toml"):
-            if "charter" in load(path):  # what has none is the plan of a ground of its own, checked where it is played
+            if "charter" in load(
+                path
+            ):  # what has none is the plan of a ground of its own, checked where it is played
                 plan.read(path)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -20,8 +20,18 @@
 from pathsaddle.experiment.keep import Result, Store
 
 ROOT = Path(__file__).parent.parent
-HEAVY = ("click", "rich", "msgspec", "hdrh", "numpy", "matplotlib", "pathsaddle.cli", "pathsaddle.charter",
-         "pathsaddle.emulator", "pathsaddle.experiment")
+HEAVY = (
+    "click",
+    "rich",
+    "msgspec",
+    "hdrh",
+    "numpy",
+    "matplotlib",
+    "pathsaddle.cli",
+    "pathsaddle.charter",
+    "pathsaddle.emulator",
+    "pathsaddle.experiment",
+)
 LOOKS = f"""
 import runpy, sys
 sys.argv = ["x"]
@@ -45,8 +55,14 @@
 
 
 def pathsaddle(*told: str, cwd: Path = ROOT, **more: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "pathsaddle", *told], cwd=cwd, capture_output=True, text=True,
-                          check=False, env={**os.environ, "PYTHONPATH": str(ROOT), **more})
+    return subprocess.run(
+        [sys.executable, "-m", "pathsaddle", *told],
+        cwd=cwd,
+        capture_output=True,
+        text=True,
+        check=False,
+        env={**os.environ, "PYTHONPATH": str(ROOT), **more},
+    )
 
 
 class CommandStory(unittest.TestCase):
@@ -62,8 +78,13 @@
 
     def test_the_platforms_program_loads_nothing_of_the_command_line(self) -> None:
         done = subprocess.run(
-            [sys.executable, "-c", LOOKS], cwd=ROOT, capture_output=True, text=True, check=False,
-            env={name: value for name, value in os.environ.items() if name != "GW_CONFIG"})
+            [sys.executable, "-c", LOOKS],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+            env={name: value for name, value in os.environ.items() if name != "GW_CONFIG"},
+        )
         self.assertEqual(done.stdout.strip(), "2")
         self.assertIn("GW_CONFIG does not say where the configuration is", done.stderr)
 
@@ -74,11 +95,18 @@
         bad = self.file("listen = 3\n")
         done = pathsaddle("serve", bad)
         self.assertEqual(done.returncode, 2)
-        self.assertEqual(done.stderr.splitlines()[0], f'{bad}: listen: 3 stands there; write an address such as '
-                         '"127.0.0.1:8080" at listen [charter.wrong-kind]')
-        done = pathsaddle("serve", self.file(
-            'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\njobs = { path = "/nowhere/x.db" }\n'
-            '[[schemes]]\nname = "a"\nsemantics = "repeatable"\nexpiry = "5s"\n'))
+        self.assertEqual(
+            done.stderr.splitlines()[0],
+            f"{bad}: listen: 3 stands there; write an address such as "
+            '"127.0.0.1:8080" at listen [charter.wrong-kind]',
+        )
+        done = pathsaddle(
+            "serve",
+            self.file(
+                'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\njobs = { path = "/nowhere/x.db" }\n'
+                '[[schemes]]\nname = "a"\nsemantics = "repeatable"\nexpiry = "5s"\n'
+            ),
+        )
         self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
         self.assertIn("jobs.path: /nowhere/x.db", done.stderr)
         done = pathsaddle("experiment", "run", self.file(SMALL + '[[faults]]\nkind = "crash"\nat = "-1s"\n'))
@@ -94,10 +122,26 @@
 
     def test_a_run_that_was_stopped_midway_goes_on_where_it_was(self) -> None:
         path = self.file(SMALL.replace("seconds = 4", "seconds = 120").replace("1..6", "1..4"))
-        told = [sys.executable, "-m", "pathsaddle", "experiment", "run", path, "--folder", str(self.folder),
-                "--jobs", "1"]
-        running = subprocess.Popen(told, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-                                   env={**os.environ, "PYTHONPATH": str(ROOT)})
+        told = [
+            sys.executable,
+            "-m",
+            "pathsaddle",
+            "experiment",
+            "run",
+            path,
+            "--folder",
+            str(self.folder),
+            "--jobs",
+            "1",
+        ]
+        running = subprocess.Popen(
+            told,
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+        )
         store = Store(self.folder / "small.jsonl")
         while not store.read() and running.poll() is None:
             asyncio.run(asyncio.sleep(0.05))
@@ -125,10 +169,14 @@
         def work(task: run.Task) -> Any:
             with self.assertRaises(httptools.HttpParserError):
                 httptools.HttpRequestParser(Swallows()).feed_data(b"GET / HTTP/1.1\r\n\r\n")
+
         whole = run.Run(plans.read(self.file(SMALL)), Store(self.folder / "small.jsonl"), jobs=1)
         before, ended = signal.getsignal(signal.SIGINT), []
-        with mock.patch.object(run, "_work", work), mock.patch.object(
-                run.Run, "_ended", lambda _, i, *more: ended.append(i)), self.assertRaises(KeyboardInterrupt):
+        with (
+            mock.patch.object(run, "_work", work),
+            mock.patch.object(run.Run, "_ended", lambda _, i, *more: ended.append(i)),
+            self.assertRaises(KeyboardInterrupt),
+        ):
             whole.go()
         self.assertEqual(ended, [0])
         self.assertIs(signal.getsignal(signal.SIGINT), before)
@@ -138,6 +186,7 @@
         def run(commit: str) -> subprocess.CompletedProcess[str]:
             path = self.file(SMALL + f'[[variants]]\nname = "then"\ncommit = "{commit}"\n')
             return pathsaddle("experiment", "run", path, "--seeds", "1", "--folder", str(self.folder))
+
         done = run("HEAD")
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
         self.assertIn("then: 1 runs", done.stdout)
@@ -149,19 +198,41 @@
         events = self.folder / "events"
         done = pathsaddle("emulate", path, "--events", str(events))
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
-        wanted = [row["more"]["work"] for row in map(json.loads, events.read_text().splitlines())
-                  if row["what"] == "wanted"]
+        wanted = [
+            row["more"]["work"]
+            for row in map(json.loads, events.read_text().splitlines())
+            if row["what"] == "wanted"
+        ]
         self.assertEqual(wanted, [1000, 20_000, 500])
 
     def test_compare_pairs_by_seed_and_a_loss_is_a_finding(self) -> None:
         def results(path: Path, value: float) -> str:
             for seed in range(1, 9):
                 row = {"jobs": 100, "settled": 90, "p50": 10.0, "p99": 20.0}
-                Store(path).add(Result(plan="p", digest="", variant="base", seed=seed, ground="virtual", commit="",
-                                       machine="", when="", took=0.0, events="", verdict={
-                                           "part": value + seed / 100, "whole": row, "tries": 100, "declines": 0,
-                                           "postings": 100, "findings": []}))
+                Store(path).add(
+                    Result(
+                        plan="p",
+                        digest="",
+                        variant="base",
+                        seed=seed,
+                        ground="virtual",
+                        commit="",
+                        machine="",
+                        when="",
+                        took=0.0,
+                        events="",
+                        verdict={
+                            "part": value + seed / 100,
+                            "whole": row,
+                            "tries": 100,
+                            "declines": 0,
+                            "postings": 100,
+                            "findings": [],
+                        },
+                    )
+                )
             return str(path)
+
         a, b = results(self.folder / "a.jsonl", 0.8), results(self.folder / "b.jsonl", 0.7)
         found = compare(choose(a), choose(b))[0]
         self.assertAlmostEqual(found.mean, -0.1)
@@ -181,12 +252,22 @@
     async def test_serve_by_a_charter_logs_as_json_rereads_and_ends(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "charter.toml"
-            text = ('listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\n[[schemes]]\nname = "a"\n'
-                    'semantics = "repeatable"\nexpiry = "5s"\n')
+            text = (
+                'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\n[[schemes]]\nname = "a"\n'
+                'semantics = "repeatable"\nexpiry = "5s"\n'
+            )
             path.write_text(text)
             program = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "pathsaddle", "serve", str(path), "--log-form", "json", cwd=ROOT,
-                stderr=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-m",
+                "pathsaddle",
+                "serve",
+                str(path),
+                "--log-form",
+                "json",
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
+            )
             self.addCleanup(lambda: program.returncode is None and program.kill())
             assert program.stderr is not None
             lines = []
@@ -198,6 +279,7 @@
                     lines.append(line)
                     if line["event"] == event:
                         return dict(line)
+
             await until("serving")
             path.write_text("broken = ")
             program.send_signal(signal.SIGHUP)
@@ -206,7 +288,9 @@
             program.send_signal(signal.SIGHUP)
             self.assertEqual((await until("stays"))["key"], "seed")
             self.assertEqual((await until("reread"))["discovery"], "127.0.0.1:10")
-            self.assertEqual([line["key"] for line in lines if line["event"] == "stays"], ["seed"], "the expiry changes")
+            self.assertEqual(
+                [line["key"] for line in lines if line["event"] == "stays"], ["seed"], "the expiry changes"
+            )
             program.send_signal(signal.SIGINT)
             told = await until("stopped")
             self.assertEqual((told["unanswered"], told["text"]), (0, "stopped unanswered=0"))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -30,8 +30,10 @@
 
 
 def job(tag: str, within: int = 5000, more: bytes = b"") -> bytes:
-    return (b"POST /render HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n%s"
-            b"Content-Length: 0\r\n\r\n" % (tag.encode(), within, more))
+    return (
+        b"POST /render HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n%s"
+        b"Content-Length: 0\r\n\r\n" % (tag.encode(), within, more)
+    )
 
 
 class Hooked(Tallied):
@@ -61,16 +63,20 @@
 
     async def asyncSetUp(self) -> None:
         Hooked.hook = None
-        hooked = mock.patch.object(front_module, "tallied", lambda given: Hooked(
-            given.family, given.type, given.proto, fileno=given.detach()))
+        hooked = mock.patch.object(
+            front_module,
+            "tallied",
+            lambda given: Hooked(given.family, given.type, given.proto, fileno=given.detach()),
+        )
         hooked.start()
         self.addCleanup(hooked.stop)
         self.posted: list[bytes] = []
         self.counters, clock = Counters(), Clock()
         known = terms.terms(SETTINGS)
         self.workers = Workers(Reach(2000, 60_000), 8, clock, self.counters)
-        self.service = TxnService(known, Words(SETTINGS, known), 7, clock, self.workers, self.counters,
-                                  lambda: None)
+        self.service = TxnService(
+            known, Words(SETTINGS, known), 7, clock, self.workers, self.counters, lambda: None
+        )
         self.address = await self.peer(self.silent)
         self.listed()
         self.front = Front("127.0.0.1:0", 20, Room(20, 100_000), self.service, clock, self.counters)
@@ -85,8 +91,9 @@
         except asyncio.CancelledError:
             pass  # the story has ended
 
-    async def client(self, data: bytes = b"",
-                     room: int | None = None) -> tuple[socket.socket, ClientConnection]:
+    async def client(
+        self, data: bytes = b"", room: int | None = None
+    ) -> tuple[socket.socket, ClientConnection]:
         """A client's bare socket, with room for so many bytes that it has not read, and our side of it."""
         sock = socket.socket()
         self.addCleanup(sock.close)
@@ -96,7 +103,7 @@
         before = set(self.front.connections)
         await self.events.sock_connect(sock, self.front.sock.getsockname())
         await self.until(lambda: bool(set(self.front.connections) - before))
-        connection, = set(self.front.connections) - before
+        (connection,) = set(self.front.connections) - before
         if data:
             await self.events.sock_sendall(sock, data)
         return sock, connection
@@ -150,7 +157,9 @@
         with mock.patch.object(front_module, "COMES", 0):
             self.front.sweep()
 
-    async def test_a_call_that_the_kernel_has_handed_over_is_served_whatever_would_close_its_connection(self) -> None:
+    async def test_a_call_that_the_kernel_has_handed_over_is_served_whatever_would_close_its_connection(
+        self,
+    ) -> None:
         for why, close in self.closes().items():
             with self.subTest(why):
                 sock, connection = await self.resting()
@@ -159,7 +168,9 @@
                 self.assertIn(b" 200 ", await self.answer(sock))
                 self.assertIsNone(connection.code)
 
-    async def test_a_call_that_lies_unread_in_the_kernel_is_served_whatever_would_close_its_connection(self) -> None:
+    async def test_a_call_that_lies_unread_in_the_kernel_is_served_whatever_would_close_its_connection(
+        self,
+    ) -> None:
         for why, close in self.closes().items():
             with self.subTest(why):
                 sock, connection = await self.resting()
@@ -168,7 +179,9 @@
                 self.assertIn(b" 200 ", await self.answer(sock))
                 self.assertIsNone(connection.code)
 
-    async def test_a_first_call_that_came_while_we_stood_still_is_served_and_drops_put_nothing_off(self) -> None:
+    async def test_a_first_call_that_came_while_we_stood_still_is_served_and_drops_put_nothing_off(
+        self,
+    ) -> None:
         sock, _ = await self.client()
         sock.sendall(READY)
         self.sweep()
@@ -195,13 +208,16 @@
 class GoneStory(Clients):
     """Clients that leave, or say their last, while something of theirs waits."""
 
-    async def test_one_that_leaves_behind_a_full_buffer_is_seen_to_go_and_nothing_more_of_it_is_taken(self) -> None:
+    async def test_one_that_leaves_behind_a_full_buffer_is_seen_to_go_and_nothing_more_of_it_is_taken(
+        self,
+    ) -> None:
         sock, connection = await self.client(job("a") + b"".join(job(f"b{i}") for i in range(50)))
         await self.until(lambda: self.counters["posting.sent"] == 1 and connection.inward.full)
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
-        self.assertEqual((connection.code, self.counters["txn.taken"], self.counters["posting"]),
-                         ("hung-up", 1, 1))
+        self.assertEqual(
+            (connection.code, self.counters["txn.taken"], self.counters["posting"]), ("hung-up", 1, 1)
+        )
 
     async def test_what_is_too_much_behind_a_waiting_call_is_dropped_and_the_answer_says_so(self) -> None:
         sock, connection = await self.client()
@@ -250,7 +266,9 @@
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
         self.assertEqual(self.counters["posting.sent"], 0)
 
-    async def test_a_call_behind_an_answered_one_is_not_sent_on_where_the_client_has_gone_by_then(self) -> None:
+    async def test_a_call_behind_an_answered_one_is_not_sent_on_where_the_client_has_gone_by_then(
+        self,
+    ) -> None:
         sock, connection = await self.client(job("a") + job("b"))
         await self.until(lambda: self.counters["posting.sent"] == 1)
         sock.close()
@@ -290,7 +308,9 @@
         came = await self.answer(sock)
         while came.count(b"HTTP/1.1") < 2:
             came += await self.answer(sock)
-        self.assertEqual([part.split(b"\r\n")[0] for part in came.split(b"HTTP/1.1 ")], [b"", b"200 OK", b"200 OK"])
+        self.assertEqual(
+            [part.split(b"\r\n")[0] for part in came.split(b"HTTP/1.1 ")], [b"", b"200 OK", b"200 OK"]
+        )
         self.assertNotIn(b"second", came)
 
 
@@ -376,7 +396,9 @@
 
 
 class FloodStory(Clients):
-    async def test_one_that_calls_and_calls_and_reads_nothing_costs_no_memory_and_is_served_as_it_reads(self) -> None:
+    async def test_one_that_calls_and_calls_and_reads_nothing_costs_no_memory_and_is_served_as_it_reads(
+        self,
+    ) -> None:
         many = 20_000
         sock, connection = await self.client(room=10_000)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 10_000)
@@ -413,11 +435,15 @@
             pool.used += 1
             taken.append(pool)
             self.assertLessEqual(self.workers.links.count + len(self.front.connections), self.front.free)
-        self.assertEqual([connection.code for connection in resting], ["room"] * 4 + [None] * 4,
-                         "the longest idle ones went")
+        self.assertEqual(
+            [connection.code for connection in resting],
+            ["room"] * 4 + [None] * 4,
+            "the longest idle ones went",
+        )
         told = b'{"id":"a","from":"w","state":"started"}'
         sock, connection = await self.client(
-            b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told))
+            b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told)
+        )
         self.assertIn(b" 204 ", await self.answer(sock))
         self.assertTrue(connection.worker)
         self.assertLessEqual(self.workers.links.count + len(self.front.connections), self.front.free)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -75,9 +75,16 @@
     def __init__(self, seed: int, many: int, hinted: bool, busy: float = 3.0) -> None:
         self.chance = chance = Random(f"{seed} {many} {hinted}")
         self.many, self.hinted = many, hinted
-        self.bears = Bears(chance.choice((2.5, 3.0, 4.0)), chance.uniform(0.18, 0.4), 9 * SECOND, 2 * SECOND,
-                           chance.choice((1.0, 2.0, 4.0)))
-        self.known = chance.random() < 0.5  # by its name from before: it has come back, and some don't know yet
+        self.bears = Bears(
+            chance.choice((2.5, 3.0, 4.0)),
+            chance.uniform(0.18, 0.4),
+            9 * SECOND,
+            2 * SECOND,
+            chance.choice((1.0, 2.0, 4.0)),
+        )
+        self.known = (
+            chance.random() < 0.5
+        )  # by its name from before: it has come back, and some don't know yet
         self.lots = [chance.randrange(10_000) for _ in range(2)]
         self.log: list[Sent] = []
         self.due: list[tuple[int, int, str, int, object]] = []
@@ -118,9 +125,16 @@
         """One that has had a few jobs of its own, on a worker that then goes."""
         bears = self.bears
         host = FakeHost(
-            scheme(sla_time=6 * SECOND, expiry=20 * SECOND), workers=1, dispatchers=self.many, number=number,
-            seed=self.chance.randrange(1 << 30), cold_share=bears.share, cold_time=bears.ramp,
-            fall_multiple=bears.multiple, fall_time=bears.span)
+            scheme(sla_time=6 * SECOND, expiry=20 * SECOND),
+            workers=1,
+            dispatchers=self.many,
+            number=number,
+            seed=self.chance.randrange(1 << 30),
+            cold_share=bears.share,
+            cold_time=bears.ramp,
+            fall_multiple=bears.multiple,
+            fall_time=bears.span,
+        )
         begun = host.now
         for n in range(2 + min(10, int(self.chance.expovariate(0.2))) if ago else 0):
             work = self.work()
@@ -162,18 +176,25 @@
                 host.loop.woken()
                 host.loop.turn()
             elif isinstance(of, Posting) and of in host.posted:
-                host.end(of, Outcome.RESET if what == "breaks" else Outcome.SETTLED,
-                         report=idle(self.bears.slots) if what == "ends" else None)
+                host.end(
+                    of,
+                    Outcome.RESET if what == "breaks" else Outcome.SETTLED,
+                    report=idle(self.bears.slots) if what == "ends" else None,
+                )
             self.sees(at, number, host)
         return self
 
     def sees(self, at: int, number: int, host: FakeHost) -> None:
-        for posting in host.posted[self.logged[number]:]:
+        for posting in host.posted[self.logged[number] :]:
             work = self.jobs[posting.txn.tag]
             self.log.append(Sent(at, posting.worker.tag, number, work, at >= self.told[number]))
             dice = self.chance.random()  # one in twenty breaks soon, one in thirty hangs for long
-            self.hold(at + (SECOND // 10 if dice < 0.05 else 5 * SECOND if dice < 0.08 else work), number,
-                      "breaks" if dice < 0.05 else "ends", posting)
+            self.hold(
+                at + (SECOND // 10 if dice < 0.05 else 5 * SECOND if dice < 0.08 else work),
+                number,
+                "breaks" if dice < 0.05 else "ends",
+                posting,
+            )
         self.logged[number] = len(host.posted)
 
 
--- a/tests/test_crossings_virtual.py
+++ b/tests/test_crossings_virtual.py
@@ -19,9 +19,12 @@
 FOUND = 5  # of the seeds that once found something: one of each way in which it came about, and the shortest
 PLAYED = 1  # others
 BASE: dict[str, Any] = {
-    "name": "twice", "seconds": 4,
-    "charter": {"zones": ["east"], "schemes": [
-        {"name": "look", "semantics": "repeatable", "sla": "2s", "expiry": "4s"}]},
+    "name": "twice",
+    "seconds": 4,
+    "charter": {
+        "zones": ["east"],
+        "schemes": [{"name": "look", "semantics": "repeatable", "sla": "2s", "expiry": "4s"}],
+    },
     "fleet": {"dispatchers": 1, "workers": [{"kind": "node", "count": 3, "slots": 4}]},
     "load": {"rate": 12, "jobs": {"look": {"run": ["200ms", "200ms"], "spread": 0, "hint": 0}}, "retries": 0},
 }
@@ -55,9 +58,16 @@
     def test_one_that_drops_what_it_has_when_told_to_end_is_found(self) -> None:
         async def at_once(self: Dispatcher) -> None:
             pass
-        told = plan.of({**BASE, "fleet": {**BASE["fleet"], "dispatchers": 2},
-                        "load": {**BASE["load"], "rate": 60}, "faults": [
-                            {"kind": "term", "of": "d0", "at": "2s", "for": "500ms"}]}, "story")
+
+        told = plan.of(
+            {
+                **BASE,
+                "fleet": {**BASE["fleet"], "dispatchers": 2},
+                "load": {**BASE["load"], "rate": 60},
+                "faults": [{"kind": "term", "of": "d0", "at": "2s", "for": "500ms"}],
+            },
+            "story",
+        )
         charter = plan.charter_of(told)
         self.assertEqual([f.text for f in judge_crossings(charter, stage.virtual(told, 1).events.rows)], [])
         with mock.patch.object(Dispatcher, "_finish", at_once):
@@ -69,12 +79,29 @@
 class SecondAnswers(unittest.TestCase):
     def test_a_worker_answers_a_posting_twice(self) -> None:
         for how in ("same", "decline", "taken"):
-            told = plan.of({**BASE, "faults": [{"kind": "second-answer", "how": how, "of": "node-*",
-                                                "at": "0ms", "for": "9s", "strength": 1.0}]}, "story")
+            told = plan.of(
+                {
+                    **BASE,
+                    "faults": [
+                        {
+                            "kind": "second-answer",
+                            "how": how,
+                            "of": "node-*",
+                            "at": "0ms",
+                            "for": "9s",
+                            "strength": 1.0,
+                        }
+                    ],
+                },
+                "story",
+            )
             rows = stage.virtual(told, 1).events.rows
             came = {row.more["id"]: row.at for row in rows if row.what == "came"}
-            late = [row.at - came[row.more["id"]] for row in rows
-                    if row.what == "said_again" and row.more["how"] == how]
+            late = [
+                row.at - came[row.more["id"]]
+                for row in rows
+                if row.what == "said_again" and row.more["how"] == how
+            ]
             with self.subTest(how):
                 self.assertGreater(len(late), 10)
                 self.assertTrue(all(10 <= ticks <= 300 for ticks in late), late)
@@ -89,13 +116,21 @@
     def test_a_withdrawal_whose_connection_broke_is_none(self) -> None:
         """Its last byte was written and a reset took it: the worker never heard, and a second copy went out beside
         the first where two at once are forbidden. Only its answer proves that it got there."""
-        given = {**BASE, "seconds": 8, "charter": {
-            **BASE["charter"], "allowed": {"two_at_once": False},
-            "reports": {"fields": ["x0", "queue"], "starts": True, "progress": "500ms"}},
+        given = {
+            **BASE,
+            "seconds": 8,
+            "charter": {
+                **BASE["charter"],
+                "allowed": {"two_at_once": False},
+                "reports": {"fields": ["x0", "queue"], "starts": True, "progress": "500ms"},
+            },
             "fleet": {"dispatchers": 1, "workers": [{"kind": "node", "count": 4, "slots": 4}]},
-            "load": {**BASE["load"], "rate": 60}, "faults": [
+            "load": {**BASE["load"], "rate": 60},
+            "faults": [
                 {"kind": "flap", "how": "hang", "of": "node-[01]", "at": "500ms", "for": "7s", "turn": "2s"},
-                {"kind": "reset", "at": "500ms", "for": "7s", "strength": 0.2}]}
+                {"kind": "reset", "at": "500ms", "for": "7s", "strength": 0.2},
+            ],
+        }
         told = plan.of(given, "story")
         for seed in (4, 6):
             rows = stage.virtual(told, seed).events.rows
@@ -107,10 +142,27 @@
 class DroppedRepeats(unittest.TestCase):
     def test_a_repeat_whose_202_breaks_off_is_out_no_more(self) -> None:
         """The dispatcher was told by a reset, and the log had that posting out to the end: `together`."""
-        told = plan.of({**BASE, "charter": {"zones": ["east"], "allowed": {"two_at_once": False}, "schemes": [
-            {"name": "look", "semantics": "referenced", "sla": "2s", "expiry": "4s", "window": "3s"}]},
-            "load": {**BASE["load"], "rate": 60},
-            "faults": [{"kind": "reset", "at": "0ms", "for": "9s", "strength": 0.3}]}, "story")
+        told = plan.of(
+            {
+                **BASE,
+                "charter": {
+                    "zones": ["east"],
+                    "allowed": {"two_at_once": False},
+                    "schemes": [
+                        {
+                            "name": "look",
+                            "semantics": "referenced",
+                            "sla": "2s",
+                            "expiry": "4s",
+                            "window": "3s",
+                        }
+                    ],
+                },
+                "load": {**BASE["load"], "rate": 60},
+                "faults": [{"kind": "reset", "at": "0ms", "for": "9s", "strength": 0.3}],
+            },
+            "story",
+        )
         rows = stage.virtual(told, 1).events.rows
         self.assertGreater(sum(row.what == "dropped_repeat" for row in rows), 5)
         self.assertEqual([f.text for f in judge(plan.charter_of(told), rows).findings], [])
@@ -120,15 +172,30 @@
     def test_two_cells_of_the_fleet_have_two_numbers(self) -> None:
         """They had one number in each zone and kind: whoever goes by the number took them for one group."""
         workers = [{"kind": "node", "count": 8, "cell": 2}, {"kind": "other", "count": 2}]
-        told = plan.of({**BASE, "charter": {**BASE["charter"], "zones": ["east", "west"]}, "seconds": 1,
-                        "fleet": {"dispatchers": 1, "workers": workers}}, "story")
+        told = plan.of(
+            {
+                **BASE,
+                "charter": {**BASE["charter"], "zones": ["east", "west"]},
+                "seconds": 1,
+                "fleet": {"dispatchers": 1, "workers": workers},
+            },
+            "story",
+        )
         cells: dict[int, list[str]] = {}
         for row in stage.virtual(told, 1).events.rows:
             if row.what == "worker":
                 cells.setdefault(row.more["cell"], []).append(row.more["name"])
-        self.assertEqual(sorted(cells.values()), [
-            ["node-0", "node-2"], ["node-1", "node-3"], ["node-4", "node-6"], ["node-5", "node-7"],
-            ["other-0"], ["other-1"]])
+        self.assertEqual(
+            sorted(cells.values()),
+            [
+                ["node-0", "node-2"],
+                ["node-1", "node-3"],
+                ["node-4", "node-6"],
+                ["node-5", "node-7"],
+                ["other-0"],
+                ["other-1"],
+            ],
+        )
 
 
 class JudgeStory(unittest.TestCase):
@@ -210,8 +277,18 @@
         self.asked("a", 900)
         self.add(1200, "hung_up", id="a", early=True)
         for at, rules in ((1200, []), (2210, ["after"])):
-            self.add(at, "came", id="a", worker="node-0", dispatcher=0, begun=at, work=100, slots=1.0,
-                     zone="east", cell=0)
+            self.add(
+                at,
+                "came",
+                id="a",
+                worker="node-0",
+                dispatcher=0,
+                begun=at,
+                work=100,
+                slots=1.0,
+                zone="east",
+                cell=0,
+            )
             self.assertEqual([finding.rule for finding in judge(self.charter, self.events).findings], rules)
 
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -7,20 +7,31 @@
 from pathsaddle.drill.codec import Malformed
 from pathsaddle.drill.stand import Stand
 
-TOLD = json.dumps({
-    "Balancers": 1, "Discovery": "automatic", "SomethingNew": {"x": 1}, "Period": 2000000,
-    "Limits": {"MaxPostings": 4, "MayDuplicate": True, "Cancelling": True},
-    "Obligations": {"DrainGrace": 500000000, "ColdShare": 0.3, "RampTime": 9000000000, "Fall": 2000000000,
-                    "FallMultiple": 4.0},
-    "Report": {"Fields": ["x0", "waiting", "active"], "Source": "answers"},
-    "Schemes": [{"Expiry": 10000000000, "SlaTime": 400000000, "Semantics": "safe", "Value": 1.0}]})
+TOLD = json.dumps(
+    {
+        "Balancers": 1,
+        "Discovery": "automatic",
+        "SomethingNew": {"x": 1},
+        "Period": 2000000,
+        "Limits": {"MaxPostings": 4, "MayDuplicate": True, "Cancelling": True},
+        "Obligations": {
+            "DrainGrace": 500000000,
+            "ColdShare": 0.3,
+            "RampTime": 9000000000,
+            "Fall": 2000000000,
+            "FallMultiple": 4.0,
+        },
+        "Report": {"Fields": ["x0", "waiting", "active"], "Source": "answers"},
+        "Schemes": [{"Expiry": 10000000000, "SlaTime": 400000000, "Semantics": "safe", "Value": 1.0}],
+    }
+)
 BORN = f"BORN 3 7 {TOLD}\nBACKENDS_CHANGED 3 C 1 1\nROW 1 - 0 0 0 Ready 10.0.0.1:5000\n"
 ASK = "ASK 3 r-a 0 - - 10000000000 - - - -\n"
 
 
 def play(*batches: str) -> str:
     sink = io.StringIO()
-    text = "".join(f"MARK {(n + 1) * 10 ** 9}\n{batch}GO\n" for n, batch in enumerate(batches))
+    text = "".join(f"MARK {(n + 1) * 10**9}\n{batch}GO\n" for n, batch in enumerate(batches))
     Stand(io.StringIO(text), sink).run()
     return sink.getvalue()
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -65,8 +65,10 @@
 GOOD = 'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\nname = "d"\n'
 SCHEME = '[[schemes]]\nname = "a"\nsemantics = "repeatable"\nexpiry = "5s"\n'
 FLEET = '[fleet]\nname = "f"\nkey = "sixteen bytes or more"\nlisten = "127.0.0.1:7"\n'
-PLAN = 'name = "p"\nseconds = 2\n[fleet]\ndispatchers = 1\n[charter]\n[[charter.schemes]]\nname = "a"\n' \
-       'semantics = "repeatable"\nexpiry = "2s"\n'
+PLAN = (
+    'name = "p"\nseconds = 2\n[fleet]\ndispatchers = 1\n[charter]\n[[charter.schemes]]\nname = "a"\n'
+    'semantics = "repeatable"\nexpiry = "2s"\n'
+)
 KEY = "sixteen bytes or more"
 KNOWN: set[str] = set()  # names that some story here has met, each by its cause
 RAN: set[str] = set()  # the stories that have run
@@ -106,8 +108,11 @@
 
     def command(self, *told: str) -> tuple[int, str]:
         said = io.StringIO()
-        with contextlib.redirect_stderr(said), contextlib.redirect_stdout(io.StringIO()), mock.patch.object(
-                sys, "argv", ["pathsaddle", *told]):
+        with (
+            contextlib.redirect_stderr(said),
+            contextlib.redirect_stdout(io.StringIO()),
+            mock.patch.object(sys, "argv", ["pathsaddle", *told]),
+        ):
             try:
                 code = main()
             except SystemExit as end:
@@ -120,8 +125,15 @@
         self.reads(said, name, *words)
 
     def process(self, *told: str, **more: str) -> tuple[int, str]:
-        done = subprocess.run([sys.executable, "-m", "pathsaddle", *told], cwd=ROOT, capture_output=True, text=True,
-                              check=False, timeout=60, env={**os.environ, **more})
+        done = subprocess.run(
+            [sys.executable, "-m", "pathsaddle", *told],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=60,
+            env={**os.environ, **more},
+        )
         return done.returncode, done.stderr
 
 
@@ -147,8 +159,19 @@
             folder = Path(row.disk)
             folder.mkdir(exist_ok=True)
             begins_register(folder, f"k{i}", form.voters.names)
-            told = SettingsTold(f"k{i}", "r", KEY.encode(), row.address, {name: one.address for name, one in form.keepers.items()},
-                                folder, f"keepers.k{i} in {ground}", 20_000, row.control, 200_000, 1000)
+            told = SettingsTold(
+                f"k{i}",
+                "r",
+                KEY.encode(),
+                row.address,
+                {name: one.address for name, one in form.keepers.items()},
+                folder,
+                f"keepers.k{i} in {ground}",
+                20_000,
+                row.control,
+                200_000,
+                1000,
+            )
             electorate = Electorate(form.voters.names, "f", KEY.encode(), 5000, form.voters.names[f"k{i}"])
             self.made.append(KeeperProcess(told, electorate, Random(i), lambda what, **more: None))
         self.up = dict.fromkeys(range(count), True)
@@ -178,19 +201,50 @@
 
 class CharterStory(Reading):
     CASES = (
-        (GOOD + SCHEME + FLEET.replace("sixteen bytes or more", "short"), "charter.too-short",
-         "fleet.key", "of 5 characters", "write 16 characters at least"),
-        (GOOD.replace("127.0.0.1:0", "x") + SCHEME, "charter.no-address", ": listen: ", '"x"', "names no port"),
+        (
+            GOOD + SCHEME + FLEET.replace("sixteen bytes or more", "short"),
+            "charter.too-short",
+            "fleet.key",
+            "of 5 characters",
+            "write 16 characters at least",
+        ),
+        (
+            GOOD.replace("127.0.0.1:0", "x") + SCHEME,
+            "charter.no-address",
+            ": listen: ",
+            '"x"',
+            "names no port",
+        ),
         (GOOD.replace("127.0.0.1:0", "1.2.3:4") + SCHEME, "charter.no-address", "no IPv4 address"),
         (GOOD.replace("127.0.0.1:0", "a:66000") + SCHEME, "charter.no-address", "no port of 0 to 65535"),
         (GOOD.replace("127.0.0.1:0", "::1:80") + SCHEME, "charter.no-address", "in brackets"),
-        (GOOD + SCHEME + FLEET.replace("127.0.0.1:7", "[::1]:7"), "charter.no-address", "fleet.listen", "IPv4"),
-        (GOOD + SCHEME + FLEET + 'seeds = ["10.0.0.1:7", "y"]\n', "charter.no-address", "fleet.seeds[1]", '"y"'),
-        (GOOD + SCHEME + FLEET + 'control = "10.0.0.1:7"\n', "charter.not-loopback", "fleet.control", "127.0.0.1"),
+        (
+            GOOD + SCHEME + FLEET.replace("127.0.0.1:7", "[::1]:7"),
+            "charter.no-address",
+            "fleet.listen",
+            "IPv4",
+        ),
+        (
+            GOOD + SCHEME + FLEET + 'seeds = ["10.0.0.1:7", "y"]\n',
+            "charter.no-address",
+            "fleet.seeds[1]",
+            '"y"',
+        ),
+        (
+            GOOD + SCHEME + FLEET + 'control = "10.0.0.1:7"\n',
+            "charter.not-loopback",
+            "fleet.control",
+            "127.0.0.1",
+        ),
         (GOOD + SCHEME + FLEET.replace("127.0.0.1:7", "0.0.0.0:7"), "charter.not-reached", "fleet.address"),
         (GOOD + SCHEME + FLEET + 'patience = "600ms"\n', "charter.patience", '"600ms"', "half of the beat"),
         (GOOD.replace('name = "d"', "dispatchers = 2") + SCHEME + FLEET, "charter.needs-name", "at name"),
-        (GOOD + SCHEME.replace("repeatable", "referenced"), "charter.needs-window", "schemes[0].window", '"6s"'),
+        (
+            GOOD + SCHEME.replace("repeatable", "referenced"),
+            "charter.needs-window",
+            "schemes[0].window",
+            '"6s"',
+        ),
         (GOOD + SCHEME + SCHEME, "charter.twice", "schemes", '"a"'),
         (GOOD + SCHEME + "[limits]\nsockets = 3\n", "charter.out-of-bounds", "limits.sockets", "at least 64"),
         (GOOD + SCHEME + "[limits]\nmemory = 7\n", "charter.wrong-kind", "limits.memory", "64MiB"),
@@ -199,7 +253,11 @@
         (GOOD, "charter.missing", "schemes", "[[schemes]]"),
         ("listen = ", "charter.no-form", "TOML"),
         (GOOD + SCHEME + '"a\\nb" = 1\n', "charter.unknown-key", r"a\u000ab"),
-        (GOOD.replace('"d"', '"%s"' % ("x" * 400)) + SCHEME + FLEET, "charter.not-among", 'xxx... stands there'),
+        (
+            GOOD.replace('"d"', '"%s"' % ("x" * 400)) + SCHEME + FLEET,
+            "charter.not-among",
+            "xxx... stands there",
+        ),
         (GOOD + SCHEME + '[jobs]\npath = ""\n', "charter.no-path", "jobs.path", "path of a file"),
         (GOOD + SCHEME + '[jobs]\npath = "/var/"\n', "charter.no-path", '"/var/"'),
         (GOOD + SCHEME + FLEET + 'folder = "a\\u0000"\n', "charter.no-path", "fleet.folder"),
@@ -217,19 +275,31 @@
                 self.says(("check", path), 2, name, path, *words)
 
     def test_a_secret_is_not_printed(self) -> None:
-        _, said = self.command("check", self.file(GOOD + SCHEME + FLEET.replace("sixteen bytes or more", "hush hush")))
+        _, said = self.command(
+            "check", self.file(GOOD + SCHEME + FLEET.replace("sixteen bytes or more", "hush hush"))
+        )
         self.assertNotIn("hush", said)
 
     def test_all_of_one_forms_contradictions_are_told_at_once(self) -> None:
-        code, said = self.command("check", self.file(
-            GOOD.replace('"d"', '"d"\nnumber = 3\nzone = "nowhere"\nseed = "xyz"') + SCHEME))
+        code, said = self.command(
+            "check",
+            self.file(GOOD.replace('"d"', '"d"\nnumber = 3\nzone = "nowhere"\nseed = "xyz"') + SCHEME),
+        )
         self.assertEqual((code, len(said.splitlines())), (2, 3), said)
 
     def test_files_that_are_none(self) -> None:
-        for told in (("check",), ("check", "--plan"), ("serve",), ("emulate",), ("experiment", "run"),
-                     ("fleet", "members")):
+        for told in (
+            ("check",),
+            ("check", "--plan"),
+            ("serve",),
+            ("emulate",),
+            ("experiment", "run"),
+            ("fleet", "members"),
+        ):
             missing = str(self.folder / "none.toml")
-            self.says((*told, missing), 2, "charter.unreadable", missing, "no such file", "a file that is there")
+            self.says(
+                (*told, missing), 2, "charter.unreadable", missing, "no such file", "a file that is there"
+            )
         path = self.folder / "bytes.toml"
         path.write_bytes(b"listen = \xff")
         self.says(("check", str(path)), 2, "charter.no-text", "byte 9", "UTF-8")
@@ -237,20 +307,45 @@
 
     def test_plans(self) -> None:
         for text, name, *words in (
-                (PLAN + "[[faults]]\nkind = 'freeze'\nat = '1s'\nof = 'nobody'\n", "charter.wrong", "faults[0].of",
-                 "node-0 to node-7"),
-                (PLAN + "[[faults]]\nkind = 'freeze'\n", "charter.wrong", "faults[0]", 'at = "5s"'),
-                (PLAN.replace("[charter]", "lag = ['1s', '2s', '3s']\n[charter]"), "charter.too-long", "fleet.lag",
-                 "2 values at most"),
-                (PLAN + f"[load]\nshape = 'trace'\ntrace = '{self.folder}/no.csv'\n", "charter.wrong", "load.trace",
-                 "no.csv", "no such file"),
-                (PLAN + f"[load]\nshape = 'trace'\ntrace = '{self.file('1,a,2,', 't')}'\n" + "[[faults]]\nkind='x'\n",
-                 "charter.wrong", "faults[0].kind", "freeze")):
+            (
+                PLAN + "[[faults]]\nkind = 'freeze'\nat = '1s'\nof = 'nobody'\n",
+                "charter.wrong",
+                "faults[0].of",
+                "node-0 to node-7",
+            ),
+            (PLAN + "[[faults]]\nkind = 'freeze'\n", "charter.wrong", "faults[0]", 'at = "5s"'),
+            (
+                PLAN.replace("[charter]", "lag = ['1s', '2s', '3s']\n[charter]"),
+                "charter.too-long",
+                "fleet.lag",
+                "2 values at most",
+            ),
+            (
+                PLAN + f"[load]\nshape = 'trace'\ntrace = '{self.folder}/no.csv'\n",
+                "charter.wrong",
+                "load.trace",
+                "no.csv",
+                "no such file",
+            ),
+            (
+                PLAN
+                + f"[load]\nshape = 'trace'\ntrace = '{self.file('1,a,2,', 't')}'\n"
+                + "[[faults]]\nkind='x'\n",
+                "charter.wrong",
+                "faults[0].kind",
+                "freeze",
+            ),
+        ):
             with self.subTest(words=words):
                 self.says(("emulate", self.file(text)), 2, name, *words)
         bad = self.file("0.5,a,100,\n0.6,b,100,\n", "t")
-        self.says(("emulate", self.file(PLAN + f"[load]\nshape = 'trace'\ntrace = '{bad}'\n")), 2, "charter.wrong",
-                  "line 2", "0.6,b,100,")
+        self.says(
+            ("emulate", self.file(PLAN + f"[load]\nshape = 'trace'\ntrace = '{bad}'\n")),
+            2,
+            "charter.wrong",
+            "line 2",
+            "0.6,b,100,",
+        )
 
     def test_a_faults_sentence_is_whole_after_a_way_between_processes(self) -> None:
         path = self.file(GOOD)
@@ -273,8 +368,11 @@
         self.reads(said, name, *words)
 
     def test_addresses_that_cant_be_had_are_told_by_their_own_key(self) -> None:
-        for kind, key in ((socket.SOCK_STREAM, "listen"), (socket.SOCK_DGRAM, "fleet.listen"),
-                          (socket.SOCK_STREAM, "fleet.control")):
+        for kind, key in (
+            (socket.SOCK_STREAM, "listen"),
+            (socket.SOCK_DGRAM, "fleet.listen"),
+            (socket.SOCK_STREAM, "fleet.control"),
+        ):
             with socket.socket(socket.AF_INET, kind) as taken, self.subTest(key):
                 taken.bind(("127.0.0.1", 0))
                 if kind == socket.SOCK_STREAM:
@@ -283,40 +381,70 @@
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
                     other.bind(("127.0.0.1", 0))
                     free = f"127.0.0.1:{other.getsockname()[1]}"
-                text = {"listen": GOOD.replace("127.0.0.1:0", address) + SCHEME,
-                        "fleet.listen": GOOD + SCHEME + FLEET.replace("127.0.0.1:7", address),
-                        "fleet.control": GOOD + SCHEME + FLEET.replace("127.0.0.1:7", free)
-                        + f'control = "{address}"\n'}[key]
+                text = {
+                    "listen": GOOD.replace("127.0.0.1:0", address) + SCHEME,
+                    "fleet.listen": GOOD + SCHEME + FLEET.replace("127.0.0.1:7", address),
+                    "fleet.control": GOOD
+                    + SCHEME
+                    + FLEET.replace("127.0.0.1:7", free)
+                    + f'control = "{address}"\n',
+                }[key]
                 self.refused(text, "address.taken", f": {key}: {address}", f"at {key} in", "c.toml")
-        self.refused(GOOD.replace("127.0.0.1:0", "192.0.2.1:80") + SCHEME, "address.not-ours", "192.0.2.1:80", "listen")
-        self.refused(GOOD.replace("127.0.0.1:0", "nosuchhost.invalid:80") + SCHEME, "address.no-host", "nosuchhost")
+        self.refused(
+            GOOD.replace("127.0.0.1:0", "192.0.2.1:80") + SCHEME, "address.not-ours", "192.0.2.1:80", "listen"
+        )
+        self.refused(
+            GOOD.replace("127.0.0.1:0", "nosuchhost.invalid:80") + SCHEME, "address.no-host", "nosuchhost"
+        )
         config = self.file('{"listen": "x", "discovery": "127.0.0.1:9"}', "config.json")
         self.reads(str(self.process(GW_CONFIG=config)[1]), "address.none", "'x'", "config.json")
         # Root may have low ports, and some kernels give them to all: the kernel's word itself, as it would come.
-        self.reads(str(unhad(PermissionError(errno.EACCES, "Permission denied"), "listen", "127.0.0.1:80", "c")),
-                   "address.forbidden", "above 1023")
-        self.reads(str(unhad(OSError(errno.EMFILE, "Too many open files"), "listen", "127.0.0.1:80", "c")),
-                   "address.unusable", "too many open files")
+        self.reads(
+            str(unhad(PermissionError(errno.EACCES, "Permission denied"), "listen", "127.0.0.1:80", "c")),
+            "address.forbidden",
+            "above 1023",
+        )
+        self.reads(
+            str(unhad(OSError(errno.EMFILE, "Too many open files"), "listen", "127.0.0.1:80", "c")),
+            "address.unusable",
+            "too many open files",
+        )
 
     def test_folders_and_stores_that_cant_be_had(self) -> None:
         none = f"{self.folder}/none"
-        self.refused(GOOD + SCHEME + FLEET + f'folder = "{none}"\n', "fleet.no-folder", f"make the folder {none}")
-        self.refused(GOOD + SCHEME + f'[jobs]\npath = "{none}/x.db"\n', "store.unusable", "jobs.path",
-                     f"make the folder {none}")
-        self.refused(GOOD + SCHEME + f'[jobs]\npath = "{self.file("no base", "x.db")}"\n', "store.no-database",
-                     "jobs.path", "jobs restore")
+        self.refused(
+            GOOD + SCHEME + FLEET + f'folder = "{none}"\n', "fleet.no-folder", f"make the folder {none}"
+        )
+        self.refused(
+            GOOD + SCHEME + f'[jobs]\npath = "{none}/x.db"\n',
+            "store.unusable",
+            "jobs.path",
+            f"make the folder {none}",
+        )
+        self.refused(
+            GOOD + SCHEME + f'[jobs]\npath = "{self.file("no base", "x.db")}"\n',
+            "store.no-database",
+            "jobs.path",
+            "jobs restore",
+        )
 
     def test_as_json_the_line_has_its_parts(self) -> None:
-        code, said = self.process("serve", "--log-form", "json", self.file(
-            GOOD.replace("127.0.0.1:0", "192.0.2.1:80") + SCHEME))
+        code, said = self.process(
+            "serve", "--log-form", "json", self.file(GOOD.replace("127.0.0.1:0", "192.0.2.1:80") + SCHEME)
+        )
         told = json.loads(said)
-        self.assertEqual((code, told["event"], told["level"], told["name"]), (2, "refused", "ERROR", "address.not-ours"))
+        self.assertEqual(
+            (code, told["event"], told["level"], told["name"]), (2, "refused", "ERROR", "address.not-ours")
+        )
         self.assertIn("at listen in", told["do"])
 
     def test_the_platforms_own_start(self) -> None:
-        for text, name, *words in ((None, "start.unreadable", "GW_CONFIG", "no such file"),
-                                   ("listen = 1", "start.no-form", "pathsaddle serve"), ("{}", "start.lacks", "listen"),
-                                   ('{"listen": "127.0.0.1:0", "discovery": "x:1", "seed": "g"}', "start.unfit", "'g'")):
+        for text, name, *words in (
+            (None, "start.unreadable", "GW_CONFIG", "no such file"),
+            ("listen = 1", "start.no-form", "pathsaddle serve"),
+            ("{}", "start.lacks", "listen"),
+            ('{"listen": "127.0.0.1:0", "discovery": "x:1", "seed": "g"}', "start.unfit", "'g'"),
+        ):
             path = str(self.folder / "none") if text is None else self.file(text, "config.json")
             with self.subTest(name):
                 code, said = self.process(GW_CONFIG=path)
@@ -363,17 +491,24 @@
 
 class CommandStory(Reading):
     def test_usage(self) -> None:
-        for told, word in ((("nonsense",), "no such command"), (("check",), "neither a FILE"), (("serve",), "CHARTER"),
-                           (("demo", "--seed", "x"), "integer"), (("demo", "--seconds", "-1"), "x>0"),
-                           (("experiment", "run", self.file(PLAN), "--seeds", "3..1", "--folder", str(self.folder)),
-                            "3..1")):
+        for told, word in (
+            (("nonsense",), "no such command"),
+            (("check",), "neither a FILE"),
+            (("serve",), "CHARTER"),
+            (("demo", "--seed", "x"), "integer"),
+            (("demo", "--seconds", "-1"), "x>0"),
+            (("experiment", "run", self.file(PLAN), "--seeds", "3..1", "--folder", str(self.folder)), "3..1"),
+        ):
             self.says(told, 2, "cli.usage", word, "--help", "pathsaddle")
 
     def test_what_cant_be_written_is_told_before_the_run(self) -> None:
         plan, here = self.file(PLAN), self.file("", "here")
         with mock.patch.object(stage, "virtual", side_effect=AssertionError("it ran")):
-            for told in (("emulate", plan, "--events", f"{here}/e"), ("emulate", plan, "--log", f"{here}/l"),
-                         ("experiment", "run", plan, "--jobs", "1", "--folder", here)):
+            for told in (
+                ("emulate", plan, "--events", f"{here}/e"),
+                ("emulate", plan, "--log", f"{here}/l"),
+                ("experiment", "run", plan, "--jobs", "1", "--folder", here),
+            ):
                 self.says(told, 2, "cli.unwritable", told[-2], told[-1])
 
     def test_an_interrupt_and_a_defect(self) -> None:
@@ -389,16 +524,32 @@
     def test_the_scale_rig(self) -> None:
         tally = (ROOT / "experiments/scale/tally.toml").read_text()
         for old, new, name, *words in (
-                ("processes = 2", "processes = 301", "charter.out-of-bounds", "processes", "at most 300"),
-                ("memory_mib = 300", "memory_mib = 50", "experiment.needs-more", "points[0]", "10 members", "50 are allowed"),
-                ('"tally"\nag', '"none"\nag', "experiment.no-measure", "measure", "emulator/hollow/"),
-                ('"scale"', '"moon"', "charter.not-among", "ground", '"moon"', "virtual", "scale"),
-                ('"scale"', "3", "charter.wrong-kind", "ground", "a text")):
-            self.says(("experiment", "run", self.file(tally.replace(old, new), "tally.toml")), 2, name, "tally.toml", *words)
+            ("processes = 2", "processes = 301", "charter.out-of-bounds", "processes", "at most 300"),
+            (
+                "memory_mib = 300",
+                "memory_mib = 50",
+                "experiment.needs-more",
+                "points[0]",
+                "10 members",
+                "50 are allowed",
+            ),
+            ('"tally"\nag', '"none"\nag', "experiment.no-measure", "measure", "emulator/hollow/"),
+            ('"scale"', '"moon"', "charter.not-among", "ground", '"moon"', "virtual", "scale"),
+            ('"scale"', "3", "charter.wrong-kind", "ground", "a text"),
+        ):
+            self.says(
+                ("experiment", "run", self.file(tally.replace(old, new), "tally.toml")),
+                2,
+                name,
+                "tally.toml",
+                *words,
+            )
         short = self.file(tally.replace("short =", "# short ="), "tally.toml")
         self.says(("experiment", "run", short, "--short"), 2, "experiment.no-short", short)
-        text = ('ground = "scale"\nname = "c"\nmeasure = "trouble"\nagainst = "m"\npoints = [1]\nprocesses = 1\n'
-                'memory_mib = 50\n[[slopes]]\nfigure = "speed"\nbound = {point = 1, most = 1.0}\n')
+        text = (
+            'ground = "scale"\nname = "c"\nmeasure = "trouble"\nagainst = "m"\npoints = [1]\nprocesses = 1\n'
+            'memory_mib = 50\n[[slopes]]\nfigure = "speed"\nbound = {point = 1, most = 1.0}\n'
+        )
         with self.assertRaises(Faulty) as caught:
             scale.read(self.file(text), "tests.measures")
         self.reads(str(caught.exception), "experiment.not-counted", "slopes[0].bound", "speed", "size")
@@ -408,40 +559,84 @@
 
     def test_capacity(self) -> None:
         ours = (ROOT / "experiments/scale/target.toml").read_text()
-        numbers = ours[:ours.index("[[assumptions]]")]
-        row = ('[[rows]]\nrole = "worker"\nwhat = "w"\nfigure = "tally.bytes"\nat = "workers"\nlimit = 3\n'
-               'mechanism = "choice.py"\n')
+        numbers = ours[: ours.index("[[assumptions]]")]
+        row = (
+            '[[rows]]\nrole = "worker"\nwhat = "w"\nfigure = "tally.bytes"\nat = "workers"\nlimit = 3\n'
+            'mechanism = "choice.py"\n'
+        )
         target = self.file(numbers + row, "target.toml")
-        self.says(("experiment", "capacity", target), 2, "experiment.no-slope", "target.toml: rows[0].figure",
-                  "tally.bytes", "tally.toml")
-        self.says(("experiment", "capacity", self.file(numbers + row + "limits = 3\n", "target.toml")), 2,
-                  "charter.unknown-key", "rows[0].limits", "limit")
+        self.says(
+            ("experiment", "capacity", target),
+            2,
+            "experiment.no-slope",
+            "target.toml: rows[0].figure",
+            "tally.bytes",
+            "tally.toml",
+        )
+        self.says(
+            ("experiment", "capacity", self.file(numbers + row + "limits = 3\n", "target.toml")),
+            2,
+            "charter.unknown-key",
+            "rows[0].limits",
+            "limit",
+        )
         target, none = self.file(numbers + row, "target.toml"), str(self.folder / "none.md")
-        for page, name in ((none, "experiment.no-page"), (self.file("no marks\n", "page.md"), "experiment.no-marks")):
+        for page, name in (
+            (none, "experiment.no-page"),
+            (self.file("no marks\n", "page.md"), "experiment.no-marks"),
+        ):
             self.says(("experiment", "capacity", target, "--partial", "--page", page), 2, name, page)
 
     def test_experiments(self) -> None:
         for name, seed in (("a", 1), ("b", 2)):
-            Store(self.folder / name).add(Result(
-                plan="p", digest="", variant="base", seed=seed, ground="virtual", commit="", machine="", when="", took=0.0,
-                events="", verdict={}))
+            Store(self.folder / name).add(
+                Result(
+                    plan="p",
+                    digest="",
+                    variant="base",
+                    seed=seed,
+                    ground="virtual",
+                    commit="",
+                    machine="",
+                    when="",
+                    took=0.0,
+                    events="",
+                    verdict={},
+                )
+            )
         a, b, none = (str(self.folder / name) for name in ("a", "b", "none"))
         self.says(("experiment", "compare", a, b), 2, "experiment.no-common-seed", "--seeds")
         self.says(("experiment", "compare", a, a + ":other"), 2, "experiment.no-results", "'other'", a)
         self.says(("experiment", "report", self.file("", "empty")), 2, "experiment.no-results", "empty")
         self.says(("experiment", "compare", a, none), 2, "experiment.unreadable", none)
         self.says(("experiment", "compare", a, str(self.folder)), 2, "experiment.unreadable", "folder")
-        self.says(("experiment", "list", "--plans", str(self.folder / "no")), 2, "experiment.no-plans", "--plans")
-        self.says(("experiment", "run", self.file(PLAN + '[[variants]]\nname = "v"\ncommit = "nonesuch"\n'), "--folder",
-                   str(self.folder)), 2, "experiment.no-commit", "'nonesuch'", "git fetch")
+        self.says(
+            ("experiment", "list", "--plans", str(self.folder / "no")), 2, "experiment.no-plans", "--plans"
+        )
+        self.says(
+            (
+                "experiment",
+                "run",
+                self.file(PLAN + '[[variants]]\nname = "v"\ncommit = "nonesuch"\n'),
+                "--folder",
+                str(self.folder),
+            ),
+            2,
+            "experiment.no-commit",
+            "'nonesuch'",
+            "git fetch",
+        )
         with mock.patch.object(throughput.time, "sleep"), self.assertRaises(throughput.NeverReady) as caught:
             throughput._ready("127.0.0.1:9")
         self.reads(str(caught.exception), "experiment.never-ready", "127.0.0.1:9", "quieter machine")
         with mock.patch.object(hollow, "READY_IN", 0.0), self.assertRaises(hollow.NeverReady) as hollowed:
             hollow.measure(2, 1, hollow.Setting())
         self.reads(str(hollowed.exception), "hollow.never-ready", "0 s", "quieter machine")
-        with mock.patch.object(ports, "LEAST", 1 << 16), mock.patch.object(ports, "Random") as one, self.assertRaises(
-                ports.NoPort) as taken:
+        with (
+            mock.patch.object(ports, "LEAST", 1 << 16),
+            mock.patch.object(ports, "Random") as one,
+            self.assertRaises(ports.NoPort) as taken,
+        ):
             one.return_value.randrange.return_value = 1 << 16
             udp_places(1)
         self.reads(str(taken.exception), "emulator.no-port", "65536", "ss -ulnp")
@@ -452,16 +647,29 @@
     @unittest.skipUnless((ROOT / ".git").exists(), "no repository")
     def test_commits_that_cant_run(self) -> None:
         def git(*told: str) -> str:
-            done = subprocess.run(["git", "-c", "user.name=x", "-c", "user.email=x@x", *told], cwd=ROOT, text=True,
-                                  capture_output=True, check=True, input="")
+            done = subprocess.run(
+                ["git", "-c", "user.name=x", "-c", "user.email=x@x", *told],
+                cwd=ROOT,
+                text=True,
+                capture_output=True,
+                check=True,
+                input="",
+            )
             return done.stdout.strip()
+
         bare = git("commit-tree", "-m", "nothing", git("mktree"))  # a commit of no branch
         with self.assertRaises(errors.Error) as caught:
             tree(bare, "virtual", self.folder)
         self.reads(str(caught.exception), "experiment.no-program", bare[:10])
         package = git("rev-parse", "HEAD:pathsaddle/net/wire")
-        done = subprocess.run(["git", "mktree"], cwd=ROOT, text=True, capture_output=True, check=True,
-                              input=f"040000 tree {package}\tpathsaddle\n")
+        done = subprocess.run(
+            ["git", "mktree"],
+            cwd=ROOT,
+            text=True,
+            capture_output=True,
+            check=True,
+            input=f"040000 tree {package}\tpathsaddle\n",
+        )
         old = git("commit-tree", "-m", "old", done.stdout.strip())
         with self.assertRaises(errors.Error) as caught:
             tree(old, "virtual", self.folder)
@@ -469,7 +677,9 @@
 
 
 def fellows(folder: Path, control: str = "") -> Fellows:
-    told = Told("a", "here", "127.0.0.1:0", "127.0.0.1:0", [], control, Ways("f", b"sixteen bytes or more", 500, 150))
+    told = Told(
+        "a", "here", "127.0.0.1:0", "127.0.0.1:0", [], control, Ways("f", b"sixteen bytes or more", 500, 150)
+    )
     made = Fellows(told, Ground(), Lives(folder, "a"), Random(1), Counters())
     made.quiet = True
     return made
@@ -491,7 +701,9 @@
             self.says(("fleet", "members", path), 1, "control.unreached", address)
             sock.listen()
             self.asks(address, "control.silent", "0.3 s", "stopped")
-        self.says(("fleet", "members", self.file(GOOD + SCHEME + FLEET)), 2, "fleet.no-control", 'control = "127.')
+        self.says(
+            ("fleet", "members", self.file(GOOD + SCHEME + FLEET)), 2, "fleet.no-control", 'control = "127.'
+        )
         self.says(("fleet", "members", "127.0.0.1:99999"), 1, "control.no-address", "99999", "host:port")
         self.says(("fleet", "members", "here"), 1, "control.no-address", "'here'")
         self.says(("fleet", "members", "x..y:9"), 1, "control.no-host", "x..y:9")
@@ -505,12 +717,16 @@
                 else:
                     writer.write(said)
                     writer.close()
+
             server = await asyncio.start_server(answers, "127.0.0.1", 0)
-            server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", said is None, 0))
+            server.sockets[0].setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", said is None, 0)
+            )
             async with server:
                 with self.assertRaises(asking.Unasked) as caught:
                     await asking.ask(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "members", 5.0)
                 return str(caught.exception)
+
         for said in (b"", None):
             self.reads(asyncio.run(meets(said)), "control.closed", "without an answer", "eight at a time")
         self.reads(asyncio.run(meets(b"HTTP/1.1 400 Bad\r\n\r\n")), "control.garbled", "not at listen")
@@ -543,6 +759,7 @@
             self.assertIsInstance(fault, Exception)
             self.lines.append((name, fields))
             self.heard.set()
+
         return line
 
     async def ask(self, word: str) -> str:
@@ -563,9 +780,12 @@
             if data == b"bad":
                 raise KeyError("of ours")
             read_.set()
+
         self.fellows.begin()
-        with mock.patch.object(self.fellows.core, "heard", heard), socket.socket(
-                socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        with (
+            mock.patch.object(self.fellows.core, "heard", heard),
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock,
+        ):
             for data in (b"bad", b"good"):
                 sock.sendto(data, self.fellows.sock.getsockname())
             told = await self.logged()
@@ -582,8 +802,11 @@
             heard.append(data)
             if data == b"199":
                 all_.set()
-        with mock.patch.object(self.fellows.core, "heard", hear), socket.socket(
-                socket.AF_INET, socket.SOCK_DGRAM) as sock:
+
+        with (
+            mock.patch.object(self.fellows.core, "heard", hear),
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock,
+        ):
             for n in range(200):
                 sock.sendto(b"%d" % n, self.fellows.sock.getsockname())
             self.fellows.begin()
@@ -598,6 +821,7 @@
                 raise ZeroDivisionError
             woke.set()
             return wake(now)
+
         begun = self.fellows.clock.now()
         with mock.patch.object(self.fellows.core, "wake", once):
             self.fellows.begin()
@@ -641,6 +865,7 @@
 
         def breaks(change: object) -> None:
             raise KeyError("of ours")
+
         self.fellows.on_change += [breaks, heard.append]
         self.fellows.begin()
         self.assertEqual((await self.logged())["member"], "a")
@@ -656,17 +881,27 @@
 class PartsStory(Reading):
     """Programs of their own beside the command line: as an operator starts them, a file or a folder at a time."""
 
-    INVENTORY = '[[kinds]]\nname = "gpu"\nslots = 8\n[[islands]]\nname = "a"\nbays = 1\n' \
-                '[[units]]\nname = "n"\nkind = "gpu"\n'
-    GROUND = 'key = "sixteen bytes or more"\nregister = "{0}/r"\nspec = "{0}/spec"\nlog = "{0}/log"\n' \
-             '[members.m]\nregion = "north"\naddress = "127.0.0.1:1"\ndisk = "{0}/disk"\n' \
-             '[keepers.k]\naddress = "192.0.2.1:80"\n'
+    INVENTORY = (
+        '[[kinds]]\nname = "gpu"\nslots = 8\n[[islands]]\nname = "a"\nbays = 1\n'
+        '[[units]]\nname = "n"\nkind = "gpu"\n'
+    )
+    GROUND = (
+        'key = "sixteen bytes or more"\nregister = "{0}/r"\nspec = "{0}/spec"\nlog = "{0}/log"\n'
+        '[members.m]\nregion = "north"\naddress = "127.0.0.1:1"\ndisk = "{0}/disk"\n'
+        '[keepers.k]\naddress = "192.0.2.1:80"\n'
+    )
     SPEC = '[regions.north]\nmembers = ["m"]\n[schemes.a]\nhome = "north"\n'
 
     def tells(self, module: str, told: tuple[str, ...], code: int, name: str, *words: object) -> None:
         with self.subTest(module=module, told=told, name=name):
-            done = subprocess.run([sys.executable, "-m", f"pathsaddle.{module}", *told], cwd=ROOT, capture_output=True,
-                                  text=True, check=False, timeout=60)
+            done = subprocess.run(
+                [sys.executable, "-m", f"pathsaddle.{module}", *told],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=False,
+                timeout=60,
+            )
             self.assertEqual(done.returncode, code, done.stderr)
             self.assertNotIn("Traceback", done.stderr)
             self.assertTrue(done.stderr.splitlines()[0].endswith("]"), done.stderr)
@@ -675,23 +910,47 @@
     def test_placement(self) -> None:
         none, ledger, good = str(self.folder / "none"), str(self.folder / "l.db"), self.file(self.INVENTORY)
         for told, name, *words in (
-                ((none,), "placement.unreadable", none, "a file that is there"),
-                ((self.file("[", "t"),), "placement.no-toml", "mend that place of"),
-                ((self.file(self.INVENTORY.replace("bays", "bay"), "k"),), "placement.key", "islands[",
-                 "write `bays` in place of `bay`"),
-                ((self.file(self.INVENTORY.replace("slots = 8", "slots = 'x'"), "v"),), "placement.key", "kinds[",
-                 ".slots"),
-                ((self.file(self.INVENTORY.replace("8", "0"), "z"),), "placement.untrue", "kinds.gpu.slots", "write 1"),
-                ((self.file(self.INVENTORY + 'bay = "a/2"\n', "b"),), "placement.untrue", "no island has bay a/2",
-                 "at bay of that unit"),
-                (("walk", none), "placement.ledger", "--ledger " + none),
-                (("tell", good, "inventory", good), "placement.ledger", "not a database"),
-                ((good, "--ledger", good), "placement.ledger", "stands there already", "tell " + good),
-                ((good, "--ledger", none + "/x"), "placement.ledger", "make the folder " + none)):
+            ((none,), "placement.unreadable", none, "a file that is there"),
+            ((self.file("[", "t"),), "placement.no-toml", "mend that place of"),
+            (
+                (self.file(self.INVENTORY.replace("bays", "bay"), "k"),),
+                "placement.key",
+                "islands[",
+                "write `bays` in place of `bay`",
+            ),
+            (
+                (self.file(self.INVENTORY.replace("slots = 8", "slots = 'x'"), "v"),),
+                "placement.key",
+                "kinds[",
+                ".slots",
+            ),
+            (
+                (self.file(self.INVENTORY.replace("8", "0"), "z"),),
+                "placement.untrue",
+                "kinds.gpu.slots",
+                "write 1",
+            ),
+            (
+                (self.file(self.INVENTORY + 'bay = "a/2"\n', "b"),),
+                "placement.untrue",
+                "no island has bay a/2",
+                "at bay of that unit",
+            ),
+            (("walk", none), "placement.ledger", "--ledger " + none),
+            (("tell", good, "inventory", good), "placement.ledger", "not a database"),
+            ((good, "--ledger", good), "placement.ledger", "stands there already", "tell " + good),
+            ((good, "--ledger", none + "/x"), "placement.ledger", "make the folder " + none),
+        ):
             self.tells("placement", told, 2, name, *words)
         self.assertFalse(Path(ledger).exists())
-        done = subprocess.run([sys.executable, "-m", "pathsaddle.placement", good, "--ledger", ledger], cwd=ROOT,
-                              capture_output=True, text=True, check=False, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "pathsaddle.placement", good, "--ledger", ledger],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=60,
+        )
         self.assertEqual(done.returncode, 0, done.stderr)
         with contextlib.closing(sqlite3.connect(ledger)) as db, db:
             db.execute("DELETE FROM parts WHERE name = 'kinds'")
@@ -705,19 +964,45 @@
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
         rows = "".join(f'{name} = "127.0.0.1:{port + n}"\n' for n, name in enumerate(("d", "e", "f")))
-        text = (GOOD + SCHEME + FLEET + f'[fleet.owners]\nlisten = "127.0.0.1:{port}"\nfolder = "{folder}"\n'
-                f"[fleet.owners.voters]\n{rows}")
+        text = (
+            GOOD + SCHEME + FLEET + f'[fleet.owners]\nlisten = "127.0.0.1:{port}"\nfolder = "{folder}"\n'
+            f"[fleet.owners.voters]\n{rows}"
+        )
         good = self.file(text, "good")
         self.tells("ownership", ("found", str(folder)), 2, "charter.unreadable", folder)
-        self.tells("ownership", ("found", self.file(GOOD + SCHEME + FLEET)), 2, "ownership.no-table", "[fleet.owners]")
-        self.tells("ownership", ("found", good), 2, "ownership.no-disk", f"make the folder {folder}", "fleet.owners.folder")
+        self.tells(
+            "ownership",
+            ("found", self.file(GOOD + SCHEME + FLEET)),
+            2,
+            "ownership.no-table",
+            "[fleet.owners]",
+        )
+        self.tells(
+            "ownership",
+            ("found", good),
+            2,
+            "ownership.no-disk",
+            f"make the folder {folder}",
+            "fleet.owners.folder",
+        )
         folder.mkdir()
-        done = subprocess.run([sys.executable, "-m", "pathsaddle.ownership", "found", good], cwd=ROOT, check=False,
-                              capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "pathsaddle.ownership", "found", good],
+            cwd=ROOT,
+            check=False,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         self.tells("ownership", ("found", good), 2, "ownership.founded", "once in its life")
-        self.tells("ownership", ("serve", self.file(text.replace("f = ", "g = "), "other")), 2, "ownership.other-voters",
-                   "fleet.owners.voters")
+        self.tells(
+            "ownership",
+            ("serve", self.file(text.replace("f = ", "g = "), "other")),
+            2,
+            "ownership.other-voters",
+            "fleet.owners.voters",
+        )
         self.tells("ownership", ("serve", good), 2, "address.taken", "fleet.owners.listen", good)
 
     def test_federation(self) -> None:
@@ -728,33 +1013,71 @@
         def other(old: str, new: str) -> str:
             self.assertIn(old, text)
             return self.file(text.replace(old, new), f"ground{next(number)}")
+
         for told, name, *words in (
-                (("check", none), "charter.unreadable", none), (("check", self.file("[", "t")), "charter.no-form", "TOML"),
-                (("check", self.file(self.SPEC.replace('home = "north"', 'home = "nroth"'), "c")),
-                 "federation.contradiction", "schemes.a.home", "nearest known is north", "write one"),
-                (("check", self.file("#" * (1 << 23) + "#", "big")), "federation.spec-size", "split", "big"),
-                (("member", none, "m"), "charter.unreadable", none),
-                (("member", ground, "n"), "federation.no-member", "members.n", "[members.n] to " + ground, ": m"),
-                (("keeper", ground, "x"), "federation.no-member", "keepers.x", ": k"),
-                (("keeper", ground, "k"), "address.not-ours", "keepers.k.address in " + ground),
-                (("member", other("sixteen bytes or more", "hush"), "m"), "federation.key", "of 4 characters", "at key in"),
-                (("member", other("127.0.0.1:1", "x"), "m"), "federation.address", "members.m.address", "'x'"),
-                (("commit", ground, spec, "--listen", "x"), "federation.address", "--listen"),
-                (("member", self.file(f'{text}[voters]\nfleet = "f"\nkey = "{KEY}"\n[voters.names]\na = "127.0.0.1:1"\n',
-                                      "both"), "m"), "federation.voters", "both register and [voters]", "not both"),
-                (("member", other(f"{self.folder}/disk", spec), "m"), "federation.folder", "members.m.disk", "the file " + spec),
-                (("keeper", other(f"{self.folder}/r", spec + "/x"), "k"), "federation.folder", "at register in"),
-                (("member", other(f"{self.folder}/log", spec), "m"), "federation.folder", "at log in")):
+            (("check", none), "charter.unreadable", none),
+            (("check", self.file("[", "t")), "charter.no-form", "TOML"),
+            (
+                ("check", self.file(self.SPEC.replace('home = "north"', 'home = "nroth"'), "c")),
+                "federation.contradiction",
+                "schemes.a.home",
+                "nearest known is north",
+                "write one",
+            ),
+            (("check", self.file("#" * (1 << 23) + "#", "big")), "federation.spec-size", "split", "big"),
+            (("member", none, "m"), "charter.unreadable", none),
+            (("member", ground, "n"), "federation.no-member", "members.n", "[members.n] to " + ground, ": m"),
+            (("keeper", ground, "x"), "federation.no-member", "keepers.x", ": k"),
+            (("keeper", ground, "k"), "address.not-ours", "keepers.k.address in " + ground),
+            (
+                ("member", other("sixteen bytes or more", "hush"), "m"),
+                "federation.key",
+                "of 4 characters",
+                "at key in",
+            ),
+            (("member", other("127.0.0.1:1", "x"), "m"), "federation.address", "members.m.address", "'x'"),
+            (("commit", ground, spec, "--listen", "x"), "federation.address", "--listen"),
+            (
+                (
+                    "member",
+                    self.file(
+                        f'{text}[voters]\nfleet = "f"\nkey = "{KEY}"\n[voters.names]\na = "127.0.0.1:1"\n',
+                        "both",
+                    ),
+                    "m",
+                ),
+                "federation.voters",
+                "both register and [voters]",
+                "not both",
+            ),
+            (
+                ("member", other(f"{self.folder}/disk", spec), "m"),
+                "federation.folder",
+                "members.m.disk",
+                "the file " + spec,
+            ),
+            (("keeper", other(f"{self.folder}/r", spec + "/x"), "k"), "federation.folder", "at register in"),
+            (("member", other(f"{self.folder}/log", spec), "m"), "federation.folder", "at log in"),
+        ):
             self.tells("federation", told, 2, name, *words)
-        one, two = (Version(1, made.digest, made) for made in map(parse, (self.SPEC, self.SPEC + "at_most = 0.1\n")))
+        one, two = (
+            Version(1, made.digest, made) for made in map(parse, (self.SPEC, self.SPEC + "at_most = 0.1\n"))
+        )
         register = FolderRegister(self.folder / "register", ground)
         register.commit(one)
         with self.assertRaises(errors.Error) as caught:
             register.commit(two)
-        self.reads(str(caught.exception), "federation.spec-outrun", "compare", self.folder / "register/000000001.toml")
+        self.reads(
+            str(caught.exception),
+            "federation.spec-outrun",
+            "compare",
+            self.folder / "register/000000001.toml",
+        )
         self.assertEqual(caught.exception.code, 1)
-        for call, name in ((lambda: load_spec(none), "federation.spec-faulty"), (lambda: ground_of(none),
-                                                                                 "federation.ground-faulty")):
+        for call, name in (
+            (lambda: load_spec(none), "federation.spec-faulty"),
+            (lambda: ground_of(none), "federation.ground-faulty"),
+        ):
             with self.assertRaises(errors.Error) as caught:
                 call()
             self.assertEqual((caught.exception.name, none in caught.exception.do), (name, True))
@@ -762,27 +1085,46 @@
 
     def test_settings(self) -> None:
         ground, control, udp = self.folder / "ground.toml", places(3), places(6, socket.SOCK_DGRAM)
-        text = f'key = "{KEY}"\n[voters]\nfleet = "f"\nkey = "{KEY}"\nlease = "500ms"\n[voters.names]\n' + "".join(
-            f'k{i} = "{udp[i]}"\n' for i in range(3)) + "".join(
-            f'[keepers.k{i}]\nregion = "r"\naddress = "{udp[3 + i]}"\ndisk = "{self.folder}/k{i}"\ncontrol = "{control[i]}"\n'
-            for i in range(3))
+        text = (
+            f'key = "{KEY}"\n[voters]\nfleet = "f"\nkey = "{KEY}"\nlease = "500ms"\n[voters.names]\n'
+            + "".join(f'k{i} = "{udp[i]}"\n' for i in range(3))
+            + "".join(
+                f'[keepers.k{i}]\nregion = "r"\naddress = "{udp[3 + i]}"\ndisk = "{self.folder}/k{i}"\ncontrol = "{control[i]}"\n'
+                for i in range(3)
+            )
+        )
         ground.write_text(text)
         number = iter(range(99))
 
         def other(old: str, new: str) -> str:
             self.assertIn(old, text)
             return self.file(text.replace(old, new), f"ground{next(number)}")
+
         for told, name, *words in (
-                (("keep", str(self.folder / "none")), "charter.unreadable"), (("keep", other(KEY, "hush")), "settings.file", "key"),
-                (("keep", str(ground), "--keeper", "x"), "settings.file", "keepers.x", "k0, k1, k2"),
-                (("follow", str(ground), "--member", "m"), "settings.file", "[members.m]"),
-                (("keep", other(udp[3], "x")), "settings.file", "keepers.k0.address", "host:port"),
-                (("keep", other(control[0], "10.0.0.1:9")), "settings.file", "keepers.k0.control", "loopback"),
-                (("keep", other('"500ms"', '"10ms"')), "settings.file", "500ms at least"),
-                (("keep", other(f'k2 = "{udp[2]}"\n', "")), "settings.file", "voters.names"),
-                (("found", other(f"{self.folder}/k0", f"{ground}/x"), "--keeper", "k0"), "settings.disk", "keepers.k0.disk"),
-                (("keep", other(f"{self.folder}/k0", f"{ground}/x"), "--keeper", "k0"), "settings.disk", "keepers.k0 in"),
-                (("keep", other(udp[3], "192.0.2.1:9"), "--keeper", "k0"), "address.not-ours", "keepers.k0.listen")):
+            (("keep", str(self.folder / "none")), "charter.unreadable"),
+            (("keep", other(KEY, "hush")), "settings.file", "key"),
+            (("keep", str(ground), "--keeper", "x"), "settings.file", "keepers.x", "k0, k1, k2"),
+            (("follow", str(ground), "--member", "m"), "settings.file", "[members.m]"),
+            (("keep", other(udp[3], "x")), "settings.file", "keepers.k0.address", "host:port"),
+            (("keep", other(control[0], "10.0.0.1:9")), "settings.file", "keepers.k0.control", "loopback"),
+            (("keep", other('"500ms"', '"10ms"')), "settings.file", "500ms at least"),
+            (("keep", other(f'k2 = "{udp[2]}"\n', "")), "settings.file", "voters.names"),
+            (
+                ("found", other(f"{self.folder}/k0", f"{ground}/x"), "--keeper", "k0"),
+                "settings.disk",
+                "keepers.k0.disk",
+            ),
+            (
+                ("keep", other(f"{self.folder}/k0", f"{ground}/x"), "--keeper", "k0"),
+                "settings.disk",
+                "keepers.k0 in",
+            ),
+            (
+                ("keep", other(udp[3], "192.0.2.1:9"), "--keeper", "k0"),
+                "address.not-ours",
+                "keepers.k0.listen",
+            ),
+        ):
             self.tells("settings", told, 2, name, *words)
         good = self.file("[members.m]\nregion = 'r'\n[customers.a]\nallowance = 2\n", "good")
         apply, at = ("settings", "apply"), ("--at", str(ground))
@@ -790,13 +1132,19 @@
         self.says((*apply, good, "--at", "x:y"), 2, "charter.unreadable", "x:y")
         self.says((*apply, good, "--at", other("control", "#")), 2, "settings.file", "keepers.NAME.control")
         for change, name, *words in (
-                ("listen = 'x:1'", "settings.restart", "listen", "restart them"), ("[x]", "settings.unfit", "x", "known are"),
-                ("[customers.a]\nalowance = 1", "charter.unknown-key", "customers.a", "alowance"), ("", "settings.unfit"),
-                ("[customers]\na = 1", "charter.wrong-kind"), ("[budgets]\nb = 0", "charter.out-of-bounds"),
-                ("remove = ['x']", "settings.unfit", "'x'"), ("remove = 3", "settings.unfit", "a list"),
-                ("zones = 3", "settings.unfit", "zones: a list of names"), ("customers = 3", "settings.unfit", "by name"),
-                ("remove = ['zones']\nzones = ['a']", "settings.unfit", "second time"),
-                (f"[rules]\nask_within = '{'1' * 5000}s'", "settings.unfit", "4096 at most")):
+            ("listen = 'x:1'", "settings.restart", "listen", "restart them"),
+            ("[x]", "settings.unfit", "x", "known are"),
+            ("[customers.a]\nalowance = 1", "charter.unknown-key", "customers.a", "alowance"),
+            ("", "settings.unfit"),
+            ("[customers]\na = 1", "charter.wrong-kind"),
+            ("[budgets]\nb = 0", "charter.out-of-bounds"),
+            ("remove = ['x']", "settings.unfit", "'x'"),
+            ("remove = 3", "settings.unfit", "a list"),
+            ("zones = 3", "settings.unfit", "zones: a list of names"),
+            ("customers = 3", "settings.unfit", "by name"),
+            ("remove = ['zones']\nzones = ['a']", "settings.unfit", "second time"),
+            (f"[rules]\nask_within = '{'1' * 5000}s'", "settings.unfit", "4096 at most"),
+        ):
             self.says((*apply, self.file(change, "wrong"), *at), 1, name, *words)
         code, said = self.command(*apply, self.file("listen = 'x:1'\nname = 'y'\n", "wrong"), *at)
         self.assertEqual((code, len(said.splitlines())), (1, 2), said)
@@ -805,23 +1153,54 @@
         self.assertEqual(caught.exception.name, "settings.refused")
         KNOWN.add("settings.refused")  # a command prints each of its lines
         with Keepers(ground, 3) as keepers:
-            self.says((*apply, good, *at, "--wait", "--within", "0.5"), 1, "settings.waits", "revision 1", "waits for m", "members.NAME")
+            self.says(
+                (*apply, good, *at, "--wait", "--within", "0.5"),
+                1,
+                "settings.waits",
+                "revision 1",
+                "waits for m",
+                "members.NAME",
+            )
             self.says((*apply, good, *at, "--expect", "0"), 1, "settings.outrun", "revision 1", "--expect 1")
-            self.says((*apply, self.file("remove = ['members.m']", "wrong"), *at), 1, "settings.unfit", "members.m can be removed")
-            self.says((*apply, self.file("remove = ['customers.b']", "wrong"), *at), 1, "settings.unfit", "customers.b")
+            self.says(
+                (*apply, self.file("remove = ['members.m']", "wrong"), *at),
+                1,
+                "settings.unfit",
+                "members.m can be removed",
+            )
+            self.says(
+                (*apply, self.file("remove = ['customers.b']", "wrong"), *at),
+                1,
+                "settings.unfit",
+                "customers.b",
+            )
             with mock.patch.object(keepers.made[0], "_status", side_effect=ValueError("ours")):
                 self.says(("settings", "status", *at), 1, "settings.defect", "ours", control[0])
             keepers.stops(1, 2)
             with mock.patch("pathsaddle.settings.driver.WITHIN", 1.0):
-                self.says((*apply, self.file("[customers.b]", "b"), *at), 1, "settings.no-majority", "nothing was committed")
+                self.says(
+                    (*apply, self.file("[customers.b]", "b"), *at),
+                    1,
+                    "settings.no-majority",
+                    "nothing was committed",
+                )
         (self.folder / "k0/log").write_bytes(b"x" * 99)
-        self.tells("settings", ("keep", str(ground), "--keeper", "k0"), 2, "settings.disk", "move the folder away", "keepers.k0 in")
+        self.tells(
+            "settings",
+            ("keep", str(ground), "--keeper", "k0"),
+            2,
+            "settings.disk",
+            "move the folder away",
+            "keepers.k0 in",
+        )
 
     def test_a_dispatchers_start_says_the_same_by_its_log(self) -> None:
         self.file(self.SPEC, "spec")
         ground = self.file(self.GROUND.format(self.folder), "ground")
-        for where, member, name, *words in ((str(self.folder / "none"), "m", "federation.ground-faulty", "no such file"),
-                                            (ground, "n", "federation.no-member", f"[members.n] to {ground}")):
+        for where, member, name, *words in (
+            (str(self.folder / "none"), "m", "federation.ground-faulty", "no such file"),
+            (ground, "n", "federation.no-member", f"[members.n] to {ground}"),
+        ):
             charter = self.file(GOOD + SCHEME + f'[federation]\nground = "{where}"\nmember = "{member}"\n')
             code, said = self.process("serve", charter)
             self.assertEqual((code, len(said.splitlines())), (2, 1), said)
@@ -834,47 +1213,77 @@
         (logs / "a.jsonl").write_text(event)
         bad = self.file("{\n" + event, "bad.jsonl")
         for told, name, *words in (
-                (("check", none), "histories.no-logs", none), (("show", none), "histories.unreadable", none),
-                (("check", bad), "histories.malformed", "line 1", bad), (("show", str(logs / "a.jsonl")), "histories.headless",
-                                                                         "check " + str(logs / "a.jsonl")),
-                (("check", str(logs), "--only", "x"), "histories.unknown-checker", "'x'", "at --only"),
-                ((none + ".toml",), "histories.unreadable", none), ((self.file("[", "a.toml"),), "histories.no-toml", "a.toml"),
-                ((self.file("sede = 1", "b.toml"),), "histories.unknown-key", "sede", "b.toml"),
-                ((self.file("seeds = 'x'", "d.toml"),), "histories.wrong-value", "'x'", "at seeds in"),
-                ((self.file("checks = ['x']", "e.toml"),), "histories.unknown-checker", "checks in", "e.toml")):
+            (("check", none), "histories.no-logs", none),
+            (("show", none), "histories.unreadable", none),
+            (("check", bad), "histories.malformed", "line 1", bad),
+            (("show", str(logs / "a.jsonl")), "histories.headless", "check " + str(logs / "a.jsonl")),
+            (("check", str(logs), "--only", "x"), "histories.unknown-checker", "'x'", "at --only"),
+            ((none + ".toml",), "histories.unreadable", none),
+            ((self.file("[", "a.toml"),), "histories.no-toml", "a.toml"),
+            ((self.file("sede = 1", "b.toml"),), "histories.unknown-key", "sede", "b.toml"),
+            ((self.file("seeds = 'x'", "d.toml"),), "histories.wrong-value", "'x'", "at seeds in"),
+            ((self.file("checks = ['x']", "e.toml"),), "histories.unknown-checker", "checks in", "e.toml"),
+        ):
             self.tells("histories", told, 2, name, *words)
-        for text, name, *words in (("skew_ms = -1", "histories.wrong-value", "skew_ms"),
-                                   ("[shedding]\nvalu = 1", "histories.unknown-key", "shedding.valu"),
-                                   ("shedding = 1", "histories.wrong-value", "a table")):
+        for text, name, *words in (
+            ("skew_ms = -1", "histories.wrong-value", "skew_ms"),
+            ("[shedding]\nvalu = 1", "histories.unknown-key", "shedding.valu"),
+            ("shedding = 1", "histories.wrong-value", "a table"),
+        ):
             (logs / "history.toml").write_text(text)
             self.tells("histories", ("check", str(logs)), 2, name, "history.toml", *words)
         _, events = wrong("txns", "once-again", 3, 2000)
         write(logs / "a.jsonl", events)
-        self.tells("histories", ("check", str(logs / "a.jsonl"), "--keep", bad), 2, "histories.unwritable", "--keep", bad)
+        self.tells(
+            "histories",
+            ("check", str(logs / "a.jsonl"), "--keep", bad),
+            2,
+            "histories.unwritable",
+            "--keep",
+            bad,
+        )
 
     def test_plans_of_the_emulated_parts(self) -> None:
         none, broken = str(self.folder / "none"), self.file("[", "t")
-        for part, missing, no_form in (("federation", "charter.unreadable", "charter.no-form"),
-                                       ("state", "charter.unreadable", "charter.no-form"),
-                                       ("placement", "placement.unreadable", "placement.no-toml"),
-                                       ("overload", "overload.plan", "overload.plan")):
+        for part, missing, no_form in (
+            ("federation", "charter.unreadable", "charter.no-form"),
+            ("state", "charter.unreadable", "charter.no-form"),
+            ("placement", "placement.unreadable", "placement.no-toml"),
+            ("overload", "overload.plan", "overload.plan"),
+        ):
             self.tells(f"emulator.{part}.smoke", (none,), 2, missing, none)
             self.tells(f"emulator.{part}.smoke", (broken,), 2, no_form, broken, "TOML")
         for part, text, name, *words in (
-                ("federation", 'name = "x"\ncourses = ["y"]\n', "charter.not-among", "courses", "'y'"),
-                ("placement", "seeds = 'x'", "placement.key", "seeds", "a list"),
-                ("placement", "seeds = [1]\npolicies = ['y']\n", "placement.key", "policies", "`y`"),
-                ("overload", "name = 'x'\nseeds = [1]\n[[plans]]\nname = 3\n", "overload.plan", "plans[0].name"),
-                ("overload", "name = 'x'\nseeds = [1]\n[[plans]]\nname = 'p'\npolicy = 'y'\n", "overload.plan",
-                 "at policy of p")):
+            ("federation", 'name = "x"\ncourses = ["y"]\n', "charter.not-among", "courses", "'y'"),
+            ("placement", "seeds = 'x'", "placement.key", "seeds", "a list"),
+            ("placement", "seeds = [1]\npolicies = ['y']\n", "placement.key", "policies", "`y`"),
+            ("overload", "name = 'x'\nseeds = [1]\n[[plans]]\nname = 3\n", "overload.plan", "plans[0].name"),
+            (
+                "overload",
+                "name = 'x'\nseeds = [1]\n[[plans]]\nname = 'p'\npolicy = 'y'\n",
+                "overload.plan",
+                "at policy of p",
+            ),
+        ):
             self.tells(f"emulator.{part}.smoke", (self.file(text),), 2, name, "c.toml", *words)
 
 
 class TheWhole(unittest.TestCase):
     """Runs after this file's stories, by its name's place: what they met is held against the catalogue."""
 
-    OURS = ("charter", "cli", "experiment", "federation", "fleet", "histories", "jobs", "net", "ownership", "placement",
-            "settings")
+    OURS = (
+        "charter",
+        "cli",
+        "experiment",
+        "federation",
+        "fleet",
+        "histories",
+        "jobs",
+        "net",
+        "ownership",
+        "placement",
+        "settings",
+    )
 
     def test_the_page_lists_every_error_with_its_words(self) -> None:
         load_all()
@@ -894,10 +1303,13 @@
             type("Other", (errors.Error,), {"name": "charter.missing"})
 
     def test_each_error_was_met_by_its_cause(self) -> None:
-        ours = {name for name, kind in errors.CATALOGUE.items()
-                if kind.__module__.split(".")[1] in self.OURS}
-        stories = {f"{kind.__module__}.{kind.__qualname__}.{name}" for kind in (*Reading.__subclasses__(), DriverStory)
-                   for name in dir(kind) if name.startswith("test_")}
+        ours = {name for name, kind in errors.CATALOGUE.items() if kind.__module__.split(".")[1] in self.OURS}
+        stories = {
+            f"{kind.__module__}.{kind.__qualname__}.{name}"
+            for kind in (*Reading.__subclasses__(), DriverStory)
+            for name in dir(kind)
+            if name.startswith("test_")
+        }
         if stories - RAN:
             self.skipTest("not all stories of this file have run")
         self.assertEqual(sorted(ours - KNOWN), [])
@@ -905,9 +1317,13 @@
 
 def row(kind: type[errors.Error]) -> str:
     """An error's line of the page, but for its name. Whose sentence is handed in whole is told by its docstring."""
+
     def shown(text: str) -> str:
         return re.sub(r"{([a-z_]+)[^}]*}", lambda match: match[1].upper(), text).replace("|", "/")
-    whole = "" if kind.what or kind.__doc__ is None else kind.__doc__.split("\n\n")[0].replace("\n", " ").strip()
+
+    whole = (
+        "" if kind.what or kind.__doc__ is None else kind.__doc__.split("\n\n")[0].replace("\n", " ").strip()
+    )
     do = shown(kind.do) or ("as it says" if whole else "by the kernel's word, see above")
     return f"| {whole or shown(kind.what)} | {do} | {kind.code} |"
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -57,7 +57,6 @@
             host.end(host.posted[-1], Outcome.SETTLED, idle())
         self.assertNotIn(bad, [p.worker for p in host.posted[1:]])
 
-
     def test_a_wide_job_is_not_sent_where_only_one_slot_is_free(self) -> None:
         host = FakeHost()
         for worker, free in zip(host.workers, (1.0, 4.0)):
@@ -72,8 +71,10 @@
         host = FakeHost(scheme(sla_time=6 * SECOND))
         host.ask("a")
         host.passes(4 * SECOND)
-        self.assertEqual([p.worker for p in host.posted if p.txn.tag == "a"][1:],
-                         [w for w in host.workers if w is not host.posted[0].worker])
+        self.assertEqual(
+            [p.worker for p in host.posted if p.txn.tag == "a"][1:],
+            [w for w in host.workers if w is not host.posted[0].worker],
+        )
 
     def test_progress_keeps_a_long_job_where_it_is(self) -> None:
         host = FakeHost()
@@ -124,7 +125,6 @@
             host.passes(SECOND)
         self.assertNotIn(True, over)
 
-
     def test_a_handful_of_txns_puts_nobody_over_share(self) -> None:
         """Hundreds of dispatchers: by chance a few came close together, and most were taken to be over."""
         small = [Customer(0, 10.0, 0.5), Customer(1, 10.0, 0.5)]
@@ -204,7 +204,6 @@
         host.passes(2 * SECOND)
         self.assertEqual(host.subscribed, 2)
 
-
     def test_a_call_without_any_answer_is_made_again_in_time(self) -> None:
         host = FakeHost(must_ask=True, news=ListNews.REMEMBERED)
         host.passes(9 * SECOND)
@@ -217,7 +216,6 @@
         host.list(ListNews.WHOLE, *host.workers, new := Worker("new"))
         self.assertEqual(list(host.loop.choice.books[new].head.values()), [0.5])
 
-
     def test_starts_seen_quicker_than_a_tick_make_no_finer_yardstick(self) -> None:
         """On sockets a start at home is seen after 1.5 ms, abroad after 16: postings abroad were "queued"."""
         host = FakeHost(tells_start=True, tick=50)
@@ -271,8 +269,14 @@
     """Eleven dispatchers met at whoever had once been idle, queued up to sixty there, and fled all at once."""
 
     def host(self, workers: int = 2, **more: object) -> FakeHost:
-        more = {"two_at_once": False, "may_cancel": True, "progress_every": SECOND, "tells_start": True,
-                "max_postings": 3, **more}
+        more = {
+            "two_at_once": False,
+            "may_cancel": True,
+            "progress_every": SECOND,
+            "tells_start": True,
+            "max_postings": 3,
+            **more,
+        }
         return FakeHost(scheme(ONCE_ONLY, sla_time=SECOND, expiry=5 * SECOND), workers=workers, **more)
 
     def test_a_posting_that_does_not_start_speaks_against_the_report_that_claims_room(self) -> None:
@@ -331,8 +335,15 @@
         self.assertEqual(len(host.posted), 3)
 
     def test_where_some_scheme_may_run_again_in_a_group_a_suspect_is_tried_with_it_alone(self) -> None:
-        host = FakeHost(scheme(ONCE_ONLY), scheme(REFERENCED, index=1, group=Group.CELL), workers=1, may_probe=True,
-                        two_at_once=False, progress_every=SECOND, tells_start=True)
+        host = FakeHost(
+            scheme(ONCE_ONLY),
+            scheme(REFERENCED, index=1, group=Group.CELL),
+            workers=1,
+            may_probe=True,
+            two_at_once=False,
+            progress_every=SECOND,
+            tells_start=True,
+        )
         host.tell(host.workers[0], Report(free=4.0, waiting=0.0))
         host.ask("a")
         host.passes(2 * SECOND)
@@ -358,9 +369,17 @@
 class Keys(unittest.TestCase):
     """Days on which every job of a key fetched its data anew from a store that had no more to give."""
 
-    def host(self, seed: int, workers: int = 20, of: Scheme | None = None, dispatchers: int = 2, **terms: object) -> FakeHost:
-        host = FakeHost(of or scheme(ONCE_ONLY), workers=workers, seed=seed, dispatchers=dispatchers,
-                        number=seed % 2, **terms)
+    def host(
+        self, seed: int, workers: int = 20, of: Scheme | None = None, dispatchers: int = 2, **terms: object
+    ) -> FakeHost:
+        host = FakeHost(
+            of or scheme(ONCE_ONLY),
+            workers=workers,
+            seed=seed,
+            dispatchers=dispatchers,
+            number=seed % 2,
+            **terms,
+        )
         for index, worker in enumerate(host.workers):
             worker.lot = index * 2654435761 % (1 << 32)
         host.list(ListNews.WHOLE, *host.workers)
@@ -386,7 +405,9 @@
         """206 dispatchers sent each key to the same few of 129 workers and saw nothing of their queues: a calm day
         served less of its worth than the plainest policy. Of six dispatchers each sees a good part of it."""
         for hears, fleet, most, least in ((True, 20, 6, 1), (False, 20, 20, 7), (False, 6, 6, 1)):
-            host = self.host(2, of=scheme(), dispatchers=fleet, reports_in_answers=hears, reports_in_probes=False)
+            host = self.host(
+                2, of=scheme(), dispatchers=fleet, reports_in_answers=hears, reports_in_probes=False
+            )
             for workers in self.served(host, "abcdefgh").values():
                 self.assertTrue(least <= len(workers) <= most, (hears, fleet, len(workers)))
 
@@ -408,7 +429,9 @@
         host.standing(lost, Standing.READY)
         self.assertIn(first, self.served(host, "kkk")["k"])
 
-    def test_where_whatever_fits_starts_first_jobs_as_wide_as_a_worker_have_workers_of_their_own(self) -> None:
+    def test_where_whatever_fits_starts_first_jobs_as_wide_as_a_worker_have_workers_of_their_own(
+        self,
+    ) -> None:
         """They waited until a worker was empty: 0.6 s at the median for jobs of 0.1 s."""
         for overtakes in (True, False):
             host = FakeHost(scheme(expiry=60 * SECOND), workers=16, overtakes=overtakes)
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -105,7 +105,9 @@
         data = "".join(f'[data.d{i}]\ncopies = {{ north = "0s" }}\n' for i in range(100))
 
         def lines(count):
-            body = "".join(f'[schemes.s{i}]\nhome = "north"\n{OUT}data = "d{i % 100}"\n' for i in range(count))
+            body = "".join(
+                f'[schemes.s{i}]\nhome = "north"\n{OUT}data = "d{i % 100}"\n' for i in range(count)
+            )
             with Steps() as steps:
                 one = parse(REGIONS + body + data)
                 two = parse(REGIONS + body.replace('"west"', '"south"') + data)
@@ -113,6 +115,7 @@
                 self.assertEqual(len(self.faults(body.replace('["west"]', '["wset"]') + data)), count)
             self.assertEqual((len(changes), sum(row.tightens for row in changes)), (2 * count, count))
             return steps.lines
+
         few, many = lines(500), lines(5000)
         self.assertLess(many, 10 * few, "no more for each of many")
         self.assertLess(many, 28_600_000)  # 22.9 million are run; 1.25 times as many
@@ -126,8 +129,10 @@
 
     def test_comparing_tells_tightenings_and_loosenings_for_each_scheme_and_region(self):
         one, two = versions(1)
-        self.assertEqual(compared(one.spec, two.spec),
-                         [Change("a", "south", "may", False), Change("a", "west", "may", True)])
+        self.assertEqual(
+            compared(one.spec, two.spec),
+            [Change("a", "south", "may", False), Change("a", "west", "may", True)],
+        )
         less = parse(one.spec.text + "at_most = 0.1\n")
         self.assertEqual(compared(one.spec, less), [Change("a", "", "at_most", True)])
 
--- a/tests/test_federation_dispatchers.py
+++ b/tests/test_federation_dispatchers.py
@@ -40,20 +40,27 @@
 member = "{name}"
 doors = {{ {other} = ["127.0.0.1:{door}"] }}
 """
-SPEC = """[regions.north]
+SPEC = (
+    """[regions.north]
 members = ["n"]
 [regions.west]
 members = ["w"]
-""" + "".join(f"""[schemes.{name}]
+"""
+    + "".join(
+        f"""[schemes.{name}]
 semantics = "{semantics}"
 home = "north"
 may = ["north", "west"]
 fail_over = ["west"]
 when = ["lost", "overloaded"]
 at_most = 1.0
-""" for name, semantics in (("render", "repeatable"), ("charge", "once-only"))) + """[schemes.vault]
+"""
+        for name, semantics in (("render", "repeatable"), ("charge", "once-only"))
+    )
+    + """[schemes.vault]
 home = "north"
 """
+)
 
 
 def free(kind=socket.SOCK_STREAM):
@@ -72,15 +79,33 @@
         self.serving = {}
         self.ports = {"n": free(), "w": free()}
         (self.folder / "spec.toml").write_text(SPEC)
-        ground = ['key = "sixteen bytes or more"', 'lease = "5s"', f'register = "{folder.name}/register"',
-                  f'spec = "{folder.name}/spec.toml"', f'log = "{folder.name}/log"', "capacity = 100.0"]
+        ground = [
+            'key = "sixteen bytes or more"',
+            'lease = "5s"',
+            f'register = "{folder.name}/register"',
+            f'spec = "{folder.name}/spec.toml"',
+            f'log = "{folder.name}/log"',
+            "capacity = 100.0",
+        ]
         for name, region in (("n", "north"), ("w", "west")):
-            ground += [f"[members.{name}]", f'region = "{region}"', f'disk = "{folder.name}/disk"',
-                       f'address = "127.0.0.1:{free(socket.SOCK_DGRAM)}"']
+            ground += [
+                f"[members.{name}]",
+                f'region = "{region}"',
+                f'disk = "{folder.name}/disk"',
+                f'address = "127.0.0.1:{free(socket.SOCK_DGRAM)}"',
+            ]
         ground += ["[keepers.k]", f'address = "127.0.0.1:{free(socket.SOCK_DGRAM)}"']
         (self.folder / "ground.toml").write_text("\n".join(ground) + "\n")
-        await (await self.start("pathsaddle.federation", "commit", self.folder / "ground.toml",
-                                self.folder / "spec.toml", "--offer", "0.1")).wait()
+        await (
+            await self.start(
+                "pathsaddle.federation",
+                "commit",
+                self.folder / "ground.toml",
+                self.folder / "spec.toml",
+                "--offer",
+                "0.1",
+            )
+        ).wait()
         await self.start("pathsaddle.federation", "keeper", self.folder / "ground.toml", "k")
         for name, other, there in (("n", "west", "w"), ("w", "north", "n")):
             discovery = await asyncio.start_server(
@@ -123,13 +148,21 @@
     async def start(self, module, *words):
         with (self.folder / f"{len(list(self.folder.iterdir()))}.err").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", module, *map(str, words), cwd=ROOT, stdout=asyncio.subprocess.DEVNULL,
-                stderr=log, start_new_session=True)
+                sys.executable,
+                "-m",
+                module,
+                *map(str, words),
+                cwd=ROOT,
+                stdout=asyncio.subprocess.DEVNULL,
+                stderr=log,
+                start_new_session=True,
+            )
 
         async def end():
             if process.returncode is None:
                 os.killpg(process.pid, signal.SIGKILL)
             await process.wait()
+
         self.addAsyncCleanup(end)
         return process
 
@@ -137,7 +170,7 @@
         found = []
         for path in sorted((self.folder / "log").glob("*.jsonl")):
             whole = path.read_bytes()
-            (self.folder / "read").write_bytes(whole[:whole.rfind(b"\n") + 1])
+            (self.folder / "read").write_bytes(whole[: whole.rfind(b"\n") + 1])
             found += read(self.folder / "read")
         return sorted(found, key=lambda row: row.at)
 
@@ -153,9 +186,27 @@
     async def list(self, name, reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         port = getattr(self, f"worker_{name}")
-        line = json.dumps({"index": 1, "snapshot": True, "endpoints": [
-            {"name": name, "address": f"127.0.0.1:{port}", "zone": "here", "type": "m", "group": 0,
-             "status": "active", "weight": 1.0, "since_ms": 0}]}).encode() + b"\n"
+        line = (
+            json.dumps(
+                {
+                    "index": 1,
+                    "snapshot": True,
+                    "endpoints": [
+                        {
+                            "name": name,
+                            "address": f"127.0.0.1:{port}",
+                            "zone": "here",
+                            "type": "m",
+                            "group": 0,
+                            "status": "active",
+                            "weight": 1.0,
+                            "since_ms": 0,
+                        }
+                    ],
+                }
+            ).encode()
+            + b"\n"
+        )
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
         await reader.read()
         writer.close()
@@ -166,7 +217,7 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if not head.startswith(b"POST"):
-                    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{\"x0\":8,\"queue\":0}")
+                    writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"x0":8,"queue":0}')
                     continue
                 await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0]))
                 self.seen[name].append(head)
@@ -198,8 +249,10 @@
 
     @staticmethod
     def job(tag, kind, within=4000, more=""):
-        return (f"POST /{kind} HTTP/1.1\r\nHost: x\r\nReq-Id: {tag}\r\nReq-Deadline-Ms: {within}\r\n{more}"
-                "Content-Length: 5\r\n\r\nhello").encode()
+        return (
+            f"POST /{kind} HTTP/1.1\r\nHost: x\r\nReq-Id: {tag}\r\nReq-Deadline-Ms: {within}\r\n{more}"
+            "Content-Length: 5\r\n\r\nhello"
+        ).encode()
 
     async def test_what_finds_no_place_at_home_is_served_abroad_once_and_never_where_it_may_not_be(self):
         self.assertEqual(await self.call("n", self.job("a", "render")), (200, b"w"))
--- a/tests/test_federation_processes.py
+++ b/tests/test_federation_processes.py
@@ -90,9 +90,14 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.specs, self.processes, self.relays = {}, {}, {}
-        lines = ['key = "sixteen bytes or more"', 'lease = "2s"', self.drives,
-                 f'register = "{self.folder}/register"', f'spec = "{self.folder}/first.toml"',
-                 f'log = "{self.folder}/log"']
+        lines = [
+            'key = "sixteen bytes or more"',
+            'lease = "2s"',
+            self.drives,
+            f'register = "{self.folder}/register"',
+            f'spec = "{self.folder}/first.toml"',
+            f'log = "{self.folder}/log"',
+        ]
         for kind, names in (("members", NAMES), ("keepers", ("k0", "k1"))):
             for name in names:
                 port = udp_ports(1)[0]
@@ -143,6 +148,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait(10)
+
         self.addCleanup(end)
         return process
 
@@ -164,7 +170,7 @@
         for path in sorted((self.folder / "log").glob("*.jsonl")):
             whole = path.read_bytes()
             path = self.folder / "read.jsonl"
-            path.write_bytes(whole[:whole.rfind(b"\n") + 1])
+            path.write_bytes(whole[: whole.rfind(b"\n") + 1])
             found += read(path)
         return sorted(found, key=lambda row: row.at)
 
@@ -180,8 +186,11 @@
 
     def forced(self, number):
         def holds(rows):
-            return any(row.what == "spec.version" and row.more["state"] == "force"
-                       and row.more["version"] >= number for row in rows)
+            return any(
+                row.what == "spec.version" and row.more["state"] == "force" and row.more["version"] >= number
+                for row in rows
+            )
+
         return self.until(holds, f"version {number} in force")
 
     def committed(self, number):
@@ -221,11 +230,19 @@
         self.relays["w0"].cut = False
         os.kill(self.processes["s0"].pid, signal.SIGCONT)
         rows = self.until(lambda rows: self.held("w0", 2, rows) and self.held("s0", 2, rows), "both have it")
-        forced = next(row.at for row in rows if row.what == "spec.version" and row.more["state"] == "force"
-                      and row.more["version"] == 2)
+        forced = next(
+            row.at
+            for row in rows
+            if row.what == "spec.version" and row.more["state"] == "force" and row.more["version"] == 2
+        )
         rows = self.good()
-        self.assertFalse([row for row in rows if row.what == "region.ran" and row.more["region"] == "west"
-                          and row.at > forced + SKEW])
+        self.assertFalse(
+            [
+                row
+                for row in rows
+                if row.what == "region.ran" and row.more["region"] == "west" and row.at > forced + SKEW
+            ]
+        )
         silent = [
             row
             for row in rows
@@ -246,8 +263,11 @@
         rows = self.until(lambda rows: all(self.held(name, 3, rows) for name in NAMES), "all go by it")
         register = (self.folder / "register" / "000000003.toml").read_bytes()
         self.assertIn(b"# 3", register)
-        early = [row for row in rows if row.what == "abroad.sent" and row.more["to"] == "west"
-                 and row.more["version"] >= 2]
+        early = [
+            row
+            for row in rows
+            if row.what == "abroad.sent" and row.more["to"] == "west" and row.more["version"] >= 2
+        ]
         self.assertEqual(early, [])
         self.good()
 
@@ -261,8 +281,14 @@
         disk.write_bytes(old)
         self.start("member", "n1")
         rows = self.until(lambda rows: self.held("n1", 2, rows), "it learns of the new one")
-        wrong = [row for row in rows if row.what == "abroad.sent" and row.more["who"] == "n1"
-                 and row.more["to"] == "south" and row.at > back * 10_000]
+        wrong = [
+            row
+            for row in rows
+            if row.what == "abroad.sent"
+            and row.more["who"] == "n1"
+            and row.more["to"] == "south"
+            and row.at > back * 10_000
+        ]
         self.assertEqual(wrong, [])
         self.good()
 
@@ -302,8 +328,10 @@
 
     def test_a_spec_of_five_thousand_tables_comes_in_pieces_past_lost_ones(self):
         path = self.folder / "large.toml"
-        path.write_text(spec("west") + "".join(
-            f'[data.d{i}]\ncopies = {{ north = "0s" }}\nfetch = 0.25\n' for i in range(5000)))
+        path.write_text(
+            spec("west")
+            + "".join(f'[data.d{i}]\ncopies = {{ north = "0s" }}\nfetch = 0.25\n' for i in range(5000))
+        )
         self.run_one("commit", str(self.ground), str(path), "--offer", "0.2")
         self.committed(2)
         self.relays["w0"].cut = True
@@ -362,8 +390,11 @@
                 for row in self.ran(rows, "west", cut, "s0")
                 if row.more["kind"] == "once-only"
             }
-            return [row for row in rows if row.what == "txn.answer" and row.more["txn"] in ran
-                    and row.more["outcome"] == "failed"]
+            return [
+                row
+                for row in rows
+                if row.what == "txn.answer" and row.more["txn"] in ran and row.more["outcome"] == "failed"
+            ]
 
         self.until(unknown, "it ran, and its caller is told that nobody knows")
         self.relays["s0"].cut = False
@@ -405,8 +436,21 @@
         for told, found in ((digest, text), ("f" * 32, None)):
             pieces = wire.Pieces()
             self.assertEqual(pieces.begin(2, told, len(text)), 0)
-            last = [pieces.took(wire.Said("k", 1, wire.TEXT, number=2, digest=told, size=len(text), first=i,
-                                          data=text[i * 1024:(i + 1) * 1024])) for i in (2, 0, 0, 1)]
+            last = [
+                pieces.took(
+                    wire.Said(
+                        "k",
+                        1,
+                        wire.TEXT,
+                        number=2,
+                        digest=told,
+                        size=len(text),
+                        first=i,
+                        data=text[i * 1024 : (i + 1) * 1024],
+                    )
+                )
+                for i in (2, 0, 0, 1)
+            ]
             self.assertEqual(last, [None, None, None, found])
 
     def test_the_command_line_tells_each_fault_and_what_to_do(self):
@@ -415,10 +459,12 @@
             good.write_text(spec("west"))
             bad.write_text(spec("wset"))
             ground.write_text('key = "short"\nregister = "r"\nspec = "s"\nlog = "l"\n[members]\n[keepers]\n')
-            for words, code, says in ((("check", good), 0, "1 schemes, 3 regions"),
-                                      (("check", bad), 2, "the nearest known is west"),
-                                      (("compare", good, good), 0, ""),
-                                      (("member", ground, "n0"), 2, "[federation.key]")):
+            for words, code, says in (
+                (("check", good), 0, "1 schemes, 3 regions"),
+                (("check", bad), 2, "the nearest known is west"),
+                (("compare", good, good), 0, ""),
+                (("member", ground, "n0"), 2, "[federation.key]"),
+            ):
                 done = subprocess.run(
                     [sys.executable, "-m", "pathsaddle.federation", *map(str, words)],
                     cwd=ROOT,
--- a/tests/test_federation_world.py
+++ b/tests/test_federation_world.py
@@ -103,16 +103,33 @@
 
     def test_tightened_while_a_region_hears_nothing_for_longer_than_its_lease(self):
         rows = self.good("partition").events.rows
-        forced = next(row.at for row in rows if row.what == "spec.version" and row.more["state"] == "force"
-                      and row.more["version"] == 2)
+        forced = next(
+            row.at
+            for row in rows
+            if row.what == "spec.version" and row.more["state"] == "force" and row.more["version"] == 2
+        )
         self.assertLess(
             forced, 37 * SECOND
         )  # within the partition: by the leases' end, not by its members' word
-        held = [row.at for row in rows if row.what == "spec.version" and row.more["state"] == "held"
-                and row.more["version"] == 2 and row.more["who"] == "south-0"]
+        held = [
+            row.at
+            for row in rows
+            if row.what == "spec.version"
+            and row.more["state"] == "held"
+            and row.more["version"] == 2
+            and row.more["who"] == "south-0"
+        ]
         self.assertGreater(held[0], 37 * SECOND)
-        self.assertFalse([row for row in rows if row.what == "region.ran" and row.more["home"] != "south"
-                          and row.more["region"] == "south" and forced < row.at < held[0]])
+        self.assertFalse(
+            [
+                row
+                for row in rows
+                if row.what == "region.ran"
+                and row.more["home"] != "south"
+                and row.more["region"] == "south"
+                and forced < row.at < held[0]
+            ]
+        )
 
     def test_loosened_by_a_committer_that_is_killed_before_it_tells(self):
         world = self.good("committer-killed")
@@ -121,10 +138,19 @@
 
     def test_two_versions_in_one_fleet_while_a_region_stands_still(self):
         rows = self.good("stopped").events.rows
-        forced = [row.at for row in rows if row.what == "spec.version" and row.more["state"] == "force"
-                  and row.more["version"] == 2]
-        woke = [row.at for row in rows if row.what == "spec.version" and row.more["state"] == "held"
-                and row.more["version"] == 2 and row.more["who"].startswith("west")]
+        forced = [
+            row.at
+            for row in rows
+            if row.what == "spec.version" and row.more["state"] == "force" and row.more["version"] == 2
+        ]
+        woke = [
+            row.at
+            for row in rows
+            if row.what == "spec.version"
+            and row.more["state"] == "held"
+            and row.more["version"] == 2
+            and row.more["who"].startswith("west")
+        ]
         self.assertTrue(forced and woke and woke[0] >= 24 * SECOND)
 
     def test_ways_that_flap_faster_than_failing_over_turn_nobody_to_and_fro(self):
@@ -134,8 +160,14 @@
 
     def test_a_copy_that_is_no_more_refreshed_is_not_read_and_its_jobs_fetch(self):
         rows = self.good("stale").events.rows
-        west = [row for row in rows if row.what == "data.read" and row.more["region"] == "west"
-                and row.more["scheme"] == "lookup-north" and row.at > 21 * SECOND]
+        west = [
+            row
+            for row in rows
+            if row.what == "data.read"
+            and row.more["region"] == "west"
+            and row.more["scheme"] == "lookup-north"
+            and row.at > 21 * SECOND
+        ]
         self.assertTrue(any(row.more["fetched"] for row in west))
 
     def test_clocks_that_are_an_hour_off_and_drift_change_nothing(self):
@@ -296,19 +328,43 @@
             "home": {"a": "north"},
             "data": {},
         }
-        first = [(0, {**committed, "version": 1, "may": {"a": ["north", "west"]}}),
-                 (0, {"what": "spec.version", "who": "n", "state": "held", "version": 1, "until": 100})]
+        first = [
+            (0, {**committed, "version": 1, "may": {"a": ["north", "west"]}}),
+            (0, {"what": "spec.version", "who": "n", "state": "held", "version": 1, "until": 100}),
+        ]
         second = (50, {**committed, "version": 2, "may": {"a": ["north", "south"]}})
-        return [Event(at, row["what"], {k: v for k, v in row.items() if k != "what"})
-                for at, row in sorted([*first, second, *rows], key=lambda row: row[0])]
+        return [
+            Event(at, row["what"], {k: v for k, v in row.items() if k != "what"})
+            for at, row in sorted([*first, second, *rows], key=lambda row: row[0])
+        ]
 
     def sent(self, at, to="west", who="n", post="1", origin="north", kind="once-only", **more):
-        return at, {"what": "abroad.sent", "who": who, "post": post, "txn": "t", "scheme": "a", "kind": kind,
-                    "origin": origin, "from": "north", "to": to, "version": 1, **more}
+        return at, {
+            "what": "abroad.sent",
+            "who": who,
+            "post": post,
+            "txn": "t",
+            "scheme": "a",
+            "kind": kind,
+            "origin": origin,
+            "from": "north",
+            "to": to,
+            "version": 1,
+            **more,
+        }
 
     def ran(self, at, region="west", post="1", home="north"):
-        return at, {"what": "region.ran", "who": "x", "by": "w", "region": region, "txn": "t", "post": post,
-                    "kind": "once-only", "scheme": "a", "home": home}
+        return at, {
+            "what": "region.ran",
+            "who": "x",
+            "by": "w",
+            "region": region,
+            "txn": "t",
+            "post": post,
+            "kind": "once-only",
+            "scheme": "a",
+            "home": home,
+        }
 
     def force(self, at):
         return at, {"what": "spec.version", "who": "k", "state": "force", "version": 2}
@@ -354,12 +410,13 @@
         queued = (3, {"what": "work.queued", "who": "x", "region": "west", "post": "9", "own": True})
         killed = (55, {"what": "member.ended", "who": "n", "why": "killed"})
         for name, rows in {
-                "declined, so sent again": [self.sent(1), self.ended(3, "declined"), self.sent(5, post="2")],
-                "the old version, not yet in force": [self.sent(60)],
-                "in force before the end of a lease whose holder is dead": [killed, self.force(60)],
-                "in force once the lease is over": [self.force(101)],
-                "own jobs waited, but not any more": [queued, left, self.ran(5)],
-                "home without a lease": [self.ran(500, "north")]}.items():
+            "declined, so sent again": [self.sent(1), self.ended(3, "declined"), self.sent(5, post="2")],
+            "the old version, not yet in force": [self.sent(60)],
+            "in force before the end of a lease whose holder is dead": [killed, self.force(60)],
+            "in force once the lease is over": [self.force(101)],
+            "own jobs waited, but not any more": [queued, left, self.ran(5)],
+            "home without a lease": [self.ran(500, "north")],
+        }.items():
             with self.subTest(name):
                 self.assertEqual(dict(judged(self.log(*rows))), {})
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,8 +54,12 @@
         """Killed together in a release and born together, 28 of 40 asked in one moment, were told to come
         again and did, twice a second each: discovery answered none of 486 calls in 38 s."""
         for beats in (False, True):  # on the simulator, on sockets
-            hosts = [FakeHost(must_ask=True, beats=beats, dispatchers=40, number=n, seed=n, news=ListNews.REMEMBERED)
-                     for n in range(40)]
+            hosts = [
+                FakeHost(
+                    must_ask=True, beats=beats, dispatchers=40, number=n, seed=n, news=ListNews.REMEMBERED
+                )
+                for n in range(40)
+            ]
             service = SlowList(hosts)
             service.plays(25 * SECOND)
             self.assertEqual(len(service.watching), 40, beats)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -37,8 +37,15 @@
 
 
 def pathsaddle(*words, **more):
-    return subprocess.Popen([sys.executable, "-m", "pathsaddle", *words], cwd=ROOT, stdout=subprocess.PIPE,
-                            stderr=subprocess.STDOUT, text=True, start_new_session=True, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "pathsaddle", *words],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+        text=True,
+        start_new_session=True,
+        **more,
+    )
 
 
 def free(kind):
@@ -55,21 +62,33 @@
             if process.poll() is None:
                 os.killpg(process.pid, signal.SIGKILL)
             process.communicate()
+
         self.addCleanup(end)
         return process
 
     def test_seven_processes_through_cuts_a_stop_a_kill_and_a_minute_in_halves(self):
         """Two fleets side by side, for the time's sake; exit 0: no bound of the judge's was broken at any instant."""
         with tempfile.TemporaryDirectory() as folder:
-            runs = {name: self.started("emulate", f"experiments/{name}.toml", "--ground", "sockets", "--events",
-                                       f"{folder}/{name}") for name in ("fleet-sockets", "fleet-halves")}
+            runs = {
+                name: self.started(
+                    "emulate",
+                    f"experiments/{name}.toml",
+                    "--ground",
+                    "sockets",
+                    "--events",
+                    f"{folder}/{name}",
+                )
+                for name in ("fleet-sockets", "fleet-halves")
+            }
             for process in runs.values():
                 said, _ = process.communicate(timeout=150)
                 self.assertEqual(process.returncode, 0, said[-3000:])
             views = {name: [e for e in read(Path(folder) / name) if e.what == "view"] for name in runs}
         apart = [e.more for e in views["fleet-halves"] if e.more["state"] == "dead" and e.at < 610_000]
         self.assertTrue(any(m["who"] == "d0" and m["about"] == "d6" for m in apart))
-        back = {e.more["life"] for e in views["fleet-sockets"] if (e.more["who"], e.more["about"]) == ("d0", "d6")}
+        back = {
+            e.more["life"] for e in views["fleet-sockets"] if (e.more["who"], e.more["about"]) == ("d0", "d6")
+        }
         self.assertEqual(len(back), 2)
         stopped = [e.more for e in views["fleet-sockets"] if e.more["who"] == "d3" and e.at > 400_000]
         self.assertTrue(any("stood still" in m["why"] or "refuted" in m["why"] for m in stopped))
@@ -98,17 +117,23 @@
     def test_a_folder_that_is_not_there_is_said_at_once(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "charter.toml"
-            path.write_text(CHARTER.format(free(socket.SOCK_DGRAM), free(socket.SOCK_STREAM), f"{folder}/none"))
+            path.write_text(
+                CHARTER.format(free(socket.SOCK_DGRAM), free(socket.SOCK_STREAM), f"{folder}/none")
+            )
             process = self.started("serve", str(path))
             said, _ = process.communicate(timeout=30)
             self.assertEqual(process.returncode, 2)
             self.assertIn("fleet.folder", said)
 
     def test_without_a_fleet_nothing_of_it_is_loaded(self):
-        code = ("import sys; from pathsaddle.net.service import start, ground; from pathsaddle.net.memory.counters "
-                "import Counters; assert ground.Ground().fellows(Counters()) is None; "
-                "print([m for m in sys.modules if m.startswith('pathsaddle.fleet') or m == 'msgspec'])")
-        done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+        code = (
+            "import sys; from pathsaddle.net.service import start, ground; from pathsaddle.net.memory.counters "
+            "import Counters; assert ground.Ground().fellows(Counters()) is None; "
+            "print([m for m in sys.modules if m.startswith('pathsaddle.fleet') or m == 'msgspec'])"
+        )
+        done = subprocess.run(
+            [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+        )
         self.assertEqual(done.stdout.strip(), "[]")
 
 
@@ -141,6 +166,7 @@
             streams.end()
             server.close()
             self.assertTrue(loop.is_running())
+
         asyncio.run(run())
 
     @staticmethod
@@ -156,13 +182,24 @@
     def test_what_is_wrong_in_a_fleets_table_is_said_all_at_once(self):
         from pathsaddle.charter.check import Faulty, check
         from pathsaddle.charter.form import Charter
-        base = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "name": "a",
-                "schemes": [{"name": "s", "semantics": "repeatable", "expiry": "5s"}]}
+
+        base = {
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:2",
+            "name": "a",
+            "schemes": [{"name": "s", "semantics": "repeatable", "expiry": "5s"}],
+        }
         fleet = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:3"}
         self.assertIsNotNone(check(Charter, {**base, "fleet": fleet}, "x").fleet)
-        for wrong, word in (({"key": "short"}, "fleet.key"), ({"listen": "nowhere"}, "host:port of IPv4"),
-                            ({"seeds": ["[::1]:1"]}, "host:port of IPv4"), ({"control": "10.0.0.1:1"}, "loopback"),
-                            ({"beat": "20ms"}, "beat"), ({"patience": "600ms"}, "patience"), ({"bits": 1}, "bits")):
+        for wrong, word in (
+            ({"key": "short"}, "fleet.key"),
+            ({"listen": "nowhere"}, "host:port of IPv4"),
+            ({"seeds": ["[::1]:1"]}, "host:port of IPv4"),
+            ({"control": "10.0.0.1:1"}, "loopback"),
+            ({"beat": "20ms"}, "beat"),
+            ({"patience": "600ms"}, "patience"),
+            ({"bits": 1}, "bits"),
+        ):
             with self.assertRaises(Faulty) as caught:
                 check(Charter, {**base, "fleet": {**fleet, **wrong}}, "x")
             self.assertIn(word, str(caught.exception))
@@ -172,9 +209,16 @@
     def test_a_plans_links_name_whom_there_is(self):
         from pathsaddle.charter.check import Faulty
         from pathsaddle.emulator import plan as plans
-        table = {"name": "p", "seconds": 5, "charter": {
-            "zones": ["east", "west"], "schemes": [{"name": "s", "semantics": "repeatable", "expiry": "5s"}]},
-            "faults": [{"kind": "link-cut", "of": "east", "at": "1s"}]}
+
+        table = {
+            "name": "p",
+            "seconds": 5,
+            "charter": {
+                "zones": ["east", "west"],
+                "schemes": [{"name": "s", "semantics": "repeatable", "expiry": "5s"}],
+            },
+            "faults": [{"kind": "link-cut", "of": "east", "at": "1s"}],
+        }
         with self.assertRaises(Faulty) as caught:
             plans.of(table, "p")
         self.assertIn("charter.fleet is missing", str(caught.exception))
--- a/tests/test_grounds.py
+++ b/tests/test_grounds.py
@@ -38,7 +38,10 @@
         'checks = ["counts"]\nseeds = 1\nevents = 2000\ntimed = 400\nmillion = 1e9\nseconds = 1e9\n',
         "every bound holds",
     ),
-    "settings": ("[[seeds]]\ncount = 1\nplan = { seconds = 8, quiet = 20 }\n", "every bound holds, every mutant is found"),
+    "settings": (
+        "[[seeds]]\ncount = 1\nplan = { seconds = 8, quiet = 20 }\n",
+        "every bound holds, every mutant is found",
+    ),
     "scale": (
         (
             'measure = "tally"\nagainst = "members"\npoints = [1]\nplays = 1\nprocesses = 1\nmemory_mib = 90\n'
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -49,8 +49,10 @@
     def test_a_checker_that_sees_nothing_and_one_that_accuses_all_fail_the_plan(self):
         plan = Plan(checks=["counts"], seeds=1, events=2000, timed=400, million=1e9, seconds=1e9)
         self.assertTrue(run(plan, lambda line: None))
-        for blind in (lambda self, event: None,
-                      lambda self, event: self.find("count-outside", "always", event)):
+        for blind in (
+            lambda self, event: None,
+            lambda self, event: self.find("count-outside", "always", event),
+        ):
             with mock.patch.object(shares.Counts, "_told", blind):
                 self.assertFalse(run(plan, lambda line: None))
 
@@ -59,11 +61,14 @@
             self.assertEqual(right(name, 4, 500, 20), right(name, 4, 500, 20))
 
     def test_nothing_of_the_program_is_read_but_the_form_of_an_event(self):
-        code = ("import sys, pathsaddle.histories.__main__\n"
-                "print([name for name in sys.modules if name.startswith('pathsaddle.') and 'histories' not "
-                "in name])")
-        seen = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60,
-                              check=True)
+        code = (
+            "import sys, pathsaddle.histories.__main__\n"
+            "print([name for name in sys.modules if name.startswith('pathsaddle.') and 'histories' not "
+            "in name])"
+        )
+        seen = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True
+        )
         for word in ("fleet", "choice", "loop", "net", "jobs", "placement.", "federation."):
             self.assertNotIn(f"pathsaddle.{word}", seen.stdout)
 
@@ -76,7 +81,9 @@
     for bits in range(1 << len(maybe)):
         chosen = sure + [call for place, call in enumerate(maybe) if bits >> place & 1]
         for order in order_of(chosen):
-            if any(late.end < early.begin for place, early in enumerate(order) for late in order[place + 1:]):
+            if any(
+                late.end < early.begin for place, early in enumerate(order) for late in order[place + 1 :]
+            ):
                 continue
             if any(True for _ in _plays(order, 0, (0, "", None))):
                 return True
@@ -99,8 +106,11 @@
     else:
         after = [(more, owner, asked["value"]) for more in range(number, 9)]
     for number, owner, value in after:
-        if told.get("number", number) == number and told.get("owner", owner) == owner \
-                and told.get("value", value) == value:
+        if (
+            told.get("number", number) == number
+            and told.get("owner", owner) == owner
+            and told.get("value", value) == value
+        ):
             yield from _plays(order, place + 1, (number, owner, value))
 
 
@@ -138,8 +148,9 @@
     def test_a_key_with_too_much_to_try_is_told_as_undecided_and_not_as_right(self):
         events = []
         for op in range(16):
-            events.append(Event(op, "reg.call",
-                                {"who": f"m{op}", "op": op, "key": "k", "kind": "set", "value": op}))
+            events.append(
+                Event(op, "reg.call", {"who": f"m{op}", "op": op, "key": "k", "kind": "set", "value": op})
+            )
         for op in range(16):
             events.append(Event(100 + op, "reg.end", {"who": f"m{op}", "op": op, "outcome": "ok"}))
         with mock.patch("pathsaddle.histories.register.MOST_TRIED", 500):
@@ -148,8 +159,10 @@
 
 class ClocksStory(unittest.TestCase):
     def leases(self, begins):
-        return [Event(0, "lease", {"who": "a", "key": "k", "number": 1, "from": 0, "until": 1000}),
-                Event(begins, "lease", {"who": "b", "key": "k", "number": 2, "from": begins, "until": 2000})]
+        return [
+            Event(0, "lease", {"who": "a", "key": "k", "number": 1, "from": 0, "until": 1000}),
+            Event(begins, "lease", {"who": "b", "key": "k", "number": 2, "from": begins, "until": 2000}),
+        ]
 
     def test_what_clocks_may_explain_accuses_nobody_and_one_tick_more_does(self):
         self.assertEqual(found("register", self.leases(999)), ["leases-overlap"])
@@ -157,10 +170,12 @@
         self.assertEqual(found("register", self.leases(899), 50), ["leases-overlap"])
 
     def test_rights_that_overlap_within_the_clocks_are_no_finding(self):
-        rows = [Event(0, "share.budget", {"who": "a", "budget": "x", "units": 4}),
-                Event(0, "share.rights", {"who": "a", "budget": "x", "units": 4}),
-                Event(400, "share.rights", {"who": "b", "budget": "x", "units": 4}),
-                Event(500, "share.rights", {"who": "a", "budget": "x", "units": 0})]
+        rows = [
+            Event(0, "share.budget", {"who": "a", "budget": "x", "units": 4}),
+            Event(0, "share.rights", {"who": "a", "budget": "x", "units": 4}),
+            Event(400, "share.rights", {"who": "b", "budget": "x", "units": 4}),
+            Event(500, "share.rights", {"who": "a", "budget": "x", "units": 0}),
+        ]
         self.assertEqual(found("shares", rows, 50), [])
         self.assertEqual(found("shares", rows, 49), ["rights-over-budget"])
 
@@ -193,10 +208,16 @@
     def test_an_inversion_amid_a_trouble_is_let_be_and_one_after_it_is_not(self):
         def rows(at):
             name = {"customer": "c", "scheme": "s", "period": 0}
-            return [Event(20_000, "fault", {"kind": "cut", "long": 10_000, "members": ["a"]}),
-                    Event(at, "shed.out",
-                          {"who": "a", "txn": 1, "key": 1, "standing": 9, "level": 10, "wait": 0, **name}),
-                    Event(at, "shed.in", {"who": "b", "txn": 2, "key": 2, "standing": 2, "level": 1, **name})]
+            return [
+                Event(20_000, "fault", {"kind": "cut", "long": 10_000, "members": ["a"]}),
+                Event(
+                    at,
+                    "shed.out",
+                    {"who": "a", "txn": 1, "key": 1, "standing": 9, "level": 10, "wait": 0, **name},
+                ),
+                Event(at, "shed.in", {"who": "b", "txn": 2, "key": 2, "standing": 2, "level": 1, **name}),
+            ]
+
         bounds = {"value": 1.0, "settles": 5_000}
         for at, expected in ((21_000, []), (28_000, []), (34_000, []), (36_000, ["inversion"])):
             self.assertEqual(found("shedding", rows(at), **bounds), expected, at)
@@ -210,66 +231,112 @@
     """Forms that worlds and processes of the program write."""
 
     def test_loans_that_end_one_after_the_other_end_so_though_their_taker_stands_still(self):
-        rows = [Event(0, "share.budget", {"who": "a", "budget": "x", "units": 10}),
-                Event(0, "share.rights", {"who": "b", "budget": "x", "units": 10, "until": 100, "floor": 2,
-                                          "steps": [[100, 6], [200, 2]]}),
-                Event(100, "share.rights", {"who": "a", "budget": "x", "units": 4}),
-                Event(200, "share.rights", {"who": "a", "budget": "x", "units": 8})]
+        rows = [
+            Event(0, "share.budget", {"who": "a", "budget": "x", "units": 10}),
+            Event(
+                0,
+                "share.rights",
+                {
+                    "who": "b",
+                    "budget": "x",
+                    "units": 10,
+                    "until": 100,
+                    "floor": 2,
+                    "steps": [[100, 6], [200, 2]],
+                },
+            ),
+            Event(100, "share.rights", {"who": "a", "budget": "x", "units": 4}),
+            Event(200, "share.rights", {"who": "a", "budget": "x", "units": 8}),
+        ]
         self.assertEqual(found("shares", rows), [])
         rows[3] = Event(199, "share.rights", rows[3].more)
         self.assertEqual(found("shares", rows), ["rights-over-budget"])
 
     def test_a_hang_up_and_a_hold_told_by_a_walker_excuse_and_accuse(self):
-        taken = Event(0, "txn.taken",
-                      {"who": "a", "txn": 1, "scheme": "s", "kind": "repeatable", "expiry": 50})
-        later = Event(99, "txn.taken",
-                      {"who": "a", "txn": 2, "scheme": "s", "kind": "repeatable", "expiry": 150})
+        taken = Event(
+            0, "txn.taken", {"who": "a", "txn": 1, "scheme": "s", "kind": "repeatable", "expiry": 50}
+        )
+        later = Event(
+            99, "txn.taken", {"who": "a", "txn": 2, "scheme": "s", "kind": "repeatable", "expiry": 150}
+        )
         self.assertEqual(found("txns", [taken, later]), ["unanswered"])
         self.assertEqual(found("txns", [taken, Event(9, "hang.up", {"who": "a", "txn": 1}), later]), [])
-        rows = [Event(0, "bay.reserve",
-                      {"who": "k", "unit": "u", "bay": "b", "island": "i", "by": "p", "number": 1,
-                       "revision": 1, "now": 1, "taken": True}),
-                Event(5, "bay.hold", {"who": "p", "unit": "u", "number": 1, "until": 500}),
-                Event(300, "bay.release", {"who": "k", "unit": "u", "bay": "b", "why": "lease"})]
+        rows = [
+            Event(
+                0,
+                "bay.reserve",
+                {
+                    "who": "k",
+                    "unit": "u",
+                    "bay": "b",
+                    "island": "i",
+                    "by": "p",
+                    "number": 1,
+                    "revision": 1,
+                    "now": 1,
+                    "taken": True,
+                },
+            ),
+            Event(5, "bay.hold", {"who": "p", "unit": "u", "number": 1, "until": 500}),
+            Event(300, "bay.release", {"who": "k", "unit": "u", "bay": "b", "why": "lease"}),
+        ]
         self.assertEqual(found("placement", rows), ["released-early"])
         self.assertEqual(found("placement", rows[:1] + rows[2:]), [])
 
     def test_a_life_that_is_over_owns_nothing_and_the_next_does_not_act_by_its_lease(self):
-        rows = [Event(0, "lease", {"who": "a", "key": "k", "number": 1, "from": 0, "until": 900}),
-                Event(100, "member.ended", {"who": "a", "why": "killed"}),
-                Event(200, "lease", {"who": "b", "key": "k", "number": 2, "from": 200, "until": 1100})]
+        rows = [
+            Event(0, "lease", {"who": "a", "key": "k", "number": 1, "from": 0, "until": 900}),
+            Event(100, "member.ended", {"who": "a", "why": "killed"}),
+            Event(200, "lease", {"who": "b", "key": "k", "number": 2, "from": 200, "until": 1100}),
+        ]
         self.assertEqual(found("register", rows), [])
         self.assertEqual(found("register", rows[:1] + rows[2:]), ["leases-overlap"])
-        self.assertEqual(found("register", [*rows, Event(300, "act", {"who": "a", "key": "k", "number": 1})]),
-                         ["act-without-lease"])
+        self.assertEqual(
+            found("register", [*rows, Event(300, "act", {"who": "a", "key": "k", "number": 1})]),
+            ["act-without-lease"],
+        )
 
     def test_a_proposal_sent_again_may_have_taken_effect_the_first_time(self):
         sets = {"who": "a", "key": "k", "kind": "set", "value": "x", "revision": 0}
         seen = {"outcome": "ok", "revision": 1, "value": "x"}
-        rows = [Event(0, "reg.call", {**sets, "op": 1}),
-                Event(5, "reg.end", {"who": "a", "op": 1, "outcome": "unknown"}),
-                Event(6, "reg.call", {"who": "b", "op": 2, "key": "k", "kind": "read"}),
-                Event(7, "reg.end", {"who": "b", "op": 2, **seen}),
-                Event(8, "reg.call", {**sets, "op": 3}), Event(9, "reg.end", {"who": "a", "op": 3, **seen})]
+        rows = [
+            Event(0, "reg.call", {**sets, "op": 1}),
+            Event(5, "reg.end", {"who": "a", "op": 1, "outcome": "unknown"}),
+            Event(6, "reg.call", {"who": "b", "op": 2, "key": "k", "kind": "read"}),
+            Event(7, "reg.end", {"who": "b", "op": 2, **seen}),
+            Event(8, "reg.call", {**sets, "op": 3}),
+            Event(9, "reg.end", {"who": "a", "op": 3, **seen}),
+        ]
         self.assertEqual(found("register", rows), ["register-not-linearizable"])
         rows[4].more["again"] = 1
         self.assertEqual(found("register", rows), [])
 
     def test_a_keeper_that_lets_an_old_planner_do_anything_is_found(self):
-        rows = [Event(0, "planner", {"who": "k", "number": 1}),
-                Event(5, "planner", {"who": "k", "number": 2}),
-                Event(6, "planner", {"who": "p1", "number": 1}),
-                Event(9, "planner.did", {"who": "k", "does": "cold", "number": 1})]
+        rows = [
+            Event(0, "planner", {"who": "k", "number": 1}),
+            Event(5, "planner", {"who": "k", "number": 2}),
+            Event(6, "planner", {"who": "p1", "number": 1}),
+            Event(9, "planner.did", {"who": "k", "does": "cold", "number": 1}),
+        ]
         self.assertEqual(found("placement", rows), ["late-planner"])
         self.assertEqual(found("placement", rows[:3]), [])
 
     def test_without_a_lease_home_is_left_and_a_text_on_offer_binds_where_it_is_narrower(self):
         may = {"may": {"s": ["north", "west"]}}
-        sent = {"who": "a", "post": 1, "txn": 1, "scheme": "s", "origin": "west", "from": "west",
-                "version": 1}
-        rows = [Event(0, "spec.version", {"who": "k", "state": "committed", "version": 1, **may}),
-                Event(1, "spec.version", {"who": "a", "state": "held", "version": 1, "until": 100}),
-                Event(200, "abroad.sent", {**sent, "to": "north", "home": "north"})]
+        sent = {
+            "who": "a",
+            "post": 1,
+            "txn": 1,
+            "scheme": "s",
+            "origin": "west",
+            "from": "west",
+            "version": 1,
+        }
+        rows = [
+            Event(0, "spec.version", {"who": "k", "state": "committed", "version": 1, **may}),
+            Event(1, "spec.version", {"who": "a", "state": "held", "version": 1, "until": 100}),
+            Event(200, "abroad.sent", {**sent, "to": "north", "home": "north"}),
+        ]
         self.assertEqual(found("federation", rows), [])
         rows[2].more["home"] = "west"
         self.assertEqual(found("federation", rows), ["beyond-lease"])
@@ -279,10 +346,14 @@
         self.assertEqual(found("federation", [*rows[:2], early]), [])
 
     def test_own_work_that_waits_goes_before_a_foreign_job(self):
-        rows = [Event(0, "work.queued", {"who": "w", "region": "west", "post": "own", "own": True}),
-                Event(5, "region.ran",
-                      {"who": "w", "region": "west", "txn": 1, "post": "1", "kind": "repeatable",
-                       "home": "north"})]
+        rows = [
+            Event(0, "work.queued", {"who": "w", "region": "west", "post": "own", "own": True}),
+            Event(
+                5,
+                "region.ran",
+                {"who": "w", "region": "west", "txn": 1, "post": "1", "kind": "repeatable", "home": "north"},
+            ),
+        ]
         self.assertEqual(found("federation", rows), ["own-after-foreign"])
         rows.insert(1, Event(3, "work.left", {"who": "w", "region": "west", "post": "own"}))
         self.assertEqual(found("federation", rows), [])
@@ -290,10 +361,16 @@
 
 class SmallStory(unittest.TestCase):
     def test_a_failing_history_is_made_small_and_says_the_same(self):
-        for name, kind in (("register", "no-fence"), ("register", "sets-lost"), ("shares", "forgets-loans"),
-                           ("shedding", "dice"), ("placement", "walks-without"),
-                           ("federation", "forbidden-region"),
-                           ("txns", "once-ran-twice"), ("counts", "dead-counted")):
+        for name, kind in (
+            ("register", "no-fence"),
+            ("register", "sets-lost"),
+            ("shares", "forgets-loans"),
+            ("shedding", "dice"),
+            ("placement", "walks-without"),
+            ("federation", "forbidden-region"),
+            ("txns", "once-ran-twice"),
+            ("counts", "dead-counted"),
+        ):
             with self.subTest(name=name, kind=kind):
                 expected, events = wrong(name, kind, 1, 2500, 20)
                 finding = next(row for row in check(events, [proving(name, 20)]) if row.name == expected)
@@ -319,11 +396,13 @@
 
     def test_what_excuses_is_not_left_out(self):
         # Without the fall of a's rights, b's rise would seem too much long before the true fault.
-        rows = [Event(0, "share.budget", {"who": "a", "budget": "x", "units": 4}),
-                Event(0, "share.rights", {"who": "a", "budget": "x", "units": 4}),
-                Event(10, "share.rights", {"who": "a", "budget": "x", "units": 2}),
-                Event(20, "share.rights", {"who": "b", "budget": "x", "units": 2}),
-                Event(30, "share.rights", {"who": "c", "budget": "x", "units": 1})]
+        rows = [
+            Event(0, "share.budget", {"who": "a", "budget": "x", "units": 4}),
+            Event(0, "share.rights", {"who": "a", "budget": "x", "units": 4}),
+            Event(10, "share.rights", {"who": "a", "budget": "x", "units": 2}),
+            Event(20, "share.rights", {"who": "b", "budget": "x", "units": 2}),
+            Event(30, "share.rights", {"who": "c", "budget": "x", "units": 1}),
+        ]
         finding = check(rows, [checker("shares")])[0]
         left = small(rows, lambda: checker("shares"), finding)
         self.assertEqual([event.more.get("units") for event in left], [4, 2, 2, 1])
@@ -348,8 +427,15 @@
     def test_a_kept_history_comes_back_as_it_was_written(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x.jsonl"
-            kept = Kept("shedding", "", looks_wrong("shedding")["the same identity in the next period"], 3,
-                        {"value": 0.5}, "why", "title")
+            kept = Kept(
+                "shedding",
+                "",
+                looks_wrong("shedding")["the same identity in the next period"],
+                3,
+                {"value": 0.5},
+                "why",
+                "title",
+            )
             kept.write(path)
             self.assertEqual(read_kept(path), kept)
             path.write_text("{}\n")
@@ -400,8 +486,12 @@
 
     def test_a_bad_plan_or_folder_says_what_to_do_and_exits_by_two(self):
         plan = self.folder / "plan.toml"
-        for text, name in (("sede = 3", "histories.unknown-key"), ('seeds = "3"', "histories.wrong-value"),
-                           ('checks = ["x"]', "histories.unknown-checker"), ("[", "histories.no-toml")):
+        for text, name in (
+            ("sede = 3", "histories.unknown-key"),
+            ('seeds = "3"', "histories.wrong-value"),
+            ('checks = ["x"]', "histories.unknown-checker"),
+            ("[", "histories.no-toml"),
+        ):
             plan.write_text(text)
             with self.assertRaises(HistoryError) as caught:
                 read_plan(plan)
--- a/tests/test_histories_settings.py
+++ b/tests/test_histories_settings.py
@@ -21,20 +21,46 @@
     return [finding.name for finding in check(rows, [Settings(skew)])]
 
 
-def call(at: int, revision: int, allowance: int | None, digest: str = "", before: str = "", who: str = "k") -> Event:
+def call(
+    at: int, revision: int, allowance: int | None, digest: str = "", before: str = "", who: str = "k"
+) -> Event:
     digest = digest or f"d{revision}"
-    return Event(at, "settings.call", {
-        "who": who, "op": f"{digest}/{at}", "revision": revision, "digest": digest, "before": before or f"d{revision - 1}",
-        "puts": {"customers.a": None if allowance is None else {"allowance": allowance}, "customers.b": {"allowance": 1}}})
+    return Event(
+        at,
+        "settings.call",
+        {
+            "who": who,
+            "op": f"{digest}/{at}",
+            "revision": revision,
+            "digest": digest,
+            "before": before or f"d{revision - 1}",
+            "puts": {
+                "customers.a": None if allowance is None else {"allowance": allowance},
+                "customers.b": {"allowance": 1},
+            },
+        },
+    )
 
 
 def end(at: int, of: Event, outcome: str) -> Event:
     return Event(at, "settings.end", {"who": of.more["who"], "op": of.more["op"], "outcome": outcome})
 
 
-def act(at: int, revision: int, allowance: int, digest: str = "", leased: bool = False, who: str = "a") -> Event:
-    return Event(at, "settings.act", {"who": who, "revision": revision, "digest": digest or f"d{revision}", "leased": leased,
-                                      "key": "customers.a", "value": {"allowance": allowance}})
+def act(
+    at: int, revision: int, allowance: int, digest: str = "", leased: bool = False, who: str = "a"
+) -> Event:
+    return Event(
+        at,
+        "settings.act",
+        {
+            "who": who,
+            "revision": revision,
+            "digest": digest or f"d{revision}",
+            "leased": leased,
+            "key": "customers.a",
+            "value": {"allowance": allowance},
+        },
+    )
 
 
 def force(at: int, revision: int, digest: str = "", who: str = "k") -> Event:
@@ -81,7 +107,12 @@
         self.assertEqual(found([*rows[:3], act(25, 1, 5), call(30, 3, 7)]), ["forbidden-in-force"])
 
     def test_of_two_lines_a_group_is_held_against_its_own(self) -> None:
-        rows = [call(0, 1, 5), call(10, 2, 9, "x", "d1"), call(11, 2, 3, "y", "d1", who="l"), call(20, 3, None, before="y")]
+        rows = [
+            call(0, 1, 5),
+            call(10, 2, 9, "x", "d1"),
+            call(11, 2, 3, "y", "d1", who="l"),
+            call(20, 3, None, before="y"),
+        ]
         rows[3].more["puts"] = {"customers.c": {"allowance": 1}}
         self.assertEqual(found([*rows, act(30, 3, 3)]), [])
         self.assertEqual(found([*rows, act(30, 3, 9)]), ["more-than-allowed"])
@@ -89,7 +120,9 @@
 
 def plainly(rows: list[Event]) -> bool:
     """Whether any line of groups, one a revision from the lowest on, is what all of these tell: all tried."""
-    refused = {row.more["op"] for row in rows if row.what == "settings.end" and row.more["outcome"] == "refused"}
+    refused = {
+        row.more["op"] for row in rows if row.what == "settings.end" and row.more["outcome"] == "refused"
+    }
     calls = [row for row in rows if row.what == "settings.call"]
     by_op = {row.more["op"]: row for row in calls}
     told = []
@@ -100,7 +133,10 @@
             one = by_op[row.more["op"]].more
             told.append((row.at, one["revision"], one["digest"]))
     revisions = sorted({row.more["revision"] for row in calls})
-    texts = [[None, *dict.fromkeys(row.more["digest"] for row in calls if row.more["revision"] == one)] for one in revisions]
+    texts = [
+        [None, *dict.fromkeys(row.more["digest"] for row in calls if row.more["revision"] == one)]
+        for one in revisions
+    ]
     for line in product(*texts):
         chosen = dict(zip(revisions, line, strict=True))
         committed, before, now, right = {}, None, 0, True
@@ -126,13 +162,32 @@
         texts = [(1, "a", ""), (2, "b", "a"), (2, "c", "a"), (3, "d", "b"), (3, "e", "c"), (3, "f", "b")]
         for op, (number, digest, before) in enumerate(chance.choices(texts, k=chance.randint(2, 6))):
             at = chance.randrange(10) if chance.random() < 0.3 else 2 * number
-            rows.append(Event(at, "settings.call", {"who": "k", "op": op, "revision": number, "digest": digest, "before": before,
-                                                    "puts": {}}))
+            rows.append(
+                Event(
+                    at,
+                    "settings.call",
+                    {
+                        "who": "k",
+                        "op": op,
+                        "revision": number,
+                        "digest": digest,
+                        "before": before,
+                        "puts": {},
+                    },
+                )
+            )
             outcome = chance.choice(("ok", "refused", "unknown", "unknown", "", ""))
             if outcome:
-                rows.append(Event(at + chance.randint(1, 6), "settings.end", {"who": "k", "op": op, "outcome": outcome}))
+                rows.append(
+                    Event(
+                        at + chance.randint(1, 6), "settings.end", {"who": "k", "op": op, "outcome": outcome}
+                    )
+                )
         for number, digest, _ in chance.choices(texts, k=chance.randint(0, 2)):
-            at, what = chance.randint(4, 16), chance.choice(("settings.act", "settings.read", "settings.force"))
+            at, what = (
+                chance.randint(4, 16),
+                chance.choice(("settings.act", "settings.read", "settings.force")),
+            )
             more = {"who": f"m{len(rows)}", "revision": number, "digest": digest}
             if what == "settings.act":
                 more.update(key="zones.z", value={}, leased=False)
@@ -152,8 +207,12 @@
 class Orders(unittest.TestCase):
     def test_only_what_is_surely_later_accuses(self) -> None:
         rows = [call(0, 1, 5), call(10, 2, 3), force(1000, 2)]
-        for at, leased, expected in ((1000, True, []), (1020, True, []), (1021, True, ["leased-behind", "forbidden-in-force"]),
-                                     (1021, False, ["forbidden-in-force"])):
+        for at, leased, expected in (
+            (1000, True, []),
+            (1020, True, []),
+            (1021, True, ["leased-behind", "forbidden-in-force"]),
+            (1021, False, ["forbidden-in-force"]),
+        ):
             self.assertEqual(found([*rows, act(at, 1, 5, leased=leased)], 10), expected, at)
         # By one and the same writer the order is its own.
         self.assertEqual(found([*rows, act(1001, 1, 5, who="k")], 10), ["forbidden-in-force"])
@@ -174,7 +233,12 @@
         self.assertEqual(found([*rows, act(30, 1, 5, who="b")]), [])
 
     def test_a_log_that_begins_in_the_middle_accuses_nobody_of_what_stood_before(self) -> None:
-        rows = [call(0, 7, 5), Event(5, "settings.rows", {"who": "a", "revision": 7, "digest": "d7", "rows": {"customers.z": None}})]
+        rows = [
+            call(0, 7, 5),
+            Event(
+                5, "settings.rows", {"who": "a", "revision": 7, "digest": "d7", "rows": {"customers.z": None}}
+            ),
+        ]
         rows[0].more["puts"] = {"customers.c": {"allowance": 5}}
         self.assertEqual(found([*rows, act(10, 7, 9)]), [])
         begins = [call(0, 1, 5), act(10, 1, 9)]
@@ -186,19 +250,34 @@
         for event, value in ((rows[0], {"rules.cold": {"cold_share": 0.1}}), (rows[1], "rules.cold")):
             event.more["puts" if event is rows[0] else "key"] = value
         self.assertEqual(found(rows), [])
-        seen = Event(20, "settings.rows", {"who": "a", "revision": 1, "digest": "d1", "rows": {"rules.cold": {"cold_share": 0.2}}})
+        seen = Event(
+            20,
+            "settings.rows",
+            {"who": "a", "revision": 1, "digest": "d1", "rows": {"rules.cold": {"cold_share": 0.2}}},
+        )
         self.assertEqual(found([*rows, seen]), ["group-in-part"])
 
     def test_a_line_that_lacks_a_field_is_found_and_ends_nothing(self) -> None:
-        good = [call(0, 1, 5), call(10, 2, 3), end(15, call(10, 2, 3), "ok"), force(20, 2), act(30, 2, 3), Event(
-            31, "settings.rows", {"who": "a", "revision": 2, "digest": "d2", "rows": {"customers.a": {"allowance": 3}}}),
-            Event(40, "settings.read", {"who": "k", "revision": 2, "digest": "d2"}), Event(50, "disk.lost", {"who": "a"})]
+        good = [
+            call(0, 1, 5),
+            call(10, 2, 3),
+            end(15, call(10, 2, 3), "ok"),
+            force(20, 2),
+            act(30, 2, 3),
+            Event(
+                31,
+                "settings.rows",
+                {"who": "a", "revision": 2, "digest": "d2", "rows": {"customers.a": {"allowance": 3}}},
+            ),
+            Event(40, "settings.read", {"who": "k", "revision": 2, "digest": "d2"}),
+            Event(50, "disk.lost", {"who": "a"}),
+        ]
         self.assertEqual(found(good), [])
         for place, event in enumerate(good):
             for name in event.more:
                 for value in (None, [], {}, "x", 1.5):
                     more = {key: one for key, one in event.more.items() if key != name}
-                    rows = [*good[:place], Event(event.at, event.what, more), *good[place + 1:]]
+                    rows = [*good[:place], Event(event.at, event.what, more), *good[place + 1 :]]
                     self.assertIn("log-broken", found(rows), (event.what, name))
                     more[name] = value
                     found(rows)  # whatever is found, nothing is raised
@@ -221,9 +300,12 @@
         self.assertGreater(acted, 1000)
 
     def test_mutants_of_the_program_are_found_by_the_log_alone(self) -> None:
-        for name, names in (("force told early", {"leased-behind", "forbidden-in-force"}),
-                            ("a group by halves", {"group-in-part"}), ("an offer widens", {"more-than-allowed"}),
-                            ("the word before the disk", {"went-back"})):
+        for name, names in (
+            ("force told early", {"leased-behind", "forbidden-in-force"}),
+            ("a group by halves", {"group-in-part"}),
+            ("an offer widens", {"more-than-allowed"}),
+            ("the word before the disk", {"went-back"}),
+        ):
             _, _, plan = MUTANTS[name]
             with planted(name):
                 seen = {one for seed in range(3) for one in found(history(World(plan, seed).run()))}
@@ -249,7 +331,9 @@
         kinds = {event.more["outcome"] for event in rows if event.what == "settings.end"}
         self.assertEqual(kinds, {"ok", "refused", "unknown"})
         ended = {event.more["op"] for event in rows if event.what == "settings.end"}
-        self.assertTrue(any(event.more["op"] not in ended for event in rows[:2000] if event.what == "settings.call"))
+        self.assertTrue(
+            any(event.more["op"] not in ended for event in rows[:2000] if event.what == "settings.call")
+        )
         told, behind = 0, 0
         for event in rows:
             if event.what == "settings.force":
--- a/tests/test_hollow_members.py
+++ b/tests/test_hollow_members.py
@@ -40,8 +40,13 @@
 
 
 class VirtualStory(unittest.TestCase):
-    MEASURES = ((members, 6, {}), (members_peaks, 6, {"apart": 20.0}), (members_load, 6, {}),
-                (owners, 6, {"rest": 5.0}), (owners, 2, {"against": "keys", "members": 6, "rest": 5.0}))
+    MEASURES = (
+        (members, 6, {}),
+        (members_peaks, 6, {"apart": 20.0}),
+        (members_load, 6, {}),
+        (owners, 6, {"rest": 5.0}),
+        (owners, 2, {"against": "keys", "members": 6, "rest": 5.0}),
+    )
 
     def test_each_measure_returns_all_its_figures_and_the_same_seed_the_same_counts(self):
         for measure, point, more in self.MEASURES:
@@ -50,11 +55,15 @@
                 one, again = (measure.measure(point, 3, setting) for _ in range(2))
                 self.assertEqual(sorted(one), sorted(measure.FIGURES))
                 self.assertLess(measure.COUNTED, set(measure.FIGURES))
-                self.assertEqual({name: one[name] for name in measure.COUNTED},
-                                 {name: again[name] for name in measure.COUNTED})
+                self.assertEqual(
+                    {name: one[name] for name in measure.COUNTED},
+                    {name: again[name] for name in measure.COUNTED},
+                )
                 other = measure.measure(point, 4, setting)
-                self.assertNotEqual([one[name] for name in sorted(measure.COUNTED)],
-                                    [other[name] for name in sorted(measure.COUNTED)])
+                self.assertNotEqual(
+                    [one[name] for name in sorted(measure.COUNTED)],
+                    [other[name] for name in sorted(measure.COUNTED)],
+                )
                 processes, memory = measure.needs(point, setting)
                 self.assertEqual(processes, 1)
                 self.assertGreater(memory, 0)
@@ -80,7 +89,9 @@
 
     def test_a_change_is_known_after_two_ways_there_and_back_and_two_syncs(self):
         told = owners.measure(6, 1, owners.Setting(rest=20.0))
-        self.assertAlmostEqual(told["commit_p50_s"], 4 * places.BETWEEN + 2 * owners.Setting().sync, delta=0.01)
+        self.assertAlmostEqual(
+            told["commit_p50_s"], 4 * places.BETWEEN + 2 * owners.Setting().sync, delta=0.01
+        )
         self.assertEqual(told["reads_failed"], 0.0)
         self.assertGreater(told["voter_syncs_s"], 0.0)
 
@@ -90,21 +101,37 @@
         setting = sockets_members.Setting(shard=3, settle=3.0, rest=2.0)
         told = sockets_members.measure(5, 1, setting)
         self.assertEqual(sorted(told), sorted(sockets_members.FIGURES))
-        for name in ("cpu_us_s", "bytes_out_s", "datagrams_out_s", "real_us_s", "alone_us_s", "real_bytes_out_s"):
+        for name in (
+            "cpu_us_s",
+            "bytes_out_s",
+            "datagrams_out_s",
+            "real_us_s",
+            "alone_us_s",
+            "real_bytes_out_s",
+        ):
             self.assertGreater(told[name], 0.0, name)
         self.assertEqual(sockets_members.needs(5, setting)[0], 5)
         self.assertEqual(children(), [])
 
     def test_a_play_that_fails_leaves_no_process_either(self):
-        silent = mock.patch.object(sockets_members.Real, "_until", side_effect=sockets_members.NoAnswer("nothing"))
+        silent = mock.patch.object(
+            sockets_members.Real, "_until", side_effect=sockets_members.NoAnswer("nothing")
+        )
         with silent, self.assertRaises(sockets_members.NoAnswer):
             sockets_members.measure(3, 1, sockets_members.Setting(settle=0.0, rest=0.0))
         self.assertEqual(children(), [])
 
     def test_a_process_with_members_ends_when_nobody_speaks_to_it(self):
         told = '{"first": 0, "addresses": ["127.0.0.1:0"], "seed": 1, "setting": {}}'
-        done = subprocess.run([sys.executable, "-m", sockets_members.__name__, told], cwd=ROOT, timeout=60,
-                              stdin=subprocess.DEVNULL, capture_output=True, text=True, check=True)
+        done = subprocess.run(
+            [sys.executable, "-m", sockets_members.__name__, told],
+            cwd=ROOT,
+            timeout=60,
+            stdin=subprocess.DEVNULL,
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         self.assertIn("r0-z00-d000", done.stdout)
 
 
--- a/tests/test_hollow_teams.py
+++ b/tests/test_hollow_teams.py
@@ -72,8 +72,9 @@
         setting = budgets.Setting(members=4, seconds=3.0)
         found = self.measured(budgets, 18, setting)
         again = budgets.measure(18, 1, setting)
-        self.assertEqual({name: found[name] for name in budgets.COUNTED},
-                         {name: again[name] for name in budgets.COUNTED})
+        self.assertEqual(
+            {name: found[name] for name in budgets.COUNTED}, {name: again[name] for name in budgets.COUNTED}
+        )
         self.assertGreater(found["met"], 0.5)
         self.assertLessEqual(found["spare_bytes"], 400)
 
@@ -84,8 +85,11 @@
 
 class ChangesStory(MeasureStory):
     def test_a_round_of_two_dispatchers_gives_every_figure(self):
-        found = self.measured(changes, 3700, changes.Setting(
-            dispatchers=2, workers=2, run=0.02, clients=2, teams=3, takers=4, document=9000))
+        found = self.measured(
+            changes,
+            3700,
+            changes.Setting(dispatchers=2, workers=2, run=0.02, clients=2, teams=3, takers=4, document=9000),
+        )
         # All 4 did before customers and schemes came into service; a budget does, as the first of a charter without [fleet].
         self.assertEqual(found["kinds_by_restart"], 2)
         self.assertGreater(found["asked"], 0)
@@ -93,8 +97,9 @@
         self.assertLess(found["record_s"], found["document_s"])
 
     def test_what_is_reckoned_follows_from_what_was_run(self):
-        found = changes.reckoned(1000, changes.Setting(), {
-            "restart_s": 3.0, "restart_most_s": 4.0, "unserved_a_restart": 6.0})
+        found = changes.reckoned(
+            1000, changes.Setting(), {"restart_s": 3.0, "restart_most_s": 4.0, "unserved_a_restart": 6.0}
+        )
         self.assertEqual(found["in_force_s"], 40.0)  # ten parts of four seconds
         self.assertEqual(found["in_force_worst_s"], 80.0)
         self.assertAlmostEqual(found["rounds_under_way"], 40_000 / 86_400)
@@ -128,6 +133,7 @@
 class PlansStory(unittest.TestCase):
     def test_the_plans_settings_are_the_measures_own_and_what_they_need_is_allowed(self):
         import tomllib
+
         for module in (budgets, changes, teams):
             name = module.__name__.rpartition(".")[2]
             plan = tomllib.loads(Path(f"experiments/scale/{name}.toml").read_text(encoding="utf-8"))
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -27,7 +27,9 @@
 from pathsaddle.net.wire.terms import Reach
 from pathsaddle.trade import SECOND, ListNews, Outcome, Standing
 
-SHORT = workers.Setting(rate=50.0, run=0.02, rest=0.2, steady=0.4, changes=4, changes_rate=50.0, cold=0.4, full=0.4)
+SHORT = workers.Setting(
+    rate=50.0, run=0.02, rest=0.2, steady=0.4, changes=4, changes_rate=50.0, cold=0.4, full=0.4
+)
 CHARTER = workers.charter(SHORT, "127.0.0.1:1", "127.0.0.1:1")
 
 
@@ -67,7 +69,9 @@
         known = terms.terms(given)
         self.words = Words(given, known)
         self.links = Links(Reach(20_000, 600_000), 64, Clock(), Counters())
-        self.addCleanup(lambda: [self.links.links.drop_idle(worker, "over") for worker in self.links.addresses])
+        self.addCleanup(
+            lambda: [self.links.links.drop_idle(worker, "over") for worker in self.links.addresses]
+        )
         self.server = await asyncio.start_server(self.door, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
         self.answers = True
@@ -96,14 +100,16 @@
         return made
 
     async def post(self, worker: str, tag: str, cost: int = 20):
-        return await self.links.call(worker, "POST", b"/task", [(b"Req-Id", tag.encode()), (b"Req-Cost", b"%d" % cost)], b"{}")
+        return await self.links.call(
+            worker, "POST", b"/task", [(b"Req-Id", tag.encode()), (b"Req-Cost", b"%d" % cost)], b"{}"
+        )
 
     async def test_a_posting_is_taken_runs_and_is_called_back_with_a_report(self) -> None:
         await self.hollow(2)
         answer = await self.post("w00001", "a")
         self.assertIsNone(forms.outcome_of(answer))
         await self.until(lambda: self.told)
-        word, = self.told
+        (word,) = self.told
         self.assertEqual((word.tag, word.worker, word.outcome), ("a", "w00001", Outcome.SETTLED))
         self.assertEqual((word.report.free, word.report.waiting), (1.0, 0.0))
 
@@ -203,6 +209,7 @@
                         writer.close()
                         return
                     writer.write(speech.answer(status))
+
         server = await asyncio.start_server(answers, "127.0.0.1", 0)
         self.addCleanup(server.close)
         made.dispatcher = server.sockets[0].getsockname()
@@ -230,6 +237,7 @@
             def listed(service, news, rows) -> None:
                 self.heard.append((news, [row.worker.tag for row in rows]))
                 self.rows = rows
+
         self.discovery = discovery = DiscoveryWatch(await told.open(), index, TxnService(), Counters())
         self.discovery.ask()
         self.addCleanup(discovery.stop, "over")
@@ -308,7 +316,9 @@
         setting = scan.Setting(txns=20, looks=3, held=4)
         one, other = (scan.measure(30, 3, setting) for _ in range(2))
         self.assertEqual(sorted(one), sorted(scan.FIGURES))
-        counts = [name for name in sorted(scan.COUNTED) if "bytes_per" not in name]  # memory of the interpreter's own
+        counts = [
+            name for name in sorted(scan.COUNTED) if "bytes_per" not in name
+        ]  # memory of the interpreter's own
         self.assertEqual([one[name] for name in counts], [other[name] for name in counts])
         self.assertEqual(one["unsettled"], 0.0)
         self.assertGreaterEqual(one["scanned_per_txn"], 30.0)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -46,8 +46,13 @@
 TOLD: dict[str, Any] = {**SETTINGS, "Schemes": [{**row, "OverdueValue": 0.5} for row in SETTINGS["Schemes"]]}
 ROOT = Path(__file__).parent.parent
 ONCE, AGAIN = Semantics.ONCE_ONLY, Semantics.REPEATABLE
-WAYS = Ways(lease=5 * SECOND, retention=60 * SECOND, longest_poll=30 * SECOND, recover_within=SECOND,
-            margin=50 * MILLISECOND)
+WAYS = Ways(
+    lease=5 * SECOND,
+    retention=60 * SECOND,
+    longest_poll=30 * SECOND,
+    recover_within=SECOND,
+    margin=50 * MILLISECOND,
+)
 
 
 class LifeStory(unittest.TestCase):
@@ -71,8 +76,13 @@
             job.apply(Record(Kind.FINAL, "j", end=End.REVERSED))
 
     def test_what_a_workers_word_means(self) -> None:
-        for word, follows in ((Word.RUNNING, Next.RESUME), (Word.DONE, Next.SETTLE), (Word.NEVER, Next.CLEAR),
-                              (Word.FAILED, Next.DOUBT), (Word.NONE, Next.ASK)):
+        for word, follows in (
+            (Word.RUNNING, Next.RESUME),
+            (Word.DONE, Next.SETTLE),
+            (Word.NEVER, Next.CLEAR),
+            (Word.FAILED, Next.DOUBT),
+            (Word.NONE, Next.ASK),
+        ):
             self.assertIs(life.after_restart(word, 0, 10), follows)
         self.assertIs(life.after_restart(Word.NONE, 10, 10), Next.DOUBT)
         self.assertIs(life.lapsed(Word.NONE, AGAIN, 0, 10), Next.DOUBT)
@@ -92,6 +102,7 @@
 
         def trusting(word: Word, now: int, expires: int) -> Next:
             return Next.CLEAR if word is Word.NONE else real(word, now, expires)
+
         with mock.patch.object(life, "after_restart", trusting), self.assertRaises(model.Broken) as caught:
             model.Model([ONCE]).search(18)
         self.assertIn("once-only job 0", str(caught.exception))
@@ -156,8 +167,10 @@
         db = sqlite3.connect(self.path)
         db.executescript(MIGRATIONS[1] + "PRAGMA user_version = 1;")
         told = self.accepted("old", "k")
-        db.execute("INSERT INTO jobs VALUES (?,?,?,?,?,?,?,?)", (
-            "old", told.owner, told.key, "ONCE_ONLY", told.accepted, told.expires, told.call, told.sum))
+        db.execute(
+            "INSERT INTO jobs VALUES (?,?,?,?,?,?,?,?)",
+            ("old", told.owner, told.key, "ONCE_ONLY", told.accepted, told.expires, told.call, told.sum),
+        )
         db.commit()
         db.close()
         self.store().close()
@@ -198,6 +211,7 @@
 
         def command(*told: str) -> subprocess.CompletedProcess[str]:
             return subprocess.run([*run, *told], cwd=ROOT, capture_output=True, text=True, check=False)
+
         done = command("restore", str(copy), str(self.path))
         self.assertEqual(done.returncode, 2)
         self.assertIn("another process has it open", done.stderr)
@@ -226,8 +240,15 @@
     def located(self, worker: str, address: str) -> None:
         pass
 
-    async def call(self, worker: str, method: str, target: bytes, headers: list[tuple[bytes, bytes]],
-                   body: bytes = b"", begins: Any = lambda sending: None) -> Message:
+    async def call(
+        self,
+        worker: str,
+        method: str,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes = b"",
+        begins: Any = lambda sending: None,
+    ) -> Message:
         if method == "GET" and target.startswith(b"/jobs/"):
             self.asked.append((worker, target.decode()))
             word = self.words.get(worker)
@@ -273,8 +294,18 @@
         self.disk = DiskWriter(self.loop, Random(1), sync)
         self.store = Store(self.path, self.disk, lock=False, sync="OFF")
         known = terms.terms(TOLD)
-        self.service = DurableTxnService(known, Words(TOLD, known), 7, Clock(self.wall, self.loop.time), self.played,
-                                Counters(), lambda: None, store=self.store, ways=self.ways, chance=Random(1))
+        self.service = DurableTxnService(
+            known,
+            Words(TOLD, known),
+            7,
+            Clock(self.wall, self.loop.time),
+            self.played,
+            Counters(),
+            lambda: None,
+            store=self.store,
+            ways=self.ways,
+            chance=Random(1),
+        )
         self.service.listed(ListNews.WHOLE, [Row(Worker(f"w{i}"), "x:1") for i in range(workers)])
 
     def starts(self, **more: Any) -> None:
@@ -298,16 +329,21 @@
 
         async def wait() -> Any:
             return await task
+
         return self.loop.run_until_complete(wait())
 
     def passes(self, time: float) -> None:
         self.loop.run_until_complete(asyncio.sleep(time))
 
-    def call(self, method: bytes, target: bytes, body: bytes = b"b", **headers: str) -> tuple[int, dict[str, Any]]:
+    def call(
+        self, method: bytes, target: bytes, body: bytes = b"b", **headers: str
+    ) -> tuple[int, dict[str, Any]]:
         """Status and body of a call that is answered within two virtual seconds."""
         told: list[tuple[int, dict[str, Any]]] = []
-        lines = [(name.replace("_", "-").encode(), value.encode()) for name, value in
-                 {"Req-Owner": "acme", **headers}.items()]
+        lines = [
+            (name.replace("_", "-").encode(), value.encode())
+            for name, value in {"Req-Owner": "acme", **headers}.items()
+        ]
         message = Message(method, target, headers={n.lower(): v for n, v in lines}, lines=lines, body=body)
 
         def answer(status: int, said: bytes, _: tuple[str, ...], keep: bool) -> None:
@@ -321,6 +357,7 @@
                     self.service.take(message, answer)
             except Broken as fault:
                 told.append((fault.status, {"why": str(fault)}))
+
         self.do(take())
         for _ in range(40):
             if told:
@@ -328,15 +365,20 @@
             self.passes(0.05)
         return 0, {}
 
-    def submit(self, key: str = "k", scheme: bytes = b"charge", body: bytes = b"b") -> tuple[int, dict[str, Any]]:
+    def submit(
+        self, key: str = "k", scheme: bytes = b"charge", body: bytes = b"b"
+    ) -> tuple[int, dict[str, Any]]:
         return self.call(b"POST", b"/jobs/" + scheme, body, Idempotency_Key=key)
 
     def status(self, tag: str) -> dict[str, Any]:
         return self.call(b"GET", f"/jobs/{tag}".encode())[1]
 
     def back(self, tag: str, state: str = "done", worker: str = "w0") -> int:
-        return self.call(b"POST", b"/callback", json.dumps(
-            {"id": tag, "from": worker, "state": state, "result": "r"}).encode())[0]
+        return self.call(
+            b"POST",
+            b"/callback",
+            json.dumps({"id": tag, "from": worker, "state": state, "result": "r"}).encode(),
+        )[0]
 
     def submitted(self, **more: Any) -> str:
         """A started one with one job out at w0."""
@@ -373,13 +415,19 @@
         self.begins()
         self.disk.ill = OSError(28, "no space left")
         head = {b"Req-Owner": b"acme", b"Idempotency-Key": b"k"}
-        message = Message(b"POST", b"/jobs/charge", headers={n.lower(): v for n, v in head.items()},
-                          lines=list(head.items()), body=b"b")
+        message = Message(
+            b"POST",
+            b"/jobs/charge",
+            headers={n.lower(): v for n, v in head.items()},
+            lines=list(head.items()),
+            body=b"b",
+        )
         said: list[int] = []
 
         async def twice() -> None:
             for _ in range(2):
                 self.service.take(message, lambda status, *_: said.append(status))
+
         self.do(twice())
         self.passes(0.2)
         self.assertEqual(said, [503, 503])
@@ -433,7 +481,9 @@
         self.assertEqual([(kept.entry, kept.told.call) for kept in self.service.ended], [(None, b"")] * 4)
         self.known(told)
 
-    def test_open_jobs_take_memory_up_to_a_bound_and_beyond_it_new_ones_are_declined_with_the_reason(self) -> None:
+    def test_open_jobs_take_memory_up_to_a_bound_and_beyond_it_new_ones_are_declined_with_the_reason(
+        self,
+    ) -> None:
         """All of them are in memory, and nothing declined new ones for it: 249 to 577 MiB at 100,000 though told 192."""
         self.ways = dataclasses.replace(WAYS, open=3 * OPEN + 1)
         self.starts()
@@ -442,8 +492,12 @@
         with mock.patch.object(logbook, "note") as note:
             for _ in range(2):
                 status, told = self.submit("k4")
-                self.assertEqual((status, told), (503, {"why": "as many jobs are open as its memory has room for"}))
-            self.assertEqual(self.call(b"POST", b"/charge", Req_Id="c1")[0], 503, "nor one whose client waits")
+                self.assertEqual(
+                    (status, told), (503, {"why": "as many jobs are open as its memory has room for"})
+                )
+            self.assertEqual(
+                self.call(b"POST", b"/charge", Req_Id="c1")[0], 503, "nor one whose client waits"
+            )
         self.assertEqual((note.call_count, self.service.counters["jobs.full"]), (1, 3))
         self.assertEqual(self.submit("k0")[0], 202, "one that was accepted is the same job again")
         self.passes(0.2)
@@ -525,9 +579,15 @@
         self.assertEqual(self.status(second)["state"], "settled")
         assert self.store._reader is not None
         self.store._reader.close()
-        for method, target in ((b"GET", f"/jobs/{second}"), (b"DELETE", f"/jobs/{second}"), (b"POST", "/jobs/charge")):
+        for method, target in (
+            (b"GET", f"/jobs/{second}"),
+            (b"DELETE", f"/jobs/{second}"),
+            (b"POST", "/jobs/charge"),
+        ):
             self.assertEqual(self.call(method, target.encode(), Idempotency_Key="k1")[0], 503)
-        self.assertEqual(self.call(b"POST", b"/charge", Req_Id=second)[0], 503, "not posted where it may be known")
+        self.assertEqual(
+            self.call(b"POST", b"/charge", Req_Id=second)[0], 503, "not posted where it may be known"
+        )
         self.assertEqual(len(self.played.posted), 2)
 
     def test_a_crash_between_the_send_and_its_record_can_not_be(self) -> None:
@@ -596,11 +656,13 @@
         self.assertEqual(self.submit("other")[0], 503)
         during: list[int] = []
         told = self.service.words.callback(
-            json.dumps({"id": tag, "from": "w0", "state": "done", "result": "r"}).encode())
+            json.dumps({"id": tag, "from": "w0", "state": "done", "result": "r"}).encode()
+        )
         self.do(asyncio.sleep(0))
 
         async def comes() -> None:
             self.service.heard(told, lambda status, *_: during.append(status))
+
         self.do(comes())
         self.played.words["w0"] = {"state": "running"}
         self.begins()
@@ -636,6 +698,7 @@
 
         async def wish() -> None:
             await self.store.put(Record(Kind.CANCEL, tag, 1))
+
         self.do(wish())
         self.dies()
         self.played.words["w0"] = {"state": "running"}
@@ -657,7 +720,9 @@
         self.played.words["w0"] = {"state": "done", "result": "r"}
         self.starts()
         self.begins()
-        self.assertEqual(self.status(tag)["state"], "settled", "the worker's word counts as long as it is open")
+        self.assertEqual(
+            self.status(tag)["state"], "settled", "the worker's word counts as long as it is open"
+        )
         self.dies()
         other = Path(self.path.parent / "other.db")
         self.path = other
@@ -716,11 +781,17 @@
         self.begins()
         answers: list[tuple[int, float]] = []
         head = {b"Req-Owner": b"acme", b"Req-Id": b"call", b"Req-Deadline-Ms": b"4000"}
-        message = Message(b"POST", b"/charge", headers={n.lower(): v for n, v in head.items()},
-                          lines=list(head.items()), body=b"b")
+        message = Message(
+            b"POST",
+            b"/charge",
+            headers={n.lower(): v for n, v in head.items()},
+            lines=list(head.items()),
+            body=b"b",
+        )
 
         async def take() -> None:
             self.service.take(message, lambda status, *_: answers.append((status, self.loop.time())))
+
         begun = self.loop.time()
         self.do(take())
         self.passes(0.3)
@@ -737,7 +808,9 @@
         self.disk.slow = 5.0
         asked = self.submit("a")
         self.assertEqual(asked[0], 0, "not taken on before it is on disk")
-        self.assertEqual((self.submit("b"), len(self.played.posted)), ((503, {"why": "the store is slow"}), 0))
+        self.assertEqual(
+            (self.submit("b"), len(self.played.posted)), ((503, {"why": "the store is slow"}), 0)
+        )
 
     def test_one_that_lost_the_store_stops_posting_at_once(self) -> None:
         self.submitted()
@@ -753,18 +826,25 @@
     def test_a_hundred_thousand_open_jobs_are_taken_up_in_time(self) -> None:
         self.starts()
         store = self.store
+
         def call(tag: str) -> bytes:
             return json.dumps(["/render", [["Req-Owner", "acme"], ["Req-Id", tag]]]).encode() + b"\nb"
+
         now = int(self.loop.wall() * SECOND)
-        store._commit([Accepted(f"j{i}", "acme", f"k{i}", b"", AGAIN, now, now + 10 * SECOND, call(f"j{i}"))
-                       for i in range(5000)])
+        store._commit(
+            [
+                Accepted(f"j{i}", "acme", f"k{i}", b"", AGAIN, now, now + 10 * SECOND, call(f"j{i}"))
+                for i in range(5000)
+            ]
+        )
         self.dies()
         self.starts()
         self.begins()
         self.assertTrue(self.service.recovered)
         self.assertGreater(len(self.played.posted), 0)
-        self.assertLessEqual(self.service.live, 512,
-                             "the others wait in order, and cost the decisions nothing")
+        self.assertLessEqual(
+            self.service.live, 512, "the others wait in order, and cost the decisions nothing"
+        )
         self.passes(12.0)
         with contextlib.suppress(Exception):
             self.dies()
