--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -58,13 +58,26 @@
     def charter(self, name, own, keys):
         path = self.folder / f"{name}.toml"
         (self.folder / name).mkdir(exist_ok=True)
-        path.write_text(CHARTER.format(fleet="127.0.0.1:9", name=name, own=own, folder=self.folder / name,
-                                       voters=self.rows_of_voters, keys=keys))
+        path.write_text(
+            CHARTER.format(
+                fleet="127.0.0.1:9",
+                name=name,
+                own=own,
+                folder=self.folder / name,
+                voters=self.rows_of_voters,
+                keys=keys,
+            )
+        )
         return path
 
     def ran(self, *words):
-        process = subprocess.Popen([sys.executable, "-m", *map(str, words)], cwd=ROOT, stdout=subprocess.PIPE,
-                                   stderr=subprocess.PIPE, start_new_session=True)
+        process = subprocess.Popen(
+            [sys.executable, "-m", *map(str, words)],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+        )
         self.running[process.pid] = process
         return process
 
@@ -91,14 +104,29 @@
 class SpecStory(Joined):
     def setUp(self):
         super().setUp()
-        lines = ['key = "sixteen bytes or more"', 'lease = "1s"', "drill = 20.0", f'spec = "{self.folder}/1.toml"',
-                 f'log = "{self.folder}/log"', "[voters]", 'fleet = "f"', 'key = "sixteen bytes or more"', 'lease = "600ms"',
-                 "[voters.names]", self.rows_of_voters]
+        lines = [
+            'key = "sixteen bytes or more"',
+            'lease = "1s"',
+            "drill = 20.0",
+            f'spec = "{self.folder}/1.toml"',
+            f'log = "{self.folder}/log"',
+            "[voters]",
+            'fleet = "f"',
+            'key = "sixteen bytes or more"',
+            'lease = "600ms"',
+            "[voters.names]",
+            self.rows_of_voters,
+        ]
         ports = udp_places(5)
         for name, address in zip(("k0", "k1", "k2"), ports, strict=False):
             lines += [f"[keepers.{name}]", f'address = "{address}"', f'disk = "{self.folder}/{name}"']
         for name, region, address in (("n0", "north", ports[3]), ("w0", "west", ports[4])):
-            lines += [f"[members.{name}]", f'region = "{region}"', f'address = "{address}"', f'disk = "{self.folder}/disk"']
+            lines += [
+                f"[members.{name}]",
+                f'region = "{region}"',
+                f'address = "{address}"',
+                f'disk = "{self.folder}/disk"',
+            ]
         self.ground = self.folder / "ground.toml"
         self.ground.write_text("\n".join(lines) + "\n")
         for name in ("k0", "k1", "k2"):
@@ -112,7 +140,9 @@
         path = self.folder / f"{number}.toml"
         listed = ", ".join(f'"{region}"' for region in regions)
         path.write_text(SPEC.format(", " * bool(regions) + listed, listed) + f"# {number}\n")
-        return self.ran("pathsaddle.federation", "commit", self.ground, path, "--offer", offer, "--wait", wait)
+        return self.ran(
+            "pathsaddle.federation", "commit", self.ground, path, "--offer", offer, "--wait", wait
+        )
 
     def ends(self, process, code, *words):
         out, err = process.communicate(timeout=40)
@@ -125,22 +155,40 @@
         for path in sorted((self.folder / "log").glob("*.jsonl")):
             whole = path.read_bytes()
             part = self.folder / "part.jsonl"
-            part.write_bytes(whole[:whole.rfind(b"\n") + 1])
+            part.write_bytes(whole[: whole.rfind(b"\n") + 1])
             found += read(part)
         return sorted(found, key=lambda row: row.at)
 
     def held(self, number, after=0):
         """Both go by it, with a lease."""
-        self.until(lambda: {row.more["who"] for row in self.rows() if row.what == "spec.version" and row.at > after
-                            and row.more["state"] == "held" and row.more["version"] == number
-                            and row.more["until"] > row.at} == {"n0", "w0"}, f"all go by {number}")
+        self.until(
+            lambda: (
+                {
+                    row.more["who"]
+                    for row in self.rows()
+                    if row.what == "spec.version"
+                    and row.at > after
+                    and row.more["state"] == "held"
+                    and row.more["version"] == number
+                    and row.more["until"] > row.at
+                }
+                == {"n0", "w0"}
+            ),
+            f"all go by {number}",
+        )
 
     def owns(self, after):
-        self.until(lambda: any(row.what == "lease" and row.at > after for row in self.rows()), "a committer owns the key")
+        self.until(
+            lambda: any(row.what == "lease" and row.at > after for row in self.rows()),
+            "a committer owns the key",
+        )
 
     def committed(self):
-        return {row.more["version"] for row in self.rows()
-                if row.what == "spec.version" and row.more["state"] == "committed"}
+        return {
+            row.more["version"]
+            for row in self.rows()
+            if row.what == "spec.version" and row.more["state"] == "committed"
+        }
 
     def good(self):
         rows = self.rows()
@@ -176,8 +224,13 @@
         self.running["k2"].communicate(timeout=10)
         shutil.rmtree(self.folder / "k2")
         self.running["k2"] = self.ran("pathsaddle.federation", "keeper", self.ground, "k2")
-        self.until(lambda: [path.name for path in sorted((self.folder / "k2").glob("0*.toml"))]
-                   == [f"{number:09}.toml" for number in (1, 2, 3)], "k2 has all three again")
+        self.until(
+            lambda: (
+                [path.name for path in sorted((self.folder / "k2").glob("0*.toml"))]
+                == [f"{number:09}.toml" for number in (1, 2, 3)]
+            ),
+            "k2 has all three again",
+        )
         numbers = [row.more["number"] for row in self.good() if row.what == "lease"]
         self.assertGreaterEqual(len(set(numbers)), 5)
 
@@ -191,8 +244,12 @@
         killed = self.rows()[-1].at
         self.ends(amid, 2, "federation.voters", "nothing was committed")
         rows = self.rows()
-        leases = [row.more["until"] for row in rows if row.what == "spec.version" and row.more["state"] == "held"]
-        self.assertLess(max(leases), killed + 15_000)  # nobody's lease grew on a reading that nobody could prove
+        leases = [
+            row.more["until"] for row in rows if row.what == "spec.version" and row.more["state"] == "held"
+        ]
+        self.assertLess(
+            max(leases), killed + 15_000
+        )  # nobody's lease grew on a reading that nobody could prove
         self.assertEqual(self.committed(), {1})
         self.assertFalse([row for row in rows if row.what == "abroad.sent" and row.more["to"] == "west"])
         for name in VOTERS[:2]:
@@ -200,8 +257,10 @@
         self.held(1, rows[-1].at)
         self.ends(self.commit(2, "west"), 0, "version 2")
         self.held(2)
-        self.until(lambda: any(row.what == "region.ran" and row.more["region"] == "west" for row in self.rows()),
-                   "it runs in west")
+        self.until(
+            lambda: any(row.what == "region.ran" and row.more["region"] == "west" for row in self.rows()),
+            "it runs in west",
+        )
         self.good()
 
     @unittest.skipUnless(SECONDS, "JOINED_SECONDS=60: random trouble, by hand")
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -66,12 +66,25 @@
         self.events.append(Event(at, what, more))
 
     def asked(self, tag: str, at: int, scheme: str = "charge") -> None:
-        self.add(at, "wanted", job=len(self.events), scheme=scheme, work=100, slots=1.0, customer="north",
-                 due=at + 9000, zone="east")
-        self.add(at, "asked", id=tag, job=len(self.events) - 1, dispatcher=0, scheme=scheme, expires=at + 80_000)
+        self.add(
+            at,
+            "wanted",
+            job=len(self.events),
+            scheme=scheme,
+            work=100,
+            slots=1.0,
+            customer="north",
+            due=at + 9000,
+            zone="east",
+        )
+        self.add(
+            at, "asked", id=tag, job=len(self.events) - 1, dispatcher=0, scheme=scheme, expires=at + 80_000
+        )
 
     def came(self, tag: str, at: int, worker: str = "w", zone: str = "east") -> None:
-        self.add(at, "came", id=tag, worker=worker, dispatcher=0, begun=at, work=100, slots=1.0, zone=zone, cell=0)
+        self.add(
+            at, "came", id=tag, worker=worker, dispatcher=0, begun=at, work=100, slots=1.0, zone=zone, cell=0
+        )
 
     def answered(self, tag: str, at: int, how: str = "settled") -> None:
         self.add(at, "answered", id=tag, how=how, seen=at, status=0)
@@ -151,7 +164,9 @@
 
     def test_events_are_read_in_the_order_of_their_moments(self) -> None:
         self.asked("a", 0)
-        self.add(300, "came", id="a", worker="w", dispatcher=0, begun=300, work=1, slots=1.0, zone="e", cell=0)
+        self.add(
+            300, "came", id="a", worker="w", dispatcher=0, begun=300, work=1, slots=1.0, zone="e", cell=0
+        )
         self.add(100, "hung_up", id="a", early=True)
         one = Judge(self.charter)
         one.read(reversed(self.events))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -51,14 +51,24 @@
         self.ends(1, says=("== test_planted FAILED, end code 1", "1 passed, 3 failed"))
 
     def test_just_those_listed_are_passed_over_and_printed(self) -> None:
-        self.ends(0, f"{BAD}, a cause, with a comma, 36", f"{PARTS}, another, #7", says=(
-            f"known red, passed over: {BAD}, a cause, with a comma, 36", f"known red, passed over: {PARTS}", "0 failed"))
+        self.ends(
+            0,
+            f"{BAD}, a cause, with a comma, 36",
+            f"{PARTS}, another, #7",
+            says=(
+                f"known red, passed over: {BAD}, a cause, with a comma, 36",
+                f"known red, passed over: {PARTS}",
+                "0 failed",
+            ),
+        )
         self.ends(1, f"{BAD}, a cause, 36", says=("== test_planted FAILED",))
 
     def test_a_line_whose_story_did_not_fail_must_go(self) -> None:
         red = f"{BAD}, a, 1", f"{PARTS}, a, 1"
         for name in (GOOD, "tests.test_planted.Case.test_skipped"):
-            self.ends(1, *red, f"{name}, a, 1", says=(f"but it did not fail: take the line out: {name}", "1 failed"))
+            self.ends(
+                1, *red, f"{name}, a, 1", says=(f"but it did not fail: take the line out: {name}", "1 failed")
+            )
 
     def test_a_fourth_line_fails_at_once(self) -> None:
         four = [f"{name}, a, 1" for name in (BAD, PARTS, GOOD, "tests.test_planted.Case.test_skipped")]
@@ -70,31 +80,47 @@
 
     def test_what_else_breaks_beside_a_listed_one_is_no_known_red(self) -> None:
         red = f"{BAD}, a, 1", f"{PARTS}, a, 1"
-        for more in ("@classmethod\n    def tearDownClass(cls): raise OSError",
-                     "@classmethod\n    def tearDownClass(cls): os._exit(1)",
-                     "@unittest.expectedFailure\n    def test_better(self): pass",
-                     "@unittest.expectedFailure\n    def test_hidden(self): self.fail()"):
+        for more in (
+            "@classmethod\n    def tearDownClass(cls): raise OSError",
+            "@classmethod\n    def tearDownClass(cls): os._exit(1)",
+            "@unittest.expectedFailure\n    def test_better(self): pass",
+            "@unittest.expectedFailure\n    def test_hidden(self): self.fail()",
+        ):
             with self.subTest(more):
                 self.plant("test_planted", textwrap.dedent(PLANTED) + f"    {more}\n")
                 self.ends(1, *red, says=("== test_planted FAILED",))
 
     def test_a_file_that_can_not_be_loaded_fails(self) -> None:
         self.plant("test_other", "import nothing_of_that_name\n")
-        self.ends(1, f"{BAD}, a, 1", f"{PARTS}, a, 1", says=("== test_other FAILED", "== test_planted: nothing but"))
+        self.ends(
+            1, f"{BAD}, a, 1", f"{PARTS}, a, 1", says=("== test_other FAILED", "== test_planted: nothing but")
+        )
 
 
 class Reads(unittest.TestCase):
     def test_what_is_no_line_is_said(self) -> None:
-        for line in (BAD, f"{BAD}, cause", f"{BAD}, , 36", f"{BAD}, cause, soon", "tests.test_x, cause, 36",
-                     "tests.test_x.Case, cause, 36", "elsewhere.test_x.Case.test_y, cause, 36", f"{BAD}, 36"):
+        for line in (
+            BAD,
+            f"{BAD}, cause",
+            f"{BAD}, , 36",
+            f"{BAD}, cause, soon",
+            "tests.test_x, cause, 36",
+            "tests.test_x.Case, cause, 36",
+            "elsewhere.test_x.Case.test_y, cause, 36",
+            f"{BAD}, 36",
+        ):
             self.assertEqual(len(listed(line)[1]), 1, line)
         self.assertEqual(len(listed(f"{BAD}, a, 1\n\n{BAD}, b, 2\n")[1]), 1, "twice")
         self.assertEqual(listed("\n"), ([], []))
 
     def test_what_a_story_prints_is_no_report(self) -> None:
         said = f"FAIL: test_bad ({BAD})\n" + "=" * 70 + f"\nERROR: test_good ({GOOD})\n" + "-" * 70
-        self.assertEqual(failed_in(1, f"{said}\nRan 2 tests in 0.1s\n\nFAILED (errors=1)\n"), ({GOOD}, 1, True))
-        self.assertEqual(failed_in(1, f"{said}\nRan 2 tests in 0.1s\n\nFAILED (failures=1, errors=1)\n")[2], False)
+        self.assertEqual(
+            failed_in(1, f"{said}\nRan 2 tests in 0.1s\n\nFAILED (errors=1)\n"), ({GOOD}, 1, True)
+        )
+        self.assertEqual(
+            failed_in(1, f"{said}\nRan 2 tests in 0.1s\n\nFAILED (failures=1, errors=1)\n")[2], False
+        )
         self.assertEqual(failed_in(-9, said), ({GOOD}, 1, False))
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -167,8 +167,12 @@
         self.addAsyncCleanup(server.wait_closed)
         self.addCleanup(server.close)
         self.now = 0.0
-        self.workers = Workers(Reach(10_000 * MILLISECOND, 60_000 * MILLISECOND), 8,
-                               Clock(wall=lambda: 0.0, steady=lambda: self.now), Counters())
+        self.workers = Workers(
+            Reach(10_000 * MILLISECOND, 60_000 * MILLISECOND),
+            8,
+            Clock(wall=lambda: 0.0, steady=lambda: self.now),
+            Counters(),
+        )
         self.addAsyncCleanup(over.wait)
         self.addCleanup(self.workers.links.drop_idle, "w", "stopping")
         host, port = server.sockets[0].getsockname()
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -26,7 +26,12 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE, CHANGES, FAILED, SILENT, MOVED = (
-    ListNews.WHOLE, ListNews.CHANGES, ListNews.FAILED, ListNews.SILENT, ListNews.MOVED)
+    ListNews.WHOLE,
+    ListNews.CHANGES,
+    ListNews.FAILED,
+    ListNews.SILENT,
+    ListNews.MOVED,
+)
 Told = tuple[ListNews, list[tuple[str, Standing]]]
 
 
@@ -35,8 +40,12 @@
 
 
 def line(index: int, status: str, whole: bool = False, worker: str = "w") -> bytes:
-    return (b'{"index":%d,"snapshot":%s,"endpoints":[{"name":"%s","status":"%s","address":"x:1"}]}\n'
-            % (index, b"true" if whole else b"false", worker.encode(), status.encode()))
+    return b'{"index":%d,"snapshot":%s,"endpoints":[{"name":"%s","status":"%s","address":"x:1"}]}\n' % (
+        index,
+        b"true" if whole else b"false",
+        worker.encode(),
+        status.encode(),
+    )
 
 
 def says(news: ListNews, standing: Standing, worker: str = "w") -> Told:
@@ -106,8 +115,7 @@
         self.place, self.other = Place(), Place()
         self.addCleanup(self.place.close)
         self.addCleanup(self.other.close)
-        self.discovery = DiscoveryWatch(
-            self.place.address, 4, TxnService(), self.counters, opening)  # type: ignore[arg-type]
+        self.discovery = DiscoveryWatch(self.place.address, 4, TxnService(), self.counters, opening)  # type: ignore[arg-type]
         self.addAsyncCleanup(self.over)
 
     async def over(self) -> None:
@@ -176,7 +184,9 @@
         self.after = moves
         side.send(chunk(line(6, "leaving")))
         await self.until(lambda: len(self.told) > 2)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), says(CHANGES, Standing.GONE), (MOVED, [])])
+        self.assertEqual(
+            self.told[1:], [says(CHANGES, Standing.DRAINING), says(CHANGES, Standing.GONE), (MOVED, [])]
+        )
 
     async def test_after_a_stall_of_our_own_a_watch_that_has_spoken_is_not_silent(self) -> None:
         """Its time is up before what has come is read."""
@@ -193,22 +203,34 @@
         self.assertEqual(self.told[2:], [(SILENT, [])], "and is once it says nothing more")
 
     async def test_whole_lines_before_an_end_a_reset_or_nonsense_are_told(self) -> None:
-        for more, code in ((b"", "closed"), (b"0\r\n\r\n", "ended"), (b"zz\r\nnonsense", "malformed"), (b"", "reset")):
+        for more, code in (
+            (b"", "closed"),
+            (b"0\r\n\r\n", "ended"),
+            (b"zz\r\nnonsense", "malformed"),
+            (b"", "reset"),
+        ):
             self.told.clear()
             self.ends.clear()
             self.discovery.ask()
             side = await self.place.asked()
-            side.send(HEAD + chunk(line(5, "active", whole=True)) + chunk(line(6, "leaving")) + chunk(b'{"ind') + more)
+            side.send(
+                HEAD
+                + chunk(line(5, "active", whole=True))
+                + chunk(line(6, "leaving"))
+                + chunk(b'{"ind')
+                + more
+            )
             if code == "reset":
                 await self.until(lambda: len(self.told) == 2)
                 side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             side.close()
             await asyncio.wait_for(self.ends.wait(), 5.0)
             with self.subTest(code):
-                self.assertEqual(self.told, [says(WHOLE, Standing.READY), says(CHANGES, Standing.DRAINING), (FAILED, [])])
+                self.assertEqual(
+                    self.told, [says(WHOLE, Standing.READY), says(CHANGES, Standing.DRAINING), (FAILED, [])]
+                )
                 self.assertEqual(self.counters[f"watch_end.{code}"], 1)
 
-
     async def test_before_a_posting_goes_out_what_lies_in_the_socket_is_told_and_only_once(self) -> None:
         """A process that was stopped for 3 s resumed a posting that it had decided on before, to a worker whose drain
         lay in its socket."""
@@ -261,12 +283,17 @@
 
 class Lines(Watched):
     async def test_an_indented_list_may_be_split_at_each_byte(self) -> None:
-        text = line(5, "leaving", whole=True).replace(b"{", b"{\n  ").replace(b",", b",\n\n  ").replace(b"}", b"\n}")
+        text = (
+            line(5, "leaving", whole=True)
+            .replace(b"{", b"{\n  ")
+            .replace(b",", b",\n\n  ")
+            .replace(b"}", b"\n}")
+        )
         said = HEAD + chunk(text) + chunk(line(6, "left"))
         self.discovery.ask()
         side = await self.place.asked()
         for at in range(len(said)):
-            side.send(said[at:at + 1])
+            side.send(said[at : at + 1])
             await self.until(lambda at=at: self.socks[0].taken == at + 1)  # type: ignore[misc]
         await self.until(lambda: len(self.told) > 1)
         self.assertEqual(self.told, [says(WHOLE, Standing.DRAINING), says(CHANGES, Standing.GONE)])
@@ -282,7 +309,9 @@
         await self.place.asked()
         self.assertIn(b"index=2 ", self.place.calls[1])
 
-    async def test_a_beat_before_any_line_says_that_nothing_has_changed_but_never_of_a_place_that_we_moved_to(self) -> None:
+    async def test_a_beat_before_any_line_says_that_nothing_has_changed_but_never_of_a_place_that_we_moved_to(
+        self,
+    ) -> None:
         self.discovery.ask()
         (await self.place.asked()).send(HEAD + chunk(b"\n"))
         await self.until(lambda: bool(self.told))
@@ -344,8 +373,10 @@
         self.assertIn(b"index=0 ", self.place.calls[1])
         side.send(HEAD + chunk(line(6, "left", whole=True)))
         await self.until(lambda: len(self.told) > 4)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), (MOVED, []), (MOVED, []),
-                                         says(WHOLE, Standing.GONE)])
+        self.assertEqual(
+            self.told[1:],
+            [says(CHANGES, Standing.DRAINING), (MOVED, []), (MOVED, []), says(WHOLE, Standing.GONE)],
+        )
 
     async def test_to_an_address_where_nobody_is(self) -> None:
         await self.watches()
@@ -379,11 +410,14 @@
     """One dispatcher's discovery through drawn troubles: spells of them, each with well ones between. What the driver
     tells of a call is played with the driver's limits; all that the judge reads stands in the log."""
 
-    def __init__(self, seed: int, many: int, slow: float = 0.0, news: ListNews = WHOLE, seconds: int = 30) -> None:
+    def __init__(
+        self, seed: int, many: int, slow: float = 0.0, news: ListNews = WHOLE, seconds: int = 30
+    ) -> None:
         self.chance = Random(seed)
         self.slow = slow  # how often a call to a discovery that is well takes longer than reckoned with
-        self.host = FakeHost(must_ask=True, beats=news is not WHOLE, dispatchers=many, number=seed % many, seed=seed,
-                             news=news)
+        self.host = FakeHost(
+            must_ask=True, beats=news is not WHOLE, dispatchers=many, number=seed % many, seed=seed, news=news
+        )
         self.begun = self.host.now
         self.log: list[Said] = []
         self.dues: list[Due] = []
@@ -465,9 +499,14 @@
             self.later(now + takes, lambda: self.answers(mine, now))
             return
         takes, news = {
-            "refused": (10, FAILED), "busy": (50, FAILED), "reset": (int(FIRST * self.chance.random()), FAILED),
-            "waits": (2 * SECOND, FAILED), "absent": (COMES_UP, FAILED), "mute": (FIRST, SILENT),
-            "half": (FIRST, SILENT)}[kind]
+            "refused": (10, FAILED),
+            "busy": (50, FAILED),
+            "reset": (int(FIRST * self.chance.random()), FAILED),
+            "waits": (2 * SECOND, FAILED),
+            "absent": (COMES_UP, FAILED),
+            "mute": (FIRST, SILENT),
+            "half": (FIRST, SILENT),
+        }[kind]
         self.later(now + takes, lambda: self.tells(mine, news))
 
     def answers(self, mine: int, begun: int) -> None:
@@ -483,7 +522,9 @@
         arrives = self.begun
         while self.host.now < self.until:
             alarm = self.host.alarm if self.host.alarm is not None else self.until
-            at = max(self.host.now, min(self.until, alarm, arrives, self.dues[0].at if self.dues else self.until))
+            at = max(
+                self.host.now, min(self.until, alarm, arrives, self.dues[0].at if self.dues else self.until)
+            )
             self.host.passes(at - self.host.now)
             self.looks()
             while self.dues and self.dues[0].at <= self.host.now:
@@ -542,7 +583,11 @@
     found = []
     for begin, end in reachable:
         if end - begin > TOLD_BY:
-            state = [row.what for row in log if row.at <= begin + TOLD_BY and row.what.split()[0] in ("had", "missed")]
+            state = [
+                row.what
+                for row in log
+                if row.at <= begin + TOLD_BY and row.what.split()[0] in ("had", "missed")
+            ]
             if state and state[-1] != "had":
                 found.append(f"no list from {begin} to {begin + TOLD_BY}")
     return found
@@ -565,8 +610,16 @@
         for many in (1, 40, 200):
             for seed in range(60):
                 played = Discovery(seed, many, slow=0.9)
-                played.troubled([(at * SECOND, int((1.5 + 2.5 * played.chance.random()) * SECOND),
-                                  played.chance.choice(("refused", "busy", "absent"))) for at in (1, 15)])
+                played.troubled(
+                    [
+                        (
+                            at * SECOND,
+                            int((1.5 + 2.5 * played.chance.random()) * SECOND),
+                            played.chance.choice(("refused", "busy", "absent")),
+                        )
+                        for at in (1, 15)
+                    ]
+                )
                 log = played.plays()
                 self.assertEqual(broken(log, played.reachable()), [], (many, seed))
                 late += len(unheard(log, played.reachable()))
@@ -590,7 +643,9 @@
                     self.assertGreater(sum(row.what == "failed" for row in log), 5)
                     gaps = sorted(b - a for a, b in pairwise(posted))
                     self.assertLessEqual(gaps[-1], 3 * SECOND // 2, (many, seed, kind))
-                    self.assertLess(gaps[-2], 3 * SECOND // 2 if kind == "reset" else SECOND // 2, (many, seed, kind))
+                    self.assertLess(
+                        gaps[-2], 3 * SECOND // 2 if kind == "reset" else SECOND // 2, (many, seed, kind)
+                    )
 
     def test_a_held_txn_goes_on_once_the_list_is_had(self) -> None:
         host = FakeHost(must_ask=True, dispatchers=1)
@@ -616,8 +671,15 @@
         for seed in range(40):
             for pushed in (False, True):
                 for fails in range(4):
-                    host = FakeHost(scheme(sla_time=60 * SECOND, expiry=60 * SECOND), must_ask=True, beats=True,
-                                    pushed=pushed, dispatchers=200, seed=seed, news=ListNews.REMEMBERED)
+                    host = FakeHost(
+                        scheme(sla_time=60 * SECOND, expiry=60 * SECOND),
+                        must_ask=True,
+                        beats=True,
+                        pushed=pushed,
+                        dispatchers=200,
+                        seed=seed,
+                        news=ListNews.REMEMBERED,
+                    )
                     txn = host.ask("a")
                     for _ in range(fails):
                         self.calls(host)
@@ -640,7 +702,9 @@
         for many in (1, 2, 57, 200):
             asked = []
             for seed in range(200):
-                host = FakeHost(must_ask=True, beats=True, dispatchers=many, seed=seed, news=ListNews.REMEMBERED)
+                host = FakeHost(
+                    must_ask=True, beats=True, dispatchers=many, seed=seed, news=ListNews.REMEMBERED
+                )
                 while not host.subscribed:
                     host.passes(10 * MILLISECOND)
                 asked.append(host.now - 100 * SECOND)
@@ -657,7 +721,10 @@
                 since = host.now
                 self.calls(host)
                 one.append(host.now - since)
-        self.assertEqual([max(one) <= most for one, most in zip(waits, (31 * SECOND // 10, 6 * SECOND, 6 * SECOND))], [True] * 3)
+        self.assertEqual(
+            [max(one) <= most for one, most in zip(waits, (31 * SECOND // 10, 6 * SECOND, 6 * SECOND))],
+            [True] * 3,
+        )
         self.assertGreater(sum(waits[1]), 1.5 * sum(waits[0]))
 
 
@@ -669,8 +736,16 @@
 
     def plays(self, seed: int, births: int, broken: int, rate: int, seconds: int) -> tuple[list[int], int]:
         """When each birth had the list, and how many calls were made. `broken`: others, whose watches were reset."""
-        hosts = [FakeHost(must_ask=True, beats=True, dispatchers=births + broken, seed=1000 * seed + n,
-                          news=ListNews.REMEMBERED) for n in range(births + broken)]
+        hosts = [
+            FakeHost(
+                must_ask=True,
+                beats=True,
+                dispatchers=births + broken,
+                seed=1000 * seed + n,
+                news=ListNews.REMEMBERED,
+            )
+            for n in range(births + broken)
+        ]
         for host in hosts[births:]:
             host.list(WHOLE, *host.workers)
             host.list(FAILED)
@@ -779,8 +854,14 @@
     GRACE = SECOND // 2
 
     def host(self, pushed: bool = True) -> FakeHost:
-        return FakeHost(must_ask=True, beats=True, pushed=pushed, drain_grace=self.GRACE, dispatchers=5,
-                        news=ListNews.REMEMBERED)
+        return FakeHost(
+            must_ask=True,
+            beats=True,
+            pushed=pushed,
+            drain_grace=self.GRACE,
+            dispatchers=5,
+            news=ListNews.REMEMBERED,
+        )
 
     def test_from_a_start_on_the_list_as_last_had_is_good_for_nothing_new(self) -> None:
         """It was good for a grace where lists are pushed, and for AskEvery elsewhere: too long for what was told to
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -25,12 +25,25 @@
 def table(seconds=60, dispatchers=7, fleet=None, **faults):
     """A plan of nothing but a fleet; each fault by its kind, with _ for -."""
     rows = [dict(row, kind=kind.rstrip("0123456789").replace("_", "-")) for kind, row in faults.items()]
-    return plans.of({
-        "name": "story", "seconds": seconds, "only": "fleet", "faults": rows,
-        "charter": {"zones": ["east", "west"], "schemes": [{"name": "any", "semantics": "repeatable", "expiry": "5s"}],
-                    "fleet": {"beat": "200ms", "patience": "60ms", **(fleet or {})}},
-        "fleet": {"dispatchers": dispatchers, "network": {"near": "300us", "far": "4ms"},
-                  "parts": {"half": ["d0", "d1", "d2"], "most": ["d1", "d2", "d3", "d4", "d5", "d6"]}}}, "story")
+    return plans.of(
+        {
+            "name": "story",
+            "seconds": seconds,
+            "only": "fleet",
+            "faults": rows,
+            "charter": {
+                "zones": ["east", "west"],
+                "schemes": [{"name": "any", "semantics": "repeatable", "expiry": "5s"}],
+                "fleet": {"beat": "200ms", "patience": "60ms", **(fleet or {})},
+            },
+            "fleet": {
+                "dispatchers": dispatchers,
+                "network": {"near": "300us", "far": "4ms"},
+                "parts": {"half": ["d0", "d1", "d2"], "most": ["d1", "d2", "d3", "d4", "d5", "d6"]},
+            },
+        },
+        "story",
+    )
 
 
 class Play:
@@ -41,8 +54,14 @@
         self.verdict = judge(plans.charter_of(plan), self.rows)
 
     def views(self, state, who=None, about=None):
-        return [row for row in self.rows if row.what == "view" and row.more["state"] == state
-                and who in (None, row.more["who"]) and about in (None, row.more["about"])]
+        return [
+            row
+            for row in self.rows
+            if row.what == "view"
+            and row.more["state"] == state
+            and who in (None, row.more["who"])
+            and about in (None, row.more["about"])
+        ]
 
 
 class FleetStory(unittest.TestCase):
@@ -67,7 +86,9 @@
         self.assertTrue(play.views("dead", "d5", "d0"))
         self.assertEqual(play.views("dead", "d0", "d1"), [])
 
-    def test_a_member_that_stood_still_for_longer_than_any_wait_goes_on_and_is_taken_back_accusing_nobody(self):
+    def test_a_member_that_stood_still_for_longer_than_any_wait_goes_on_and_is_taken_back_accusing_nobody(
+        self,
+    ):
         play = self.play(70, stall={"of": "d3", "at": "5s", "for": "30s"})
         self.assertTrue(play.views("dead", about="d3"))
         self.assertEqual(play.views("dead", who="d3"), [])
@@ -79,9 +100,14 @@
         self.assertEqual(play.verdict.fleet["false"], 0)
 
     def test_a_clock_stepped_back_by_an_hour_on_an_empty_disk_is_refuted_and_comes_back_above(self):
-        play = self.play(50, clock_step={"of": "d2", "how": "back", "strength": 3600, "at": "4s"},
-                         kill={"of": "d2", "how": "empty", "at": "5s", "for": "1s"})
-        own = [row.more["life"] for row in play.views("alive", "d2", "d2") if "refuted" not in row.more["why"]]
+        play = self.play(
+            50,
+            clock_step={"of": "d2", "how": "back", "strength": 3600, "at": "4s"},
+            kill={"of": "d2", "how": "empty", "at": "5s", "for": "1s"},
+        )
+        own = [
+            row.more["life"] for row in play.views("alive", "d2", "d2") if "refuted" not in row.more["why"]
+        ]
         self.assertLess(own[1], own[0])
         self.assertGreater(own[2], own[0])
 
@@ -95,11 +121,15 @@
 
     def test_one_that_hears_nothing_accuses_and_shuts_out_nobody_else(self):
         play = self.play(70, link_cut={"of": "most", "among": "d0", "oneway": True, "at": "5s", "for": "25s"})
-        self.assertEqual([row for row in play.views("dead") if row.more["who"] != "d0" and row.more["about"] != "d0"], [])
+        self.assertEqual(
+            [row for row in play.views("dead") if row.more["who"] != "d0" and row.more["about"] != "d0"], []
+        )
 
     def test_one_that_hears_but_is_not_heard_knows_all_others_and_is_back_after_it(self):
         play = self.play(70, link_cut={"of": "d0", "among": "most", "oneway": True, "at": "5s", "for": "25s"})
-        self.assertEqual([row for row in play.views("dead") if row.more["who"] != "d0" and row.more["about"] != "d0"], [])
+        self.assertEqual(
+            [row for row in play.views("dead") if row.more["who"] != "d0" and row.more["about"] != "d0"], []
+        )
 
     def test_one_who_leaves_is_known_to_have_left_at_once_and_is_not_called_dead(self):
         play = self.play(40, term={"of": "d3", "at": "5s", "for": "25s"})
@@ -180,7 +210,9 @@
             between.at[address] = core
         between.run(20 * SECOND)
         self.assertEqual([c.members[name].row.address for name in "ab"], [b.me.address, a.me.address])
-        self.assertTrue(all(c.heard_within(core.me.name, core.me.life, 5 * SECOND, between.now) for core in again))
+        self.assertTrue(
+            all(c.heard_within(core.me.name, core.me.life, 5 * SECOND, between.now) for core in again)
+        )
 
     def test_what_is_not_a_fellows_is_counted_by_its_reason_and_changes_nothing(self):
         core = member("a")
@@ -189,9 +221,13 @@
         good = wire.encode(said, KEY)
         newer = bytes((wire.FORM + 1,)) + good[1:-16]
         newer += wire.hmac.digest(KEY, newer, "sha256")[:16]
-        cases = {"cut": good[:10], "stranger": wire.encode(said, b"another key, as long as it"), "newer": newer,
-                 "fleet": wire.encode(Said("g", other.me, 1, "a", wire.PING), KEY),
-                 "misdirected": wire.encode(Said("f", other.me, 1, "z", wire.PING), KEY)}
+        cases = {
+            "cut": good[:10],
+            "stranger": wire.encode(said, b"another key, as long as it"),
+            "newer": newer,
+            "fleet": wire.encode(Said("g", other.me, 1, "a", wire.PING), KEY),
+            "misdirected": wire.encode(Said("f", other.me, 1, "z", wire.PING), KEY),
+        }
         for reason, data in cases.items():
             core.heard(data, 1)
             self.assertEqual(core.counts.get(f"refused {reason}"), 1, reason)
@@ -208,8 +244,12 @@
         between.run(3 * SECOND)
         life = b.me.life
         self.assertTrue(a.heard_within("b", life, 2 * SECOND, between.now))
-        kept = [(address, data) for address, data in [(a.me.address, wire.encode(
-            Said("f", b.me, 1 << 40, "a", wire.ACK, 1), KEY))]]
+        kept = [
+            (address, data)
+            for address, data in [
+                (a.me.address, wire.encode(Said("f", b.me, 1 << 40, "a", wire.ACK, 1), KEY))
+            ]
+        ]
         del between.at[b.me.address]
         heard = a.members["b"].heard
         between.run(5 * SECOND)
@@ -267,7 +307,10 @@
         news, nobody heard a second accuser, and a death was known after 27 s instead of 10."""
         for most in (12_000, 13_000, 24_000):
             with self.subTest(bytes=most):
-                core, others = member("a", most_bytes=most), [member(name, seed=ord(name)) for name in "bcdef"]
+                core, others = (
+                    member("a", most_bytes=most),
+                    [member(name, seed=ord(name)) for name in "bcdef"],
+                )
                 self.meet(core, *others)
                 core.gossip.clear()
                 carry = Carry("a", core.me.life, "f", KEY, core.purse, SECOND, Random(1), 0)
@@ -281,7 +324,9 @@
                     carry.compare_due = carry.news_due = 0
                     carry.wake(0)
                 self.assertGreater(carry.counts["held back"], 0)
-                core.learn(Row("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 0, "b")
+                core.learn(
+                    Row("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 0, "b"
+                )
                 core.beat_due = 0
                 core.wake(0)
                 told = [row.name for _, data in core.out for row in wire.decode(data, KEY, "f").rows]
@@ -310,19 +355,40 @@
 
 
 NAMES = [f"m{i}" for i in range(5)]
-ROWS = st.builds(Row, st.sampled_from([*NAMES, "x", "y"]), st.integers(0, 4000), st.integers(0, 3), st.integers(0, 3),
-                 st.sampled_from([f"10.0.0.1:{name}" for name in NAMES] + ["nowhere"]), st.just("here"))
+ROWS = st.builds(
+    Row,
+    st.sampled_from([*NAMES, "x", "y"]),
+    st.integers(0, 4000),
+    st.integers(0, 3),
+    st.integers(0, 3),
+    st.sampled_from([f"10.0.0.1:{name}" for name in NAMES] + ["nowhere"]),
+    st.just("here"),
+)
 STEPS = st.one_of(
     st.tuples(st.just("wake"), st.integers(0, 4), st.integers(0, 3 * SECOND)),
-    st.tuples(st.just("carry"), st.integers(0, 10 ** 6), st.integers(1, 3)),
-    st.tuples(st.just("drop"), st.integers(0, 10 ** 6), st.just(0)),
-    st.tuples(st.just("says"), st.integers(0, 4), st.builds(
-        Said, st.just("f"), ROWS, st.integers(0, 200), st.sampled_from([*NAMES, ""]), st.integers(-1, 8),
-        st.integers(0, 5), st.sampled_from(NAMES), st.sampled_from(["", "m2"]), st.sampled_from(["", "m3"]),
-        st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 9), st.integers(-9, 99)), max_size=3),
-        st.lists(ROWS, max_size=5))),
+    st.tuples(st.just("carry"), st.integers(0, 10**6), st.integers(1, 3)),
+    st.tuples(st.just("drop"), st.integers(0, 10**6), st.just(0)),
+    st.tuples(
+        st.just("says"),
+        st.integers(0, 4),
+        st.builds(
+            Said,
+            st.just("f"),
+            ROWS,
+            st.integers(0, 200),
+            st.sampled_from([*NAMES, ""]),
+            st.integers(-1, 8),
+            st.integers(0, 5),
+            st.sampled_from(NAMES),
+            st.sampled_from(["", "m2"]),
+            st.sampled_from(["", "m3"]),
+            st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 9), st.integers(-9, 99)), max_size=3),
+            st.lists(ROWS, max_size=5),
+        ),
+    ),
     st.tuples(st.just("noise"), st.integers(0, 4), st.binary(max_size=1300)),
-    st.tuples(st.just("leave"), st.integers(0, 4), st.just(0)))
+    st.tuples(st.just("leave"), st.integers(0, 4), st.just(0)),
+)
 
 
 class AnyOrderStory(unittest.TestCase):
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -52,6 +52,7 @@
             self.clocks.works(100)
             self.meter.runs("carrying", carries)
             self.meter.runs("log", lambda: self.clocks.works(7))
+
         self.meter.runs("membership", wakes)
         self.assertEqual(self.clocks.spent(), {"membership": 100, "carrying": 50, "shares": 50, "log": 7})
         self.assertEqual(self.meter.all.ns, 200, "what grows with txns is no part of control's own")
@@ -60,6 +61,7 @@
         def fails() -> None:
             self.clocks.works(10)
             raise ValueError
+
         for _ in range(2):
             with self.assertRaises(ValueError):
                 self.meter.runs("list", fails)
@@ -111,6 +113,7 @@
             got = await gate
             self.clocks.works(20)
             return got
+
         task = asyncio.create_task(self.meter.steps("list", work(), self.stepped))
         await asyncio.sleep(0)
         self.clocks.works(1000)  # others'
@@ -128,6 +131,7 @@
                 heard.append(str(why))
                 self.clocks.works(40)
                 raise
+
         task = asyncio.create_task(self.meter.steps("looks", work()))
         await asyncio.sleep(0)
         task.cancel("replaced")
@@ -143,12 +147,14 @@
             except TimeoutError:
                 return "late"
             return "never"
+
         self.assertEqual(await asyncio.create_task(self.meter.steps("list", work())), "late")
 
     async def test_what_it_raises_comes_out(self) -> None:
         async def work() -> None:
             await asyncio.sleep(0)
             raise OSError("gone")
+
         with self.assertRaises(OSError):
             await self.meter.steps("list", work(), self.stepped)
         self.assertEqual(self.after, 2)
@@ -171,20 +177,26 @@
         self.clocks.steady = second * S
         self.clocks.meter.came("list", got)
         self.clocks.meter.went("membership", said)
-        self.clocks.meter.runs("carrying", lambda: setattr(self.clocks, "thread", self.clocks.thread + us * 1000))
+        self.clocks.meter.runs(
+            "carrying", lambda: setattr(self.clocks, "thread", self.clocks.thread + us * 1000)
+        )
 
     def test_a_second_beyond_the_bytes_is_told_once_a_minute_and_counted_each_time(self) -> None:
         for second in range(70):
             self.second(second, 1001 if second in (3, 4, 65) else 1000)
-        self.assertEqual([line["how"] for line in self.lines], ["1001 bytes received in one second of 1000"] * 2)
+        self.assertEqual(
+            [line["how"] for line in self.lines], ["1001 bytes received in one second of 1000"] * 2
+        )
         self.assertEqual({line["most"] for line in self.lines}, {"list"})
         self.assertEqual(self.counters["control.over.received"], 3)
 
     def test_what_is_sent_has_the_same_bound(self) -> None:
         self.second(0, 0, 1500)
         self.second(1, 0)
-        self.assertEqual([(line["how"], line["most"]) for line in self.lines],
-                         [("1500 bytes sent in one second of 1000", "membership")])
+        self.assertEqual(
+            [(line["how"], line["most"]) for line in self.lines],
+            [("1500 bytes sent in one second of 1000", "membership")],
+        )
 
     def test_a_minute_beyond_its_part_of_a_core_is_told(self) -> None:
         for second in range(2 * MINUTE + 1):
@@ -193,7 +205,9 @@
         self.assertIn("0.0370 of a core over a minute of 0.036", self.lines[0]["how"])
 
     def test_what_took_most_of_a_minute_is_of_that_minute_and_not_of_the_whole_life(self) -> None:
-        self.clocks.meter.runs("list", lambda: setattr(self.clocks, "thread", 9 * S))  # long ago, and never since
+        self.clocks.meter.runs(
+            "list", lambda: setattr(self.clocks, "thread", 9 * S)
+        )  # long ago, and never since
         self.second(MINUTE, 0)
         self.lines.clear()
         for second in range(MINUTE, 3 * MINUTE + 1):
@@ -203,8 +217,14 @@
     def test_the_counters_have_each_purpose(self) -> None:
         self.second(0, 700, 300, 50)
         self.second(1, 0)
-        self.assertEqual((self.counters["control.list.in"], self.counters["control.membership.out"],
-                          self.counters["control.carrying.us"]), (700, 300, 50))
+        self.assertEqual(
+            (
+                self.counters["control.list.in"],
+                self.counters["control.membership.out"],
+                self.counters["control.carrying.us"],
+            ),
+            (700, 300, 50),
+        )
 
     def test_another_budget_binds_from_the_next_second_on(self) -> None:
         self.second(0, 900)
@@ -215,7 +235,14 @@
     def test_the_table_that_an_operator_sees_has_a_row_a_purpose_and_the_sum(self) -> None:
         self.second(0, 900, 10, 50)
         text = _control({"name": "n0", "life": 1, **json.loads(json.dumps(self.metered.view()))})
-        for word in ("list", "membership", "carrying", "all of these", "0.036 of a core", "1000 bytes a second"):
+        for word in (
+            "list",
+            "membership",
+            "carrying",
+            "all of these",
+            "0.036 of a core",
+            "1000 bytes a second",
+        ):
             self.assertIn(word, text)
 
 
@@ -230,19 +257,28 @@
         self.assertIsInstance(changed, MeteredWords)
         report = changed.report({"x0": 2.0, "queue": 1})
         self.assertIsNotNone(report)
-        self.assertEqual((self.meter.spent["reports"].calls, self.meter.spent["reports"].got), (1, len('{"x0": 2.0, "queue": 1}')))
+        self.assertEqual(
+            (self.meter.spent["reports"].calls, self.meter.spent["reports"].got),
+            (1, len('{"x0": 2.0, "queue": 1}')),
+        )
 
     def test_an_answer_to_a_look_counts_for_looks_and_one_to_a_posting_does_not(self) -> None:
-        answer = Message(status=200, lines=[(b"srv-load", b"x0=2,queue=1")], headers={b"srv-load": b"x0=2,queue=1"})
+        answer = Message(
+            status=200, lines=[(b"srv-load", b"x0=2,queue=1")], headers={b"srv-load": b"x0=2,queue=1"}
+        )
         self.words.report_in(answer)
         self.assertEqual(self.meter.spent["looks"].got, 0)
         self.meter.runs("looks", lambda: self.words.report_in(answer))
-        self.assertEqual(self.meter.spent["looks"].got, len("HTTP/1.1 200 OK\r\n\r\n") + len("srv-load: x0=2,queue=1\r\n"))
+        self.assertEqual(
+            self.meter.spent["looks"].got, len("HTTP/1.1 200 OK\r\n\r\n") + len("srv-load: x0=2,queue=1\r\n")
+        )
 
     def test_bytes_of_each_connection_of_the_watch_are_counted_once(self) -> None:
         socks = [SimpleNamespace(taken=0, given=0) for _ in range(2)]
         opened = iter(socks)
-        watch = MeteredWatch(self.meter, "a:1", 0, SimpleNamespace(), Counters(), lambda address: (next(opened), ("a", 1)))
+        watch = MeteredWatch(
+            self.meter, "a:1", 0, SimpleNamespace(), Counters(), lambda address: (next(opened), ("a", 1))
+        )
         watch.opening("a:1")
         socks[0].taken, socks[0].given = 100, 40
         watch._tallies()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -36,15 +36,27 @@
         return budget not in self.refuses
 
 
-def ask(value: float = 1.0, key: str = "k", customer: str = "c0", work: float = 2000.0, left: int = SECOND,
-        **more: object) -> Ask:
+def ask(
+    value: float = 1.0,
+    key: str = "k",
+    customer: str = "c0",
+    work: float = 2000.0,
+    left: int = SECOND,
+    **more: object,
+) -> Ask:
     return Ask(customer, key, "s0", value, 0.3, work, left, 2000, **more)  # type: ignore[arg-type]
 
 
 def ways(members: int = 4, **more: float) -> Ways:
-    return Ways(b"secret", members, 0.001, {f"c{c}": 10.0 for c in range(4)}, more.get("returns", 20.0),
-                SECOND // 2,
-                8 * SECOND)
+    return Ways(
+        b"secret",
+        members,
+        0.001,
+        {f"c{c}": 10.0 for c in range(4)},
+        more.get("returns", 20.0),
+        SECOND // 2,
+        8 * SECOND,
+    )
 
 
 def word(total: float, could: float = 40.0, at: int = 8, **customers: float) -> Word:
@@ -88,7 +100,7 @@
         chance = Random(5)
         good = packed(word(3.0, c1=1.0))
         for _ in range(2000):
-            body = bytearray(good[:chance.randrange(len(good) + 1)])
+            body = bytearray(good[: chance.randrange(len(good) + 1)])
             for _ in range(chance.randrange(4)):
                 if body:
                     body[chance.randrange(len(body))] = chance.randrange(256)
@@ -166,8 +178,10 @@
             told.sort()
             for n, moment in enumerate(told[:-24]):
                 self.assertGreaterEqual(told[n + 24] - moment, SECOND // 2 if members == 1 else 1)
-            seconds = [sum(second * SECOND <= moment < (second + 1) * SECOND for moment in told)
-                       for second in range(1, 10)]
+            seconds = [
+                sum(second * SECOND <= moment < (second + 1) * SECOND for moment in told)
+                for second in range(1, 10)
+            ]
             self.assertLessEqual(max(seconds), 13)
             self.assertGreater(len(told), 40)
 
@@ -204,8 +218,10 @@
             self.stands(gate, 0, 2)
         self.assertGreater(one.level.stands, 7.0)
         for n in range(200):
-            first, second = (one.lets_in(ask(2.0, key=f"k{n}"), 21_000),
-                             other.lets_in(ask(2.0, key=f"k{n}"), 21_000))
+            first, second = (
+                one.lets_in(ask(2.0, key=f"k{n}"), 21_000),
+                other.lets_in(ask(2.0, key=f"k{n}"), 21_000),
+            )
             self.assertEqual((first.let, first.stands), (second.let, second.stands))
 
     def test_a_next_try_within_its_advised_wait_is_told_the_rest_of_it_and_counted_once(self) -> None:
@@ -321,18 +337,25 @@
 
 class Off(unittest.TestCase):
     def test_the_mechanism_loads_nothing_of_it(self) -> None:
-        look = ("import sys, pathsaddle.loop, pathsaddle.cli.main, pathsaddle.net.service.start;"
-                "print([name for name in sys.modules if 'overload' in name])")
-        out = subprocess.run([sys.executable, "-c", look], capture_output=True, text=True, check=True,
-                             timeout=60)
+        look = (
+            "import sys, pathsaddle.loop, pathsaddle.cli.main, pathsaddle.net.service.start;"
+            "print([name for name in sys.modules if 'overload' in name])"
+        )
+        out = subprocess.run(
+            [sys.executable, "-c", look], capture_output=True, text=True, check=True, timeout=60
+        )
         self.assertEqual("[]", out.stdout.strip())
 
 
 class DriverStory(unittest.IsolatedAsyncioTestCase):
     async def test_a_fault_in_a_moment_is_logged_and_the_next_moment_is_set_all_the_same(self) -> None:
         """It ended the level's timer unseen: the gate went on by the level that stood, for good."""
-        fellows = SimpleNamespace(counters=Counters(), meter=Unmetered(), clock=SimpleNamespace(now=lambda: 7 * SECOND), shared=SimpleNamespace(
-            carry=SimpleNamespace(records=lambda topic, now: [], put=mock.Mock())))
+        fellows = SimpleNamespace(
+            counters=Counters(),
+            meter=Unmetered(),
+            clock=SimpleNamespace(now=lambda: 7 * SECOND),
+            shared=SimpleNamespace(carry=SimpleNamespace(records=lambda topic, now: [], put=mock.Mock())),
+        )
         gate = mock.Mock(ways=SimpleNamespace(members=3))
         gate.wake.side_effect = [ZeroDivisionError("of ours"), 8 * SECOND]
         levels = driver.Levels(fellows, gate, mock.Mock(), mock.Mock())  # type: ignore[arg-type]
--- a/tests/test_overload_ground.py
+++ b/tests/test_overload_ground.py
@@ -29,8 +29,9 @@
         return judge
 
     def test_the_same_seed_is_the_same_run(self) -> None:
-        one, other = (Ground(Plan(name="same", seconds=4.0, members=5, load=1.5), 3).run().digest()
-                      for _ in range(2))
+        one, other = (
+            Ground(Plan(name="same", seconds=4.0, members=5, load=1.5), 3).run().digest() for _ in range(2)
+        )
         self.assertEqual(one, other)
 
     def test_a_third_hears_nothing_at_twice_capacity_and_loses_nothing_by_it(self) -> None:
@@ -45,8 +46,13 @@
         self.assertGreaterEqual(cut_off(on, alone), 0.99)
 
     def test_after_a_surge_with_clients_without_end_it_is_back_where_alone_it_stays_down(self) -> None:
-        more: dict[str, Any] = {"seconds": 24.0, "load": 0.9, "again": -1, "surge": (5.0, 11.0, 3.0),
-                                "back_within": 5.0}
+        more: dict[str, Any] = {
+            "seconds": 24.0,
+            "load": 0.9,
+            "again": -1,
+            "surge": (5.0, 11.0, 3.0),
+            "back_within": 5.0,
+        }
         self.holds(**more)
         self.assertEqual(["back"], judged(policy="alone", **more).broken)
 
@@ -73,13 +79,18 @@
 
     def test_trials_due_at_all_members_in_one_moment_after_workers_come_back_fit_their_budget(self) -> None:
         # Sick for all: each member has failed there, and each wants to try again as soon as the trouble ends.
-        back = self.holds(seconds=16.0, load=0.7, members=40, troubles=[
-            Trouble("sick", 4.0, 5.0), Trouble("cut", 4.0, 5.0, 1.0)])
+        back = self.holds(
+            seconds=16.0,
+            load=0.7,
+            members=40,
+            troubles=[Trouble("sick", 4.0, 5.0), Trouble("cut", 4.0, 5.0, 1.0)],
+        )
         self.assertGreater(back.figures.trials, 0)
 
     def test_level_reached_and_left_many_times(self) -> None:
-        self.holds(seconds=20.0, load=1.0,
-                   troubles=[Trouble("slow", 2.0 * n, 1.0, 0.5, 1.5) for n in range(2, 9)])
+        self.holds(
+            seconds=20.0, load=1.0, troubles=[Trouble("slow", 2.0 * n, 1.0, 0.5, 1.5) for n in range(2, 9)]
+        )
 
     def test_200_members_at_a_txn_a_second_each(self) -> None:
         two = self.holds(seconds=6.0, members=200, load=0.83)
@@ -90,10 +101,11 @@
     def test_each_breaks_the_bound_that_is_named_for_it(self) -> None:
         noisy = [Trouble("cut", 4.0, 10.0, oneway=True), Trouble("lossy", 4.0, 10.0, 0.3)]
         for mutant, bound, more in (
-                ("jumpy", "turns", {"load": 1.0, "troubles": noisy, "members": 40, "seconds": 17.0}),
-                ("dice", "same", {"load": 2.0}),
-                ("arrival", "budgets", {"load": 1.2, "troubles": [Trouble("flap", 4.0, 8.0)], "members": 40}),
-                ("unspread", "returns", {"load": 2.0})):
+            ("jumpy", "turns", {"load": 1.0, "troubles": noisy, "members": 40, "seconds": 17.0}),
+            ("dice", "same", {"load": 2.0}),
+            ("arrival", "budgets", {"load": 1.2, "troubles": [Trouble("flap", 4.0, 8.0)], "members": 40}),
+            ("unspread", "returns", {"load": 2.0}),
+        ):
             with self.subTest(mutant):
                 self.assertIn(bound, judged(mutant=mutant, **more).broken)
 
@@ -102,53 +114,105 @@
     return Event(int(at * SECOND), what, {"who": who} | more)
 
 
-def shed(at: float, let: bool, stands: float, level: float, who: str = "d0", key: str = "k",
-         **more: Any) -> Event:
-    return line(at, "shed.in" if let else "shed.out", who, **({
-        "txn": f"{key}{at}", "customer": "c0", "key": key, "scheme": "s", "period": 1, "standing": stands,
-        "level": level, "over": False, "work": 10, "wait": 0, "why": "level"} | more))
+def shed(
+    at: float, let: bool, stands: float, level: float, who: str = "d0", key: str = "k", **more: Any
+) -> Event:
+    return line(
+        at,
+        "shed.in" if let else "shed.out",
+        who,
+        **(
+            {
+                "txn": f"{key}{at}",
+                "customer": "c0",
+                "key": key,
+                "scheme": "s",
+                "period": 1,
+                "standing": stands,
+                "level": level,
+                "over": False,
+                "work": 10,
+                "wait": 0,
+                "why": "level",
+            }
+            | more
+        ),
+    )
 
 
 class Planted(unittest.TestCase):
-    PLAN = line(0, "overload.plan", "k", policy="fleet", members=2, surge=None, back_within=0.0, returns=3.0,
-                allowance=10.0)
+    PLAN = line(
+        0,
+        "overload.plan",
+        "k",
+        policy="fleet",
+        members=2,
+        surge=None,
+        back_within=0.0,
+        returns=3.0,
+        allowance=10.0,
+    )
 
     def found(self, *rows: Event) -> list[str]:
         judge = Judge()
-        judge.read([self.PLAN, line(0, "share.budget", budget="repeat", units=2), *rows,
-                    line(60, "overload.end", bytes=0)])
+        judge.read(
+            [
+                self.PLAN,
+                line(0, "share.budget", budget="repeat", units=2),
+                *rows,
+                line(60, "overload.end", bytes=0),
+            ]
+        )
         return judge.broken
 
     def test_a_plain_history_is_good(self) -> None:
-        self.assertEqual([], self.found(shed(20, True, 9.5, 8.0), shed(20, False, 7.9, 8.0, key="l"),
-                                        line(21, "post.sent", kind="repeat", worker="w0"),
-                                        line(21, "post.sent", kind="repeat", worker="w0"),
-                                        line(22, "post.sent", kind="repeat", worker="w0")))
+        self.assertEqual(
+            [],
+            self.found(
+                shed(20, True, 9.5, 8.0),
+                shed(20, False, 7.9, 8.0, key="l"),
+                line(21, "post.sent", kind="repeat", worker="w0"),
+                line(21, "post.sent", kind="repeat", worker="w0"),
+                line(22, "post.sent", kind="repeat", worker="w0"),
+            ),
+        )
 
     def test_bad_ones_are_found_under_their_names(self) -> None:
         rows = [line(20 + n / 10, "post.sent", kind="repeat", worker="w0") for n in range(3)]
         self.assertEqual(["budgets"], self.found(*rows))
-        self.assertEqual(["inversion"],
-                         self.found(shed(20, False, 9.5, 9.9), shed(20, True, 7.1, 7.0, "d1", "l")))
+        self.assertEqual(
+            ["inversion"], self.found(shed(20, False, 9.5, 9.9), shed(20, True, 7.1, 7.0, "d1", "l"))
+        )
         self.assertEqual(["same"], self.found(shed(20, False, 8.5, 8.6), shed(22, False, 8.2, 8.6, "d1")))
         self.assertEqual(["level"], self.found(shed(20, True, 8.5, 8.6)))
-        self.assertEqual(["returns"],
-                         self.found(*(shed(20 + n, False, 1.0, 2.0, key=f"k{n}", wait=(9 - n) * SECOND)
-                                      for n in range(4))))
-        self.assertEqual(["pace"],
-                         self.found(line(20, "shed.level", level=0.0), line(20.1, "shed.level", level=4.0)))
-        self.assertEqual(["turns"],
-                         self.found(*(line(20 + n, "shed.level", level=3.0 * (n % 2)) for n in range(12))))
-        self.assertEqual(["share"], self.found(*(shed(20 + n, False, 1.0, 2.0, key=f"k{n}", over=True)
-                                                 for n in range(2))))
+        self.assertEqual(
+            ["returns"],
+            self.found(
+                *(shed(20 + n, False, 1.0, 2.0, key=f"k{n}", wait=(9 - n) * SECOND) for n in range(4))
+            ),
+        )
+        self.assertEqual(
+            ["pace"], self.found(line(20, "shed.level", level=0.0), line(20.1, "shed.level", level=4.0))
+        )
+        self.assertEqual(
+            ["turns"], self.found(*(line(20 + n, "shed.level", level=3.0 * (n % 2)) for n in range(12)))
+        )
+        self.assertEqual(
+            ["share"], self.found(*(shed(20 + n, False, 1.0, 2.0, key=f"k{n}", over=True) for n in range(2)))
+        )
 
     def test_good_ones_that_look_bad_are_let_be(self) -> None:
         # Another second, another period, a member that is cut off, a slow rise.
         self.assertEqual([], self.found(shed(20, False, 9.5, 9.9), shed(21, True, 7.1, 7.0, "d1", "l")))
         self.assertEqual([], self.found(shed(20, False, 8.5, 8.6), shed(22, False, 8.2, 8.6, "d1", period=2)))
-        self.assertEqual([], self.found(
-            line(18, "fault", "k", kind="cut", long=5 * SECOND, members=["d0"]),
-            shed(22.5, False, 9.5, 9.9), shed(22.5, True, 7.1, 7.0, "d1", "l")))
+        self.assertEqual(
+            [],
+            self.found(
+                line(18, "fault", "k", kind="cut", long=5 * SECOND, members=["d0"]),
+                shed(22.5, False, 9.5, 9.9),
+                shed(22.5, True, 7.1, 7.0, "d1", "l"),
+            ),
+        )
         self.assertEqual([], self.found(line(20, "shed.level", level=0.0), line(21, "shed.level", level=4.0)))
 
     def test_the_most_in_a_span_leaves_its_end_out(self) -> None:
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -23,8 +23,13 @@
         self.assertGreater(min(levels), 2.0)  # twice capacity still, now offered to half of them
         self.assertLess(max(levels) - min(levels), 1.0)
         # Who was stopped past its lease used nothing of what it held by then, and was let go on.
-        self.assertTrue(any(event.more["who"] == "d0" and event.at > 19 * SECOND for event in rows
-                            if event.what == "shed.in"))
+        self.assertTrue(
+            any(
+                event.more["who"] == "d0" and event.at > 19 * SECOND
+                for event in rows
+                if event.what == "shed.in"
+            )
+        )
         self.assertGreater(judge.figures.repeats, 50)
         # All want to try a worker again in the same moment, each second: three a second may.
         self.assertGreater(judge.figures.trials, 20)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -46,8 +46,14 @@
 
 
 def owner_of(ground, key="k0"):
-    return next((name for name, host in ground.hosts.items() if name[0] == "m" and host.up
-                 and host.owner.may_act(key, host.now())), "")
+    return next(
+        (
+            name
+            for name, host in ground.hosts.items()
+            if name[0] == "m" and host.up and host.owner.may_act(key, host.now())
+        ),
+        "",
+    )
 
 
 class GroundStory(unittest.TestCase):
@@ -66,8 +72,12 @@
 
     def test_under_random_trouble_no_instant_has_two_owners_and_calm_has_one(self):
         refused = 0
-        for seed, members, voters in (*((seed, 5, 3) for seed in range(16)), (16, 5, 5), (17, 5, 5),
-                                      (18, 40, 3)):
+        for seed, members, voters in (
+            *((seed, 5, 3) for seed in range(16)),
+            (16, 5, 5),
+            (17, 5, 5),
+            (18, 40, 3),
+        ):
             with self.subTest(seed=seed, members=members):
                 ground = troubled(seed, members, voters=voters, keys=1 + seed % 2)
                 refused += self.holds(ground).refused
@@ -148,6 +158,7 @@
             host.kill()
             host.disk = Disk(whole=False)
             host.begin()
+
         loses(one)
         ground.run(ground.at + 2 * SECOND)
         self.assertTrue(one.voter.part and one.disk.whole)
@@ -236,38 +247,69 @@
             return Event(at, "reg.call", {"who": op[0], "op": op, "key": "k", "kind": kind, **more})
 
         def end(at, op, number, owner, revision=0, value=None, outcome="ok"):
-            return Event(at, "reg.end",
-                         {"who": op[0], "op": op, "outcome": outcome, "number": number, "owner": owner,
-                          "revision": revision, "value": value})
-        lost = [call(1, "a1", "take"), end(2, "a1", 1, "a"),
-                call(3, "a2", "set", number=1, revision=0, value="x"),
-                end(4, "a2", 1, "a", 1, "x"), call(5, "b1", "read"), end(6, "b1", 1, "a")]
+            return Event(
+                at,
+                "reg.end",
+                {
+                    "who": op[0],
+                    "op": op,
+                    "outcome": outcome,
+                    "number": number,
+                    "owner": owner,
+                    "revision": revision,
+                    "value": value,
+                },
+            )
+
+        lost = [
+            call(1, "a1", "take"),
+            end(2, "a1", 1, "a"),
+            call(3, "a2", "set", number=1, revision=0, value="x"),
+            end(4, "a2", 1, "a", 1, "x"),
+            call(5, "b1", "read"),
+            end(6, "b1", 1, "a"),
+        ]
         self.assertIn("k", linear.check(lost))
         twice = [call(1, "a1", "take"), end(2, "a1", 1, "a"), call(3, "b1", "take"), end(4, "b1", 1, "b")]
         self.assertIn("k", linear.check(twice))
         # The set's end was never heard; it took place all the same,
         # after a later call had seen nothing of it.
-        late = [call(1, "a1", "take"), end(2, "a1", 1, "a"),
-                call(3, "a2", "set", number=1, revision=0, value="x"),
-                call(4, "b1", "read"), end(5, "b1", 1, "a"), call(6, "b2", "read"),
-                end(7, "b2", 1, "a", 1, "x")]
+        late = [
+            call(1, "a1", "take"),
+            end(2, "a1", 1, "a"),
+            call(3, "a2", "set", number=1, revision=0, value="x"),
+            call(4, "b1", "read"),
+            end(5, "b1", 1, "a"),
+            call(6, "b2", "read"),
+            end(7, "b2", 1, "a", 1, "x"),
+        ]
         self.assertEqual(linear.check(late), {})
 
 
-MUTANTS = (("answers-before-sync", 11, "number-twice"), ("lease-from-answer", 28, "leases-overlap"),
-           ("number-unchecked", 0, "effect-two-owners"), ("number-reused", 0, "number-twice"),
-           ("gives-before-stopping", 3, "leases-overlap"), ("holds-forgotten", 3, "leases-overlap"),
-           ("lost-disk-trusted", 22, "number-twice"))
+MUTANTS = (
+    ("answers-before-sync", 11, "number-twice"),
+    ("lease-from-answer", 28, "leases-overlap"),
+    ("number-unchecked", 0, "effect-two-owners"),
+    ("number-reused", 0, "number-twice"),
+    ("gives-before-stopping", 3, "leases-overlap"),
+    ("holds-forgotten", 3, "leases-overlap"),
+    ("lost-disk-trusted", 22, "number-twice"),
+)
 
 
 class ModelStory(unittest.TestCase):
     def test_in_every_order_of_events_to_the_stated_depth_the_bounds_hold(self):
         for name, depth, ways, first in (
-                ("from nothing", 6, Ways(), None),
-                ("from an owner", 6, Ways(), check.owned(Ways())),
-                ("given back, begun anew", 5, Ways(gives=1, ends=1, kills=0),
-                 check.owned(Ways(gives=1, ends=1, kills=0))),
-                ("a disk lost", 4, Ways(losses=1), check.owned(Ways(losses=1)))):
+            ("from nothing", 6, Ways(), None),
+            ("from an owner", 6, Ways(), check.owned(Ways())),
+            (
+                "given back, begun anew",
+                5,
+                Ways(gives=1, ends=1, kills=0),
+                check.owned(Ways(gives=1, ends=1, kills=0)),
+            ),
+            ("a disk lost", 4, Ways(losses=1), check.owned(Ways(losses=1))),
+        ):
             with self.subTest(name):
                 worlds = check.check(depth, ways, first)
                 print(f"ownership, {name}: {worlds} worlds to depth {depth}")
@@ -284,8 +326,12 @@
         self.slowly(late, check.Bid)
         ways = Ways(kills=0, renewals=0, ends=1)
         with self.assertRaisesRegex(Broken, "a number twice"):
-            check.check(5, ways, self.through(ways, Reuses, "c0 begins anew", "a moment", "a moment",
-                                              "a moment"), Reuses)
+            check.check(
+                5,
+                ways,
+                self.through(ways, Reuses, "c0 begins anew", "a moment", "a moment", "a moment"),
+                Reuses,
+            )
 
     def slowly(self, ways, bid):
         """The answers to an accepted ballot come a moment later than they were said; from there on,
@@ -293,11 +339,23 @@
         world = check.start(ways, bid)
         after, out = world.bids[0].begin(0)
         world = check._bid(world, 0, after, out)
-        for word in ("c0>v0 Prepare", "c0>v1 Prepare", "v0>c0 Promise", "v1>c0 Promise", "c0>v0 Accept",
-                     "c0>v1 Accept",
-                     "a moment", "v0>c0 Accepted", "v1>c0 Accepted", "a moment", "c1 bids",
-                     "c1>v0 Prepare 2 and back",
-                     "c1>v1 Prepare 2 and back", "c1>v0 Accept 2 and back", "c1>v1 Accept 2 and back"):
+        for word in (
+            "c0>v0 Prepare",
+            "c0>v1 Prepare",
+            "v0>c0 Promise",
+            "v1>c0 Promise",
+            "c0>v0 Accept",
+            "c0>v1 Accept",
+            "a moment",
+            "v0>c0 Accepted",
+            "v1>c0 Accepted",
+            "a moment",
+            "c1 bids",
+            "c1>v0 Prepare 2 and back",
+            "c1>v1 Prepare 2 and back",
+            "c1>v0 Accept 2 and back",
+            "c1>v1 Accept 2 and back",
+        ):
             world = next((after for name, after in check.steps(world, ways) if name.startswith(word)), world)
             if check.broken(world):
                 raise Broken(check.broken(world))
@@ -331,8 +389,9 @@
         self.assertTrue(log.held.whole)
         log.append([Write("k", self.KEPT), Write(voter="b", start=9), Write(voter="a", start=5, whole=True)])
         held = self.opened().held
-        self.assertEqual((held.rows, held.starts, held.start, held.whole),
-                         ({"k": self.KEPT}, {"b": 9}, 5, True))
+        self.assertEqual(
+            (held.rows, held.starts, held.start, held.whole), ({"k": self.KEPT}, {"b": 9}, 5, True)
+        )
 
     def test_torn_anywhere_cut_empty_gone_or_a_copy_it_is_not_whole(self):
         log = self.opened()
@@ -345,10 +404,11 @@
             held = self.opened().held
             self.assertFalse(held.whole)
             self.assertFalse(self.opened().held.whole, "nor the next time")
+
         for at in range(3, len(good), 11):
             path.write_bytes(good)
             spoilt(good[:at])
-            spoilt(good[:at] + bytes((good[at] ^ 1,)) + good[at + 1:])
+            spoilt(good[:at] + bytes((good[at] ^ 1,)) + good[at + 1 :])
         spoilt(b"")
         path.write_bytes(good)
         path.unlink()
@@ -364,8 +424,10 @@
     def test_a_write_that_failed_leaves_what_was_there(self):
         log = self.opened()
         log.append([Write(voter="a", start=5, whole=True)])
-        with (mock.patch("os.fdatasync", side_effect=OSError(errno.ENOSPC, "full")),
-              self.assertRaises(OSError)):
+        with (
+            mock.patch("os.fdatasync", side_effect=OSError(errno.ENOSPC, "full")),
+            self.assertRaises(OSError),
+        ):
             log.append([Write("k", self.KEPT)])
         held = self.opened().held
         self.assertEqual((held.rows, held.whole, held.start), ({}, True, 5))
@@ -403,8 +465,12 @@
         self.assertTrue(all(len(data) <= MOST for data in whole), [len(data) for data in whole])
         told = [m for data in whole for m in decode(data, b"key", "fleet", said.group, "m").messages]
         self.assertEqual(told, messages)
-        for wrong in ((b"kez", "fleet", said.group, "m"), (b"key", "other", said.group, "m"),
-                      (b"key", "fleet", 1, "m"), (b"key", "fleet", said.group, "n")):
+        for wrong in (
+            (b"kez", "fleet", said.group, "m"),
+            (b"key", "other", said.group, "m"),
+            (b"key", "fleet", 1, "m"),
+            (b"key", "fleet", said.group, "n"),
+        ):
             with self.assertRaises(Unread):
                 decode(whole[0], *wrong)
 
@@ -442,15 +508,31 @@
         self.assertEqual((owner.may_act("k", 0), owner.due()), (0, 1 << 60))
         self.assertEqual((NOBODY.number, NEVER.round), (0, 0))
 
+
 class DriverStory(unittest.IsolatedAsyncioTestCase):
     async def test_a_fault_in_a_moment_is_logged_and_the_next_moment_is_set_all_the_same(self):
         """A fault behind the owner's part of a moment left the timer unset: nothing was renewed any more, unseen."""
         with tempfile.TemporaryDirectory() as folder:
             voters = {name: f"127.0.0.1:{port}" for port, name in enumerate("abc", 1)}
-            register = Register(Told("m", "f", b"sixteen bytes or more", voters, "127.0.0.1:0", Path(folder), SECOND,
-                                     {"k": True}), Machine(), Random(1), Counters())
-            with mock.patch.object(register, "_flush", side_effect=ZeroDivisionError("of ours")), mock.patch.object(
-                    logbook, "fault_ownership") as told:
+            register = Register(
+                Told(
+                    "m",
+                    "f",
+                    b"sixteen bytes or more",
+                    voters,
+                    "127.0.0.1:0",
+                    Path(folder),
+                    SECOND,
+                    {"k": True},
+                ),
+                Machine(),
+                Random(1),
+                Counters(),
+            )
+            with (
+                mock.patch.object(register, "_flush", side_effect=ZeroDivisionError("of ours")),
+                mock.patch.object(logbook, "fault_ownership") as told,
+            ):
                 register.begin()
             self.addCleanup(register.end)
             told.assert_called_once()
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -61,8 +61,9 @@
         self.own = dict(zip(self.names, ports[::2], strict=True))
         self.ours = dict(zip(self.names, ports[1::2], strict=True))
         self.air = Air(Random(1), lambda one, other: 0.0)
-        self.relays = Relays(self.now, self.air,
-                             {name: (self.own[name], self.ours[name]) for name in self.names})
+        self.relays = Relays(
+            self.now, self.air, {name: (self.own[name], self.ours[name]) for name in self.names}
+        )
         self.processes, self.files, self.events, self.heard = {}, [], [], {}
         self.fence, self.lives = Fence(), 0
         self.store = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -72,9 +73,16 @@
         for name in self.names:
             (self.folder / name).mkdir()
             voters = "\n".join(f'{voter} = "{self.ours[voter]}"' for voter in self.names[:3])
-            self.charter(name).write_text(CHARTER.format(fleet=udp_places(1)[0], 
-                name=name, own=self.own[name], folder=self.folder / name, voters=voters,
-                keys='"k"' if name[0] == "m" else ""))
+            self.charter(name).write_text(
+                CHARTER.format(
+                    fleet=udp_places(1)[0],
+                    name=name,
+                    own=self.own[name],
+                    folder=self.folder / name,
+                    voters=voters,
+                    keys='"k"' if name[0] == "m" else "",
+                )
+            )
 
     def now(self):
         return steady()
@@ -87,9 +95,13 @@
             while True:
                 key, number, by, one = self.store.recv(200).decode().split()
                 let_in = self.fence.look(key, int(number)).let_in
-                self.events.append(Event(steady(), "effect",
-                                         {"who": "s", "key": key, "number": int(number), "by": by,
-                                          "taken": let_in, "id": one}))
+                self.events.append(
+                    Event(
+                        steady(),
+                        "effect",
+                        {"who": "s", "key": key, "number": int(number), "by": by, "taken": let_in, "id": one},
+                    )
+                )
                 if let_in:
                     self.heard[by] = steady()
         except OSError:
@@ -97,27 +109,37 @@
 
     def run(self, *words):
         with (self.folder / "said").open("ab") as said:
-            process = subprocess.Popen([sys.executable, "-m", *words], cwd=ROOT, stdout=subprocess.DEVNULL,
-                                       stderr=said,
-                                       start_new_session=True)
+            process = subprocess.Popen(
+                [sys.executable, "-m", *words],
+                cwd=ROOT,
+                stdout=subprocess.DEVNULL,
+                stderr=said,
+                start_new_session=True,
+            )
 
         def end():
             if process.poll() is None:
                 os.killpg(process.pid, signal.SIGKILL)
             process.wait()
+
         self.case.addCleanup(end)
         return process
 
     def found(self):
-        for process in [self.run("pathsaddle.ownership", "found", str(self.charter(name)))
-                        for name in self.names[:3]]:
+        for process in [
+            self.run("pathsaddle.ownership", "found", str(self.charter(name))) for name in self.names[:3]
+        ]:
             self.case.assertEqual(process.wait(30), 0)
 
     def begin(self, name):
         self.lives += 1
         self.files.append(self.folder / f"{name}.{self.lives}.events")
-        self.processes[name] = self.run("pathsaddle.emulator.ownership.process", str(self.charter(name)),
-                                        str(self.files[-1]), "{}:{}".format(*self.store.getsockname()))
+        self.processes[name] = self.run(
+            "pathsaddle.emulator.ownership.process",
+            str(self.charter(name)),
+            str(self.files[-1]),
+            "{}:{}".format(*self.store.getsockname()),
+        )
 
     def kill(self, *names):
         for name in names:
@@ -137,9 +159,12 @@
     async def owner(self, *others):
         """Whoever has effect from now on, and is none of `others`."""
         since = steady()
-        return await self.until(lambda: next((by for by, at in sorted(self.heard.items()) if at > since
-                                              and by not in others), ""),
-                                f"an owner that is none of {others}")
+        return await self.until(
+            lambda: next(
+                (by for by, at in sorted(self.heard.items()) if at > since and by not in others), ""
+            ),
+            f"an owner that is none of {others}",
+        )
 
     def told(self, word):
         return (self.folder / "said").read_text().count(f'"event": "{word}"')
@@ -153,8 +178,9 @@
         """All are told to end; what their logs say when they have."""
         for process in self.processes.values():
             process.send_signal(signal.SIGTERM)
-        await self.until(lambda: all(process.poll() is not None for process in self.processes.values()),
-                         "all end")
+        await self.until(
+            lambda: all(process.poll() is not None for process in self.processes.values()), "all end"
+        )
         self.relays.end()
         asyncio.get_running_loop().remove_reader(self.store.fileno())
         self.store.close()
@@ -162,8 +188,9 @@
         verdict = judge(history, skew=2)
         self.case.assertEqual(verdict.findings, [])
         self.case.assertEqual(linear.check(history), {})
-        self.case.assertGreater(sum(1 for event in history if event.what == "reg.end"
-                                    and event.more["outcome"] == "ok"), 20)
+        self.case.assertGreater(
+            sum(1 for event in history if event.what == "reg.end" and event.more["outcome"] == "ok"), 20
+        )
         self.case.assertGreater(verdict.effects, 100)
         self.case.assertNotIn("fault-ownership", (self.folder / "said").read_text())
         return history
@@ -241,8 +268,11 @@
         fleet.processes[last].send_signal(signal.SIGTERM)
         await fleet.owner(last)
         self.assertLess(steady() - asked, 5 * SECOND)
-        given = [event for event in fleet.history() if event.what == "lease.end" and event.more["who"] == last
-                 and event.more["why"] == "stopping"]
+        given = [
+            event
+            for event in fleet.history()
+            if event.what == "lease.end" and event.more["who"] == last and event.more["why"] == "stopping"
+        ]
         self.assertEqual(len(given), 1)
 
         history = await fleet.end()
@@ -273,8 +303,9 @@
                 await asyncio.sleep(span / 4)
                 fleet.begin(name)
             else:
-                others = chance.sample([other for other in fleet.names if other != name],
-                                       chance.randrange(1, 7))
+                others = chance.sample(
+                    [other for other in fleet.names if other != name], chance.randrange(1, 7)
+                )
                 blight = fleet.cut([name], others, oneway=kind == "oneway")
                 await asyncio.sleep(span)
                 fleet.air.blights.pop(blight)
@@ -294,35 +325,58 @@
                 for process in processes.values():
                     process.kill()
                     process.communicate()
+
             self.addCleanup(end)
             for name in names:
                 (Path(folder) / name).mkdir()
                 path = Path(folder) / f"{name}.toml"
-                path.write_text(CHARTER.format(fleet=udp_places(1)[0], name=name, own=own[name],
-                                               folder=Path(folder) / name, voters=rows, keys='"k"'))
-                subprocess.run([sys.executable, "-m", "pathsaddle.ownership", "found", str(path)], cwd=ROOT,
-                               check=True)
+                path.write_text(
+                    CHARTER.format(
+                        fleet=udp_places(1)[0],
+                        name=name,
+                        own=own[name],
+                        folder=Path(folder) / name,
+                        voters=rows,
+                        keys='"k"',
+                    )
+                )
+                subprocess.run(
+                    [sys.executable, "-m", "pathsaddle.ownership", "found", str(path)], cwd=ROOT, check=True
+                )
                 with (Path(folder) / name / "said").open("wb") as said:
-                    processes[name] = subprocess.Popen([sys.executable, "-m", "pathsaddle", "serve",
-                                                        str(path)], cwd=ROOT,
-                                                       stdout=said, stderr=subprocess.STDOUT)
+                    processes[name] = subprocess.Popen(
+                        [sys.executable, "-m", "pathsaddle", "serve", str(path)],
+                        cwd=ROOT,
+                        stdout=said,
+                        stderr=subprocess.STDOUT,
+                    )
 
             def owners():
-                return [(name, line) for name in names
-                        for line in (Path(folder) / name / "said").read_text().splitlines()
-                        if '"event": "owner"' in line]
+                return [
+                    (name, line)
+                    for name in names
+                    for line in (Path(folder) / name / "said").read_text().splitlines()
+                    if '"event": "owner"' in line
+                ]
 
             async def until(count):
                 async with asyncio.timeout(30):
                     while len(owners()) < count:
                         await asyncio.sleep(0.02)
+
             asyncio.run(until(1))
-            (first, line), = owners()
+            ((first, line),) = owners()
             self.assertIn('"number": 1', line)
             processes[first].send_signal(signal.SIGTERM)
             asyncio.run(until(2))
-            self.assertEqual([(name != first, '"number": 2' in line) for name, line in owners()
-                              if '"number": 1' not in line], [(True, True)])
+            self.assertEqual(
+                [
+                    (name != first, '"number": 2' in line)
+                    for name, line in owners()
+                    if '"number": 1' not in line
+                ],
+                [(True, True)],
+            )
 
     def test_a_voter_of_other_voters_and_a_second_founding_are_refused_with_what_to_do(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -331,12 +385,21 @@
 
             def ends(word, **names):
                 rows = "\n".join(f'{name} = "{address}"' for name, address in names.items())
-                path.write_text(CHARTER.format(fleet=udp_places(1)[0], name="a", own=voters["a"], folder=folder,
-                                               voters=rows, keys=""))
-                done = subprocess.run([sys.executable, "-m", "pathsaddle.ownership", word, str(path)],
-                                      cwd=ROOT,
-                                      capture_output=True, text=True, timeout=30, check=False)
+                path.write_text(
+                    CHARTER.format(
+                        fleet=udp_places(1)[0], name="a", own=voters["a"], folder=folder, voters=rows, keys=""
+                    )
+                )
+                done = subprocess.run(
+                    [sys.executable, "-m", "pathsaddle.ownership", word, str(path)],
+                    cwd=ROOT,
+                    capture_output=True,
+                    text=True,
+                    timeout=30,
+                    check=False,
+                )
                 return done.returncode, done.stderr
+
             self.assertEqual(ends("found", **voters), (0, ""))
             code, said = ends("found", **voters)
             self.assertEqual(code, 2)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -29,8 +29,8 @@
 GPU = Kind("gpu", 8, 1000, 2, 10)
 
 
-def island(name, bays, power=10 ** 6, **more):
-    return Island(name, "z", tuple(f"{name}/{n + 1}" for n in range(bays)), power, 10 ** 6, 10 ** 6, **more)
+def island(name, bays, power=10**6, **more):
+    return Island(name, "z", tuple(f"{name}/{n + 1}" for n in range(bays)), power, 10**6, 10**6, **more)
 
 
 def here(count, start=0):
@@ -42,8 +42,14 @@
 
 
 def inventory(islands, units, width=16, asked=((8, 2, 4),), **more):
-    return Inventory((GPU,), tuple(islands), tuple(units), tuple(Demand("gpu", *row) for row in asked),
-                     (Target("gpu", width),) if width else (), **more)
+    return Inventory(
+        (GPU,),
+        tuple(islands),
+        tuple(units),
+        tuple(Demand("gpu", *row) for row in asked),
+        (Target("gpu", width),) if width else (),
+        **more,
+    )
 
 
 def by_greedy(problem):
@@ -60,8 +66,9 @@
 
     def __init__(self, start, choose=by_greedy, book=Book):
         self.log, self.at, self.choose = [], 0, choose
-        self.kept = Memory(book(start),
-                           lambda what, more: self.log.append(Event(self.at, what, {"who": "k"} | more)))
+        self.kept = Memory(
+            book(start), lambda what, more: self.log.append(Event(self.at, what, {"who": "k"} | more))
+        )
         self.number = 0
         self.begun()
 
@@ -111,26 +118,33 @@
     def test_each_broken_rule_is_found_under_its_name(self):
         one = island("a", 2, power=1500)
         for name, units, more in (
-                ("bay-twice", (*serving("a/1"), replace(serving("a/1")[0], name="x")), {}),
-                ("power-over", serving("a/1", "a/2"), {}),
-                ("bay-unknown", serving("b/9"), {}),
-                ("bay-missing", (Unit("x", "gpu", State.COLD),), {}),
-                ("unit-twice", here(1) + here(1), {}),
-                ("cold-over", (Unit("x", "gpu", State.COLD, "a/1"),), {"cold": 0})):
+            ("bay-twice", (*serving("a/1"), replace(serving("a/1")[0], name="x")), {}),
+            ("power-over", serving("a/1", "a/2"), {}),
+            ("bay-unknown", serving("b/9"), {}),
+            ("bay-missing", (Unit("x", "gpu", State.COLD),), {}),
+            ("unit-twice", here(1) + here(1), {}),
+            ("cold-over", (Unit("x", "gpu", State.COLD, "a/1"),), {"cold": 0}),
+        ):
             self.assertIn(name, [row[0] for row in broken(inventory((one,), units, **more))])
         self.assertEqual([], broken(inventory((one,), serving("a/1") + here(4))))
 
     def test_who_hears_nothing_makes_demand_an_interval(self):
-        counts = (Count("a", "gpu", 8, 3, 10), Count("b", "gpu", 8, 5, 10 ** 9), Count("a", "gpu", 16, 1, 10))
-        self.assertEqual((Demand("gpu", 8, 3, 3 + 5 + 2), Demand("gpu", 16, 1, 1 + 2 + 2)),
-                         demand(counts, ("a", "b", "c"), 100, 2))
+        counts = (Count("a", "gpu", 8, 3, 10), Count("b", "gpu", 8, 5, 10**9), Count("a", "gpu", 16, 1, 10))
+        self.assertEqual(
+            (Demand("gpu", 8, 3, 3 + 5 + 2), Demand("gpu", 16, 1, 1 + 2 + 2)),
+            demand(counts, ("a", "b", "c"), 100, 2),
+        )
 
     def test_half_of_the_fleet_tells_and_the_plan_is_judged_at_both_ends(self):
         counts = tuple(Count(f"d{n}", "gpu", 8, 2, 0) for n in range(2))
         asked = demand(counts, ("d0", "d1", "d2", "d3"), 100, 4)
         self.assertEqual((Demand("gpu", 8, 4, 12),), asked)
-        found = figures(problem := problem_of(replace(inventory((island("a", 6), island("b", 6)), here(12)),
-                                                      demand=asked)), greedy(problem))
+        found = figures(
+            problem := problem_of(
+                replace(inventory((island("a", 6), island("b", 6)), here(12)), demand=asked)
+            ),
+            greedy(problem),
+        )
         self.assertEqual((1000, 3000), (found.headroom, found.headroom_low))
 
 
@@ -146,12 +160,14 @@
 
     def test_the_solver_moves_what_serves_where_that_is_worth_it_and_else_not(self):
         # All eight stand on one island: the loss of it leaves nothing.
-        start = inventory((island("a", 8), island("b", 8)), serving(*(f"a/{n + 1}" for n in range(8))),
-                          width=24)
+        start = inventory(
+            (island("a", 8), island("b", 8)), serving(*(f"a/{n + 1}" for n in range(8))), width=24
+        )
         counts, by, _ = by_solver(problem_of(start))
         self.assertEqual(("solver", (True,)), (by, figures(problem_of(start), counts).reached))
-        even = inventory((island("a", 8), island("b", 8)), serving("a/1", "a/2", "a/3", "b/1", "b/2"),
-                         width=16)
+        even = inventory(
+            (island("a", 8), island("b", 8)), serving("a/1", "a/2", "a/3", "b/1", "b/2"), width=16
+        )
         found = figures(problem_of(even), by_solver(problem_of(even))[0])
         self.assertEqual(0, found.moves)
 
@@ -170,8 +186,9 @@
         plan = plan_of(start, 1, None, by_solver)
         self.assertTrue(any("no two islands have room" in note for note in plan.notes), plan.notes)
         self.assertTrue(any("5 of gpu stay out" in note for note in plan.notes), plan.notes)
-        self.assertTrue(all("no plan reaches more than 8" in step.why or step.widest["gpu"] < 8
-                            for step in plan.steps))
+        self.assertTrue(
+            all("no plan reaches more than 8" in step.why or step.widest["gpu"] < 8 for step in plan.steps)
+        )
 
     def test_without_an_answer_in_time_the_greedy_plan_is_the_answer(self):
         start = inventory((island("a", 4), island("b", 4)), here(6))
@@ -179,22 +196,29 @@
         self.assertEqual(greedy(problem_of(start)), answer.counts)
 
     def test_a_limit_lowered_below_what_stands_there_adds_nothing_and_is_said(self):
-        start = inventory((island("a", 4, power=1000), island("b", 4)), serving("a/1", "a/2") + here(3),
-                          width=8)
+        start = inventory(
+            (island("a", 4, power=1000), island("b", 4)), serving("a/1", "a/2") + here(3), width=8
+        )
         for choose in (by_greedy, by_solver):
             plan = plan_of(start, 1, None, choose)
-            self.assertFalse([step for step in plan.steps if step.does == "place"
-                              and step.bay.startswith("a/")])
+            self.assertFalse(
+                [step for step in plan.steps if step.does == "place" and step.bay.startswith("a/")]
+            )
         self.assertTrue(any("its limits now allow" in note for note in plan.notes))
 
     def test_a_full_fleet_moves_one_at_a_time_and_never_below_what_was_said(self):
         # Both islands are full of the wrong: units must leave before any may come.
-        start = inventory((island("a", 6), island("b", 6)),
-                          serving(*(f"a/{n + 1}" for n in range(6)), "b/1"), width=24, asked=((8, 2, 4),))
+        start = inventory(
+            (island("a", 6), island("b", 6)),
+            serving(*(f"a/{n + 1}" for n in range(6)), "b/1"),
+            width=24,
+            asked=((8, 2, 4),),
+        )
         ground = Ground(start, by_solver)
         book = ground.walked()
-        self.assertEqual((24,),
-                         figures(p := problem_of(book.inventory), [list(row) for row in p.serving]).widest)
+        self.assertEqual(
+            (24,), figures(p := problem_of(book.inventory), [list(row) for row in p.serving]).widest
+        )
         self.assertTrue(any(step.does == WITHDRAW for step in book.plan.steps))
         self.assertEqual([], judged(ground.log))
 
@@ -267,17 +291,25 @@
         self.assertNotIn("lapse", [order.does for order in ground.walk.due(book, 1020)])
         self.assertIn("lapse", [order.does for order in ground.walk.due(book, 1021)])
         # Renewed in time, it is seen anew.
-        other = replace(book, inventory=replace(book.inventory, units=tuple(
-            replace(unit, renewed=unit.renewed + (unit.state is State.RESERVED))
-            for unit in book.inventory.units)))
+        other = replace(
+            book,
+            inventory=replace(
+                book.inventory,
+                units=tuple(
+                    replace(unit, renewed=unit.renewed + (unit.state is State.RESERVED))
+                    for unit in book.inventory.units
+                ),
+            ),
+        )
         self.assertNotIn("lapse", [order.does for order in ground.walk.due(other, 1021)])
 
     def test_cut_off_it_reserves_nothing_new(self):
         ground, looked = self.started()
         ground.kept.do("reserve", 1, looked.inventory.base, looked.plan.name, 0)
         ground.walk.held(looked.plan.steps[0].unit, 10)
-        self.assertEqual({"install"},
-                         {order.does for order in ground.walk.unheard(ground.kept.read().inventory, 20)})
+        self.assertEqual(
+            {"install"}, {order.does for order in ground.walk.unheard(ground.kept.read().inventory, 20)}
+        )
 
 
 class Stories(unittest.TestCase):
@@ -293,8 +325,9 @@
     def test_dead_on_arrival(self):
         ground = Ground(inventory((island("a", 2), island("b", 2)), here(5)))
         book = self.ends(ground, 4, dead=("n1",))
-        self.assertEqual((State.WITHDRAWN, ""),
-                         (book.inventory.unit["n1"].state, book.inventory.unit["n1"].bay))
+        self.assertEqual(
+            (State.WITHDRAWN, ""), (book.inventory.unit["n1"].state, book.inventory.unit["n1"].bay)
+        )
 
     def test_in_the_wrong_bay_where_that_is_free(self):
         ground = Ground(inventory((island("a", 2), island("b", 3)), here(3)))
@@ -330,11 +363,20 @@
             ground.step()
         lost = ground.kept.read().inventory.islands[0]
         ground.kept.do("island", replace(lost, up=False))
-        self.assertFalse([unit for unit in ground.kept.read().inventory.units
-                          if unit.state is State.RESERVED and unit.bay in lost.bays])
+        self.assertFalse(
+            [
+                unit
+                for unit in ground.kept.read().inventory.units
+                if unit.state is State.RESERVED and unit.bay in lost.bays
+            ]
+        )
         ground.walked()
-        self.assertGreaterEqual(figures(p := problem_of(ground.kept.read().inventory),
-                                        [list(row) for row in p.serving]).widest[0], 16)
+        self.assertGreaterEqual(
+            figures(p := problem_of(ground.kept.read().inventory), [list(row) for row in p.serving]).widest[
+                0
+            ],
+            16,
+        )
         ground.kept.do("island", lost)
         self.ends(ground, 9)
 
@@ -350,8 +392,9 @@
         self.assertEqual(coming, {name: book.inventory.unit[name].bay for name in coming})
 
     def test_taken_out_of_service_under_a_running_job_it_leaves_when_that_ends(self):
-        start = inventory((island("a", 8), island("b", 8)), serving(*(f"a/{n + 1}" for n in range(8))),
-                          width=24)
+        start = inventory(
+            (island("a", 8), island("b", 8)), serving(*(f"a/{n + 1}" for n in range(8))), width=24
+        )
         ground = Ground(start, by_solver)
         ground.step(), ground.step()
         out = [unit for unit in ground.kept.read().inventory.units if unit.state is State.WITHDRAWN]
@@ -360,8 +403,9 @@
         self.ends(ground, 8)
 
     def test_killed_after_each_change_another_goes_on_from_what_is_there(self):
-        start = inventory((island("a", 4), island("b", 3)), serving("a/1", "a/2", "a/3", "a/4") + here(2),
-                          width=24)
+        start = inventory(
+            (island("a", 4), island("b", 3)), serving("a/1", "a/2", "a/3", "a/4") + here(2), width=24
+        )
         for at in range(1, 40):
             ground = Ground(start, by_solver)
             for _ in range(at):
@@ -384,29 +428,42 @@
             self.assertEqual([], broken(world.keeper.read().inventory))
 
     def test_the_same_seed_is_the_same_story(self):
-        first, second = (World(Site(seconds=30, trouble=self.TROUBLE), 5,
-                               POLICIES["plan"]).ran().events.digest()
-                         for _ in range(2))
+        first, second = (
+            World(Site(seconds=30, trouble=self.TROUBLE), 5, POLICIES["plan"]).ran().events.digest()
+            for _ in range(2)
+        )
         self.assertEqual(first, second)
 
     def test_the_smoke_plan_holds_and_finds_each_mutant(self):
-        out = subprocess.run([sys.executable, "-m", "pathsaddle", "experiment", "run",
-                              "experiments/placement-smoke.toml"],
-                             cwd=ROOT, timeout=300, check=False, capture_output=True, text=True)
+        out = subprocess.run(
+            [sys.executable, "-m", "pathsaddle", "experiment", "run", "experiments/placement-smoke.toml"],
+            cwd=ROOT,
+            timeout=300,
+            check=False,
+            capture_output=True,
+            text=True,
+        )
         self.assertEqual(0, out.returncode, out.stdout + out.stderr)
         self.assertEqual(len(MUTANTS), out.stdout.count("mutant"))
 
 
 class Program(unittest.TestCase):
     def test_a_file_is_planned_for_and_a_wrong_key_is_named(self):
-        text = ('[[kinds]]\nname = "gpu"\nslots = 8\n[[islands]]\nname = "a"\nbays = 2\n'
-                '[[units]]\nname = "n"\nkind = "gpu"\n')
+        text = (
+            '[[kinds]]\nname = "gpu"\nslots = 8\n[[islands]]\nname = "a"\nbays = 2\n'
+            '[[units]]\nname = "n"\nkind = "gpu"\n'
+        )
         with TemporaryDirectory() as folder:
             path = Path(folder, "i.toml")
             path.write_text(text)
-            out = subprocess.run([sys.executable, "-m", "pathsaddle.placement", str(path)], cwd=ROOT,
-                                 timeout=60,
-                                 check=False, capture_output=True, text=True)
+            out = subprocess.run(
+                [sys.executable, "-m", "pathsaddle.placement", str(path)],
+                cwd=ROOT,
+                timeout=60,
+                check=False,
+                capture_output=True,
+                text=True,
+            )
             self.assertEqual(0, out.returncode, out.stderr)
             self.assertIn("1 place    n in a/1", out.stdout)
             path.write_text(text.replace("bays", "bay"))
@@ -419,10 +476,13 @@
             self.assertIn("write `gpu` at units.n.kind in", fault.exception.do)
 
     def test_the_program_itself_loads_nothing_of_it(self):
-        code = ("import sys, pathsaddle.net.service.start, pathsaddle.choice\n"
-                "sys.exit(any(name.startswith(('highspy', 'pathsaddle.placement')) for name in sys.modules))")
-        self.assertEqual(0, subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=60,
-                                           check=False).returncode)
+        code = (
+            "import sys, pathsaddle.net.service.start, pathsaddle.choice\n"
+            "sys.exit(any(name.startswith(('highspy', 'pathsaddle.placement')) for name in sys.modules))"
+        )
+        self.assertEqual(
+            0, subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=60, check=False).returncode
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -30,12 +30,18 @@
 
 def inventory(islands, bays, serving, here):
     """So many units serve on the first island, so many are here."""
-    rows = tuple(Island(f"i{n}", "z", tuple(f"i{n}/{bay}" for bay in range(bays)), 10 ** 6, 10 ** 6, 10 ** 6)
-                 for n in range(islands))
+    rows = tuple(
+        Island(f"i{n}", "z", tuple(f"i{n}/{bay}" for bay in range(bays)), 10**6, 10**6, 10**6)
+        for n in range(islands)
+    )
     units = tuple(Unit(f"s{n}", "gpu", State.SERVING, f"i0/{n}") for n in range(serving))
-    return Inventory((Kind("gpu", 8, 1000, 2, 10),), rows, units + tuple(Unit(f"n{n}", "gpu", State.HERE)
-                                                                         for n in range(here)),
-                     (Demand("gpu", 8, 2, 6),), (Target("gpu", 24),))
+    return Inventory(
+        (Kind("gpu", 8, 1000, 2, 10),),
+        rows,
+        units + tuple(Unit(f"n{n}", "gpu", State.HERE) for n in range(here)),
+        (Demand("gpu", 8, 2, 6),),
+        (Target("gpu", 24),),
+    )
 
 
 class Planner:
@@ -43,9 +49,23 @@
 
     def __init__(self, ledger, name, lease, *words):
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "pathsaddle.placement", "walk", str(ledger), "--name", name, "--lease",
-             str(lease),
-             *words], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, start_new_session=True)
+            [
+                sys.executable,
+                "-m",
+                "pathsaddle.placement",
+                "walk",
+                str(ledger),
+                "--name",
+                name,
+                "--lease",
+                str(lease),
+                *words,
+            ],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+        )
         self.lines = Queue()
         threading.Thread(target=self.read, daemon=True).start()
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -34,8 +34,12 @@
                 sock.bind(("127.0.0.1", port))
 
     def test_two_processes_that_look_at_once_share_none(self) -> None:
-        others = [subprocess.Popen([sys.executable, "-c", OTHER], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
-                  for _ in range(4)]
+        others = [
+            subprocess.Popen(
+                [sys.executable, "-c", OTHER], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+            )
+            for _ in range(4)
+        ]
         try:
             found = [port for other in others for port in other.stdout.readline().split()]
         finally:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -36,13 +36,22 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.config = Path(folder.name) / "config.json"
-        self.config.write_text(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d27a5be964",
-            "discovery": "{}:{}".format(*discovery.sockets[0].getsockname()),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": SETTINGS}))
+        self.config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "seed": "8c1f30d27a5be964",
+                    "discovery": "{}:{}".format(*discovery.sockets[0].getsockname()),
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "known": {"index": 0, "snapshot": True, "endpoints": []},
+                    "settings": SETTINGS,
+                }
+            )
+        )
         self.program = await asyncio.create_subprocess_shell(
-            RUN, cwd=ROOT, env={**os.environ, "GW_CONFIG": str(self.config)}, stderr=asyncio.subprocess.PIPE)
+            RUN, cwd=ROOT, env={**os.environ, "GW_CONFIG": str(self.config)}, stderr=asyncio.subprocess.PIPE
+        )
         self.log, self.stirs = b"", asyncio.Condition()
         self.reading = asyncio.create_task(self.reads())
         self.addAsyncCleanup(self.stopped)
@@ -92,9 +101,27 @@
 
     async def list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        line = json.dumps({"index": 1, "snapshot": True, "endpoints": [
-            {"name": "w", "address": self.worker, "zone": "a", "type": "m1", "group": 0, "status": "active",
-             "weight": 1.0, "since_ms": 0}]}).encode() + b"\n"
+        line = (
+            json.dumps(
+                {
+                    "index": 1,
+                    "snapshot": True,
+                    "endpoints": [
+                        {
+                            "name": "w",
+                            "address": self.worker,
+                            "zone": "a",
+                            "type": "m1",
+                            "group": 0,
+                            "status": "active",
+                            "weight": 1.0,
+                            "since_ms": 0,
+                        }
+                    ],
+                }
+            ).encode()
+            + b"\n"
+        )
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
         await reader.read()
         writer.close()
@@ -112,7 +139,7 @@
             self.seen.append(head.split(b"\r\n")[0])
             await self.stir()
             if not head.startswith(b"POST"):
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{\"x0\":8,\"queue\":0}")
+                writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"x0":8,"queue":0}')
                 continue
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
             body = await reader.readexactly(length)
@@ -142,9 +169,11 @@
 
     @staticmethod
     def job(tag: str, kind: str = "render", within: int = 3000, body: bytes = b"hello") -> bytes:
-        return (b"POST /%s?k=1 HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\n"
-                b"Req-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s" % (
-                    kind.encode(), tag.encode(), kind.encode(), within, len(body), body))
+        return (
+            b"POST /%s?k=1 HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\n"
+            b"Req-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
+            % (kind.encode(), tag.encode(), kind.encode(), within, len(body), body)
+        )
 
     async def test_settled_and_the_path_goes_on_unchanged(self) -> None:
         status, _, body = await self.call(self.job("a", body=b"x" * 60_000))
@@ -183,10 +212,14 @@
         self.assertIn("code=hung-up", log)
 
     async def test_malformed_and_unknown_calls_get_their_answers_and_nobody_else_minds(self) -> None:
-        for data, status in ((b"\x01\x02\r\n\r\n", 400), (b"GET /render HTTP/1.1\r\n\r\n", 405),
-                             (self.job("a").replace(b"Req-Id: a\r\n", b""), 400), (self.job("a", "x"), 404),
-                             (b"POST /callback HTTP/1.1\r\nContent-Length: 1\r\n\r\n{", 400),
-                             (self.job("a", body=b"x" * 70_000), 413)):
+        for data, status in (
+            (b"\x01\x02\r\n\r\n", 400),
+            (b"GET /render HTTP/1.1\r\n\r\n", 405),
+            (self.job("a").replace(b"Req-Id: a\r\n", b""), 400),
+            (self.job("a", "x"), 404),
+            (b"POST /callback HTTP/1.1\r\nContent-Length: 1\r\n\r\n{", 400),
+            (self.job("a", body=b"x" * 70_000), 413),
+        ):
             self.assertEqual((await self.call(data))[0], status)
         self.assertEqual((await self.call(self.job("b")))[0], 200)
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -39,10 +39,15 @@
 from tests.test_txn_service import PlayedWorkers
 
 BASE: dict[str, Any] = {
-    "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "schemes": [
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "schemes": [
         {"name": "render", "semantics": "repeatable", "sla": "2s", "expiry": "10s"},
-        {"name": "charge", "semantics": "once-only", "sla": "2s", "expiry": "10s"}],
-    "customers": [{"name": "acme", "allowance": 50.0}, {"name": "zeta", "allowance": 4.0}], "allowed": {"probe": False}}
+        {"name": "charge", "semantics": "once-only", "sla": "2s", "expiry": "10s"},
+    ],
+    "customers": [{"name": "acme", "allowance": 50.0}, {"name": "zeta", "allowance": 4.0}],
+    "allowed": {"probe": False},
+}
 FLEET = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:7199", "budgets": {"gpu": 30}}
 
 
@@ -67,16 +72,20 @@
         born = birth(self.ground.told())
         self.played: Any = PlayedWorkers()
         self.answers: list[tuple[int, bytes]] = []
-        self.service = self.ground.service(born.terms, born.words, 7, Clock(), self.played, Counters(),
-                                           lambda: None)
+        self.service = self.ground.service(
+            born.terms, born.words, 7, Clock(), self.played, Counters(), lambda: None
+        )
         self.service.listed(ListNews.WHOLE, [Row(Worker(f"w{n}"), "x:1") for n in range(4)])
 
     def tells(self, **more: Any) -> dict[str, str]:
         return self.ground.retune(charter(**more))
 
     def ask(self, tag: str, kind: str = "render", owner: str = "acme") -> Any:
-        call = Message(b"POST", f"/{kind}".encode(), headers={
-            b"req-id": tag.encode(), b"req-kind": kind.encode(), b"req-owner": owner.encode()})
+        call = Message(
+            b"POST",
+            f"/{kind}".encode(),
+            headers={b"req-id": tag.encode(), b"req-kind": kind.encode(), b"req-owner": owner.encode()},
+        )
         return self.service.take(call, lambda *answer: self.answers.append(answer[:2]))
 
     def refused(self, tag: str, kind: str = "render", owner: str = "acme") -> int:
@@ -95,8 +104,11 @@
                 call.reply.set_result(Message(status=202))
         await self.settle()
         worker = self.service.ledger[tag].txn.postings[-1].worker.tag
-        self.service.called_back(self.service.words.callback(json.dumps(
-            {"id": tag, "from": worker, "state": "done", "result": "well"}).encode()))
+        self.service.called_back(
+            self.service.words.callback(
+                json.dumps({"id": tag, "from": worker, "state": "done", "result": "well"}).encode()
+            )
+        )
         await self.settle()
 
     async def test_a_team_comes_and_goes_with_open_txns_that_end_by_their_terms(self) -> None:
@@ -118,10 +130,14 @@
         expires, was = old.txn.expires, old.txn.scheme
         changed = {**BASE["schemes"][0], "expiry": "1s", "sla": "500ms", "value": 3.0}
         self.tells(schemes=[changed])
-        self.tells(schemes=[changed, {"name": "sign", "semantics": "referenced", "window": "3s", "expiry": "4s"}])
+        self.tells(
+            schemes=[changed, {"name": "sign", "semantics": "referenced", "window": "3s", "expiry": "4s"}]
+        )
         self.assertEqual(self.refused("c", "charge"), 404)
         young, fresh = self.ask("d"), self.ask("e", "sign")
-        self.assertEqual((old.txn.expires, old.txn.scheme.expiry, young.txn.scheme.expiry), (expires, 10 * SECOND, SECOND))
+        self.assertEqual(
+            (old.txn.expires, old.txn.scheme.expiry, young.txn.scheme.expiry), (expires, 10 * SECOND, SECOND)
+        )
         self.assertIs(old.txn.scheme, was)
         self.assertEqual(was.index, young.txn.scheme.index)
         self.assertEqual(len({one.txn.scheme.index for one in (old, gone, young, fresh)}), 3)
@@ -137,7 +153,9 @@
     async def test_unchanged_schemes_and_teams_stay_the_same_objects(self) -> None:
         self.begin()
         words = self.service.words
-        self.tells(customers=[{"name": "acme", "allowance": 1.0}, BASE["customers"][1]], rules={"cold_share": 0.5})
+        self.tells(
+            customers=[{"name": "acme", "allowance": 1.0}, BASE["customers"][1]], rules={"cold_share": 0.5}
+        )
         self.assertIs(self.service.words.schemes["render"], words.schemes["render"])
         self.assertIs(self.service.words.customers["acme"], words.customers["acme"])
         self.assertEqual(words.customers["acme"].allowance, 1.0)
@@ -146,11 +164,21 @@
     async def test_a_wrong_file_leaves_all_as_it_was_and_says_every_fault(self) -> None:
         self.begin()
         words, served = self.service.words, self.ground.charter
-        self.path.write_text(json.dumps({**BASE, "customers": [{"name": "acme", "allowance": -1}],
-                                         "schemes": [{"name": "render", "semantics": "never", "expiry": "1s"}]}))
+        self.path.write_text(
+            json.dumps(
+                {
+                    **BASE,
+                    "customers": [{"name": "acme", "allowance": -1}],
+                    "schemes": [{"name": "render", "semantics": "never", "expiry": "1s"}],
+                }
+            )
+        )
         with self.assertRaises(Faulty) as caught:
             self.ground.moved()
-        self.assertEqual([fault.path for fault in caught.exception.faults], ["schemes[0].semantics", "customers[0].allowance"])
+        self.assertEqual(
+            [fault.path for fault in caught.exception.faults],
+            ["schemes[0].semantics", "customers[0].allowance"],
+        )
         self.assertIs(self.service.words, words)
         self.assertIs(self.ground.charter, served)
 
@@ -167,8 +195,10 @@
         limiter = Limiter("d0", 1, {"gpu": Dealt(30, 30, 10 * TICKS)}, Random(1), 0)
         self.ground._fellows = mock.Mock(retune=lambda dealt: limiter.retune(dealt, 1))
         self.tells(fleet={**FLEET, "budgets": {"gpu": 20, "cpu": 9}})
-        self.assertEqual({name: one.dealt for name, one in limiter.budgets.items()},
-                         {"gpu": Dealt(20, 20, 10 * TICKS), "cpu": Dealt(9, 9, 10 * TICKS)})
+        self.assertEqual(
+            {name: one.dealt for name, one in limiter.budgets.items()},
+            {"gpu": Dealt(20, 20, 10 * TICKS), "cpu": Dealt(9, 9, 10 * TICKS)},
+        )
         self.assertEqual(limiter.budgets["gpu"].state.part, 20)
 
     async def test_a_first_fleet_table_stays_with_all_that_stands_in_it(self) -> None:
@@ -179,8 +209,14 @@
 
     async def test_a_durable_job_that_waits_is_served_by_the_words_it_was_accepted_by(self) -> None:
         path = self.path.with_name("jobs.db")
-        self.begin(lambda *told: DurableTxnService(*told, store=Store(path, ThreadWriter()),
-                                             ways=Ways(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500), chance=Random(1)))
+        self.begin(
+            lambda *told: DurableTxnService(
+                *told,
+                store=Store(path, ThreadWriter()),
+                ways=Ways(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
+                chance=Random(1),
+            )
+        )
         self.service.recovered = True
         said = {b"req-kind": b"charge", b"req-owner": b"zeta", b"idempotency-key": b"k"}
         call = Message(b"POST", b"/jobs/charge", headers=said, lines=list(said.items()))
@@ -239,24 +275,46 @@
 class RestartStory(unittest.TestCase):
     def named(self, before: dict[str, Any], after: dict[str, Any]) -> list[str]:
         found = applied.restarts(charter(**before), charter(**after))
-        self.assertEqual(found, [f"{key}: {why}" for key, why in restarts(charter(**before), charter(**after)).items()])
+        self.assertEqual(
+            found, [f"{key}: {why}" for key, why in restarts(charter(**before), charter(**after)).items()]
+        )
         for line in found:
             self.assertTrue(line.partition(": ")[2], line)
         return [line.partition(":")[0] for line in found]
 
     def test_each_key_that_asks_for_a_restart_is_named(self) -> None:
-        for after, key in (({"listen": "127.0.0.1:1"}, "listen"), ({"tick": "3ms"}, "tick"), ({"seed": "ab"}, "seed"),
-                           ({"limits": {"open": 9}}, "limits.open"), ({"jobs": {"path": "x.db"}}, "jobs.path"),
-                           ({"customers": []}, "customers"), ({"zones": ["there"]}, "zones"),
-                           ({"rules": {"ask_within": "1s"}}, "rules.ask_within"), ({"reach": {"idle": "1s"}}, "reach.idle")):
+        for after, key in (
+            ({"listen": "127.0.0.1:1"}, "listen"),
+            ({"tick": "3ms"}, "tick"),
+            ({"seed": "ab"}, "seed"),
+            ({"limits": {"open": 9}}, "limits.open"),
+            ({"jobs": {"path": "x.db"}}, "jobs.path"),
+            ({"customers": []}, "customers"),
+            ({"zones": ["there"]}, "zones"),
+            ({"rules": {"ask_within": "1s"}}, "rules.ask_within"),
+            ({"reach": {"idle": "1s"}}, "reach.idle"),
+        ):
             self.assertIn(key, self.named({}, after))
         self.assertEqual(self.named({"fleet": {**FLEET, "budgets": {}}}, {"fleet": FLEET}), ["fleet.budgets"])
-        self.assertEqual(self.named({"fleet": FLEET}, {"fleet": {**FLEET, "listen": "127.0.0.1:7198"}}), ["fleet.listen"])
+        self.assertEqual(
+            self.named({"fleet": FLEET}, {"fleet": {**FLEET, "listen": "127.0.0.1:7198"}}), ["fleet.listen"]
+        )
 
     def test_what_may_change_asks_for_none(self) -> None:
-        self.assertEqual(self.named({"fleet": FLEET}, {
-            "fleet": {**FLEET, "budgets": {"gpu": 20, "cpu": 9}}, "zones": ["here", "there"], "rules": {"cold_time": "8s"},
-            "customers": BASE["customers"][:1], "schemes": BASE["schemes"][:1], "allowed": {"probe": False, "postings": 2}}), [])
+        self.assertEqual(
+            self.named(
+                {"fleet": FLEET},
+                {
+                    "fleet": {**FLEET, "budgets": {"gpu": 20, "cpu": 9}},
+                    "zones": ["here", "there"],
+                    "rules": {"cold_time": "8s"},
+                    "customers": BASE["customers"][:1],
+                    "schemes": BASE["schemes"][:1],
+                    "allowed": {"probe": False, "postings": 2},
+                },
+            ),
+            [],
+        )
 
     def test_every_key_of_the_charter_may_change_or_has_its_reason(self) -> None:
         for key, kind, _, _ in explain(Charter):
@@ -271,8 +329,18 @@
     def test_rows_there_and_back_are_the_same_charter(self) -> None:
         one = charter(fleet=FLEET, name="d0", rules={"cold_time": "1234567.8ms"}, zones=["here", "b"])
         rows = applied.rows_of(one)
-        self.assertEqual(sorted(rows), ["budgets.gpu", "customers.acme", "customers.zeta", "rules", "schemes.charge",
-                                        "schemes.render", "zones"])
+        self.assertEqual(
+            sorted(rows),
+            [
+                "budgets.gpu",
+                "customers.acme",
+                "customers.zeta",
+                "rules",
+                "schemes.charge",
+                "schemes.render",
+                "zones",
+            ],
+        )
         back = applied.charter_with(one, rows)
         self.assertEqual(applied.rows_of(back), rows)
         self.assertEqual(applied.differences(one, back), [])
@@ -282,16 +350,36 @@
     def test_all_faults_are_told_by_their_row_and_nothing_is_left_behind(self) -> None:
         one = charter(fleet=FLEET, name="d0")
         rows = applied.rows_of(one)
-        bad = {**rows, "customers.acme": b'{"allowance":-1,"portoin":0.1}', "schemes.render": b'{"expiry":"5s"}',
-               "budgets.gpu": b'"many"', "rules": b'{"cold_share":2}', "colour": b'"blue"', "zones": b"{", "members.d0": b"{}"}
+        bad = {
+            **rows,
+            "customers.acme": b'{"allowance":-1,"portoin":0.1}',
+            "schemes.render": b'{"expiry":"5s"}',
+            "budgets.gpu": b'"many"',
+            "rules": b'{"cold_share":2}',
+            "colour": b'"blue"',
+            "zones": b"{",
+            "members.d0": b"{}",
+        }
         with self.assertRaises(Faulty) as caught:
             applied.charter_with(one, bad)
-        self.assertEqual(sorted(fault.path for fault in caught.exception.faults), [
-            "budgets.gpu", "colour", "customers.acme.allowance", "customers.acme.portoin", "rules.cold_share",
-            "schemes.render.semantics", "zones", "zones"])
+        self.assertEqual(
+            sorted(fault.path for fault in caught.exception.faults),
+            [
+                "budgets.gpu",
+                "colour",
+                "customers.acme.allowance",
+                "customers.acme.portoin",
+                "rules.cold_share",
+                "schemes.render.semantics",
+                "zones",
+                "zones",
+            ],
+        )
         self.assertEqual(applied.rows_of(one), rows)
         with self.assertRaises(Faulty) as caught:
-            applied.charter_with(one, {**rows, "schemes.render": b'{"expiry":"5s","machine":"m9","semantics":"repeatable"}'})
+            applied.charter_with(
+                one, {**rows, "schemes.render": b'{"expiry":"5s","machine":"m9","semantics":"repeatable"}'}
+            )
         self.assertEqual([fault.path for fault in caught.exception.faults], ["schemes.render.machine"])
 
     def test_what_did_not_change_is_not_read_again(self) -> None:
@@ -299,7 +387,9 @@
         rows = applied.rows_of(one)
         two = applied.charter_with(one, {**rows, "customers.acme": b'{"allowance":7,"portion":0}'}, rows)
         self.assertIs(two.schemes[1], one.schemes[0])
-        self.assertEqual(applied.differences(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')])
+        self.assertEqual(
+            applied.differences(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')]
+        )
 
 
 class BudgetStory(unittest.TestCase):
@@ -307,7 +397,9 @@
 
     def setUp(self) -> None:
         self.now, self.chance = 0, Random(3)
-        self.limiters = [Limiter(f"m{n}", 1, {"b": self.dealt(100, n)}, Random(n), 0) for n in range(self.MEMBERS)]
+        self.limiters = [
+            Limiter(f"m{n}", 1, {"b": self.dealt(100, n)}, Random(n), 0) for n in range(self.MEMBERS)
+        ]
         for limiter in self.limiters:
             limiter.there = [other.name for other in self.limiters]
 
@@ -348,7 +440,9 @@
         self.passes(int(1.1 * (self.LEASE + WINDOW)) + TICKS, 100)
         self.passes(20 * TICKS, 40)
         self.limiters[0].retune({"b": self.dealt(100, 0)}, self.now)
-        self.assertGreaterEqual(self.limiters[0].budgets["b"].state.usable(self.now), 10, "raised, it is had at once")
+        self.assertGreaterEqual(
+            self.limiters[0].budgets["b"].state.usable(self.now), 10, "raised, it is had at once"
+        )
 
     def test_a_lowered_part_renews_no_more_than_itself_whatever_else_it_holds(self) -> None:
         self.now = 10 * TICKS
@@ -379,17 +473,33 @@
     """The program by a charter, and SIGHUP."""
 
     def charter(self, *customers: str, **more: Any) -> None:
-        (self.folder / "charter.json").write_text(json.dumps({
-            **BASE, "listen": f"127.0.0.1:{self.port}", "discovery": self.discovery,
-            "customers": [{"name": name, "allowance": 50.0} for name in customers], **more}))
+        (self.folder / "charter.json").write_text(
+            json.dumps(
+                {
+                    **BASE,
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": self.discovery,
+                    "customers": [{"name": name, "allowance": 50.0} for name in customers],
+                    **more,
+                }
+            )
+        )
 
     async def begins(self) -> None:
         self.listed = await self.workers(1)
         self.discovery = await self.listen(self.tells_list)
         self.charter("acme")
         self.program = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pathsaddle", "serve", str(self.folder / "charter.json"), cwd=ROOT,
-            stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "pathsaddle",
+            "serve",
+            str(self.folder / "charter.json"),
+            cwd=ROOT,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.addAsyncCleanup(self.gone)
         async with asyncio.timeout(20.0):
             while True:
@@ -409,7 +519,9 @@
         self.charter("nova")
         self.program.send_signal(signal.SIGHUP)
         await self.says(b"configuration read again")
-        self.assertEqual(await asyncio.wait_for(self.call(nova.replace(b"Id: n", b"Id: n2")), 20.0), (200, b"HELLO"))
+        self.assertEqual(
+            await asyncio.wait_for(self.call(nova.replace(b"Id: n", b"Id: n2")), 20.0), (200, b"HELLO")
+        )
         self.assertEqual((await self.call(job("x")))[0], 403)
         self.event(self.told, "written-1").set()
         async with asyncio.timeout(20.0):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -138,13 +138,16 @@
                 for posting in host.posted:
                     if posting.out:
                         host.end(posting, report=idle())
-            sent += [posting.sent - host.workers[0].started for posting in host.posted
-                     if posting.sent < host.workers[0].started + 8 * SECOND]
+            sent += [
+                posting.sent - host.workers[0].started
+                for posting in host.posted
+                if posting.sent < host.workers[0].started + 8 * SECOND
+            ]
         self.assertGreaterEqual(len(sent), 4)
         for at in sent:
             span = [other for other in sent if at <= other < at + 2 * SECOND]
             allowed = 4 * (0.3 + 0.7 * at / (9 * SECOND)) * 2 * 2 * SECOND / (SECOND // 4)  # in mean jobs
-            self.assertLessEqual(len(span), (allowed + 3 * allowed ** 0.5 + 3) * 2 / 3)
+            self.assertLessEqual(len(span), (allowed + 3 * allowed**0.5 + 3) * 2 / 3)
 
     def test_a_dozen_dispatchers_without_hints_use_a_cold_worker_and_stay_under_its_budget(self) -> None:
         """Two at once had more than they had jobs for: a worker that came back cold stood idle for most of nine
@@ -174,7 +177,7 @@
             able = 0.32 + 0.68 * at / (9 * SECOND)
             self.assertLessEqual(len(span) * SECOND // 4, 2.5 * able * 3 * 2 * SECOND)
             per_span.append(len(span))
-        self.assertGreater(max(per_span[:len(sent) // 2]), 6, "and it is used")
+        self.assertGreater(max(per_span[: len(sent) // 2]), 6, "and it is used")
 
     def test_our_own_restart_does_not_renew_the_part(self) -> None:
         host = FakeHost(workers=1, news=ListNews.REMEMBERED)
@@ -186,6 +189,7 @@
 
     def test_a_worker_that_may_have_risen_while_the_list_is_lost_is_cold(self) -> None:
         """Virtual seeds 48, 213 and 245: it had died and come back, and the list said nothing of it."""
+
         def whole_job(lost: bool, broke: bool) -> bool:
             host = FakeHost(workers=1, must_ask=True, dispatchers=4)
             host.passes(3 * SECOND)
@@ -198,6 +202,7 @@
             host.ask("big", hint=4 * SECOND, lasts=60 * SECOND)
             host.passes(SECOND)
             return len(host.posted) > 1
+
         self.assertTrue(whole_job(lost=True, broke=False))
         self.assertTrue(whole_job(lost=False, broke=True))
         self.assertFalse(whole_job(lost=True, broke=True))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -254,8 +254,10 @@
                 rig = subprocess.Popen([sys.executable, "-c", code], cwd=ROOT, stderr=subprocess.DEVNULL)
                 try:
                     self.until(started)
-                    over = [self.opened(os.pidfd_open(int((self.folder / name).read_text())))
-                            for name in ("play", "child")]
+                    over = [
+                        self.opened(os.pidfd_open(int((self.folder / name).read_text())))
+                        for name in ("play", "child")
+                    ]
                     rig.send_signal(told)
                     rig.wait(30)
                     if told is not signal.SIGKILL:
--- a/tests/test_scale_short.py
+++ b/tests/test_scale_short.py
@@ -24,8 +24,14 @@
             if not scale.read(path).plan.short:
                 continue
             with self.subTest(path.name):
-                done = subprocess.run([sys.executable, "-m", "pathsaddle", "experiment", "run", str(path), "--short"],
-                                      cwd=ROOT, check=False, capture_output=True, text=True, timeout=300)
+                done = subprocess.run(
+                    [sys.executable, "-m", "pathsaddle", "experiment", "run", str(path), "--short"],
+                    cwd=ROOT,
+                    check=False,
+                    capture_output=True,
+                    text=True,
+                    timeout=300,
+                )
                 self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
                 self.assertIn("every one held", done.stdout)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -21,12 +21,25 @@
 from tests.fakehost import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
-WORKER = {"name": "w", "address": "127.0.0.1:1", "zone": "a", "type": "m1", "group": 0, "status": "active",
-          "weight": 1.0, "since_ms": 0}
+WORKER = {
+    "name": "w",
+    "address": "127.0.0.1:1",
+    "zone": "a",
+    "type": "m1",
+    "group": 0,
+    "status": "active",
+    "weight": 1.0,
+    "since_ms": 0,
+}
 GOOD: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"index": 7, "snapshot": True, "endpoints": [WORKER]}, "settings": SETTINGS}
+    "known": {"index": 7, "snapshot": True, "endpoints": [WORKER]},
+    "settings": SETTINGS,
+}
 GONE = object()
 SCHEME = ("settings", "Schemes", 0)
 LIMITS = ("settings", "Limits")
@@ -60,8 +73,10 @@
     (("known",), ([], 3)),
     (("known", "index"), (-1, "7", NAN)),
     (("known", "endpoints"), ({}, "w")),
-    (("known", "endpoints", 0), (None, 3, {}, {**WORKER, "group": "x"}, {**WORKER, "since_ms": NAN},
-                                 {**WORKER, "weight": "heavy"})),
+    (
+        ("known", "endpoints", 0),
+        (None, 3, {}, {**WORKER, "group": "x"}, {**WORKER, "since_ms": NAN}, {**WORKER, "weight": "heavy"}),
+    ),
     (("settings",), ([], [1], "x", 3)),
     (("settings", "Schemes"), ([], None, GONE, {}, "render")),
     (SCHEME, (None, "render", [])),
@@ -115,7 +130,8 @@
     (("settings", "FamilyInfo", "ClassKind"), (-1,)),
     (("settings", "FamilyInfo", "Progress"), (-1, "2s")),
     (("settings", "FamilyInfo", "TellsStart"), ("yes",)),
-    (("settings", "FamilyInfo", "QueueOrder"), (3,)))
+    (("settings", "FamilyInfo", "QueueOrder"), (3,)),
+)
 
 
 class Refused(unittest.TestCase):
@@ -129,8 +145,13 @@
                 self.assertIn(f"; mend {path(way)} in the file that $GW_CONFIG names", said)
 
     def test_an_entry_beside_the_schemes_is_named_by_its_place(self) -> None:
-        for key, value in (("ClassStretch", [1.25, "2"]), ("ClassStretch", [1, NAN]), ("ClassKind", [0, 2]),
-                           ("ClassKind", [0, 0.5]), ("ClassKind", [0, True])):
+        for key, value in (
+            ("ClassStretch", [1.25, "2"]),
+            ("ClassStretch", [1, NAN]),
+            ("ClassKind", [0, 2]),
+            ("ClassKind", [0, 0.5]),
+            ("ClassKind", [0, True]),
+        ):
             with self.subTest(key, value=value), self.assertRaises(Unfit) as met:
                 birth(told("settings", "FamilyInfo", key, to=value))
             self.assertIn(f"settings.FamilyInfo.{key}[1]: ", str(met.exception))
@@ -149,11 +170,21 @@
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "config.json"
             file.write_text(told(*SCHEME, "Semantics", to="keyd"))
-            done = subprocess.run([sys.executable, "-m", "pathsaddle"], cwd=ROOT, capture_output=True, text=True,
-                                  check=False, timeout=60, env={**os.environ, "GW_CONFIG": str(file)})
+            done = subprocess.run(
+                [sys.executable, "-m", "pathsaddle"],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=False,
+                timeout=60,
+                env={**os.environ, "GW_CONFIG": str(file)},
+            )
         self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
-        self.assertIn("settings.Schemes[0].Semantics: 'keyd' stands there, and one of safe, keyed, unsafe belongs there; "
-                      "mend settings.Schemes[0].Semantics in", done.stderr)
+        self.assertIn(
+            "settings.Schemes[0].Semantics: 'keyd' stands there, and one of safe, keyed, unsafe belongs there; "
+            "mend settings.Schemes[0].Semantics in",
+            done.stderr,
+        )
 
     def test_the_bench_is_told_by_the_same_names(self) -> None:
         """Its first message is the settings alone, and its schemes need no names."""
@@ -188,7 +219,9 @@
         for value in (GONE, None, {}, {"index": None, "endpoints": None}):
             got = born("known", to=value)
             self.assertEqual((got.index, got.rows), (0, []))
-        bare = born("known", "endpoints", to=[{"name": "w", "weight": None, "group": None, "since_ms": None}]).rows[0]
+        bare = born(
+            "known", "endpoints", to=[{"name": "w", "weight": None, "group": None, "since_ms": None}]
+        ).rows[0]
         self.assertEqual((bare.worker.weight, bare.worker.cell, bare.worker.started), (1.0, 0, None))
 
     def test_a_scheme(self) -> None:
@@ -198,7 +231,9 @@
             scheme = born(*SCHEME, "Window", to=value).terms.schemes[0]
             self.assertEqual((scheme.window, scheme.value), (0, 1.0))
         for value in (GONE, None, ""):
-            self.assertIs(born(*SCHEME, "Semantics", to=value).terms.schemes[0].semantics, Semantics.ONCE_ONLY)
+            self.assertIs(
+                born(*SCHEME, "Semantics", to=value).terms.schemes[0].semantics, Semantics.ONCE_ONLY
+            )
             self.assertIs(born(*SCHEME, "Group", to=value).terms.schemes[0].group, Group.ALL)
 
     def test_limits_and_rules(self) -> None:
@@ -227,7 +262,9 @@
         self.assertEqual(born(*LIMITS, "ConnectTimeout", to=50_000).reach.connect_within, 1)
         self.assertEqual(born(*DUTY, "AskEvery", to=1).terms.ask_within, 1)
         self.assertEqual(born(*SCHEME, "Expiry", to=1).terms.schemes[0].expiry, 1)
-        self.assertEqual(born(*SCHEME, "Window", to=99_999).terms.schemes[0].window, 0, "no repeat beyond a window")
+        self.assertEqual(
+            born(*SCHEME, "Window", to=99_999).terms.schemes[0].window, 0, "no repeat beyond a window"
+        )
 
     def test_for_ever_may_be_meant(self) -> None:
         ever = (1 << 63) - 1
--- a/tests/test_settings_batch.py
+++ b/tests/test_settings_batch.py
@@ -43,13 +43,29 @@
 
 
 def change(at, expect=None, **puts):
-    return Change(tuple(Put(f"customers.{key}", None if value is None else quota(value)) for key, value in puts.items()),
-                  "ann", f"change {at}", at, expect)
+    return Change(
+        tuple(
+            Put(f"customers.{key}", None if value is None else quota(value)) for key, value in puts.items()
+        ),
+        "ann",
+        f"change {at}",
+        at,
+        expect,
+    )
 
 
 def founded():
     store = Store()
-    store.append(Group(1, "", "ann", "founding", 0, (Put("customers.a", quota(1)), Put("members.m0", canonical({"region": "north"})))))
+    store.append(
+        Group(
+            1,
+            "",
+            "ann",
+            "founding",
+            0,
+            (Put("customers.a", quota(1)), Put("members.m0", canonical({"region": "north"}))),
+        )
+    )
     return store
 
 
@@ -57,7 +73,14 @@
     """That many groups, each after the other."""
     store, found = store.copy(), []
     for i in range(count):
-        group = Group(store.revision + 1, store.digest, "ann", f"{reason} {i}" + "x" * size, 0, (Put(f"customers.c{i}", quota(i)),))
+        group = Group(
+            store.revision + 1,
+            store.digest,
+            "ann",
+            f"{reason} {i}" + "x" * size,
+            0,
+            (Put(f"customers.c{i}", quota(i)),),
+        )
         store.append(group)
         found.append(group)
     return found
@@ -73,9 +96,16 @@
         raise Unfit(key="customers", why="eight")
 
 
-KINDS = (lambda at: change(at, a=2), lambda at: change(at, a=3), lambda at: change(at, b=8), lambda at: change(at, gone=None),
-         lambda at: change(at, expect=1, c=4), lambda at: change(at, expect=2, d=5), lambda at: change(at, expect=9, d=5),
-         lambda at: change(at, a=None))
+KINDS = (
+    lambda at: change(at, a=2),
+    lambda at: change(at, a=3),
+    lambda at: change(at, b=8),
+    lambda at: change(at, gone=None),
+    lambda at: change(at, expect=1, c=4),
+    lambda at: change(at, expect=2, d=5),
+    lambda at: change(at, expect=9, d=5),
+    lambda at: change(at, a=None),
+)
 
 
 @dataclass
@@ -107,16 +137,22 @@
     def test_each_has_its_own_revision_author_and_reason_one_after_another(self):
         waiting = [change(1, a=5), change(2, b=6), change(3, a=7)]
         found = together(founded(), waiting, unjudged, lambda groups: True)
-        self.assertEqual([(group.revision, group.reason, group.at) for group in found.groups],
-                         [(2, "change 1", 1), (3, "change 2", 2), (4, "change 3", 3)])
-        self.assertEqual([group.before for group in found.groups[1:]], [digest_of(group) for group in found.groups[:-1]])
+        self.assertEqual(
+            [(group.revision, group.reason, group.at) for group in found.groups],
+            [(2, "change 1", 1), (3, "change 2", 2), (4, "change 3", 3)],
+        )
+        self.assertEqual(
+            [group.before for group in found.groups[1:]], [digest_of(group) for group in found.groups[:-1]]
+        )
         self.assertEqual(found.told, ())
 
     def test_one_that_is_refused_or_outrun_leaves_the_others_whole(self):
         bad, late, same = change(1, gone=None), change(2, expect=0, a=9), change(3, a=1)
         good = [change(4, a=5), change(5, b=6)]
         found = together(founded(), [bad, late, same, *good], unjudged, lambda groups: True)
-        self.assertEqual([(told.change, told.what) for told in found.told], [(bad, REFUSED), (late, OUTRUN), (same, SAME)])
+        self.assertEqual(
+            [(told.change, told.what) for told in found.told], [(bad, REFUSED), (late, OUTRUN), (same, SAME)]
+        )
         self.assertEqual([one for one, _ in found.taken], good)
         self.assertEqual([group.revision for group in found.groups], [2, 3])
 
@@ -126,7 +162,9 @@
         for second in (change(2, a=5), change(2, a=1, gone=None), change(2, expect=1, b=6), change(2, b=8)):
             found = together(founded(), [first, second], eight, lambda groups: True)
             self.assertEqual(([one for one, _ in found.taken], found.told), ([first], ()))
-        self.assertEqual(len(together(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).taken), 2)
+        self.assertEqual(
+            len(together(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).taken), 2
+        )
 
     def test_a_round_that_was_committed_though_nobody_could_say_so_is_not_made_again(self):
         store, waiting = founded(), [change(1, a=5), change(2, a=6)]
@@ -151,21 +189,41 @@
                     self.assertEqual(waiting, [])
                     alone = Voters(founded())
                     for one in voters.order:
-                        alone.round([Change(one.puts, one.author, one.reason, one.at, one.expect)], lambda groups: True, True)
-                    self.assertEqual((alone.told, alone.store.digest), (voters.told, voters.store.digest), (voters.order, takes))
+                        alone.round(
+                            [Change(one.puts, one.author, one.reason, one.at, one.expect)],
+                            lambda groups: True,
+                            True,
+                        )
+                    self.assertEqual(
+                        (alone.told, alone.store.digest),
+                        (voters.told, voters.store.digest),
+                        (voters.order, takes),
+                    )
                     cases += 1
-        self.assertEqual(cases, 8 ** 3 * 4 * 3)
+        self.assertEqual(cases, 8**3 * 4 * 3)
 
     def test_that_planted_faults_are_found_by_it(self):
-        for fault in (mock.patch.object(batch, "expected", lambda change, revision: True),
-                      mock.patch.object(Store, "fits", lambda store, group: None),
-                      mock.patch.object(batch, "next_of", lambda store, change: Group(
-                          store.revision + 1, store.digest, change.author, change.reason, change.at, change.puts))):
+        for fault in (
+            mock.patch.object(batch, "expected", lambda change, revision: True),
+            mock.patch.object(Store, "fits", lambda store, group: None),
+            mock.patch.object(
+                batch,
+                "next_of",
+                lambda store, change: Group(
+                    store.revision + 1, store.digest, change.author, change.reason, change.at, change.puts
+                ),
+            ),
+        ):
             with fault, self.assertRaises((AssertionError, KeyError)):
                 self.one_that_is_judged()
 
     def one_that_is_judged(self):
-        found = together(founded(), [change(1, gone=None), change(2, expect=0, b=2), change(3, a=1)], unjudged, lambda groups: True)
+        found = together(
+            founded(),
+            [change(1, gone=None), change(2, expect=0, b=2), change(3, a=1)],
+            unjudged,
+            lambda groups: True,
+        )
         self.assertEqual({told.change.at: told.what for told in found.told}, {1: REFUSED, 2: OUTRUN, 3: SAME})
 
 
@@ -178,7 +236,10 @@
     def test_a_batch_goes_out_in_one_datagram_and_is_kept_once_most_have_all_of_it(self):
         store = founded()
         groups = chained(store, 3)
-        one, two = self.keeper(store), Keeper("k1", "south", 1, store.copy(), ("k0", "k2"), random.Random(1), Ample(), 0)
+        one, two = (
+            self.keeper(store),
+            Keeper("k1", "south", 1, store.copy(), ("k0", "k2"), random.Random(1), Ample(), 0),
+        )
         one.propose(groups[0], 0, groups[1:])
         made = one.ready()
         offers = [said for to, said in made.out if to == "k1"]
@@ -193,7 +254,9 @@
             one.heard(said, 2)
         self.assertEqual([(told.what, told.revision) for told in one.ready().told], [("kept", 4)])
         two.read(two.begins(5), 4, digest_of(groups[2]), 6)
-        self.assertEqual((two.store.revision, [told.what for told in two.ready().told].count("committed")), (4, 3))
+        self.assertEqual(
+            (two.store.revision, [told.what for told in two.ready().told].count("committed")), (4, 3)
+        )
 
     def test_no_keeper_keeps_a_part_and_what_doesnt_follow_is_refused(self):
         store = founded()
@@ -225,8 +288,10 @@
                 groups = chained(here, chance.randrange(1, BATCH + 1), f"try {i}")
                 keeper.heard(Offer("k1", groups[0], tuple(groups[1:])), i)
                 made = keeper.ready()
-                self.assertEqual([said for _, said in made.out if isinstance(said, Kept)],
-                                 [Kept("k0", groups[-1].revision, digest_of(groups[-1]))])
+                self.assertEqual(
+                    [said for _, said in made.out if isinstance(said, Kept)],
+                    [Kept("k0", groups[-1].revision, digest_of(groups[-1]))],
+                )
                 self.assertLessEqual(len(keeper.offers), OFFERS)
                 self.assertTrue(all(digest_of(group) in keeper.offers for group in groups))
                 if chance.random() < 0.3:
@@ -260,9 +325,13 @@
         store = founded()
         keeper = self.keeper(store)
         small = chained(store, BATCH + 1)
-        self.assertEqual([keeper.joins(small[:n]) for n in (1, 2, BATCH, BATCH + 1)], [True, True, True, False])
+        self.assertEqual(
+            [keeper.joins(small[:n]) for n in (1, 2, BATCH, BATCH + 1)], [True, True, True, False]
+        )
         large = chained(store, 2, size=180)
-        wide = msgspec.structs.replace(large[0], puts=tuple(Put(f"customers.w{i}", quota(i)) for i in range(50)))
+        wide = msgspec.structs.replace(
+            large[0], puts=tuple(Put(f"customers.w{i}", quota(i)) for i in range(50))
+        )
         self.assertEqual((keeper.joins([wide]), keeper.joins([wide, small[0]])), (True, False))
         with self.assertRaises(Wrong):
             keeper.propose(small[0], 0, small[1:])
@@ -313,7 +382,18 @@
         self.store = founded()
         self.known = (1, self.store.digest)
         self.driver = driver = mock.Mock(spec=KeeperProcess)
-        for name in ("change", "_rounds", "_round", "_fails", "_tells_verdict", "_untold", "_wrong", "_fits", "_outrun", "_has_made"):
+        for name in (
+            "change",
+            "_rounds",
+            "_round",
+            "_fails",
+            "_tells_verdict",
+            "_untold",
+            "_wrong",
+            "_fits",
+            "_outrun",
+            "_has_made",
+        ):
             made = getattr(KeeperProcess, name)
             setattr(driver, name, made if name == "_wrong" else made.__get__(driver))
         driver.queued, driver.rounds, driver.changes, driver.fitting = [], None, 0, None
@@ -338,6 +418,7 @@
             await asyncio.sleep(0)
             self.rounds.append(len(self.proposed))
             return self.kept
+
         self.kept, self.rounds = True, []
         driver.committing.owns, driver._has, driver._kept_by_most = owns, has, kept
         driver.committing.register.may_act = lambda key: 7
@@ -360,20 +441,36 @@
         return self.known
 
     async def all(self, *asked):
-        return await asyncio.gather(*(self.driver.change({"within": 5.0, **one}) for one in asked), return_exceptions=True)
+        return await asyncio.gather(
+            *(self.driver.change({"within": 5.0, **one}) for one in asked), return_exceptions=True
+        )
 
     async def test_many_at_once_are_few_rounds_each_told_its_own_revision(self):
-        found = await self.all(*({"rows": {f"customers.c{i}": {"allowance": i + 1}}, "reason": f"{i}"} for i in range(2 * BATCH + 1)))
+        found = await self.all(
+            *(
+                {"rows": {f"customers.c{i}": {"allowance": i + 1}}, "reason": f"{i}"}
+                for i in range(2 * BATCH + 1)
+            )
+        )
         self.assertEqual([one["revision"] for one in found], list(range(2, 2 * BATCH + 3)))
-        self.assertEqual([group.reason for _, group in self.store.log[1:]], [f"{i}" for i in range(2 * BATCH + 1)])
+        self.assertEqual(
+            [group.reason for _, group in self.store.log[1:]], [f"{i}" for i in range(2 * BATCH + 1)]
+        )
         self.assertEqual(self.rounds, [BATCH, BATCH, 1])
 
     async def test_who_is_refused_or_outrun_is_told_so_and_the_others_are_committed(self):
-        found = await self.all({"rows": {"budgets.a": 1}}, {"remove": ["budgets.none"]}, {"rows": {"budgets.b": 1}, "expect": 1},
-                               {"rows": {"rules": {"nonsense": 1}}}, {"rows": {"budgets.c": 1}})
+        found = await self.all(
+            {"rows": {"budgets.a": 1}},
+            {"remove": ["budgets.none"]},
+            {"rows": {"budgets.b": 1}, "expect": 1},
+            {"rows": {"rules": {"nonsense": 1}}},
+            {"rows": {"budgets.c": 1}},
+        )
         self.assertEqual([one["revision"] for one in found if isinstance(one, dict)], [2, 3])
         self.assertEqual([type(found[i]) for i in (1, 2, 3)], [Refused, Outrun, Refused])
-        self.assertEqual(sorted(self.store.terms.rows()), ["budgets.a", "budgets.c", "customers.a", "members.m0"])
+        self.assertEqual(
+            sorted(self.store.terms.rows()), ["budgets.a", "budgets.c", "customers.a", "members.m0"]
+        )
 
     async def test_another_was_first_who_expected_nothing_goes_once_more_and_who_did_is_outrun(self):
         rival = Group(2, self.store.digest, "bob", "mine", 0, (Put("budgets.z", b"1"),))
@@ -385,7 +482,9 @@
 
     async def test_without_a_majority_of_keepers_nothing_is_committed_and_each_is_told_at_its_own_time(self):
         self.kept = False
-        found = await self.all({"rows": {"budgets.a": 1}, "within": 0.2}, {"rows": {"budgets.b": 1}, "within": 0.4})
+        found = await self.all(
+            {"rows": {"budgets.a": 1}, "within": 0.2}, {"rows": {"budgets.b": 1}, "within": 0.4}
+        )
         self.assertEqual([type(one) for one in found], [NoMajority, NoMajority])
         self.assertTrue(all("nothing was committed" in str(one) for one in found))
         self.assertEqual(self.store.revision, 1)
--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -52,8 +52,14 @@
 
 
 def group_of(store, puts, reason="a test"):
-    return Group(store.revision + 1, store.digest, "ann", reason, 0,
-                 tuple(Put(key, None if value is None else canonical(value)) for key, value in puts.items()))
+    return Group(
+        store.revision + 1,
+        store.digest,
+        "ann",
+        reason,
+        0,
+        tuple(Put(key, None if value is None else canonical(value)) for key, value in puts.items()),
+    )
 
 
 def line_of(*changes):
@@ -97,14 +103,32 @@
 
     def starts_keeper(self, name):
         store, offers = self.disk(name)
-        self.machines[name] = Keeper(name, "north", self.now, store, [one for one in self.names if one != name],
-                                     self.chance, self.purse(self.now), self.now, LEASE, offers)
+        self.machines[name] = Keeper(
+            name,
+            "north",
+            self.now,
+            store,
+            [one for one in self.names if one != name],
+            self.chance,
+            self.purse(self.now),
+            self.now,
+            LEASE,
+            offers,
+        )
         self.wakes(name)
 
     def starts_member(self, name, keepers=None):
         store, _ = self.disk(name)
-        self.machines[name] = Member(name, "north", self.now + 1, store, keepers or self.names, self.chance,
-                                     self.purse(self.now), self.now)
+        self.machines[name] = Member(
+            name,
+            "north",
+            self.now + 1,
+            store,
+            keepers or self.names,
+            self.chance,
+            self.purse(self.now),
+            self.now,
+        )
         self.wakes(name)
 
     def disk(self, name):
@@ -191,7 +215,9 @@
 
     def force(self, revision):
         """When it was first told in force, or None."""
-        return next((at for at, _, one in self.told if one.what == "force" and one.revision >= revision), None)
+        return next(
+            (at for at, _, one in self.told if one.what == "force" and one.revision >= revision), None
+        )
 
 
 def members_of(count, **more):
@@ -209,13 +235,22 @@
         good = group_of(Store(), {"customers.a": quota(5)})
         put = good.puts[0]
         for told, change in (
-            ("no key", {"puts": (Put("fleet.listen", b"1"),)}), ("no key", {"puts": (Put("customers.", b"1"),)}),
-            ("no key", {"puts": (Put("customers." + "x" * 128, b"1"),)}), ("no JSON", {"puts": (Put("zones", b"{"),)}),
-            ("not canonical", {"puts": (Put("zones", b'[ "a"]'),)}), ("twice", {"puts": (put, put)}),
-            ("4096 at most", {"puts": (Put("zones", canonical("x" * 4097)),)}), ("1 to 64", {"puts": ()}),
+            ("no key", {"puts": (Put("fleet.listen", b"1"),)}),
+            ("no key", {"puts": (Put("customers.", b"1"),)}),
+            ("no key", {"puts": (Put("customers." + "x" * 128, b"1"),)}),
+            ("no JSON", {"puts": (Put("zones", b"{"),)}),
+            ("not canonical", {"puts": (Put("zones", b'[ "a"]'),)}),
+            ("twice", {"puts": (put, put)}),
+            ("4096 at most", {"puts": (Put("zones", canonical("x" * 4097)),)}),
+            ("1 to 64", {"puts": ()}),
             ("1 to 64", {"puts": tuple(Put(f"budgets.b{i}", b"1") for i in range(65))}),
-            ("32768 at most", {"puts": tuple(Put(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))}),
-            ("after the digest", {"revision": 2}), ("revision 0", {"revision": 0}), ("200 at most", {"reason": "x" * 201}),
+            (
+                "32768 at most",
+                {"puts": tuple(Put(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))},
+            ),
+            ("after the digest", {"revision": 2}),
+            ("revision 0", {"revision": 0}),
+            ("200 at most", {"reason": "x" * 201}),
         ):
             with self.subTest(told, **change), self.assertRaisesRegex(Wrong, told):
                 group_at(encoded(msgspec.structs.replace(good, **change)))
@@ -225,7 +260,11 @@
     def test_a_snapshot_out_of_order_or_without_its_groups_digest_is_refused(self):
         good = line_of({"customers.a": quota(5)}, {"budgets.b": 4}).snapshot()
         self.assertEqual(snapshot_at(encoded(good)), good)
-        for bad in (Snapshot(2, good.digest, good.rows[::-1]), Snapshot(2, "", good.rows), Snapshot(0, good.digest, ())):
+        for bad in (
+            Snapshot(2, good.digest, good.rows[::-1]),
+            Snapshot(2, "", good.rows),
+            Snapshot(0, good.digest, ()),
+        ):
             with self.assertRaises(Wrong):
                 snapshot_at(encoded(bad))
 
@@ -234,8 +273,12 @@
     def test_groups_follow_one_another_or_are_refused_and_then_nothing_of_them_stays(self):
         store = line_of({"customers.a": quota(5)})
         before = store.snapshot()
-        for puts, more in (({"budgets.b": 1}, {"revision": 3}), ({"budgets.b": 1}, {"before": "0" * 32}),
-                           ({"budgets.b": 1, "customers.x": None}, {}), ({"budgets.b": 1, "members.x": None}, {})):
+        for puts, more in (
+            ({"budgets.b": 1}, {"revision": 3}),
+            ({"budgets.b": 1}, {"before": "0" * 32}),
+            ({"budgets.b": 1, "customers.x": None}, {}),
+            ({"budgets.b": 1, "members.x": None}, {}),
+        ):
             with self.subTest(puts, **more), self.assertRaises(Wrong):
                 store.append(msgspec.structs.replace(group_of(store, puts), **more))
             self.assertEqual(store.snapshot(), before)
@@ -250,8 +293,10 @@
         self.assertEqual(store.digest_at(6), store.log[0][1].before)
         self.assertIsNone(store.digest_at(5))
         again = Store(store.snapshot())
-        self.assertEqual((again.revision, again.digest, again.terms.rows()),
-                         (10, store.digest, {f"budgets.b{i}": canonical(i) for i in range(10)}))
+        self.assertEqual(
+            (again.revision, again.digest, again.terms.rows()),
+            (10, store.digest, {f"budgets.b{i}": canonical(i) for i in range(10)}),
+        )
 
     def test_a_member_is_removed_only_once_it_is_said_to_be_gone(self):
         store = line_of(members_of(1))
@@ -271,10 +316,15 @@
 class TermsStory(unittest.TestCase):
     def test_what_tightens_by_key_and_field(self):
         for key, wide, narrow in (
-            ("customers.a", {"allowance": 9}, {"allowance": 8}), ("customers.a", {}, {"allowance": 8}),
-            ("customers.a", {"allowance": 0}, {"allowance": 8}), ("budgets.b", 10, 9), ("rules", {}, {"cold_share": 0.1}),
-            ("schemes.s", {}, {"semantics": "once-only"}), ("schemes.s", {"window": "2s"}, {"window": "1s"}),
-            ("rules", {"cold_time": "8s"}, {}), ("rules", {"dropped_stay_open": True}, {}),
+            ("customers.a", {"allowance": 9}, {"allowance": 8}),
+            ("customers.a", {}, {"allowance": 8}),
+            ("customers.a", {"allowance": 0}, {"allowance": 8}),
+            ("budgets.b", 10, 9),
+            ("rules", {}, {"cold_share": 0.1}),
+            ("schemes.s", {}, {"semantics": "once-only"}),
+            ("schemes.s", {"window": "2s"}, {"window": "1s"}),
+            ("rules", {"cold_time": "8s"}, {}),
+            ("rules", {"dropped_stay_open": True}, {}),
         ):
             with self.subTest(key, wide=wide, narrow=narrow):
                 one, two = canonical(wide), canonical(narrow)
@@ -290,14 +340,24 @@
 
     def test_the_defaults_are_the_charters(self):
         from pathsaddle.charter import form
+
         for table, kind in (("customers", form.Customer), ("schemes", form.Scheme), ("rules", form.Rules)):
-            defaults = dict(zip(kind.__struct_fields__[len(kind.__struct_fields__) - len(kind.__struct_defaults__):],
-                                kind.__struct_defaults__, strict=True))
-            self.assertEqual({limit.field for limit in LIMITS[table]} - set(defaults),
-                             {"semantics"} if table == "schemes" else set())  # that one has to be written
+            defaults = dict(
+                zip(
+                    kind.__struct_fields__[len(kind.__struct_fields__) - len(kind.__struct_defaults__) :],
+                    kind.__struct_defaults__,
+                    strict=True,
+                )
+            )
+            self.assertEqual(
+                {limit.field for limit in LIMITS[table]} - set(defaults),
+                {"semantics"} if table == "schemes" else set(),
+            )  # that one has to be written
             for limit in LIMITS[table]:
                 if limit.field in defaults:
-                    self.assertEqual(limit.wide(limit.missing), limit.wide(defaults[limit.field]), limit.field)
+                    self.assertEqual(
+                        limit.wide(limit.missing), limit.wide(defaults[limit.field]), limit.field
+                    )
 
     def test_each_version_of_a_line_stays_what_it_was_whichever_is_looked_at(self):
         chance = random.Random(5)
@@ -305,7 +365,9 @@
         plain = {}
         for _ in range(60):
             keys = chance.sample([f"budgets.b{i}" for i in range(12)], 3)
-            puts = {key: None if key in plain and chance.random() < 0.3 else chance.randrange(9) for key in keys}
+            puts = {
+                key: None if key in plain and chance.random() < 0.3 else chance.randrange(9) for key in keys
+            }
             for key, value in puts.items():
                 plain.pop(key, None) if value is None else plain.update({key: canonical(value)})
             store.append(group_of(store, puts))
@@ -319,8 +381,10 @@
             other, others = chance.choice(kept)
             differ = {key for key in {**rows, **others} if rows.get(key) != others.get(key)}
             self.assertLessEqual(differ, set(terms.differing(other)))
-            self.assertEqual(terms.withdrawn(other, ""), any(
-                not allows(key, rows.get(key), others.get(key)) for key in rows))
+            self.assertEqual(
+                terms.withdrawn(other, ""),
+                any(not allows(key, rows.get(key), others.get(key)) for key in rows),
+            )
 
     def test_no_customer_means_anybody_so_the_first_tightens_and_none_is_ever_left_by_narrowing(self):
         none, a, b = Terms({}), Terms({"customers.a": b"{}"}), Terms({"customers.b": b"{}"})
@@ -334,10 +398,21 @@
         chance = random.Random(3)
 
         def some():
-            rows = {f"customers.{name}": canonical(quota(chance.randrange(4))) for name in "ab" if chance.random() < 0.6}
+            rows = {
+                f"customers.{name}": canonical(quota(chance.randrange(4)))
+                for name in "ab"
+                if chance.random() < 0.6
+            }
             rows |= {"budgets.x": canonical(chance.randrange(3))} if chance.random() < 0.7 else {}
-            return Terms(rows | ({"rules": canonical({"cold_share": chance.choice((0.1, 0.3, 0.5))})}
-                                 if chance.random() < 0.5 else {}))
+            return Terms(
+                rows
+                | (
+                    {"rules": canonical({"cold_share": chance.choice((0.1, 0.3, 0.5))})}
+                    if chance.random() < 0.5
+                    else {}
+                )
+            )
+
         found = 0
         for _ in range(20_000):
             one, two, three = some(), some(), some()
@@ -357,16 +432,24 @@
         store, core = Store(), versions.Keeper(LEASE, 0)
         for puts in changes:
             store.append(group_of(store, puts))
-            core = core.reads(store.revision, store.digest, Version(store.revision, store.digest, store.terms), 0)
+            core = core.reads(
+                store.revision, store.digest, Version(store.revision, store.digest, store.terms), 0
+            )
         return store, core
 
     def more(self, store, core, puts, now):
         store.append(group_of(store, puts))
-        return core.reads(store.revision, store.digest, Version(store.revision, store.digest, store.terms), now)
+        return core.reads(
+            store.revision, store.digest, Version(store.revision, store.digest, store.terms), now
+        )
 
     def test_what_is_in_force_is_where_history_begins_and_a_member_cleared_by_a_lease_is_found_by_it(self):
         store, core = self.keeper(members_of(2, **{"customers.a": quota(5)}))
-        core = core.hears(versions.Have("m0", 1, store.digest)).hears(versions.Have("m1", 1, store.digest)).judged(0)
+        core = (
+            core.hears(versions.Have("m0", 1, store.digest))
+            .hears(versions.Have("m1", 1, store.digest))
+            .judged(0)
+        )
         core = self.more(store, core, {"customers.a": quota(9)}, 10)
         core = core.hears(versions.Have("m0", 2, store.digest))
         self.assertEqual(core.waits_for(20), ("m1",))
@@ -394,8 +477,13 @@
             agreed += each.force == core.known[0]
             # A revision below the highest, judged as if it were the highest, learnt when it was.
             for below in range(1, store.revision):
-                kept = replace(core, known=(below, store.digest_at(below)), history=core.history[:below],
-                               since=dict(core.learnt)[below], learnt=core.learnt[:below])
+                kept = replace(
+                    core,
+                    known=(below, store.digest_at(below)),
+                    history=core.history[:below],
+                    since=dict(core.learnt)[below],
+                    learnt=core.learnt[:below],
+                )
                 if not kept.waits_for(now):
                     self.assertGreaterEqual(each.force, below)
                 elif each.force == below:
@@ -423,12 +511,16 @@
         net.run(SECOND)
         net.commit(members_of(count, **{"customers.a": quota(5)}))
         for i in range(count):
-            net.starts_member(f"m{i}", net.names[i % len(net.names):] + net.names[:i % len(net.names)])
+            net.starts_member(f"m{i}", net.names[i % len(net.names) :] + net.names[: i % len(net.names)])
         net.run(net.now + 20 * SECOND)
         return net
 
     def acting(self, net):
-        return {name: machine.status(net.now) for name, machine in net.machines.items() if isinstance(machine, Member)}
+        return {
+            name: machine.status(net.now)
+            for name, machine in net.machines.items()
+            if isinstance(machine, Member)
+        }
 
     def test_a_change_reaches_all_and_is_told_in_force_with_their_words(self):
         net = self.fleet(1)
@@ -450,7 +542,9 @@
                 net.run(net.now + 40 * SECOND)
                 self.assertEqual({one.revision for one in self.acting(net).values()}, {4})
                 self.assertIsNotNone(net.force(4))
-                self.assertEqual([one.what for _, _, one in net.told if one.what in ("refused", "diverged", "full")], [])
+                self.assertEqual(
+                    [one.what for _, _, one in net.told if one.what in ("refused", "diverged", "full")], []
+                )
 
     def test_in_a_stream_of_changes_each_is_in_force_soon_and_not_only_when_it_ends(self):
         net = self.fleet(15, count=12)
@@ -638,12 +732,16 @@
         store.append(second)
         member.heard(Commit("k0", (3, store.digest), (second,)), 10)
         self.assertEqual(member.ready().writes, ())
-        self.assertEqual((member.status(10).revision, member.status(10).known, member.leased(10)), (1, 3, False))
+        self.assertEqual(
+            (member.status(10).revision, member.status(10).known, member.leased(10)), (1, 3, False)
+        )
         member.heard(Commit("k0", (2, digest_of(first)), (first,)), 20)
         ready = member.ready()
         self.assertEqual([write.group for write in ready.writes], [first, second])
         self.assertEqual(ready.out, (("k0", Have("m0", 3, store.digest)),))
-        self.assertEqual({member.rows(20)[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))})
+        self.assertEqual(
+            {member.rows(20)[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
+        )
 
     def test_a_faulty_group_leaves_nothing_and_is_told(self):
         store, member = self.start()
@@ -667,7 +765,9 @@
                 member.heard(Offer("k0", group), 5)
                 self.assertEqual(member.rows(5)["customers.a"], canonical(quota(5)))
                 known = (2, digest_of(group))
-                member.heard(Commit("k0", known) if how == "commit" else Renewal("k0", "m0", 1, 1, *known), 10)
+                member.heard(
+                    Commit("k0", known) if how == "commit" else Renewal("k0", "m0", 1, 1, *known), 10
+                )
                 ready = member.ready()
                 self.assertEqual([write.group for write in ready.writes], [group])
                 self.assertIn(("k0", Have("m0", *known)), ready.out)
@@ -749,7 +849,9 @@
         self.assertEqual({order[0] for order in orders}, {"k3"})
         seconds = [sum(order[1] == name for order in orders) for name in keepers if name != "k3"]
         self.assertTrue(all(60 < count < 140 for count in seconds), seconds)
-        self.assertEqual(orders, [nearest(dict(reversed(keepers.items())), f"m{i}", "r3") for i in range(700)])
+        self.assertEqual(
+            orders, [nearest(dict(reversed(keepers.items())), f"m{i}", "r3") for i in range(700)]
+        )
 
     def test_an_asking_is_answered_only_by_a_reading_that_began_after_it(self):
         store, _ = self.start()
@@ -766,7 +868,10 @@
         self.assertEqual([said.echo for _, said in keeper.ready().out if isinstance(said, Renewal)], [1])
 
     def test_every_message_fits_its_form(self):
-        for said in (Asking("m0", 1, 2, 3, "0" * 32), Commit("k0", (1, "1" * 32), (group_of(Store(), {"zones": []}),))):
+        for said in (
+            Asking("m0", 1, 2, 3, "0" * 32),
+            Commit("k0", (1, "1" * 32), (group_of(Store(), {"zones": []}),)),
+        ):
             self.assertEqual(decode(encode(said)), said)
             self.assertLess(size_of(said), 1200)
 
@@ -783,13 +888,17 @@
         for allowances in (TIGHTER, LOOSER):
             self.assertGreater(check(5, 2, allowances=allowances, batch=True), 15_000)
             self.assertGreater(check(6, 1, allowances=allowances, batch=True), 10_000)
-            self.assertTrue(any(walk(seed, 100, allowances=allowances, batch=True).force == 3 for seed in range(10)))
+            self.assertTrue(
+                any(walk(seed, 100, allowances=allowances, batch=True).force == 3 for seed in range(10))
+            )
 
     def test_nor_is_who_was_left_behind_by_a_loosening_forgotten_by_a_tightening(self):
         self.assertGreater(check(5, first=left_behind(), lives=2), 20_000)
 
     def test_nor_in_orders_far_longer_drawn_by_chance(self):
-        ended = [walk(seed, 100, allowances=allowances) for seed in range(40) for allowances in (TIGHTER, LOOSER)]
+        ended = [
+            walk(seed, 100, allowances=allowances) for seed in range(40) for allowances in (TIGHTER, LOOSER)
+        ]
         self.assertGreater(sum(world.register == 3 for world in ended), 20)
         self.assertGreater(sum(world.force >= 2 for world in ended), 20)
 
@@ -803,8 +912,12 @@
                 check(depth, members, **more)
 
     def test_an_in_force_that_is_told_too_early_is_found(self):
-        self.found("in-force", mock.patch.object(versions.Keeper, "judged_each", lambda core, now, memo: replace(
-            core, force=core.known[0])))
+        self.found(
+            "in-force",
+            mock.patch.object(
+                versions.Keeper, "judged_each", lambda core, now, memo: replace(core, force=core.known[0])
+            ),
+        )
 
     def test_a_group_applied_by_halves_is_found(self):
         whole = Store.append
@@ -814,19 +927,24 @@
             if group.revision > 1:
                 made = store.terms = Terms({**made.rows(), group.puts[1].key: canonical(quota(10))})
             return made
+
         self.found("whole", mock.patch.object(Store, "append", append))
 
     def test_a_word_before_the_disk_is_found(self):
         def ready(member):
             made = whole(member)
             return msgspec.structs.replace(made, writes=()) if isinstance(member, Member) else made
+
         whole = Member.ready
         self.found("back", mock.patch.object(Member, "ready", ready))
 
     def test_half_of_a_batch_kept_is_found(self):
         def ready(member):
             made = whole(member)
-            return msgspec.structs.replace(made, writes=made.writes[:1]) if isinstance(member, Member) else made
+            return (
+                msgspec.structs.replace(made, writes=made.writes[:1]) if isinstance(member, Member) else made
+            )
+
         whole = Member.ready
         self.found("back", mock.patch.object(Member, "ready", ready), batch=True)
 
@@ -835,28 +953,44 @@
             whole(member, group, sender, now)
             if member.held:
                 member._committed((group.revision, digest_of(group)), (group,), sender, now)
+
         whole = Member._offered
         self.found("unborn", mock.patch.object(Member, "_offered", offered), batch=True)
 
     def test_a_commit_of_an_offer_that_is_acted_by_unkept_is_found(self):
         def knows(member, known):
             member.holder = member.holder.told(versions.Commit(*known))[0]
+
         self.found("back", mock.patch.object(Member, "_knows", knows))
 
     def test_an_offer_that_allows_is_found(self):
-        self.found("unborn", mock.patch.object(Holder, "narrowest", lambda holder, right: right(
-            holder.offers[-1].spec if holder.offers else holder.base.spec)), allowances=LOOSER)
+        self.found(
+            "unborn",
+            mock.patch.object(
+                Holder,
+                "narrowest",
+                lambda holder, right: right(holder.offers[-1].spec if holder.offers else holder.base.spec),
+            ),
+            allowances=LOOSER,
+        )
 
     def test_a_history_cut_at_what_is_only_committed_is_found(self):
         def cut(core, most):
-            return replace(whole(core, most), cleared=core.known[0], begins=core.known[0], history=core.history[-1:])
+            return replace(
+                whole(core, most), cleared=core.known[0], begins=core.known[0], history=core.history[-1:]
+            )
 
         def judges(keeper, now):
             keeper.core = keeper.core.cut(8)
             judged(keeper, now)
+
         whole, judged = versions.Keeper.cut, Keeper.judges
-        self.found("in-force", mock.patch.object(versions.Keeper, "cut", cut), mock.patch.object(Keeper, "judges", judges),
-                   depth=7)
+        self.found(
+            "in-force",
+            mock.patch.object(versions.Keeper, "cut", cut),
+            mock.patch.object(Keeper, "judges", judges),
+            depth=7,
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_settings_disk.py
+++ b/tests/test_settings_disk.py
@@ -38,7 +38,14 @@
     """Groups that follow one another."""
     found = []
     for revision in range(first, first + count):
-        group = Group(revision, before, "a", "r", 0, (Put(f"customers.c{revision % 7}", canonical({"allowance": revision})),))
+        group = Group(
+            revision,
+            before,
+            "a",
+            "r",
+            0,
+            (Put(f"customers.c{revision % 7}", canonical({"allowance": revision})),),
+        )
         found.append(group)
         before = digest_of(group)
     return found
@@ -49,10 +56,19 @@
 
     def said(self):
         group = line(1)[0]
-        return [Asking("m", 1, 2, 3, self.D), Asking("m", 1, 2, 0, ""), Renewal("k", "m", 1, 2, 3, self.D), Offer("k", group),
-                Kept("k", 1, self.D), Commit("k", (1, self.D), (group,)), Have("m", 1, self.D),
-                Haves("k", ((1, self.D, ("m", "n")),)), Announce("k", GROUP, self.D, (1, self.D), 3000, True),
-                Want("m", GROUP, self.D, 0, 8), Piece("k", GROUP, self.D, 2, b"x" * PIECE)]
+        return [
+            Asking("m", 1, 2, 3, self.D),
+            Asking("m", 1, 2, 0, ""),
+            Renewal("k", "m", 1, 2, 3, self.D),
+            Offer("k", group),
+            Kept("k", 1, self.D),
+            Commit("k", (1, self.D), (group,)),
+            Have("m", 1, self.D),
+            Haves("k", ((1, self.D, ("m", "n")),)),
+            Announce("k", GROUP, self.D, (1, self.D), 3000, True),
+            Want("m", GROUP, self.D, 0, 8),
+            Piece("k", GROUP, self.D, 2, b"x" * PIECE),
+        ]
 
     def test_each_message_comes_as_it_went_and_takes_the_bytes_that_the_purse_paid(self):
         for said in self.said():
@@ -65,12 +81,26 @@
         data = wire.encode(self.said()[0], KEY)
         with mock.patch.object(wire, "FORM", 84):
             newer = wire.encode(self.said()[0], KEY)
-        bad = [("cut", data[:9]), ("stranger", data[:-1] + bytes((data[-1] ^ 1,))), ("cut", data + bytes(1200)),
-               ("newer", newer)]
-        for said in (Asking("", 1, 2, 3, self.D), Asking("m" * 65, 1, 2, 3, self.D), Have("m", 0, self.D), Have("m", 3, ""),
-                     Have("m", -1, ""), Commit("k", (1, "")), Piece("k", 2, self.D, 0, b"x"), Piece("k", GROUP, self.D, -1, b""),
-                     Piece("k", GROUP, self.D, 0, b"x" * (PIECE + 1)), Want("m", GROUP, self.D, 0, 0),
-                     Announce("k", GROUP, "d", (1, self.D), 3), Haves("k", ((1, "x", ("m",)),))):
+        bad = [
+            ("cut", data[:9]),
+            ("stranger", data[:-1] + bytes((data[-1] ^ 1,))),
+            ("cut", data + bytes(1200)),
+            ("newer", newer),
+        ]
+        for said in (
+            Asking("", 1, 2, 3, self.D),
+            Asking("m" * 65, 1, 2, 3, self.D),
+            Have("m", 0, self.D),
+            Have("m", 3, ""),
+            Have("m", -1, ""),
+            Commit("k", (1, "")),
+            Piece("k", 2, self.D, 0, b"x"),
+            Piece("k", GROUP, self.D, -1, b""),
+            Piece("k", GROUP, self.D, 0, b"x" * (PIECE + 1)),
+            Want("m", GROUP, self.D, 0, 0),
+            Announce("k", GROUP, "d", (1, self.D), 3),
+            Haves("k", ((1, "x", ("m",)),)),
+        ):
             bad.append(("cut", wire.encode(said, KEY)))
         for why, one in bad:
             with self.subTest(why), self.assertRaisesRegex(wire.Refused, why):
@@ -179,14 +209,19 @@
         one = len(disk.framed(disk._encode([disk.encoded(groups[0])])))
         for at in sorted(chance.sample(range(2 * one), 60)):
             with self.subTest(at), self.assertRaises(NoDisk) as caught:
-                (self.path / "log").write_bytes(log[:at] + bytes((log[at] ^ 0x11,)) + log[at + 1:])
+                (self.path / "log").write_bytes(log[:at] + bytes((log[at] ^ 0x11,)) + log[at + 1 :])
                 self.folder()
             self.assertIn("members.m0.disk in ground.toml", str(caught.exception))
             self.assertEqual((self.path / "log").stat().st_size, len(log))  # left for who looks into it
         (self.path / "log").write_bytes(log)
-        for name, data in (("offers", offers[:-1]), ("snapshot", b"x"), ("snapshot", disk.framed(b"x")),
-                           ("snapshot", disk.framed(disk.encoded(Store(None, line(1, 1)).snapshot())) * 2),
-                           ("log", log[one:]), ("log", log + log[:one])):
+        for name, data in (
+            ("offers", offers[:-1]),
+            ("snapshot", b"x"),
+            ("snapshot", disk.framed(b"x")),
+            ("snapshot", disk.framed(disk.encoded(Store(None, line(1, 1)).snapshot())) * 2),
+            ("log", log[one:]),
+            ("log", log + log[:one]),
+        ):
             with self.subTest(name), self.assertRaises(NoDisk):
                 (self.path / name).write_bytes(data)
                 self.folder()
@@ -197,8 +232,10 @@
 
     def test_a_disk_that_refuses_is_an_error_of_the_family(self):
         folder = self.folder()
-        with (mock.patch.object(disk.os, "fsync", side_effect=OSError(28, "No space left on device")),
-              self.assertRaises(NoDisk) as caught):
+        with (
+            mock.patch.object(disk.os, "fsync", side_effect=OSError(28, "No space left on device")),
+            self.assertRaises(NoDisk) as caught,
+        ):
             folder.write([Write(line(1)[0])])
         self.assertIn("no space left", str(caught.exception))
         (self.path.parent / "file").write_text("")
--- a/tests/test_settings_driver.py
+++ b/tests/test_settings_driver.py
@@ -37,6 +37,7 @@
 
         async def ends():
             await self.driver.end()
+
         self.addAsyncCleanup(ends)
         sends = self.driver.sock
         self.driver.sock = mock.Mock(wraps=sends, sendto=lambda data, peer: self.said.append(data))
@@ -58,12 +59,15 @@
         def slow(writes):
             asyncio.run_coroutine_threadsafe(gate.wait(), loop).result(20)
             write(writes)
+
         with mock.patch.object(self.driver.folder, "write", slow):
             self.commits()
             await self.until(lambda: self.driver.syncing)
             before = list(self.said)
             self.driver._wake()
-            self.assertEqual((self.acting, self.driver.acting.revision, self.driver.leased()), ([1], 1, False))
+            self.assertEqual(
+                (self.acting, self.driver.acting.revision, self.driver.leased()), ([1], 1, False)
+            )
             self.assertEqual(self.said, before)
             gate.set()
             await self.until(lambda: self.driver.acting.revision == 2)
@@ -74,8 +78,12 @@
         life = self.driver.life
         with mock.patch.object(Member, "_committed", side_effect=ZeroDivisionError("ours")):
             self.commits()
-        self.assertEqual([more["why"] for what, more in self.seen if what == "driver.fault"], ["ZeroDivisionError: ours"])
-        self.assertEqual((self.driver.core, self.driver.leased(), self.driver.acting.revision), (None, False, 1))
+        self.assertEqual(
+            [more["why"] for what, more in self.seen if what == "driver.fault"], ["ZeroDivisionError: ours"]
+        )
+        self.assertEqual(
+            (self.driver.core, self.driver.leased(), self.driver.acting.revision), (None, False, 1)
+        )
         await self.until(lambda: self.driver.core is not None)
         self.assertGreater(self.driver.life, life)
         self.commits()
@@ -83,8 +91,10 @@
 
     async def test_a_disk_that_fails_ends_it_with_nothing_said_of_it_and_what_it_acted_by_stays(self):
         said = []
-        with (mock.patch.object(self.driver.folder, "write", side_effect=NoDisk("full", "make room")),
-              mock.patch.object(self.driver, "_does", side_effect=lambda made, acting: said.append(made))):
+        with (
+            mock.patch.object(self.driver.folder, "write", side_effect=NoDisk("full", "make room")),
+            mock.patch.object(self.driver, "_does", side_effect=lambda made, acting: said.append(made)),
+        ):
             self.commits()
             await self.until(self.driver.ended.is_set)
         self.assertFalse([one for made in said for _, one in made.out if isinstance(one, Have)])
