--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -32,7 +32,8 @@
 KEEPERS = {"k0": "north", "k1": "south", "k2": "west"}
 MEMBERS = {"m0": "north", "m1": "north", "m2": "south", "m3": "west"}
 FOUNDING = "".join(f'[members.{name}]\nregion = "{region}"\n' for name, region in MEMBERS.items()) + "".join(
-    f"[customers.c{i}]\nallowance = 100\n" for i in range(6))
+    f"[customers.c{i}]\nallowance = 100\n" for i in range(6)
+)
 
 
 def free(count, kind):
@@ -75,6 +76,7 @@
     def does(self, call):
         async def there():
             call()
+
         asyncio.run_coroutine_threadsafe(there(), self.events).result(10)
 
     def end(self):
@@ -95,7 +97,9 @@
         self.cuts, self.lost, self.guests, self.over = set(), 0, {}, False
         self.selector = selectors.DefaultSelector()
         for name, (_, ours) in ways.items():
-            self.opens(peer_of(ours), lambda sock, data, source, taker=name: self.comes(sock, data, source, taker))
+            self.opens(
+                peer_of(ours), lambda sock, data, source, taker=name: self.comes(sock, data, source, taker)
+            )
         self.thread = threading.Thread(target=self.carries)
         self.thread.start()
 
@@ -114,8 +118,10 @@
 
     def comes(self, sock, data, source, taker):
         if (source, taker) not in self.guests:
-            self.guests[source, taker] = self.opens(("127.0.0.1", 0), lambda _, data, __: self.goes(
-                sock, data, source, taker, self.names.get(source, "")))
+            self.guests[source, taker] = self.opens(
+                ("127.0.0.1", 0),
+                lambda _, data, __: self.goes(sock, data, source, taker, self.names.get(source, "")),
+            )
         self.goes(self.guests[source, taker], data, self.own[taker], self.names.get(source, ""), taker)
 
     def goes(self, sock, data, to, sender, taker):
@@ -126,6 +132,7 @@
 
     def cut(self, *ways):
         """So long as the block lasts."""
+
         @contextlib.contextmanager
         def block():
             self.cuts |= set(ways)
@@ -133,6 +140,7 @@
                 yield
             finally:
                 self.cuts -= set(ways)
+
         return block()
 
     def end(self):
@@ -155,15 +163,27 @@
         votes = {name: (udp.pop(), udp.pop()) for name in KEEPERS}
         tcp = free(len(KEEPERS) + len(MEMBERS), socket.SOCK_STREAM)
         self.control = dict(zip((*KEEPERS, *MEMBERS), tcp, strict=True))
-        lines = ['key = "sixteen bytes or more"', 'lease = "2s"', f'log = "{self.folder}/log"',
-                 "[voters]", 'fleet = "f"', 'key = "sixteen other bytes"', 'lease = "600ms"',
-                 "names = { " + ", ".join(f'{name} = "{ours}"' for name, (_, ours) in votes.items()) + " }"]
+        lines = [
+            'key = "sixteen bytes or more"',
+            'lease = "2s"',
+            f'log = "{self.folder}/log"',
+            "[voters]",
+            'fleet = "f"',
+            'key = "sixteen other bytes"',
+            'lease = "600ms"',
+            "names = { " + ", ".join(f'{name} = "{ours}"' for name, (_, ours) in votes.items()) + " }",
+        ]
         own = {name: udp.pop() for name in (*KEEPERS, *MEMBERS)}
         ours = {name: udp.pop() if self.relayed else own[name] for name in own}
         for table, names in (("keepers", KEEPERS), ("members", MEMBERS)):
             for name, region in names.items():
-                lines += [f"[{table}.{name}]", f'region = "{region}"', f'disk = "{self.folder}/{name}"',
-                          f'control = "{self.control[name]}"', f'listen = "{own[name]}"']
+                lines += [
+                    f"[{table}.{name}]",
+                    f'region = "{region}"',
+                    f'disk = "{self.folder}/{name}"',
+                    f'control = "{self.control[name]}"',
+                    f'listen = "{own[name]}"',
+                ]
                 lines += [f'address = "{ours[name]}"'] * (name in KEEPERS)
                 if name in KEEPERS and self.voters_relayed:
                     lines.append(f'votes_at = "{votes[name][0]}"')
@@ -175,32 +195,46 @@
             self.addCleanup(self.voters.end)
         self.ground = self.folder / "ground.toml"
         self.ground.write_text("\n".join(lines) + "\n")
-        founding = [self.runs("-m", "pathsaddle.settings", "found", str(self.ground), "--keeper", name) for name in KEEPERS]
+        founding = [
+            self.runs("-m", "pathsaddle.settings", "found", str(self.ground), "--keeper", name)
+            for name in KEEPERS
+        ]
         for process in founding:
             self.assertEqual(process.wait(30), 0)
         for name in (*KEEPERS, *MEMBERS):
             self.starts(name)
         self.until(lambda: self.status("k0")["proved_ms"] is not None, "a majority of voters answers")
-        done = self.cli("apply", self.file(FOUNDING), "--wait", "--reason", "the founding", "--at", str(self.ground))
+        done = self.cli(
+            "apply", self.file(FOUNDING), "--wait", "--reason", "the founding", "--at", str(self.ground)
+        )
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("in force", done.stdout)
 
     # Processes
 
     def runs(self, *words, **more):
-        process = subprocess.Popen([sys.executable, *words], cwd=ROOT, start_new_session=True, text=True,
-                                   **{"stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL, **more})
+        process = subprocess.Popen(
+            [sys.executable, *words],
+            cwd=ROOT,
+            start_new_session=True,
+            text=True,
+            **{"stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL, **more},
+        )
 
         def end():
             if process.poll() is None:
                 process.kill()
             process.communicate(timeout=10)
+
         self.addCleanup(end)
         return process
 
     def starts(self, name):
-        words = ("keep", str(self.ground), "--keeper", name) if name in KEEPERS else (
-            "follow", str(self.ground), "--member", name, "--acts", "25")
+        words = (
+            ("keep", str(self.ground), "--keeper", name)
+            if name in KEEPERS
+            else ("follow", str(self.ground), "--member", name, "--acts", "25")
+        )
         self.processes[name] = self.runs("-m", "pathsaddle.settings", *words)
 
     def kills(self, *names):
@@ -214,7 +248,9 @@
             os.kill(self.processes[name].pid, number)
 
     def begins(self, *words):
-        return self.runs("-m", "pathsaddle", "settings", *words, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        return self.runs(
+            "-m", "pathsaddle", "settings", *words, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        )
 
     def cli(self, *words):
         process = self.begins(*words)
@@ -241,7 +277,7 @@
         for path in sorted((self.folder / "log").glob("*.jsonl")):
             whole = path.read_bytes()
             path = self.folder / "read"
-            path.write_bytes(whole[:whole.rfind(b"\n") + 1])
+            path.write_bytes(whole[: whole.rfind(b"\n") + 1])
             found += read(path)
         return sorted(found, key=lambda row: row.at)
 
@@ -252,40 +288,70 @@
             if found:
                 return found
             pause.wait(0.05)
-        self.fail(f"not within {bound} s: {what}; "
-                  f"{ {name: self.status(name) for name, one in self.processes.items() if one.poll() is None} }")
+        self.fail(
+            f"not within {bound} s: {what}; "
+            f"{ {name: self.status(name) for name, one in self.processes.items() if one.poll() is None} }"
+        )
 
     def acts(self, revision, *names, leased=True):
         """Until each of these logs an act by it."""
+
         def holds():
             rows = self.rows()
-            return all(any(row.what == "acts" and row.more["who"] == name and row.more["revision"] >= revision
-                           and row.more["leased"] >= leased for row in rows) for name in names)
+            return all(
+                any(
+                    row.what == "acts"
+                    and row.more["who"] == name
+                    and row.more["revision"] >= revision
+                    and row.more["leased"] >= leased
+                    for row in rows
+                )
+                for name in names
+            )
+
         self.until(holds, f"{names} act by {revision}")
 
     def good(self):
         """The judge's word on all that members did, and no fault of ours."""
         rows, told, values = self.rows(), [], {}
         for row in rows:
-            if row.what == "group" and row.more["revision"] not in {one.more["revision"] for one in told if one.what == "set"}:
+            if row.what == "group" and row.more["revision"] not in {
+                one.more["revision"] for one in told if one.what == "set"
+            }:
                 for key, value in row.more["puts"]:
                     if value is None:
                         values.pop(key, None)
                     else:
                         values[key] = value.encode()
-                told.append(Event(row.at, "set", {**row.more, "whole": hashed(repr(sorted(values.items())).encode())}))
+                told.append(
+                    Event(row.at, "set", {**row.more, "whole": hashed(repr(sorted(values.items())).encode())})
+                )
             elif row.what in ("force", "acts"):
                 told.append(Event(row.at, row.what, {**row.more, "name": row.more["who"]}))
         self.assertEqual(judge(told, last=False), [])
-        self.assertEqual([row for row in rows if row.what in ("driver.fault", "diverged", "refused", "full")], [])
+        self.assertEqual(
+            [row for row in rows if row.what in ("driver.fault", "diverged", "refused", "full")], []
+        )
         self.assertGreater(sum(one.what == "acts" for one in told), 50)
         return rows
 
 
 class ProcessesStory(Stand):
     def test_two_authors_at_once_one_is_outrun_and_all_act_by_the_others_change(self):
-        begun = [self.begins("apply", self.file(f"[customers.c0]\nallowance = {50 + i}\n"), "--expect", "1", "--reason", f"n{i}",
-                             "--at", self.control[name], "--wait") for i, name in enumerate(("k0", "k1"))]
+        begun = [
+            self.begins(
+                "apply",
+                self.file(f"[customers.c0]\nallowance = {50 + i}\n"),
+                "--expect",
+                "1",
+                "--reason",
+                f"n{i}",
+                "--at",
+                self.control[name],
+                "--wait",
+            )
+            for i, name in enumerate(("k0", "k1"))
+        ]
         done = [(process.communicate(timeout=60), process.returncode) for process in begun]
         self.assertEqual(sorted(code for _, code in done), [0, 1], done)
         outrun = next(err for (_, err), code in done if code)
@@ -295,7 +361,9 @@
         self.acts(2, *MEMBERS)
         told = json.loads(self.cli("get", "customers.c0", "--at", str(self.ground), "--json").stdout)
         self.assertEqual((told["revision"], told["rows"]), (2, {"customers.c0": {"allowance": 50 + won}}))
-        again = self.cli("apply", self.file(f"[customers.c0]\nallowance = {50 + won}\n"), "--at", self.control["k2"])
+        again = self.cli(
+            "apply", self.file(f"[customers.c0]\nallowance = {50 + won}\n"), "--at", self.control["k2"]
+        )
         self.assertEqual((again.returncode, "nothing changes" in again.stdout), (0, True), again)
         history = self.cli("history", "--at", self.control["k2"])
         self.assertRegex(history.stdout, rf"(?s)1 .* the founding .*\n2 .* n{won} .*customers.c0 = ")
@@ -303,14 +371,27 @@
 
     def test_a_member_stands_still_a_tightening_waits_for_it_by_name_and_is_in_force_once_it_goes_on(self):
         self.signals(signal.SIGSTOP, "m3")
-        done = self.cli("apply", self.file("[customers.c1]\nallowance = 5\n"), "--wait", "--within", "3", "--at", str(self.ground))
+        done = self.cli(
+            "apply",
+            self.file("[customers.c1]\nallowance = 5\n"),
+            "--wait",
+            "--within",
+            "3",
+            "--at",
+            str(self.ground),
+        )
         self.assertEqual(done.returncode, 1, done)
         self.assertIn("waits for m3", done.stdout)
         self.assertIn("[settings.waits]", done.stderr)
         self.acts(2, "m0", "m1", "m2")
         for name in KEEPERS:
-            self.assertEqual(self.until(lambda name=name: self.status(name)["waits_for"] == ["m3"] and self.status(name),
-                                        "all but one have said so")["force"], 1)
+            self.assertEqual(
+                self.until(
+                    lambda name=name: self.status(name)["waits_for"] == ["m3"] and self.status(name),
+                    "all but one have said so",
+                )["force"],
+                1,
+            )
         shown = self.cli("status", "--at", self.control["k0"])
         self.assertRegex(shown.stdout, r"revision 2 waits for:\n +m3 +has revision 1")
         self.signals(signal.SIGCONT, "m3")
@@ -321,13 +402,29 @@
 
     def test_a_keeper_is_killed_others_serve_and_commit_and_it_comes_back_to_the_latest(self):
         self.kills("k0")
-        done = self.cli("apply", self.file('[customers.c9]\nallowance = 9\n[customers.c2]\nallowance = 1\n'), "--wait",
-                        "--at", str(self.ground))  # of which the first keeper doesn't answer
+        done = self.cli(
+            "apply",
+            self.file("[customers.c9]\nallowance = 9\n[customers.c2]\nallowance = 1\n"),
+            "--wait",
+            "--at",
+            str(self.ground),
+        )  # of which the first keeper doesn't answer
         self.assertEqual(done.returncode, 0, done)
         self.acts(2, *MEMBERS)
         self.starts("k0")
-        self.until(lambda: (self.status("k0")["revision"], self.status("k0")["force"]) == (2, 2), "it has what it missed")
-        done = self.cli("apply", self.file('remove = ["customers.c9"]\n'), "--expect", "2", "--wait", "--at", self.control["k0"])
+        self.until(
+            lambda: (self.status("k0")["revision"], self.status("k0")["force"]) == (2, 2),
+            "it has what it missed",
+        )
+        done = self.cli(
+            "apply",
+            self.file('remove = ["customers.c9"]\n'),
+            "--expect",
+            "2",
+            "--wait",
+            "--at",
+            self.control["k0"],
+        )
         self.assertEqual(done.returncode, 0, done)
         self.acts(3, *MEMBERS)
         self.good()
@@ -340,24 +437,44 @@
         self.assertIn("nothing was committed", str(caught.exception))
         self.until(lambda: not any(self.status(name)["leased"] for name in MEMBERS), "all go on alone")
         self.signals(signal.SIGCONT, "k1", "k2")
-        done = self.cli("apply", self.file("[customers.c4]\nallowance = 7\n"), "--expect", "1", "--wait", "--at", self.control["k1"])
+        done = self.cli(
+            "apply",
+            self.file("[customers.c4]\nallowance = 7\n"),
+            "--expect",
+            "1",
+            "--wait",
+            "--at",
+            self.control["k1"],
+        )
         self.assertEqual(done.returncode, 0, done)
         self.acts(2, *MEMBERS)
         told = ask(self.control["k2"], "get", key="customers")
         self.assertEqual([told["rows"][f"customers.c{i}"]["allowance"] for i in (3, 4)], [100, 7])
-        self.assertEqual({row.more["digest"] for row in self.good() if row.what == "offered" and row.more["revision"] == 2},
-                         {told["digest"]})  # the one that failed was offered to nobody
+        self.assertEqual(
+            {
+                row.more["digest"]
+                for row in self.good()
+                if row.what == "offered" and row.more["revision"] == 2
+            },
+            {told["digest"]},
+        )  # the one that failed was offered to nobody
 
     def test_a_member_starts_with_every_keeper_gone_and_has_its_rows_and_says_how_old(self):
-        done = self.cli("apply", self.file("[customers.c5]\nallowance = 3\n"), "--wait", "--at", str(self.ground))
+        done = self.cli(
+            "apply", self.file("[customers.c5]\nallowance = 3\n"), "--wait", "--at", str(self.ground)
+        )
         self.assertEqual(done.returncode, 0, done)
         self.kills(*KEEPERS, "m0")
         self.starts("m0")
         self.acts(2, "m0", leased=False)
         told = self.until(lambda: (one := self.status("m0"))["revision"] and one, "it answers")
-        self.assertEqual((told["revision"], told["rows"], told["leased"], told["proved_ms"]), (2, 10, False, None))
+        self.assertEqual(
+            (told["revision"], told["rows"], told["leased"], told["proved_ms"]), (2, 10, False, None)
+        )
         self.assertGreater(told["disk_age_ms"], 0)
-        began = [row.more for row in self.rows() if row.what == "member.began" and row.more["who"] == "m0"][-1]
+        began = [row.more for row in self.rows() if row.what == "member.began" and row.more["who"] == "m0"][
+            -1
+        ]
         self.assertEqual((began["revision"], began["rows"]), (2, 10))
         self.assertGreater(began["age_ms"], 0)
         rows = ask(self.control["m0"], "get", key="customers.c5")["rows"]
@@ -369,12 +486,16 @@
         self.until(lambda: self.status("m0")["leased"], "it has a lease again")
         self.good()
 
-
-    def test_authors_that_wait_are_committed_together_and_who_is_refused_or_outrun_leaves_the_others_whole(self):
-        asked = [{"rows": {f"customers.c{i}": {"allowance": 10 + i}}, "reason": f"n{i}"} for i in range(6)] + [
+    def test_authors_that_wait_are_committed_together_and_who_is_refused_or_outrun_leaves_the_others_whole(
+        self,
+    ):
+        asked = [
+            {"rows": {f"customers.c{i}": {"allowance": 10 + i}}, "reason": f"n{i}"} for i in range(6)
+        ] + [
             {"rows": {"customers.c0": {"allowance": 1}}, "expect": 0, "reason": "late"},
             {"rows": {}, "remove": ["customers.nobody"], "reason": "no such"},
-            {"rows": {"rules": {"nonsense": 1}}, "reason": "no rule"}]
+            {"rows": {"rules": {"nonsense": 1}}, "reason": "no rule"},
+        ]
         told = {}
 
         def author(one):
@@ -382,20 +503,25 @@
                 told[one["reason"]] = ask(self.control["k0"], "apply", 40.0, within=30.0, **one)
             except Error as fault:
                 told[one["reason"]] = fault
+
         authors = [threading.Thread(target=author, args=(one,)) for one in asked]
         for one in authors:
             one.start()
         for one in authors:
             one.join(60)
-        self.assertEqual([told[name].name for name in ("late", "no such", "no rule")],
-                         ["settings.outrun", "settings.refused", "settings.refused"])
+        self.assertEqual(
+            [told[name].name for name in ("late", "no such", "no rule")],
+            ["settings.outrun", "settings.refused", "settings.refused"],
+        )
         self.assertEqual(sorted(told[f"n{i}"]["revision"] for i in range(6)), list(range(2, 8)))
         self.acts(7, *MEMBERS)
         rows = ask(self.control["k2"], "get", key="customers")["rows"]
         self.assertEqual([rows[f"customers.c{i}"]["allowance"] for i in range(6)], list(range(10, 16)))
         groups = {row.more["revision"]: row.more["reason"] for row in self.good() if row.what == "group"}
-        self.assertEqual({revision: groups[revision] for revision in range(2, 8)},
-                         {told[f"n{i}"]["revision"]: f"n{i}" for i in range(6)})
+        self.assertEqual(
+            {revision: groups[revision] for revision in range(2, 8)},
+            {told[f"n{i}"]["revision"]: f"n{i}" for i in range(6)},
+        )
 
 
 class VotersWaysStory(Stand):
@@ -449,19 +575,30 @@
             ask(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=3.0)
         self.assertEqual(caught.exception.name, "settings.no-majority")
         told = ask(self.control["k1"], "apply", 40.0, rows={"customers.c0": {"allowance": 1}}, within=30.0)
-        self.assertEqual(told["revision"], 2, "applied again it is the same change, whether the first stood or not")
+        self.assertEqual(
+            told["revision"], 2, "applied again it is the same change, whether the first stood or not"
+        )
         if "nothing was committed" in str(caught.exception):
             self.assertTrue(told["changed"])
         self.acts(2, *MEMBERS)
-        self.assertEqual({row.more["puts"][0][0] for row in self.good() if row.what == "group" and row.more["revision"] == 2},
-                         {"customers.c0"})
+        self.assertEqual(
+            {
+                row.more["puts"][0][0]
+                for row in self.good()
+                if row.what == "group" and row.more["revision"] == 2
+            },
+            {"customers.c0"},
+        )
 
     def test_all_voters_ways_are_cut_for_longer_than_a_lease_and_nobody_goes_back(self):
         every = [(one, other) for one in ("", *KEEPERS) for other in ("", *KEEPERS)]
         self.changes("k0", 2, "customers.c0", 5)
         self.acts(2, *MEMBERS)
         with self.voters.cut(*every):
-            self.until(lambda: not any(self.status(name)["leased"] for name in MEMBERS), "nobody proves anything any more")
+            self.until(
+                lambda: not any(self.status(name)["leased"] for name in MEMBERS),
+                "nobody proves anything any more",
+            )
             self.assertEqual({self.status(name)["revision"] for name in MEMBERS}, {2})
         self.until(lambda: all(self.status(name)["leased"] for name in MEMBERS), "they have leases again")
         self.changes("k2", 3, "customers.c0", 6)
@@ -474,13 +611,20 @@
 
     def changes(self, at, revision, **rows):
         """Committed at that keeper as that revision."""
-        told = ask(self.control[at], "apply", 40.0, rows={f"customers.{name}": {"allowance": most} for name, most in rows.items()},
-                   within=30.0)
+        told = ask(
+            self.control[at],
+            "apply",
+            40.0,
+            rows={f"customers.{name}": {"allowance": most} for name, most in rows.items()},
+            within=30.0,
+        )
         self.assertEqual((told["revision"], told["changed"]), (revision, True))
 
     def in_force(self, revision, *names):
         for name in names:
-            self.until(lambda name=name: self.status(name)["force"] == revision, f"{revision} in force, by {name}")
+            self.until(
+                lambda name=name: self.status(name)["force"] == revision, f"{revision} in force, by {name}"
+            )
 
     def test_single_ways_are_cut_and_who_hears_or_is_heard_by_another_keeper_has_each_change(self):
         cut = self.ways.cut("k0", "m0")  # m0 is heard, and hears nothing of its keeper
@@ -502,7 +646,9 @@
         self.changes("k0", 4, c2=5)
         self.in_force(4, "k1")
         for name in ("k0", "k2"):
-            self.until(lambda name=name: self.status(name)["waits_for"] == ["m2"], f"{name} knows of all but one")
+            self.until(
+                lambda name=name: self.status(name)["waits_for"] == ["m2"], f"{name} knows of all but one"
+            )
             self.assertEqual(self.status(name)["force"], 3)
         for cut in cuts:
             self.ways.mend(cut)
@@ -526,8 +672,15 @@
 
         def author(i):
             with self.assertRaises(Error) as caught:
-                ask(self.control["k0"], "apply", 40.0, rows={f"customers.c{i}": {"allowance": 1 + i}}, within=30.0)
+                ask(
+                    self.control["k0"],
+                    "apply",
+                    40.0,
+                    rows={f"customers.c{i}": {"allowance": 1 + i}},
+                    within=30.0,
+                )
             told.append(caught.exception.name)
+
         authors = [threading.Thread(target=author, args=(i,)) for i in range(3)]
         for one in authors:
             one.start()
@@ -540,14 +693,21 @@
         for cut in cuts:
             self.ways.mend(cut)
         held = ask(self.control["m0"], "get", key="customers")
-        self.assertEqual((held["revision"], sorted(row["allowance"] for row in held["rows"].values())[1:]), (1, [100] * 5))
+        self.assertEqual(
+            (held["revision"], sorted(row["allowance"] for row in held["rows"].values())[1:]), (1, [100] * 5)
+        )
         self.assertEqual({self.status(name)["known"] for name in ("k1", "k2")}, {1})
         self.changes("k1", 2, c4=7)  # what it may do until then is what both allow
         self.acts(2, *MEMBERS)
         rows = ask(self.control["m0"], "get", key="customers")["rows"]
-        self.assertEqual([rows[f"customers.c{i}"]["allowance"] for i in range(6)], [100, 100, 100, 100, 7, 100])
+        self.assertEqual(
+            [rows[f"customers.c{i}"]["allowance"] for i in range(6)], [100, 100, 100, 100, 7, 100]
+        )
         self.starts("k0")  # with the offer on its disk
-        self.until(lambda: (self.status("k0")["revision"], self.status("k0")["force"]) == (2, 2), "it has what it missed")
+        self.until(
+            lambda: (self.status("k0")["revision"], self.status("k0")["force"]) == (2, 2),
+            "it has what it missed",
+        )
         self.changes("k0", 3, c0=50)
         self.in_force(3, *KEEPERS)
         self.acts(3, *MEMBERS)
@@ -561,15 +721,33 @@
         def author(number, moment, at, key, most):
             pause.wait(max(0.0, began + moment - time.monotonic()))
             try:
-                told[number] = ask(self.control[at], "apply", 40.0, rows={key: {"allowance": most}}, author="drawn",
-                                   reason=f"change {number}", within=30.0)
+                told[number] = ask(
+                    self.control[at],
+                    "apply",
+                    40.0,
+                    rows={key: {"allowance": most}},
+                    author="drawn",
+                    reason=f"change {number}",
+                    within=30.0,
+                )
             except Error as fault:
                 told[number] = fault
             ended.append(time.monotonic())
+
         drawn = sorted(chance.uniform(0.0, 20.0) for _ in range(100))
-        authors = [threading.Thread(target=author, args=(i, moment, "k1" if i % 10 == 9 else "k0",
-                                                         f"customers.c{chance.randrange(12)}", 1000 + i))
-                   for i, moment in enumerate(drawn)]
+        authors = [
+            threading.Thread(
+                target=author,
+                args=(
+                    i,
+                    moment,
+                    "k1" if i % 10 == 9 else "k0",
+                    f"customers.c{chance.randrange(12)}",
+                    1000 + i,
+                ),
+            )
+            for i, moment in enumerate(drawn)
+        ]
         for one in authors:
             one.start()
         for one in authors:
@@ -581,8 +759,10 @@
         self.acts(101, *MEMBERS)
         self.took = time.monotonic() - began
         groups = {row.more["revision"]: row.more["reason"] for row in self.good() if row.what == "group"}
-        self.assertEqual({revision: groups[revision] for revision in range(2, 102)},
-                         {one["revision"]: f"change {number}" for number, one in told.items()})
+        self.assertEqual(
+            {revision: groups[revision] for revision in range(2, 102)},
+            {one["revision"]: f"change {number}" for number, one in told.items()},
+        )
         for name in MEMBERS:
             self.assertLess(self.ways.air.meters[name].most(0), 13_000, name)
             self.assertLess(self.ways.got[name].most(0), 13_000, name)
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -18,7 +18,9 @@
 class Drawn(unittest.TestCase):
     def holds(self, plan: Plan, seed: int) -> World:
         world = World(plan, seed).run()
-        self.assertEqual([(one.bound, one.text) for one in judge(world.events.rows)], [], (plan.members, seed))
+        self.assertEqual(
+            [(one.bound, one.text) for one in judge(world.events.rows)], [], (plan.members, seed)
+        )
         return world
 
     def test_every_bound_holds_through_drawn_faults(self) -> None:
@@ -36,12 +38,15 @@
     def test_the_same_seed_is_the_same_run(self) -> None:
         self.assertEqual(World(Plan(), 5).run().events.digest(), World(Plan(), 5).run().events.digest())
 
-    def test_with_nobody_to_answer_members_serve_on_by_what_they_have_and_nothing_comes_into_force(self) -> None:
+    def test_with_nobody_to_answer_members_serve_on_by_what_they_have_and_nothing_comes_into_force(
+        self,
+    ) -> None:
         world = World(Plan(founded=True, faults=0.0, seconds=20.0, quiet=1.0, loss=0.0), 3)
 
         def all_go() -> None:
             for name in world.keepers:
                 world.processes[name].dies()
+
         world.at(8 * SECOND, all_go)
         rows = world.run().events.rows
         self.assertEqual(judge(rows, last=False), [])
@@ -64,8 +69,11 @@
     def test_each_planted_fault_is_found_under_its_bound(self) -> None:
         for name, (bound, _, plan) in MUTANTS.items():
             with planted(name):
-                found = any(one.bound == bound for seed in range(60)
-                            for one in judge(World(plan, seed).run().events.rows, last=bound == "stuck"))
+                found = any(
+                    one.bound == bound
+                    for seed in range(60)
+                    for one in judge(World(plan, seed).run().events.rows, last=bound == "stuck")
+                )
             self.assertTrue(found, name)
 
     def test_on_the_plans_of_the_planted_ones_nothing_is_found_without_them(self) -> None:
@@ -75,19 +83,49 @@
 
     def test_good_histories_that_look_bad(self) -> None:
         """Alone on an older revision that the one in force allows; on an older one that a later loosening allows again."""
+
         def row(at: int, what: str, **more: object) -> Event:
             return Event(at, what, more)
 
         def acts(at: int, revision: int, value: int, leased: bool = False) -> Event:
-            return row(at, "acts", name="m", life=1, revision=revision, digest=f"d{revision}", leased=leased, key="customers.a",
-                       value=f'{{"allowance":{value}}}', whole="")
+            return row(
+                at,
+                "acts",
+                name="m",
+                life=1,
+                revision=revision,
+                digest=f"d{revision}",
+                leased=leased,
+                key="customers.a",
+                value=f'{{"allowance":{value}}}',
+                whole="",
+            )
 
         def put(at: int, revision: int, value: int) -> Event:
-            return row(at, "set", revision=revision, digest=f"d{revision}", whole=f"w{revision}",
-                       puts=[("customers.a", f'{{"allowance":{value}}}')])
-        good = [put(0, 1, 5), acts(1, 1, 5, True), put(2, 2, 9), row(3, "force", name="k", revision=2), acts(4, 1, 5)]
+            return row(
+                at,
+                "set",
+                revision=revision,
+                digest=f"d{revision}",
+                whole=f"w{revision}",
+                puts=[("customers.a", f'{{"allowance":{value}}}')],
+            )
+
+        good = [
+            put(0, 1, 5),
+            acts(1, 1, 5, True),
+            put(2, 2, 9),
+            row(3, "force", name="k", revision=2),
+            acts(4, 1, 5),
+        ]
         self.assertEqual(judge(good, last=False), [])
-        again = [put(0, 1, 5), put(1, 2, 3), row(2, "force", name="k", revision=2), put(3, 3, 6), acts(4, 1, 5)]
+        again = [
+            put(0, 1, 5),
+            put(1, 2, 3),
+            row(2, "force", name="k", revision=2),
+            put(3, 3, 6),
+            acts(4, 1, 5),
+        ]
         self.assertEqual(judge(again, last=False), [])
         bad = [put(0, 1, 5), put(1, 2, 3), row(2, "force", name="k", revision=2), acts(4, 1, 5)]
         self.assertEqual([one.bound for one in judge(bad, last=False)], ["in-force"])
@@ -104,7 +142,10 @@
         self.assertEqual(len(smoke.read(PLANS / "settings-smoke.toml").mutants), len(MUTANTS))
         smoke.read(PLANS / "settings.toml")
         wrong = Path(self.enterContext(tempfile.TemporaryDirectory())) / "wrong.toml"
-        for text in ('ground = "settings"\nname = "x"\nmutants = ["no such"]\n', 'ground = "settings"\nname = "x"\nseed = 3\n'):
+        for text in (
+            'ground = "settings"\nname = "x"\nmutants = ["no such"]\n',
+            'ground = "settings"\nname = "x"\nseed = 3\n',
+        ):
             wrong.write_text(text)
             with self.assertRaises(Faulty):
                 smoke.read(wrong)
@@ -120,19 +161,39 @@
         setting = hollow.Setting(regions=2, teams=20, seconds=15.0)
         one, two = (hollow.measure(6, 1, setting) for _ in range(2))
         self.assertEqual(set(one), set(hollow.FIGURES))
-        self.assertEqual({name: one[name] for name in hollow.COUNTED}, {name: two[name] for name in hollow.COUNTED})
+        self.assertEqual(
+            {name: one[name] for name in hollow.COUNTED}, {name: two[name] for name in hollow.COUNTED}
+        )
         self.assertGreater(one["in_force_p50_s"], 0.0)
 
     def test_what_a_member_sends_does_not_grow_with_members_nor_what_it_gets_with_settings(self) -> None:
-        few, many = (hollow.measure(n, 1, hollow.Setting(regions=4, teams=40, seconds=20.0, loss=0.0)) for n in (8, 64))
+        few, many = (
+            hollow.measure(n, 1, hollow.Setting(regions=4, teams=40, seconds=20.0, loss=0.0)) for n in (8, 64)
+        )
         self.assertLess(many["member_out_bytes_s"], 1.5 * few["member_out_bytes_s"])
         more = hollow.measure(8, 1, hollow.Setting(regions=4, teams=400, seconds=20.0, loss=0.0))
         self.assertLess(more["member_in_bytes_s"], 1.5 * few["member_in_bytes_s"])
 
     def test_at_four_hundred_a_minute_none_queues_and_all_are_in_force(self) -> None:
         """One after another half of them still waited when a minute was over, the first for 50 s."""
-        world = World(Plan(regions=8, members=24, keepers=8, customers=40, changes=400.0, seconds=30.0, quiet=25.0, loss=0.01,
-                           faults=0.0, acts=False, lease=10.0, log=1024, founded=True), 1).run()
+        world = World(
+            Plan(
+                regions=8,
+                members=24,
+                keepers=8,
+                customers=40,
+                changes=400.0,
+                seconds=30.0,
+                quiet=25.0,
+                loss=0.01,
+                faults=0.0,
+                acts=False,
+                lease=10.0,
+                log=1024,
+                founded=True,
+            ),
+            1,
+        ).run()
         rows = [event for event in world.events.rows if event.what == "set" and event.at > 0]
         self.assertGreater(len(rows), 120)
         self.assertEqual((world.wanted, judge(world.events.rows)), ([], []))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -138,9 +138,13 @@
 
         def by_arrival(self, lend, now):
             after = lent_by(self, lend, now)
-            return replace(after, held=tuple((*row[:3], Loan(row[3].units, now + self.lease))
-                                             if row not in self.held else row
-                                             for row in after.held))
+            return replace(
+                after,
+                held=tuple(
+                    (*row[:3], Loan(row[3].units, now + self.lease)) if row not in self.held else row
+                    for row in after.held
+                ),
+            )
 
         def twice(self, lend, now):
             after = lent_by(self, lend, now)
@@ -153,12 +157,13 @@
             return lent_by(self, replace(lend, taker_life=self.life), now)
 
         depths = {"by arrival": 8, "life ignored": 9}
-        for name, patch in {"life ignored": mock.patch.object(State, "lent_by", any_life),
-                            "by arrival": mock.patch.object(State, "lent_by", by_arrival),
-                            "twice": mock.patch.object(State, "lent_by", twice),
-                            "forgets": mock.patch.object(State, "own", forgets),
-                            "owner's short": mock.patch.object(State, "_surely",
-                                                               lambda self: surely(self) // 2)}.items():
+        for name, patch in {
+            "life ignored": mock.patch.object(State, "lent_by", any_life),
+            "by arrival": mock.patch.object(State, "lent_by", by_arrival),
+            "twice": mock.patch.object(State, "lent_by", twice),
+            "forgets": mock.patch.object(State, "own", forgets),
+            "owner's short": mock.patch.object(State, "_surely", lambda self: surely(self) // 2),
+        }.items():
             with self.subTest(name), patch, self.assertRaises(check.Exceeded):
                 check.check(depths.get(name, 6), parts=(2, 0))
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,8 +28,11 @@
 
 
 def job(tag: str, kind: str = "render", body: bytes = b"hello", within: int = 2900) -> bytes:
-    return (b"POST /%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n"
-            b"Content-Length: %d\r\n\r\n%s" % (kind.encode(), tag.encode(), kind.encode(), within, len(body), body))
+    return (
+        b"POST /%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n"
+        b"Content-Length: %d\r\n\r\n%s"
+        % (kind.encode(), tag.encode(), kind.encode(), within, len(body), body)
+    )
 
 
 async def one_answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
@@ -59,16 +62,38 @@
                 await played(reader, writer)
             writer.close()
 
-        server = await (asyncio.start_server(plays, "127.0.0.1", 0) if sock is None
-                        else asyncio.start_server(plays, sock=sock))
+        server = await (
+            asyncio.start_server(plays, "127.0.0.1", 0)
+            if sock is None
+            else asyncio.start_server(plays, sock=sock)
+        )
         self.addCleanup(server.close)
         return "{}:{}".format(*server.sockets[0].getsockname())
 
     async def tells_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        line = json.dumps({"index": 1, "snapshot": True, "endpoints": [
-            {"name": f"w{i}", "address": address, "zone": "a", "type": "m1", "group": 0, "status": "active",
-             "weight": 1.0, "since_ms": 0} for i, address in enumerate(self.listed)]}).encode() + b"\n"
+        line = (
+            json.dumps(
+                {
+                    "index": 1,
+                    "snapshot": True,
+                    "endpoints": [
+                        {
+                            "name": f"w{i}",
+                            "address": address,
+                            "zone": "a",
+                            "type": "m1",
+                            "group": 0,
+                            "status": "active",
+                            "weight": 1.0,
+                            "since_ms": 0,
+                        }
+                        for i, address in enumerate(self.listed)
+                    ],
+                }
+            ).encode()
+            + b"\n"
+        )
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
         await reader.read()
 
@@ -82,7 +107,7 @@
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             if not head.startswith(b"POST"):
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{\"x0\":8,\"queue\":0}")
+                writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"x0":8,"queue":0}')
                 continue
             tag = head.split(b"Req-Id: ")[1].split(b"\r\n")[0].decode()
             self.event(self.came, tag).set()
@@ -105,7 +130,9 @@
 
     async def back(self, name: str, tag: str, body: bytes, *between: Awaitable[Any]) -> None:
         """The callback, on a connection of its own; in halves, with something between them."""
-        told = json.dumps({"id": tag, "from": name, "state": "done", "result": body.decode().upper()}).encode()
+        told = json.dumps(
+            {"id": tag, "from": name, "state": "done", "result": body.decode().upper()}
+        ).encode()
         call = b"POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(call[:-9])
@@ -117,12 +144,23 @@
 
     async def start(self, *listed: str, ready: bool = True, env: dict[str, str] | None = None) -> None:
         self.listed = list(listed)
-        schemes = [{**scheme, "Expiry": int(LONGEST * 1e9), "SlaTime": int(1e9)} for scheme in SETTINGS["Schemes"]]
+        schemes = [
+            {**scheme, "Expiry": int(LONGEST * 1e9), "SlaTime": int(1e9)} for scheme in SETTINGS["Schemes"]
+        ]
         config = self.folder / "config.json"
-        config.write_text(json.dumps({
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d27a5be964",
-            "discovery": await self.listen(self.tells_list), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": {**SETTINGS, "Schemes": schemes}}))
+        config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "seed": "8c1f30d27a5be964",
+                    "discovery": await self.listen(self.tells_list),
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "known": {"index": 0, "snapshot": True, "endpoints": []},
+                    "settings": {**SETTINGS, "Schemes": schemes},
+                }
+            )
+        )
         await self.spawn(config, env or {})
         async with asyncio.timeout(20.0):
             while True:
@@ -136,8 +174,14 @@
 
     async def spawn(self, config: Path, env: dict[str, str]) -> None:
         self.program = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pathsaddle", cwd=ROOT, env={**os.environ, "GW_CONFIG": str(config), **env},
-            stdin=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "pathsaddle",
+            cwd=ROOT,
+            env={**os.environ, "GW_CONFIG": str(config), **env},
+            stdin=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.addAsyncCleanup(self.gone)
 
     async def gone(self) -> None:
@@ -202,13 +246,18 @@
         body = b"x" * 60_000
         events = asyncio.get_running_loop()
         readers, begun = {}, events.time()
-        for tag, kind in (("part", "render"), ("written", "charge"), ("taken", "charge"), ("halves", "charge"),
-                          ("never", "charge")):
+        for tag, kind in (
+            ("part", "render"),
+            ("written", "charge"),
+            ("taken", "charge"),
+            ("halves", "charge"),
+            ("never", "charge"),
+        ):
             readers[tag], _ = await self.connect(job(tag, kind, body))
         for tag in readers:
             await asyncio.wait_for(self.event(self.came, tag).wait(), 5.0)
         call = job("body", "charge", body)
-        readers["body"], sends = await self.connect(call[:-len(body)])
+        readers["body"], sends = await self.connect(call[: -len(body)])
         small = socket.socket()
         small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         small.connect(("127.0.0.1", self.port))
@@ -319,7 +368,9 @@
         return await asyncio.wait_for(self.program.wait(), 5.0)
 
     async def test_told_to_end_while_it_loads_it_exits_0_at_once(self) -> None:
-        where = self.stub("uvloop", "import sys\nprint('loading', file=sys.stderr, flush=True)\nsys.stdin.read()\n")
+        where = self.stub(
+            "uvloop", "import sys\nprint('loading', file=sys.stderr, flush=True)\nsys.stdin.read()\n"
+        )
         for told in (signal.SIGTERM, signal.SIGINT):
             await self.spawn(self.folder / "none.json", where)
             self.log = b""
@@ -333,7 +384,9 @@
         fifo = self.folder / "config.json"
         os.mkfifo(fifo)
         await self.spawn(fifo, {})
-        writing = await asyncio.to_thread(os.open, fifo, os.O_WRONLY)  # it has opened it, and waits for the text
+        writing = await asyncio.to_thread(
+            os.open, fifo, os.O_WRONLY
+        )  # it has opened it, and waits for the text
         self.addCleanup(os.close, writing)
         self.program.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.wait_for(self.program.wait(), 5.0), 0)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -27,8 +27,9 @@
         told = site("kolari-castings")
         effects = [scheme["effect"] for scheme in told["class"]]
         self.assertGreater(effects.count("unsafe"), len(effects) / 2)
-        self.assertTrue(all(scheme["work_ms"][0] >= 500 and scheme["deadline_ms"] >= 10_000
-                            for scheme in told["class"]))
+        self.assertTrue(
+            all(scheme["work_ms"][0] >= 500 and scheme["deadline_ms"] >= 10_000 for scheme in told["class"])
+        )
         self.assertEqual((told["discovery"]["mode"], "tenant" in told), ("push", False))
 
     def test_the_other_is_short_referenced_work_asked_for_and_never_two_at_once(self) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -41,6 +41,7 @@
 class Peers(unittest.IsolatedAsyncioTestCase):
     async def peer(self, answering: Answering) -> str:
         """A listener that plays a worker or discovery; its address."""
+
         async def played(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.came += 1
             try:
@@ -79,7 +80,9 @@
             self.ahead += 0.05
         self.assertEqual(self.came, 1)
 
-    async def test_a_link_rests_after_an_answer_while_a_second_one_may_come_and_never_after_a_look(self) -> None:
+    async def test_a_link_rests_after_an_answer_while_a_second_one_may_come_and_never_after_a_look(
+        self,
+    ) -> None:
         async def looked_at(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readuntil(b"\r\n\r\n"):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -109,6 +112,7 @@
         next posting, which is being done, looked as if it had never run."""
         declined = b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
         for apart in (False, True):
+
             def twice(apart: bool = apart) -> Answering:
                 async def answers(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                     await reader.readuntil(b"\r\n\r\nx")
@@ -122,6 +126,7 @@
                         await self.again.wait()
                         writer.write(declined)
                     await reader.read()
+
                 return answers
 
             self.first, self.again = asyncio.Event(), asyncio.Event()
@@ -134,7 +139,9 @@
                 while not link.ended and not link.sock.stirred():
                     await asyncio.sleep(0)
             else:
-                with self.assertRaises(Lost):  # which of the two is meant nobody knows: no proof that it never ran
+                with self.assertRaises(
+                    Lost
+                ):  # which of the two is meant nobody knows: no proof that it never ran
                     await self.post(workers)
             self.ahead += 0.06
             self.assertEqual((await self.post(workers)).status, 202, apart)
@@ -143,10 +150,18 @@
         """Behind the posting: its own answer counts and the link is used no more. Before it: another link is used. With
         503, which a posting may be answered with too: it may have run, and the late 202 is no other call's."""
         looked = b"HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n"
-        for status, before, expected in ((b"200 OK", False, [202, 202]), (b"200 OK", True, [202, 202]),
-                                         (b"503 No", False, [503, 202])):
-            async def answers(reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                              status: bytes = status, before: bool = before) -> None:
+        for status, before, expected in (
+            (b"200 OK", False, [202, 202]),
+            (b"200 OK", True, [202, 202]),
+            (b"503 No", False, [503, 202]),
+        ):
+
+            async def answers(
+                reader: asyncio.StreamReader,
+                writer: asyncio.StreamWriter,
+                status: bytes = status,
+                before: bool = before,
+            ) -> None:
                 looks = 0
                 while head := await reader.readuntil(b"\r\n\r\n"):  # breaks off where the link is ended
                     if head.startswith(b"GET"):
@@ -240,9 +255,13 @@
         self.assertEqual(seen, [(False, True)])
 
     async def test_answers_without_end_are_bounded_and_interim_ones_are_none(self) -> None:
-        pieces = iter((b"HTTP/1.1 100 Continue\r\n\r\n" * 3 + ACCEPTED,
-                       b"HTTP/1.1 202 A\r\nX: " + b"y" * 40_000,
-                       b"HTTP/1.1 202 A\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 80_000))
+        pieces = iter(
+            (
+                b"HTTP/1.1 100 Continue\r\n\r\n" * 3 + ACCEPTED,
+                b"HTTP/1.1 202 A\r\nX: " + b"y" * 40_000,
+                b"HTTP/1.1 202 A\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 80_000,
+            )
+        )
 
         async def endless(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\nx")
@@ -399,8 +418,9 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         self.assertLessEqual(self.counters["accept.emfile"], 7 * max(1.0, took / 0.2), "it spins")
         waiting.setblocking(False)
-        self.assertIn(b"200 OK", await asyncio.wait_for(
-            asyncio.get_running_loop().sock_recv(waiting, 100), BOUND))
+        self.assertIn(
+            b"200 OK", await asyncio.wait_for(asyncio.get_running_loop().sock_recv(waiting, 100), BOUND)
+        )
         waiting.close()
 
     async def test_a_peer_that_does_not_read_is_let_go_and_others_are_served(self) -> None:
@@ -420,8 +440,10 @@
         self.assertIn(b"413", await reader.readuntil(b"\r\n\r\n"))
 
     async def test_the_next_call_may_come_in_pieces_before_the_answer_to_the_first(self) -> None:
-        job = (b"POST /render HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: render\r\nReq-Owner: acme\r\n"
-               b"Req-Deadline-Ms: 100\r\nContent-Length: 0\r\n\r\n")
+        job = (
+            b"POST /render HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: render\r\nReq-Owner: acme\r\n"
+            b"Req-Deadline-Ms: 100\r\nContent-Length: 0\r\n\r\n"
+        )
         reader, writer = await self.connect(job + b"GET /re")
         self.assertIn(b"503", await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), BOUND))
         await asyncio.sleep(0.02)
@@ -446,9 +468,14 @@
         kept, writer = await self.connect(b"GET /ready HTTP/1.1\r\n\r\n")
         await kept.readuntil(b"\r\n\r\n")
         silent, _ = await self.connect(b"")
-        halves = [(await self.connect(half))[0] for half in (
-            b"POST /render HT", b"POST /render HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc",
-            b"GET /ready HTTP/1.1\r\n\r\nGET /re")]
+        halves = [
+            (await self.connect(half))[0]
+            for half in (
+                b"POST /render HT",
+                b"POST /render HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc",
+                b"GET /ready HTTP/1.1\r\n\r\nGET /re",
+            )
+        ]
         await asyncio.sleep(0.05)
         with mock.patch.multiple(front_module, COMES=SECOND // 50, QUIET=SECOND // 50):
             self.front.sweep()
@@ -481,8 +508,10 @@
         self.assertEqual((self.front.held, first.at_eof()), (0, False))
 
     async def test_strangers_leave_before_usual_peers_whose_idle_connections_are_kept(self) -> None:
-        job = (b"POST /render HTTP/1.1\r\nReq-Id: a\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 10\r\n"
-               b"Content-Length: 0\r\n\r\n")
+        job = (
+            b"POST /render HTTP/1.1\r\nReq-Id: a\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 10\r\n"
+            b"Content-Length: 0\r\n\r\n"
+        )
         self.front.free = 12
         usual, writer = await self.connect(job)
         self.assertIn(b"503", await asyncio.wait_for(usual.readuntil(b"\r\n\r\n"), BOUND))
@@ -511,8 +540,7 @@
                     done.set()
 
         self.counters = Counters()
-        self.discovery = DiscoveryWatch(
-            await self.peer(answering), 4, Told(), self.counters)  # type: ignore[arg-type]
+        self.discovery = DiscoveryWatch(await self.peer(answering), 4, Told(), self.counters)  # type: ignore[arg-type]
         with mock.patch.multiple(discovery_module, LIST_SILENT=SECOND, FIRST=2 * SECOND):
             self.discovery.ask()
             await asyncio.wait_for(done.wait(), BOUND)
@@ -536,7 +564,9 @@
             await reader.read()
 
         beat = (ListNews.CHANGES, 0)  # each is told: word stands for so long after it, and no longer
-        self.assertEqual(await self.watch(beats), [(ListNews.WHOLE, 1), beat, beat, beat, (ListNews.SILENT, 0)])
+        self.assertEqual(
+            await self.watch(beats), [(ListNews.WHOLE, 1), beat, beat, beat, (ListNews.SILENT, 0)]
+        )
         self.assertIn(b"index=4 ", self.call)
         self.assertEqual((self.discovery.index, self.came, self.counters["watch_end.silent"]), (5, 1, 1))
 
@@ -548,11 +578,17 @@
         self.assertEqual(self.counters["watch_end.unanswered"], 1)
 
     async def test_a_call_that_fails_or_makes_no_sense_is_told_once(self) -> None:
-        for said, code in ((b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "status-503"), (b"", "closed"),
-                           (self.HEAD + self.chunk(b"{}\n"), "malformed"), (b"what?\r\n", "malformed"),
-                           (self.HEAD + self.chunk(self.LINE) + b"0\r\n\r\n", "ended")):
-            async def says(reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                           said: bytes = said) -> None:
+        for said, code in (
+            (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "status-503"),
+            (b"", "closed"),
+            (self.HEAD + self.chunk(b"{}\n"), "malformed"),
+            (b"what?\r\n", "malformed"),
+            (self.HEAD + self.chunk(self.LINE) + b"0\r\n\r\n", "ended"),
+        ):
+
+            async def says(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, said: bytes = said
+            ) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(said)
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,8 +20,16 @@
         await reader.read()
 
     def row(self, i: int, status: str = "active") -> dict[str, object]:
-        return {"name": f"w{i}", "address": self.listed[i], "zone": "a", "type": "m1", "group": 0, "status": status,
-                "weight": 1.0, "since_ms": 0}
+        return {
+            "name": f"w{i}",
+            "address": self.listed[i],
+            "zone": "a",
+            "type": "m1",
+            "group": 0,
+            "status": status,
+            "weight": 1.0,
+            "since_ms": 0,
+        }
 
     def line(self, index: int, whole: bool, *rows: dict[str, object]) -> bytes:
         said = json.dumps({"index": index, "snapshot": whole, "endpoints": list(rows)}).encode() + b"\n"
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -62,6 +62,7 @@
 
         def other(frame, event, told):
             seen.append(frame.f_code.co_name)
+
         steps = Steps()
         sys.settrace(other)
         try:
@@ -113,6 +114,7 @@
             plan = plans.read(self.file(f"{SMALL}[bounds]\nlines = {lines}\n"))
             results = Run(plan, Store(self.folder / "none"), fresh=True, jobs=1).go()
             return failings(plan, results), results[0].lines
+
         found(100)  # what is imported or worked out once is behind it
         wrong, lines = found(100)
         self.assertGreater(lines, 1000)
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -53,8 +53,15 @@
     def forget(self, worker: str) -> None:
         pass
 
-    async def call(self, worker: str, method: str, target: bytes, headers: Any, body: bytes = b"",
-                   begins: Callable[[Sending], None] = lambda sending: None) -> Message:
+    async def call(
+        self,
+        worker: str,
+        method: str,
+        target: bytes,
+        headers: Any,
+        body: bytes = b"",
+        begins: Callable[[Sending], None] = lambda sending: None,
+    ) -> Message:
         self.calls.append(PlayedCall(worker, method, begins))
         self.calls[-1].headers = headers
         return await self.calls[-1].reply
@@ -69,15 +76,23 @@
         self.played: Any = PlayedWorkers()
         self.answers: list[tuple[int, bytes, tuple[str, ...]]] = []
         self.counters = Counters()
-        self.service = TxnService(known, Words(told, known), 7, Clock(), self.played, self.counters,
-                                  lambda: None)
+        self.service = TxnService(
+            known, Words(told, known), 7, Clock(), self.played, self.counters, lambda: None
+        )
         self.rows = [Row(Worker(f"w{n}"), "x:1") for n in range(workers)]
         self.service.listed(ListNews.WHOLE, self.rows)
 
     async def ask(self, tag: str = "a", kind: str = "render", within: str = "5000") -> Entry:
-        call = Message(b"POST", f"/{kind}".encode(), headers={
-            b"req-id": tag.encode(), b"req-kind": kind.encode(), b"req-owner": b"acme",
-            b"req-deadline-ms": within.encode()})
+        call = Message(
+            b"POST",
+            f"/{kind}".encode(),
+            headers={
+                b"req-id": tag.encode(),
+                b"req-kind": kind.encode(),
+                b"req-owner": b"acme",
+                b"req-deadline-ms": within.encode(),
+            },
+        )
         entry = self.service.take(call, lambda *answer: self.answers.append(answer[:3]))
         await self.settle()
         return entry
@@ -92,8 +107,12 @@
         await self.settle()
 
     async def replies(self, call: PlayedCall, status: int, **headers: bytes) -> None:
-        call.reply.set_result(Message(status=status, headers={
-            name.replace("_", "-").encode(): value for name, value in headers.items()}))
+        call.reply.set_result(
+            Message(
+                status=status,
+                headers={name.replace("_", "-").encode(): value for name, value in headers.items()},
+            )
+        )
         await self.settle()
 
     async def test_taken_then_done_is_settled_with_the_workers_result(self) -> None:
@@ -119,8 +138,9 @@
                 self.service.listed(ListNews.CHANGES, [Row(row, "x:1")])
             elif late == "window":
                 txn.scheme = dataclasses.replace(txn.scheme, semantics=Semantics.REFERENCED, window=SECOND)
-                before = Posting(txn, posting.worker, 0, self.service.loop.now - SECOND,
-                                 outcome=Outcome.RESET)
+                before = Posting(
+                    txn, posting.worker, 0, self.service.loop.now - SECOND, outcome=Outcome.RESET
+                )
                 txn.postings.insert(0, before)
             elif late == "expired":
                 txn.expires = self.service.clock.now()
@@ -130,7 +150,9 @@
             if late != "in time":
                 self.assertIs(posting.outcome, Outcome.MOOT, late)
 
-    async def test_a_worker_is_told_what_is_left_at_the_first_byte_not_when_its_connection_was_asked_for(self) -> None:
+    async def test_a_worker_is_told_what_is_left_at_the_first_byte_not_when_its_connection_was_asked_for(
+        self,
+    ) -> None:
         """A dial of a second, and the worker hoped for a second longer than the client would wait."""
         self.open()
         entry = await self.ask(within="5000")
@@ -261,8 +283,11 @@
         self.assertTrue(self.played.calls[0].withheld)
 
     async def test_where_dropped_workers_stay_open_a_posting_is_withheld_by_a_draining_alone(self) -> None:
-        for stay_open, told, withheld in ((True, ["GONE"], False), (False, ["GONE"], True),
-                                          (True, ["DRAINING", "GONE"], True)):
+        for stay_open, told, withheld in (
+            (True, ["GONE"], False),
+            (False, ["GONE"], True),
+            (True, ["DRAINING", "GONE"], True),
+        ):
             self.open(dropped_stay_open=stay_open)
             await self.ask()
             for standing in told:
@@ -348,7 +373,9 @@
         turns, turn = [], self.service.loop.turn
         self.service.loop.turn = lambda: (turns.append(1), turn())[1]  # type: ignore[method-assign]
         for tag in ("a", "b", "c"):
-            self.service.take(Message(b"POST", b"/render", headers={
-                b"req-id": tag.encode(), b"req-owner": b"acme"}), lambda *_: None)
+            self.service.take(
+                Message(b"POST", b"/render", headers={b"req-id": tag.encode(), b"req-owner": b"acme"}),
+                lambda *_: None,
+            )
         await self.settle()
         self.assertEqual(len(turns), 1)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -28,6 +28,7 @@
     def run_all(self, *work: Coroutine[Any, Any, Any]) -> list[Any]:
         async def all_of_it() -> list[Any]:
             return await asyncio.gather(*work)
+
         return list(self.loop.run_until_complete(all_of_it()))
 
     def listen(self, host: Host, backlog: int = 8) -> Any:
@@ -46,6 +47,7 @@
         async def long() -> float:
             await asyncio.sleep(86_400.0)
             return self.loop.time()
+
         self.assertEqual(self.run_all(long()), [86_400.0])
 
     def test_what_is_due_at_one_moment_runs_in_the_order_in_which_it_was_asked_for(self) -> None:
@@ -60,6 +62,7 @@
         async def spins() -> None:
             while True:
                 await asyncio.sleep(0)
+
         self.one.run(spins)
         with mock.patch.object(moments, "STEPS", 1000), self.assertRaises(Spinning) as caught:
             self.loop.run_forever()
@@ -69,6 +72,7 @@
         async def hangs() -> None:
             while True:
                 pass
+
         self.one.run(hangs)
         with mock.patch.object(moments, "PATIENCE", 1), self.assertRaises(Spinning) as caught:
             self.loop.run_forever()
@@ -90,6 +94,7 @@
                 await self.loop.sock_sendall(client, b"more")
             await self.loop.sock_sendall(there, b"answer")
             return await self.loop.sock_recv(client, 10)
+
         self.assertEqual(self.run_all(story()), [b"answer"])
 
     def test_closing_with_bytes_unread_resets(self) -> None:
@@ -99,6 +104,7 @@
             there.close()
             with self.assertRaises(ConnectionResetError):
                 await self.loop.sock_recv(client, 10)
+
         self.run_all(story())
 
     def test_a_sender_waits_for_a_slow_reader(self) -> None:
@@ -109,11 +115,13 @@
                 for _ in range(9):
                     await asyncio.sleep(1.0)
                     await self.loop.sock_recv(there, 100_000)
+
             reading = self.loop.create_task(slow())
             await self.loop.sock_sendall(client, b"x" * 900_000)
             sent = self.loop.time()
             await reading
             return sent
+
         self.assertGreater(self.run_all(story())[0], 5.0)
 
     def test_a_full_accept_queue_lets_connects_hang_until_there_is_room(self) -> None:
@@ -124,11 +132,14 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(5.0):
                     await self.loop.sock_connect(self.net.stream(self.other), ("10.0.0.1", 80))
-            late = self.loop.create_task(self.loop.sock_connect(self.net.stream(self.other), ("10.0.0.1", 80)))
+            late = self.loop.create_task(
+                self.loop.sock_connect(self.net.stream(self.other), ("10.0.0.1", 80))
+            )
             await asyncio.sleep(1.0)
             self.assertFalse(late.done())
             await self.loop.sock_accept(server)
             await late
+
         self.run_all(story())
 
     def test_descriptors_used_up_fail_the_next_socket_and_the_next_accept(self) -> None:
@@ -142,6 +153,7 @@
             self.assertEqual(caught.exception.errno, errno.EMFILE)
             with self.assertRaises(OSError):
                 self.net.stream(few)
+
         self.run_all(story())
 
     def test_a_killed_host_runs_no_more_and_its_connections_are_reset(self) -> None:
@@ -164,6 +176,7 @@
             with self.assertRaises(ConnectionRefusedError):
                 await self.loop.sock_connect(self.net.stream(self.other), ("10.0.0.1", 80))
             await asyncio.sleep(5.0)
+
         self.run_all(story())
         self.assertEqual(ran, [1.0, 2.0, -1.0])
         self.assertEqual(self.loop.faults, [])
@@ -174,6 +187,7 @@
         async def life() -> None:
             self.loop.add_signal_handler(15, heard.append, 15)
             await asyncio.sleep(9.0)
+
         self.one.run(life)
         self.loop.call_later(1.0, self.one.signal, 15)
         self.loop.call_later(1.0, self.other.signal, 15)
@@ -186,9 +200,23 @@
         found = []
         for seed, hash_seed in ((7, "0"), (7, "12345"), (8, "0")):
             done = subprocess.run(
-                [sys.executable, "-m", "pathsaddle", "demo", "--virtual", "--seed", str(seed), "--seconds", "8"],
-                cwd=ROOT, capture_output=True, text=True, check=False,
-                env={**os.environ, "PYTHONHASHSEED": hash_seed})
+                [
+                    sys.executable,
+                    "-m",
+                    "pathsaddle",
+                    "demo",
+                    "--virtual",
+                    "--seed",
+                    str(seed),
+                    "--seconds",
+                    "8",
+                ],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=False,
+                env={**os.environ, "PYTHONHASHSEED": hash_seed},
+            )
             self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
             found.append(done.stdout.rpartition("digest ")[2].split()[0])
         self.assertEqual(found[0], found[1])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,9 +10,11 @@
 from pathsaddle.trade import ListNews, Outcome, Semantics, Standing
 from tests.fakehost import SETTINGS
 
-JOB = (b"POST /render?k=7f HTTP/1.1\r\nHost: app.svc\r\nReq-Id: a1\r\nReq-Kind: render\r\nReq-Owner: acme\r\n"
-       b"Req-Deadline-Ms: 480\r\nReq-Cost: 1234\r\nReq-Extra: slots=2,memory=1.5\r\n"
-       b"Content-Length: 5\r\n\r\nhello")
+JOB = (
+    b"POST /render?k=7f HTTP/1.1\r\nHost: app.svc\r\nReq-Id: a1\r\nReq-Kind: render\r\nReq-Owner: acme\r\n"
+    b"Req-Deadline-Ms: 480\r\nReq-Cost: 1234\r\nReq-Extra: slots=2,memory=1.5\r\n"
+    b"Content-Length: 5\r\n\r\nhello"
+)
 
 
 def words() -> Words:
@@ -33,7 +35,7 @@
             piece = bytes([turn]) * (1 + turn * 37 % 3000)
             ring.put(piece)
             went += piece
-            part = ring.data()[:1 + turn * 53 % 2500]
+            part = ring.data()[: 1 + turn * 53 % 2500]
             came += part
             ring.drop(len(part))
         while ring:
@@ -68,8 +70,10 @@
         for cut in range(1, len(JOB)):
             call = called(JOB[:cut], JOB[cut:]).next()
             assert call is not None
-            self.assertEqual((call.method, call.target, call.body, call.headers[b"req-id"], call.keep),
-                             (b"POST", b"/render?k=7f", b"hello", b"a1", True))
+            self.assertEqual(
+                (call.method, call.target, call.body, call.headers[b"req-id"], call.keep),
+                (b"POST", b"/render?k=7f", b"hello", b"a1", True),
+            )
 
     def test_one_call_at_a_time_and_the_next_after_its_answer(self) -> None:
         machine = called(JOB + JOB.replace(b"a1", b"a2"))
@@ -111,11 +115,17 @@
     def test_what_hides_another_call_or_is_half_understood_is_never_a_call(self) -> None:
         framed, chunked = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n"
         for head, status in (
-                (framed + chunked, 400), (chunked + framed, 400), (framed * 2, 400),
-                (framed + b" a: b\r\n", 400),
-                (chunked.replace(b": ", b" : "), 400), (b"Transfer-Encoding: gzip, chunked\r\n", 501),
-                (b"Content-Length: -5\r\n", 400), (b"Content-Length: 60000000 \r\n", 413),
-                (b"Content-Length: " + b"9" * 30 + b"\r\n", 400), (framed + b"Req-Id: b2\r\n", 400)):
+            (framed + chunked, 400),
+            (chunked + framed, 400),
+            (framed * 2, 400),
+            (framed + b" a: b\r\n", 400),
+            (chunked.replace(b": ", b" : "), 400),
+            (b"Transfer-Encoding: gzip, chunked\r\n", 501),
+            (b"Content-Length: -5\r\n", 400),
+            (b"Content-Length: 60000000 \r\n", 413),
+            (b"Content-Length: " + b"9" * 30 + b"\r\n", 400),
+            (framed + b"Req-Id: b2\r\n", 400),
+        ):
             machine = called(JOB.replace(framed, head))
             self.assertIsNone(machine.next(), head)
             self.assertTrue(machine.objection().startswith(b"HTTP/1.1 %d" % status), head)
@@ -125,17 +135,21 @@
             self.assertTrue(machine.objection().startswith(b"HTTP/1.1 %d" % status))
 
     def test_a_trailer_changes_nothing_of_what_was_said_in_the_head(self) -> None:
-        call = called(JOB.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
-                      + b"5\r\nhello\r\n0\r\nReq-Id: b2\r\n\r\n").next()
+        call = called(
+            JOB.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
+            + b"5\r\nhello\r\n0\r\nReq-Id: b2\r\n\r\n"
+        ).next()
         self.assertEqual(call and (call.headers[b"req-id"], call.body), (b"a1", b"hello"))
         self.assertNotIn((b"Req-Id", b"b2"), call and call.lines)
 
     def test_a_line_or_framing_without_end_is_objected_to_before_it_takes_memory(self) -> None:
         chunked = JOB.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
-        for begins, piece, status in ((b"GET / HTTP/1.1\r\nX: ", b"y" * 1000, 431),
-                                      (b"GET /", b"y" * 1000, 431),
-                                      (chunked + b"1;", b"y" * 1000, 413),
-                                      (chunked + b"0\r\nX: ", b"y" * 1000, 413)):
+        for begins, piece, status in (
+            (b"GET / HTTP/1.1\r\nX: ", b"y" * 1000, 431),
+            (b"GET /", b"y" * 1000, 431),
+            (chunked + b"1;", b"y" * 1000, 413),
+            (chunked + b"0\r\nX: ", b"y" * 1000, 413),
+        ):
             machine, fed = called(begins), 0
             while not machine.objection():
                 machine.feed(piece)
@@ -157,8 +171,10 @@
 
 class CallingStory(unittest.TestCase):
     def test_an_answer_split_anywhere_is_the_same_answer(self) -> None:
-        answer = (b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nSrv-Load: inflight=7,queue=2,x0=0.5\r\n"
-                  b"Content-Length: 2\r\n\r\nno")
+        answer = (
+            b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nSrv-Load: inflight=7,queue=2,x0=0.5\r\n"
+            b"Content-Length: 2\r\n\r\nno"
+        )
         for cut in range(1, len(answer)):
             machine = Calling()
             machine.ask("POST", b"/render", "w:1", [])
@@ -175,18 +191,43 @@
     def test_only_202_takes_a_posting_and_only_a_marked_503_says_it_never_ran(self) -> None:
         marked = {b"srv-declined": b"1"}
         for status, headers, outcome in (
-                (202, {}, None), (503, marked, Outcome.FULL), (504, marked, Outcome.FULL),
-                (503, {}, Outcome.ERROR), (500, {}, Outcome.ERROR), (200, {}, Outcome.ERROR),
-                (429, {}, Outcome.ERROR), (400, {}, Outcome.UNUSABLE), (404, marked, Outcome.UNUSABLE)):
+            (202, {}, None),
+            (503, marked, Outcome.FULL),
+            (504, marked, Outcome.FULL),
+            (503, {}, Outcome.ERROR),
+            (500, {}, Outcome.ERROR),
+            (200, {}, Outcome.ERROR),
+            (429, {}, Outcome.ERROR),
+            (400, {}, Outcome.UNUSABLE),
+            (404, marked, Outcome.UNUSABLE),
+        ):
             self.assertEqual(forms.outcome_of(Message(status=status, headers=headers)), outcome)
 
     def test_lines_of_the_list_split_anywhere_and_empty_ones_are_beats(self) -> None:
-        row = json.dumps({"index": 43, "snapshot": False, "endpoints": [
-            {"name": "s-1", "address": "10.1.0.18:8000", "zone": "b", "type": "m2", "group": 3,
-             "status": "leaving", "weight": 0.5, "since_ms": 1234567}]}).encode() + b"\n\n"
-        flow = (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + b"".join(b"%x\r\n%s\r\n" % (len(piece), piece)
-                           for piece in (row[i:i + 7] for i in range(0, len(row), 7))))
+        row = (
+            json.dumps(
+                {
+                    "index": 43,
+                    "snapshot": False,
+                    "endpoints": [
+                        {
+                            "name": "s-1",
+                            "address": "10.1.0.18:8000",
+                            "zone": "b",
+                            "type": "m2",
+                            "group": 3,
+                            "status": "leaving",
+                            "weight": 0.5,
+                            "since_ms": 1234567,
+                        }
+                    ],
+                }
+            ).encode()
+            + b"\n\n"
+        )
+        flow = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(
+            b"%x\r\n%s\r\n" % (len(piece), piece) for piece in (row[i : i + 7] for i in range(0, len(row), 7))
+        )
         for cut in range(1, len(flow)):
             machine = Calling(streams=True)
             machine.ask("GET", forms.watch_target(41), "d:1", [])
@@ -198,14 +239,21 @@
             index, news, rows = words().list_line(lines[0])
             worker = rows[0].worker
             self.assertEqual((index, news, rows[0].address), (43, ListNews.CHANGES, "10.1.0.18:8000"))
-            self.assertEqual((worker.zone, worker.machine, worker.cell, worker.standing, worker.started),
-                             (1, 1, 3, Standing.DRAINING, 12345670))
-
+            self.assertEqual(
+                (worker.zone, worker.machine, worker.cell, worker.standing, worker.started),
+                (1, 1, 3, Standing.DRAINING, 12345670),
+            )
 
     def test_a_list_may_come_indented_and_a_worker_may_be_called_by_a_brace(self) -> None:
         """Read a line at a time, each of its lines was malformed: the watch ended at the first, again and again."""
-        told = {"index": 43, "snapshot": True, "endpoints": [
-            {"name": name, "address": name, "zone": "a", "type": "m2", "status": "active"} for name in ("w}{", 'w"}\\', "w")]}
+        told = {
+            "index": 43,
+            "snapshot": True,
+            "endpoints": [
+                {"name": name, "address": name, "zone": "a", "type": "m2", "status": "active"}
+                for name in ("w}{", 'w"}\\', "w")
+            ],
+        }
         for indent in (None, 0, 2):
             body = json.dumps(told, indent=indent).encode() + b"\n\n"
             flow = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(body), body)
@@ -217,8 +265,9 @@
                 machine.feed(flow[cut:])
                 records += machine.records()
                 self.assertEqual((len(records), records[1]), (2, b""))
-                self.assertEqual([row.address for row in words().list_line(records[0])[2]],
-                                 ["w}{", 'w"}\\', "w"])
+                self.assertEqual(
+                    [row.address for row in words().list_line(records[0])[2]], ["w}{", 'w"}\\', "w"]
+                )
 
     def test_an_object_without_end_is_refused_before_it_takes_memory(self) -> None:
         machine = Calling(streams=True)
@@ -232,38 +281,62 @@
 
 class FormsStory(unittest.TestCase):
     def test_a_status_that_nobody_knows_spoils_no_line_and_gets_nothing_new(self) -> None:
-        _, _, rows = words().list({"index": 1, "endpoints": [{"name": "a", "status": "dreaming"},
-                                                             {"name": "b", "status": "active"}]})
+        _, _, rows = words().list(
+            {
+                "index": 1,
+                "endpoints": [{"name": "a", "status": "dreaming"}, {"name": "b", "status": "active"}],
+            }
+        )
         self.assertEqual([row.worker.standing for row in rows], [Standing.DRAINING, Standing.READY])
 
     def test_a_call_becomes_a_txn_with_every_time_on_the_safe_side(self) -> None:
         call = called(JOB.replace(b"480", b"480.06")).next()
         assert call is not None
         txn = words().txn(call, 1000)
-        self.assertEqual((txn.tag, txn.expires, txn.hint, txn.slots, txn.memory, txn.repeat),
-                         ("a1", 1000 + 4800, 13, 2.0, 1.5, False))
+        self.assertEqual(
+            (txn.tag, txn.expires, txn.hint, txn.slots, txn.memory, txn.repeat),
+            ("a1", 1000 + 4800, 13, 2.0, 1.5, False),
+        )
         self.assertIs(txn.scheme.semantics, Semantics.REPEATABLE)
-        self.assertEqual([forms.key_of(target) for target in (b"/x", b"/x?k=", b"/x?a=1&k=u7&k=u8", b"/x?kk=1")],
-                         [None, None, "u7", None])
+        self.assertEqual(
+            [forms.key_of(target) for target in (b"/x", b"/x?k=", b"/x?a=1&k=u7&k=u8", b"/x?kk=1")],
+            [None, None, "u7", None],
+        )
         self.assertEqual(txn.customer and txn.customer.index, 0)
 
     def test_what_a_client_says_goes_on_but_for_what_belongs_to_its_connection(self) -> None:
         call = called(JOB.replace(b"Host", b"Idempotency-Key: k1\r\nConnection: keep-alive\r\nHost")).next()
         assert call is not None
         headers = forms.posting_headers(call, 799)  # without its mark a repeat would not be known there
-        self.assertEqual(headers, [(b"Idempotency-Key", b"k1"), (b"Req-Id", b"a1"), (b"Req-Kind", b"render"),
-                                   (b"Req-Owner", b"acme"), (b"Req-Cost", b"1234"),
-                                   (b"Req-Extra", b"slots=2,memory=1.5"), (b"Req-Deadline-Ms", b"79")])
+        self.assertEqual(
+            headers,
+            [
+                (b"Idempotency-Key", b"k1"),
+                (b"Req-Id", b"a1"),
+                (b"Req-Kind", b"render"),
+                (b"Req-Owner", b"acme"),
+                (b"Req-Cost", b"1234"),
+                (b"Req-Extra", b"slots=2,memory=1.5"),
+                (b"Req-Deadline-Ms", b"79"),
+            ],
+        )
 
     def test_what_is_no_txn_is_refused_by_the_reason(self) -> None:
         figures = [b"soon", b"inf", b"nan", b"", b"-5", b"1_0", b"9" * 12, b"9" * 23, b"1e400", b"+1"]
         for old, new, status in (
-                (b"Req-Id: a1", b"X: 1", 400), (b"Req-Id: a1", b"Req-Id: a 1", 400),
-                (b"Req-Id: a1", b"Req-Id: " + b"a" * 200, 400), (b"Req-Kind: render", b"Req-Kind: x", 404),
-                (b"Req-Kind: render", b"Req-Kind: charge", 400), (b"/render", b"/", 404),
-                (b"acme", b"nobody", 403), (b"slots=2", b"slots=nan", 400), (b"slots=2", b"slots=0", 400),
-                (b"memory=1.5", b"memory=inf", 400), (b"1234", b"-1", 400),
-                *((b"480", figure, 400) for figure in figures)):
+            (b"Req-Id: a1", b"X: 1", 400),
+            (b"Req-Id: a1", b"Req-Id: a 1", 400),
+            (b"Req-Id: a1", b"Req-Id: " + b"a" * 200, 400),
+            (b"Req-Kind: render", b"Req-Kind: x", 404),
+            (b"Req-Kind: render", b"Req-Kind: charge", 400),
+            (b"/render", b"/", 404),
+            (b"acme", b"nobody", 403),
+            (b"slots=2", b"slots=nan", 400),
+            (b"slots=2", b"slots=0", 400),
+            (b"memory=1.5", b"memory=inf", 400),
+            (b"1234", b"-1", 400),
+            *((b"480", figure, 400) for figure in figures),
+        ):
             call = called(JOB.replace(old, new)).next()
             assert call is not None
             with self.assertRaises(Broken) as refused:
@@ -271,8 +344,9 @@
             self.assertEqual(refused.exception.status, status)
 
     def test_a_callback_carries_result_and_load_and_a_broken_one_is_refused(self) -> None:
-        told = words().callback(b'{"id":"a1","from":"s-1","state":"done","result":"\\u00e9",'
-                                b'"load":{"x0":1,"util":0.5}}')
+        told = words().callback(
+            b'{"id":"a1","from":"s-1","state":"done","result":"\\u00e9","load":{"x0":1,"util":0.5}}'
+        )
         self.assertEqual((told.tag, told.worker), ("a1", "s-1"))
         self.assertEqual((told.outcome, told.note), (Outcome.SETTLED, False))
         self.assertEqual(told.result, "é".encode())
