--- a/pathsaddle/charter/check.py
+++ b/pathsaddle/charter/check.py
@@ -221,8 +221,7 @@
         and made is not None
         and (
             "\0" in made
-            or place == "file"
-            and (not made or made.endswith(("/", "/.", "/..")) or made in (".", ".."))
+            or (place == "file" and (not made or made.endswith(("/", "/.", "/..")) or made in (".", "..")))
         )
     ):
         faults.append(NoPath(file, path, shown=shown(told), kind=place))
--- a/pathsaddle/charter/ground.py
+++ b/pathsaddle/charter/ground.py
@@ -55,7 +55,8 @@
     def _shares(self) -> None:
         """Before anything is built by the charter: what it has on disk it serves by from the first call on, and what asks
         for a restart was given one. Raises Faulty where the rows don't fit this charter: to serve without them would go back
-        behind what it has said to have."""
+        behind what it has said to have.
+        """
         from pathsaddle.settings.serving import Sharing
 
         shared = self.charter.settings
@@ -183,7 +184,8 @@
 
     def _applies(self, acting: Acting) -> None:
         """A revision of shared settings, whole or not at all. An offer that can't come into service is passed over: what it
-        withdraws is in force once we say to have its commit, and at that it is refused. Raises Faulty, Unfit."""
+        withdraws is in force once we say to have its commit, and at that it is refused. Raises Faulty, Unfit.
+        """
         if not acting.revision:
             return
         try:
@@ -214,7 +216,8 @@
 
     def retune(self, wanted: Charter) -> dict[str, str]:
         """Takes a checked charter into service as far as that can be, between two events; the keys that stay, each with
-        the reason."""
+        the reason.
+        """
         before, (self.charter, stays) = self.charter, in_service(self.charter, wanted)
         if self._service is not None:
             retune(self._service, before, self.charter)
--- a/pathsaddle/charter/metered.py
+++ b/pathsaddle/charter/metered.py
@@ -99,7 +99,7 @@
         self.meter = ControlMeter()
         self.meter.second_ended = self._second_ended
         self.bare_mb = memory_mb()
-        self._counted = {purpose: (0, 0, 0) for purpose in PURPOSES}
+        self._counted = dict.fromkeys(PURPOSES, (0, 0, 0))
         self._minute = 0  # the second at which it began
         self._spent_by = dict.fromkeys(PURPOSES, 0)  # processor time by then, ns
         self._said: dict[str, int] = {}  # by what was over: the second of its last line
--- a/pathsaddle/charter/service.py
+++ b/pathsaddle/charter/service.py
@@ -87,7 +87,8 @@
 
 def in_service(before: Charter, after: Charter) -> tuple[Charter, dict[str, str]]:
     """What the dispatcher of `before` can serve by now that `after` is wanted, and the keys that stay, with the reason:
-    those that ask for a restart, and such as do not fit them."""
+    those that ask for a restart, and such as do not fit them.
+    """
     stays = restarts(before, after)
     made = _of(before, after, [key for key in changes(before, after) if key not in stays])
     amiss = list(_amiss(made))
@@ -131,7 +132,8 @@
 
 def retune(service: TxnService, before: Charter, after: Charter) -> None:
     """Takes `after` into service where txns are served by `before`: as `in_service` has made it, so that nothing
-    in it asks for a restart."""
+    in it asks for a restart.
+    """
     schemes, customers = (
         differing(before.schemes, after.schemes),
         differing(before.customers, after.customers),
--- a/pathsaddle/charter/units.py
+++ b/pathsaddle/charter/units.py
@@ -47,7 +47,7 @@
     """A value the way it would stand in the file."""
     if isinstance(value, Duration):
         for unit, ticks in (("h", 36_000_000), ("min", 600_000), ("s", 10_000), ("ms", 10)):
-            if value and value % ticks == 0 or unit == "ms":
+            if (value and value % ticks == 0) or unit == "ms":
                 return f'"{value / ticks:g}{unit}"'
     if isinstance(value, Size):
         for unit in ("GiB", "MiB", "KiB"):
--- a/pathsaddle/choice.py
+++ b/pathsaddle/choice.py
@@ -95,7 +95,7 @@
         self.probe_purse, self.probe_always = 10 * self.probe_income, not terms.reports_in_answers
         self.probe_times: deque[int] = deque([self.tick], maxlen=16)
         self.tells_start, self.overtakes = terms.tells_start, terms.overtakes
-        self.hears = terms.reports_in_answers or terms.may_probe and terms.reports_in_probes
+        self.hears = terms.reports_in_answers or (terms.may_probe and terms.reports_in_probes)
         self.starts: deque[int] = deque(maxlen=32)  # from posting to start, over the last ones
         self.takes: deque[int] = deque(maxlen=32)  # from posting to the worker's word that it has it
         self.turned_away: deque[int] = deque(maxlen=8)  # when the last postings were turned away
@@ -147,7 +147,8 @@
 
     def retune(self, terms: Terms, still: Iterable[Scheme] = ()) -> None:
         """Terms that may change in service, from this moment on. A scheme whose index was there keeps what
-        was learnt of it; `still` are those that open txns were taken by and that are no more."""
+        was learnt of it; `still` are those that open txns were taken by and that are no more.
+        """
         if terms.fall_time > self.fall_time:
             self.born = self.now  # what went to the cold before the old span is forgotten: as after our start
         self.schemes, now_by = terms.schemes, {s.index: s for s in terms.schemes}
@@ -168,7 +169,7 @@
             or terms.schemes
         )
         self.all_at_risk = not any(map(self.runs_again_anywhere, self.for_trials))
-        self.looks_around = self.probe_every and (self.probe_always or self.all_at_risk and self.silence)
+        self.looks_around = self.probe_every and (self.probe_always or (self.all_at_risk and self.silence))
         self.max_postings, self.two_at_once = terms.max_postings, terms.two_at_once
         self.may_cancel, self.dropped_stay_open = terms.may_cancel, terms.dropped_stay_open
         self.cold_share, self.cold_time, self.fall_time = terms.cold_share, terms.cold_time, terms.fall_time
@@ -247,10 +248,8 @@
     def may_post(self, txn: Txn, worker: Worker) -> bool:
         """And whether to this worker; what is the same for all workers is asked once, for the CPU's sake."""
         return not any(
-            p.out
-            and p.worker is worker
-            or p.may_have_run
-            and not self.same_group(txn.scheme, p.worker, worker)
+            (p.out and p.worker is worker)
+            or (p.may_have_run and not self.same_group(txn.scheme, p.worker, worker))
             for p in txn.postings
         )
 
@@ -287,10 +286,8 @@
         return sum(p.outcome is Outcome.UNUSABLE for p in txn.postings) > 1
 
     def runs_again_anywhere(self, scheme: Scheme) -> bool:
-        return (
-            scheme.semantics is Semantics.REPEATABLE
-            or scheme.semantics is Semantics.REFERENCED
-            and scheme.group is Group.ALL
+        return scheme.semantics is Semantics.REPEATABLE or (
+            scheme.semantics is Semantics.REFERENCED and scheme.group is Group.ALL
         )
 
     def same_group(self, scheme: Scheme, one: Worker, other: Worker) -> bool:
@@ -343,13 +340,15 @@
 
     def waits(self, book: Book) -> int:
         """How long the first in line has waited. What was posted before one that has started, or before the
-        worker fell silent, is lost more likely than in line."""
+        worker fell silent, is lost more likely than in line.
+        """
         since = max(book.reached, book.doubted if book.suspect else 0)
         return next((self.now - p.sent for p in book.out if p.started is None and p.sent > since), 0)
 
     def burden(self, report: Report) -> float:
         """Jobs there less slots. Free slots behind a waiting job are no room: a third of those turned away
-        had gone to workers whose first in line waited for memory."""
+        had gone to workers whose first in line waited for memory.
+        """
         if report.waiting is not None and report.waiting >= 0.5:
             return report.waiting
         return -(report.free or 0.0)
@@ -391,7 +390,8 @@
         Whoever else runs it fetches the data from a store that all share, and holds its slots meanwhile: sent
         anywhere, a quarter of a job more, and once the store had no more to give, jobs of no keeper held the
         whole fleet. So a keeper's turning us away decides, not the room believed there; the next in the order
-        takes its place, and one that is away or shut has none."""
+        takes its place, and one that is away or shut has none.
+        """
         assert txn.key is not None
         # Apart until half of its postings were turned away.
         wide = bool(self.wide) and txn.slots >= self.wide_from
@@ -415,7 +415,8 @@
     def judge_wide(self) -> None:
         """Where a worker starts whatever fits, a job that needs all its slots waits until it is empty: 0.6 s
         at the median, for jobs of 0.1 s. As many workers as such jobs fill, a quarter more, serve them and no
-        others but those often turned away elsewhere: the first of an order, alike at every dispatcher."""
+        others but those often turned away elsewhere: the first of an order, alike at every dispatcher.
+        """
         self.wide.clear()
         # What the smallest is known to hold is no measure: of one full of others' jobs we see little room.
         sizes = sorted(book.size for book in self.books.values() if book.size > 0)
@@ -451,8 +452,10 @@
             # run again somewhere, else whatever comes, once a look was answered: or it stays for good.
             and (
                 not book.suspect
-                or txn.scheme in self.for_trials
-                and (not self.all_at_risk or not self.probe_every or book.reported > book.doubted)
+                or (
+                    txn.scheme in self.for_trials
+                    and (not self.all_at_risk or not self.probe_every or book.reported > book.doubted)
+                )
             )
             # And what one error loses is not risked where one has lately failed.
             and (self.now >= book.erred_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
@@ -471,7 +474,8 @@
 
     def blind(self, rooms: dict[Book, float]) -> bool:
         """Word is late and most jobs are others': a try tells more than the expected room that holding
-        goes by, as long as few were turned away lately."""
+        goes by, as long as few were turned away lately.
+        """
         if self.age <= self.usual_run / 2 or self.doubt() >= FEW_TURNED_AWAY:
             return False
         jobs = sum(max(0.0, book.size - room) for book, room in rooms.items())
@@ -486,14 +490,16 @@
         loads = [
             (self.load(book, room, txn), book)
             for book, room in rooms.items()
-            if (room >= need or blind and self.now - book.full_at > self.usual_run / 2)
+            if (room >= need or (blind and self.now - book.full_at > self.usual_run / 2))
             # What nearly all workers pass at once, against a call for each of them.
             and (
-                plain
-                and not book.wary
-                and not book.suspect
-                and not book.mute
-                and self.now >= book.erred_until
+                (
+                    plain
+                    and not book.wary
+                    and not book.suspect
+                    and not book.mute
+                    and self.now >= book.erred_until
+                )
                 or self.eligible(book, txn)
             )
         ]
@@ -541,7 +547,7 @@
         if self.list_unsure(self.now):
             self.look_due = self.now + LOOK
             return None
-        if not self.waiting or not self.stirred and not self.granted and self.now < self.look_due:
+        if not self.waiting or (not self.stirred and not self.granted and self.now < self.look_due):
             return None
         if self.stirred or self.now >= self.look_due:
             self.barred.clear()
@@ -596,7 +602,8 @@
 
     def trial_runs(self, book: Book) -> bool:
         """Whether a suspect has a posting that may yet tell. Where none can be withdrawn and none run again,
-        one that it swallowed stays out until its expiry: the next waits as long as those before were mute."""
+        one that it swallowed stays out until its expiry: the next waits as long as those before were mute.
+        """
         if not self.all_at_risk:
             return bool(book.out)
         return (
@@ -683,7 +690,8 @@
 
     def judge_part(self) -> None:
         """The share is the whole tier's and we see a part of it, not always an even one: the middle
-        customer's traffic tells which. One that floods us does not move the middle."""
+        customer's traffic tells which. One that floods us does not move the middle.
+        """
         rates = sorted(account.rate(self.now) / account.allowance for account in self.accounts.values())
         if len(rates) > 1:
             middle = (rates[(len(rates) - 1) // 2] + rates[len(rates) // 2]) / 2
@@ -696,7 +704,8 @@
 
     def first_asked(self, txn: Txn) -> int:
         """The SLA time runs from a client's first try. Its next try has another id, but is known by its hint:
-        in overload half of what arrived was tries that could no longer be in time (incident i8141a7)."""
+        in overload half of what arrived was tries that could no longer be in time (incident i8141a7).
+        """
         first = self.known.pop(txn.mark, self.now) if txn.hint is not None else self.now
         if txn.repeat and first == self.now:
             first -= txn.scheme.sla_time  # its earlier try was held at least this long before it was declined
@@ -769,7 +778,8 @@
 
     def take_due(self, posting: Posting) -> int:
         """Workers say at once that they have it. One may serve all schemes but this, and by those look alive:
-        a third of one scheme's txns waited out their expiry at such workers."""
+        a third of one scheme's txns waited out their expiry at such workers.
+        """
         if posting.taken is not None or posting.noted is not None or not self.takes:
             return FAR
         return posting.sent + min(SECOND, max(150 * MILLISECOND, 3 * max(self.takes)))
@@ -792,7 +802,8 @@
 
     def may_have_risen(self, book: Book) -> bool:
         """While the list is out of reach nobody tells of a new start: two workers were pushed over that had
-        died and come back meanwhile. What broke shortly before we knew the list lost counts too."""
+        died and come back meanwhile. What broke shortly before we knew the list lost counts too.
+        """
         return self.list_failures > 0 and book.broke > max(book.risen, self.list_lost - self.ask_again)
 
     def cold_allows(self, book: Book, txn: Txn) -> bool:
@@ -800,7 +811,7 @@
         left = self.cold_for(book)
         if not left:
             return True
-        if self.now < self.born + self.fall_time or txn.hint is None and not self.runs[txn.scheme]:
+        if self.now < self.born + self.fall_time or (txn.hint is None and not self.runs[txn.scheme]):
             return False  # what we sent before our own restart may weigh on it yet; its size nobody knows
         since = FAR if book.worker.started is None else book.worker.started  # sent since, told later
         spent = self.weighs(txn) + sum(w for at, w, cold in self.sent_lately(book) if cold or at >= since)
@@ -818,7 +829,7 @@
             if at_once >= self.dispatchers:
                 return spent <= 2.0 * turn / self.dispatchers  # everyone's, in any span
             return spent <= turn / at_once and self.cold_turn(book, at_once)
-        return spent <= whole / self.dispatchers or self.cold_turn(book) and spent <= whole / 4
+        return spent <= whole / self.dispatchers or (self.cold_turn(book) and spent <= whole / 4)
 
     def weighs(self, txn: Txn) -> float:
         """What it is reckoned at: without hints dearer, for the mean of a few runs is low as often as not."""
@@ -835,7 +846,8 @@
 
     def cold_turn(self, book: Book, at_once: int = 1) -> bool:
         """By clock, the worker's start and its lot, alike for all, the first at_once of an order have one of
-        a span. Each reckons at_once anew each moment: the few of one have to be among the many of another."""
+        a span. Each reckons at_once anew each moment: the few of one have to be among the many of another.
+        """
         if book.worker.started is None or book.risen > book.worker.started:
             return False  # the others guess another start, or none
         turn = (self.now - book.worker.started) // max(1, self.fall_time)
@@ -921,7 +933,8 @@
     def darkens(self, worker: Worker) -> None:
         """A zone was lost five seconds before the list said so: each dispatcher has few txns to tell fifteen
         workers by, and spent all four postings of one on them. Several that fail with no sign of life from
-        any of their zone speak for the rest of it, where there are other zones to go to."""
+        any of their zone speak for the rest of it, where there are other zones to go to.
+        """
         dark = self.dark.setdefault(worker.zone, {})
         dark[worker] = None
         if len(dark) >= FEW and any(book.worker.zone != worker.zone for book in self.books.values()):
@@ -1013,7 +1026,8 @@
 
     def shows(self, book: Book, posting: Posting) -> None:
         """A start tells at first hand what was there when it was posted: a free slot, or a line as long as
-        what has run since."""
+        what has run since.
+        """
         waited, size = self.now - posting.sent, book.size or self.least_slots
         free = book.report.free or 0.0 if book.report is not None else 0.0
         if waited <= self.late_start:
@@ -1053,7 +1067,7 @@
                 sure = min(sure, self.list_by)
             by = sure - max(LIST_ANSWER, took) - self.now
             had = self.list_had or not self.list_strict
-            soon = self.list_had or self.list_failures < 2 and (had or news is ListNews.SILENT)
+            soon = self.list_had or (self.list_failures < 2 and (had or news is ListNews.SILENT))
             # A refusal that came late had waited among too many. Each call costs the list service as much as
             # one that it answers, waited for or not: where all came again within 6 s nobody was answered.
             late = self.list_strict and news is ListNews.FAILED and took > LIST_ANSWER
@@ -1151,7 +1165,8 @@
     def probe_around(self) -> int:
         """The workers heard from longest ago, home ones first, as far as the purse goes; where answers report
         too, the suspects alone. A suspect's return is earned: by an answered look, then by one posting that
-        starts."""
+        starts.
+        """
         every = self.probe_every if self.probe_always else self.silence
         due = self.now + every
         for book in sorted(self.books.values(), key=lambda b: (b.worker.zone != self.home, b.asked)):
@@ -1164,7 +1179,7 @@
             next_look = max(book.asked, book.reported) + every
             if self.now < next_look:
                 due = min(due, next_look)
-            elif self.probe_purse < 1.0 or self.gate and not self.gate.may_look(book.worker, self):
+            elif self.probe_purse < 1.0 or (self.gate and not self.gate.may_look(book.worker, self)):
                 return self.now + every // 8
             else:
                 self.probe(book)
--- a/pathsaddle/cli/fleet.py
+++ b/pathsaddle/cli/fleet.py
@@ -47,7 +47,8 @@
 @click.option("--json", "as_json", is_flag=True, help="All that it says, as one JSON object.")
 def show(what: str, charter: str, as_json: bool) -> None:
     """budgets: what the dispatcher of CHARTER (or at HOST:PORT) shares with others, who holds how much of each, how old
-    that word is (docs/shared-state.md). control: what control costs it, by what it was for (docs/running.md)."""
+    that word is (docs/shared-state.md). control: what control costs it, by what it was for (docs/running.md).
+    """
     told = _asked(charter, what)
     if as_json:
         click.echo(json.dumps(told))
--- a/pathsaddle/cli/main.py
+++ b/pathsaddle/cli/main.py
@@ -144,7 +144,8 @@
     virtual: bool, fleet: bool, seed: int, seconds: float | None, events: str | None, log: str | None
 ) -> None:
     """Four dispatchers, twelve workers, clients and discovery, with a frozen worker, a drained one and a
-    killed dispatcher; prints what became of the jobs and whether each rule was kept."""
+    killed dispatcher; prints what became of the jobs and whether each rule was kept.
+    """
     import pathsaddle.emulator
 
     path = Path(pathsaddle.emulator.__file__).parent / ("demo-fleet.toml" if fleet else "demo.toml")
--- a/pathsaddle/cli/settings.py
+++ b/pathsaddle/cli/settings.py
@@ -100,7 +100,8 @@
     file: str, expect: int | None, reason: str, author: str, wait: bool, within: float, at: str, as_json: bool
 ) -> None:
     """Commit the rows of FILE, all or none: [customers.NAME], [schemes.NAME], [budgets], [members.NAME], zones, [rules],
-    and `remove = [keys]`."""
+    and `remove = [keys]`.
+    """
     from pathsaddle.charter.check import load
     from pathsaddle.settings.changes import puts_of, written
     from pathsaddle.settings.faults import Waits
--- a/pathsaddle/emulator/faults/faults.py
+++ b/pathsaddle/emulator/faults/faults.py
@@ -53,7 +53,8 @@
         parted: Callable[[], None] = lambda: None,
     ) -> None:
         """`start`: begins a task of the ground's. `died`: tells whoever deals out connections. `parted`: the
-        weather's cuts have changed."""
+        weather's cuts have changed.
+        """
         self.world = world
         self.start = start
         self.dispatchers = dispatchers
--- a/pathsaddle/emulator/federation/ground.py
+++ b/pathsaddle/emulator/federation/ground.py
@@ -33,7 +33,8 @@
 @dataclass
 class Path:
     """One direction between two regions. cuts: (from, until, period): down then; with a period: every other
-    of it."""
+    of it.
+    """
 
     delay: int
     jitter: int
--- a/pathsaddle/emulator/federation/judge.py
+++ b/pathsaddle/emulator/federation/judge.py
@@ -39,7 +39,7 @@
 
 
 def judged(events: Iterable[Event], skew: int = 0) -> Counter[str]:
-    """name of the finding -> how often."""
+    """Name of the finding -> how often."""
     found: Counter[str] = Counter()
     versions = _Versions()
     ran: dict[str, str] = {}
@@ -146,7 +146,8 @@
 def earned(events: Iterable[Event], since: int = 0, until: int = FAR) -> dict[str, Any]:
     """Of txns whose clients came within [since, until): by home region: value offered, value settled in time,
     what was declined, of value taken at home (`own`) what was settled, and how many were sent abroad, in
-    vain, fetched; all regions together under "all"."""
+    vain, fetched; all regions together under "all".
+    """
     began: dict[str, tuple[int, str, str]] = {}
     regions: dict[str, dict[str, float]] = {}
     counts: Counter[str] = Counter()
@@ -207,7 +208,8 @@
 
 def lent(events: Iterable[Event], slots: int, since: int, until: int) -> dict[str, tuple[float, float, int]]:
     """By region: seconds of its slots that foreigners had within [since, until), that its own left free for
-    them, and how many of theirs began then."""
+    them, and how many of theirs began then.
+    """
     began: dict[str, tuple[int, str, bool]] = {}
     own: dict[str, int] = {}
     foreign: dict[str, int] = {}
@@ -244,7 +246,8 @@
 
 def turned(events: Iterable[Event], region: str, lost: int, back: int) -> tuple[float, float]:
     """Seconds from the loss of a region until a job of it settled elsewhere, and from its return until
-    nineteen of twenty of its jobs that began to run within a second did so at home; -1: never."""
+    nineteen of twenty of its jobs that began to run within a second did so at home; -1: never.
+    """
     over = -1.0
     runs: list[tuple[int, bool]] = []
     for event in events:
--- a/pathsaddle/emulator/federation/member.py
+++ b/pathsaddle/emulator/federation/member.py
@@ -20,7 +20,8 @@
 @dataclass(eq=False)
 class Txn:
     """One txn at a dispatcher: of its own client, or another region's (`post`: by which it came, to answer
-    by)."""
+    by).
+    """
 
     tag: str
     scheme: str
@@ -327,7 +328,8 @@
 
     def look(self) -> None:
         """The first few that are refused speak for the rest; who can't end in time any more is answered at
-        once."""
+        once.
+        """
         now, refused = self.now(), 0
         held = sorted(
             self.waits, key=lambda txn: (-KINDS[txn.scheme.split("-")[0]][2], txn.job.left, txn.tag)
--- a/pathsaddle/emulator/federation/plans.py
+++ b/pathsaddle/emulator/federation/plans.py
@@ -1,5 +1,6 @@
 """What is played: how large, how loaded, the spec of it, named courses of trouble, and any: drawn from a
-seed."""
+seed.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +30,8 @@
     spec (a new
     version: `text` made of the one before by `forbid`, a region taken out of all its foreigners' may,
       or `allow`, put
-    back), stop (a member stands still)."""
+    back), stop (a member stands still).
+    """
 
     kind: str
     at: float
@@ -43,7 +45,8 @@
 @dataclass(frozen=True)
 class Plan:
     """members: dispatchers a region. how: `on`; `off`: what isn't of this region is declined; `plain`: it is
-    served as own, as by dispatchers that know of no regions."""
+    served as own, as by dispatchers that know of no regions.
+    """
 
     members: int = 5
     load: float = 0.7
--- a/pathsaddle/emulator/federation/world.py
+++ b/pathsaddle/emulator/federation/world.py
@@ -224,7 +224,8 @@
 
     def respec(self, forbidden: tuple[str, ...], killed: bool) -> None:
         """A committer in the north offers a new version, commits it half a second later, and maybe dies
-        then."""
+        then.
+        """
         text = text_of(self.plan, forbidden) + f"# {len(self.register) + 1}\n"
         spec = parse(text)
         version = Version(len(self.register) + 1, spec.digest, spec)
--- a/pathsaddle/emulator/ground/air.py
+++ b/pathsaddle/emulator/ground/air.py
@@ -30,12 +30,8 @@
     shuffle: float = 0.0
 
     def meets(self, sender: str, taker: str) -> bool:
-        return (
-            sender in self.one
-            and taker in self.other
-            or not self.oneway
-            and taker in self.one
-            and sender in self.other
+        return (sender in self.one and taker in self.other) or (
+            not self.oneway and taker in self.one and sender in self.other
         )
 
 
--- a/pathsaddle/emulator/ground/moments.py
+++ b/pathsaddle/emulator/ground/moments.py
@@ -170,7 +170,8 @@
 
     def go_on(self, host: Process) -> None:
         """A host that stood still runs what has become due meanwhile: its alarms first, then what has come for it.
-        Real loops do either; this is the worse for who judges others by alarms."""
+        Real loops do either; this is the worse for who judges others by alarms.
+        """
         host.stands = False
         self._ready.extend(
             sorted(host.waiting, key=lambda handle: not isinstance(handle, asyncio.TimerHandle))
--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -26,7 +26,8 @@
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """members: of the fleet. idle: of these, the last ones, who want nothing; all others but the one that wants more use
     their own part. part: units a second of each budget that each has. seconds: for how long some are wanted. way: seconds
-    of a datagram. bytes: that a member may send a second. lease: seconds. step: seconds between uses."""
+    of a datagram. bytes: that a member may send a second. lease: seconds. step: seconds between uses.
+    """
 
     members: int = 12
     idle: Annotated[int, Meta(ge=1)] = 1
--- a/pathsaddle/emulator/hollow/changes.py
+++ b/pathsaddle/emulator/hollow/changes.py
@@ -34,7 +34,8 @@
     clients, rate: of each dispatcher, kept connections and txns a second. teams: in each charter.
     members: of the fleet that is reckoned. part: of it that is restarted at a time. peak: changes in the worst minute.
     takers, document: of the emulated carrying: members, and bytes of the whole settings. gram_way: seconds of a
-    datagram's way. bytes: that a member may send a second."""
+    datagram's way. bytes: that a member may send a second.
+    """
 
     dispatchers: int = 5
     workers: int = 8
@@ -282,7 +283,8 @@
 
 def carried(setting: Setting, seed: int, most: float = 900.0) -> tuple[float, float]:
     """Emulated seconds until the last member has the document, and the record that names it: the carrying layer's
-    own cores and purses, every datagram on its way for as long, none lost. `most`: given up after so long."""
+    own cores and purses, every datagram on its way for as long, none lost. `most`: given up after so long.
+    """
     names = [f"d{i:03d}" for i in range(setting.takers)]
     cores = {
         name: Carry(
--- a/pathsaddle/emulator/hollow/control.py
+++ b/pathsaddle/emulator/hollow/control.py
@@ -315,7 +315,8 @@
 
     async def _list_heard(self) -> int:
         """What the meter has for the list once that is all that was written, or LONGEST later. The hollow list writes
-        nothing between the answer and who asked."""
+        nothing between the answer and who asked.
+        """
         end = time.monotonic() + LONGEST
         while True:
             told = int((await self._asked("control"))["purposes"]["list"]["in"])
--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -38,7 +38,8 @@
 class FleetSetting(msgspec.Struct, forbid_unknown_fields=True):
     """Spans in seconds. loss: of all datagrams. budgets: that all share. lease: of units lent; none are, but a new
     life tells what it would lend only after one. most_bytes: fleet.bytes. patience: for spans that end when all know
-    something."""
+    something.
+    """
 
     loss: float = 0.0
     beat: float = 1.0
@@ -137,7 +138,8 @@
 
 def introduced(some: list[Fellows], rows: list[Row], lease: float) -> None:
     """They know all of these, as if they had met long ago; nothing of that is news. What each would lend is told
-    once, when the first lease has ended."""
+    once, when the first lease has ended.
+    """
     for fellows in some:
         core, now = fellows.core, fellows.clock.now()
         for row in rows:
--- a/pathsaddle/emulator/hollow/gangs.py
+++ b/pathsaddle/emulator/hollow/gangs.py
@@ -104,7 +104,8 @@
 
 def trace(point: int, seed: int, setting: Setting) -> tuple[list[tuple[float, str, float]], int]:
     """The play's jobs (seconds, scheme, milliseconds of work), in their order, and how many sets are among
-    them: these come evenly apart, jobs of one slot at random."""
+    them: these come evenly apart, jobs of one slot at random.
+    """
     chance = Random(f"{seed} gangs")
     slots = setting.workers * setting.slots
     span = setting.seconds - setting.warm
@@ -265,7 +266,8 @@
 
 def slots_of(rows: list[Event], setting: Setting) -> tuple[float, float]:
     """While sets come: what part of all slots ran something, and what part was free at a
-    worker in whose line somebody waited."""
+    worker in whose line somebody waited.
+    """
     since, until = int(setting.warm * TICKS), int(setting.seconds * TICKS)
     used: dict[str, float] = {}  # by worker: slots in use, jobs in line, and the moment of its last change
     line: dict[str, int] = {}
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -231,7 +231,7 @@
 
 
 def spent(look: Callable[..., object], *told: object) -> float:
-    """us of one look that has to find something."""
+    """Us of one look that has to find something."""
     begun = time.perf_counter()
     found = look(*told)
     took = (time.perf_counter() - begun) * 1e6
--- a/pathsaddle/emulator/hollow/outside.py
+++ b/pathsaddle/emulator/hollow/outside.py
@@ -9,7 +9,8 @@
 
 def cpu_seconds(pid: int) -> float:
     """User and system time of all its threads, to the nanosecond where /proc counts in hundredths; the kernel's clock of
-    a process (clock_getcpuclockid). Raises OSError where it is gone."""
+    a process (clock_getcpuclockid). Raises OSError where it is gone.
+    """
     return time.clock_gettime((~pid << 3) | 2)
 
 
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -28,7 +28,8 @@
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """Spans in seconds. against: what the points count; `members` or `keys` are how many there are of the other. asks: by each member for a key's owner, a second. changes: of data, a second, in the whole
-    fleet; the target's 3,700 a day are 0.043. sync: that a voter's disk takes."""
+    fleet; the target's 3,700 a day are 0.043. sync: that a voter's disk takes.
+    """
 
     against: Literal["members", "keys"] = "members"
     members: int = 50
--- a/pathsaddle/emulator/hollow/owners_peaks.py
+++ b/pathsaddle/emulator/hollow/owners_peaks.py
@@ -23,7 +23,8 @@
 
 class Setting(Rest, forbid_unknown_fields=True):
     """Spans in seconds. down: of voters and of members. watched: from a peak's begin. each: between two tenths. slow:
-    added to each way from and to the slow voter. sync_slow: that its disk takes."""
+    added to each way from and to the slow voter. sync_slow: that its disk takes.
+    """
 
     down: Annotated[float, msgspec.Meta(gt=0)] = 2.0
     watched: Annotated[float, msgspec.Meta(gt=0)] = 30.0
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -36,7 +36,8 @@
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """rate: txns a second to this dispatcher. run: seconds that one runs. txns: how many are timed. slots: of a worker.
     dispatchers: how many share the workers. zones: over which the workers stand. held: txns that wait when every worker
-    is full. looks: times that they are looked at, timed."""
+    is full. looks: times that they are looked at, timed.
+    """
 
     rate: float = 50.0
     run: float = 0.2
--- a/pathsaddle/emulator/hollow/served.py
+++ b/pathsaddle/emulator/hollow/served.py
@@ -364,7 +364,7 @@
     def connected(self) -> int:
         """Workers with a connection from or to the dispatcher."""
         return sum(
-            bool(w.connections) or w.back is not None and w.back.transport is not None for w in self.all
+            bool(w.connections) or (w.back is not None and w.back.transport is not None) for w in self.all
         )
 
     def end(self) -> None:
--- a/pathsaddle/emulator/hollow/serving.py
+++ b/pathsaddle/emulator/hollow/serving.py
@@ -292,7 +292,8 @@
 
 class Ground:
     """Some dispatchers' peers. `charter(number, listen, discovery)` gives each dispatcher's charter as a table,
-    which is written as JSON."""
+    which is written as JSON.
+    """
 
     def __init__(
         self,
--- a/pathsaddle/emulator/hollow/settings.py
+++ b/pathsaddle/emulator/hollow/settings.py
@@ -17,7 +17,8 @@
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """against: what a point is: members, or changes a minute. changes: a minute, seconds: of them; lost: for how many seconds
-    of these, from the tenth on, one region hears nobody and nobody hears it; 0: none."""
+    of these, from the tenth on, one region hears nobody and nobody hears it; 0: none.
+    """
 
     against: str = "members"
     members: int = 200
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -42,7 +42,8 @@
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """shard: members to a process. settle, rest: seconds before and while it is measured. real: whether the two real
-    dispatchers run as well; without them their figures are 0."""
+    dispatchers run as well; without them their figures are 0.
+    """
 
     shard: int = 50
     budgets: int = 1
--- a/pathsaddle/emulator/hollow/starts.py
+++ b/pathsaddle/emulator/hollow/starts.py
@@ -96,7 +96,8 @@
 
 def sizes(point: int, setting: Setting) -> tuple[int, int]:
     """Dispatchers and workers: as many as that many starts a second need at the setting's load, or, where
-    that is above what can be served, as can serve the point; more come then than the point says."""
+    that is above what can be served, as can serve the point; more come then than the point says.
+    """
     slots = point * setting.run / min(1.0, setting.load)
     return (max(len(ZONES), round(point / setting.each)), max(len(ZONES), round(slots / setting.slots)))
 
@@ -220,7 +221,8 @@
 
 def starts_of(rows: list[Event], scheme: str, since: int) -> tuple[list[tuple[int, int, int]], int]:
     """Of each job of a scheme that came since then and started: when its client first asked, when the posting
-    came by which it first started, when that started (ticks); and how many came."""
+    came by which it first started, when that started (ticks); and how many came.
+    """
     wanted: dict[int, int] = {}
     job_of: dict[str, int] = {}
     came: dict[tuple[str, str], int] = {}
--- a/pathsaddle/emulator/hollow/starts_peaks.py
+++ b/pathsaddle/emulator/hollow/starts_peaks.py
@@ -20,7 +20,8 @@
 
 class Setting(starts.Setting, forbid_unknown_fields=True):
     """peak: which. taken: of a slow worker's machine by another program. one_in: so many workers one is slow, and one
-    at the least."""
+    at the least.
+    """
 
     peak: Literal["slow", "release"] = "slow"
     taken: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.9
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -54,7 +54,8 @@
     dispatchers: of the fleet in which a team's traffic moves; one of them is played. busy: txns a second of all teams
     over all of them, at the peak. used: what part of its share a team uses. before, after: virtual seconds around the
     move. zipf: how the teams' traffic falls off: the k-th sends 1 / k to this power; 0: all alike. hops: virtual
-    seconds for which a team goes to the next dispatcher each second."""
+    seconds for which a team goes to the next dispatcher each second.
+    """
 
     workers: int = 50
     rate: float = 100.0
@@ -270,7 +271,8 @@
 
 class HollowDoor:
     """A dispatcher in process, one of so many: the program's own loop and decisions, in virtual time. Every posting
-    settles after JOB."""
+    settles after JOB.
+    """
 
     def __init__(self, customers: list[Customer], workers: int, dispatchers: int, seed: int) -> None:
         self.heap: list[tuple[int, int, Callable[[], None]]] = []  # (when, order, what)
@@ -423,7 +425,8 @@
 
 def moved(teams: int, seed: int, setting: Setting) -> dict[str, float]:
     """The busiest team's traffic moves from all dispatchers to one, which is played; no team is ever over its share.
-    What a dispatcher takes a team's share to be hangs on its own txns alone, so the others need not be played."""
+    What a dispatcher takes a team's share to be hangs on its own txns alone, so the others need not be played.
+    """
     chance, skew = Random(seed), Teams(teams, setting.zipf)
     customers = [Customer(i, setting.busy * part / setting.used, part) for i, part in enumerate(skew.parts)]
     door = HollowDoor(customers, setting.workers, setting.dispatchers, seed)
--- a/pathsaddle/emulator/hollow/waits.py
+++ b/pathsaddle/emulator/hollow/waits.py
@@ -19,7 +19,8 @@
 def keyed(keys: int) -> Iterator[None]:
     """While it holds, emulated jobs have one of so many keys, dealt in turn; 0: none, and any worker will do.
     The emulator's own give each job a key of its own, so that it goes to a few keepers whatever room is
-    elsewhere."""
+    elsewhere.
+    """
 
     def target_of(self: Clients, wish: Wish) -> str:
         return f"/{wish.scheme.name}" + (f"?k={wish.number % keys}" if keys else "")
--- a/pathsaddle/emulator/hollow/workers.py
+++ b/pathsaddle/emulator/hollow/workers.py
@@ -45,7 +45,8 @@
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """rate: txns a second. run: seconds that one runs. slots, waiting: of a worker. dispatchers: how many share the workers
     by what this one is told. zones: over which the workers stand. sockets: descriptors that it is told it has. rest, steady,
-    cold, full: seconds of these parts. changes: of the list. changes_rate: a second."""
+    cold, full: seconds of these parts. changes: of the list. changes_rate: a second.
+    """
 
     rate: float = 40.0
     run: float = 0.2
--- a/pathsaddle/emulator/judges/crossings.py
+++ b/pathsaddle/emulator/judges/crossings.py
@@ -93,7 +93,7 @@
     def _unanswered(self) -> None:
         turned_out = []
         for tag, event in self.asked.items():
-            if tag in self.answered or tag in self.left or tag in self.crossed and tag not in self.sent_on:
+            if tag in self.answered or tag in self.left or (tag in self.crossed and tag not in self.sent_on):
                 continue
             dispatcher = event.more["dispatcher"]
             stop = self._told_to_end(dispatcher, event.at)
--- a/pathsaddle/emulator/judges/fleet_judge.py
+++ b/pathsaddle/emulator/judges/fleet_judge.py
@@ -31,7 +31,8 @@
 
 def bound(n: int, beat: int) -> int:
     """Ticks from the end of trouble until all views are whole: the longest suspicion, how long news spreads, and
-    how long a member that was unwell takes until it is well (45 beats: nine of one, eight, seven ...)."""
+    how long a member that was unwell takes until it is well (45 beats: nine of one, eight, seven ...).
+    """
     return int(beat * (24 * max(1.0, log10(max(2, n))) + 4 * log2(max(2, n)) + 60))
 
 
--- a/pathsaddle/emulator/judges/judge.py
+++ b/pathsaddle/emulator/judges/judge.py
@@ -447,7 +447,8 @@
             at = one.answers[0][0]
             risky = [p for p in postings if p.begun <= at and p.never > at + self.slack]
             if risky and (
-                scheme.semantics == "once-only" or scheme.semantics == "referenced" and scheme.group != "all"
+                scheme.semantics == "once-only"
+                or (scheme.semantics == "referenced" and scheme.group != "all")
             ):
                 self.finds("decline", at, f"{who} was declined while it may have run at {risky[0].worker}")
 
@@ -479,10 +480,8 @@
 
     @staticmethod
     def _same_group(scheme: Scheme, one: Sent, other: Sent) -> bool:
-        return (
-            scheme.group == "all"
-            or one.zone == other.zone
-            and (scheme.group == "zone" or one.cell == other.cell)
+        return scheme.group == "all" or (
+            one.zone == other.zone and (scheme.group == "zone" or one.cell == other.cell)
         )
 
     def _rule_3(self) -> None:
@@ -535,7 +534,8 @@
 
     def _deemed(self, dispatcher: int, at: int, until: int) -> int:
         """When a change at that moment counts as told: a watch that stays open for long enough has had it to
-        tell; and who neither watches nor asks is taken to know."""
+        tell; and who neither watches nor asks is taken to know.
+        """
         watches = [(when, on) for when, on in self.watches.get(dispatcher, []) if when <= until]
         for silent in self.hushed.get(dispatcher, []):
             # What a silent watch misses counts as told, asked for again or not.
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -83,7 +83,8 @@
 @contextlib.contextmanager
 def gated(rate: float) -> Iterator[None]:
     """While it holds, each Choice that is made has a gate. rate: txns a second that can be served, which budgets are
-    parts of: repeats a fifth, trials a twentieth, looks as many as six a txn, since they come by threes."""
+    parts of: repeats a fifth, trials a twentieth, looks as many as six a txn, since they come by threes.
+    """
     mail, begin = Mail(), Choice.__init__
 
     def made(self: Choice, terms: Any, seed: int, now: int, door: Any, gate: Any = None) -> None:
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -128,7 +128,8 @@
 
     def pokes(self) -> None:
         """Held txns, the dearest first; what can't be in time is declined at once,
-        unless late answers are all it has."""
+        unless late answers are all it has.
+        """
         self.poking = False
         if not self.alive:
             return
@@ -226,7 +227,8 @@
 
     def sees(self) -> tuple[float, float, float]:
         """Slots that may be kept busy; what part of those seen lately is idle,
-        and jobs in line for each slot."""
+        and jobs in line for each slot.
+        """
         plan, now = self.ground.plan, self.ground.now
         could = plan.slots * sum(self.listed)
         fresh = [self.room[w] / plan.slots for w in range(plan.workers) if now - self.told[w] < SECOND]
@@ -603,7 +605,8 @@
 
     def tells(self, member: Member, send: Callable[[Member], None], size: int) -> None:
         """A record to all the others, by way of others: late by some hundred ms, lost to some,
-        none through a cut."""
+        none through a cut.
+        """
         self.bytes += size * (len(self.members) - 1)
         if self.cut.get(member.number) is False:
             return
--- a/pathsaddle/emulator/overload/judge.py
+++ b/pathsaddle/emulator/overload/judge.py
@@ -43,7 +43,8 @@
     """offered: value of all first tries; earned, on_time: what of it clients got; wasted: part of the
     workers' work that earned nothing; inverted: value that the same work would have earned more, dearest
     first; least: least served customer against the mean; back: seconds from the last trouble's end to 0.95,
-    -1: not in this run, -2: not to be told from it."""
+    -1: not in this run, -2: not to be told from it.
+    """
 
     offered: float = 0.0
     earned: float = 0.0
@@ -273,7 +274,7 @@
                 if new - old > RISES * spent + 0.01 or old - new > FALLS * spent + 0.01:
                     self.breaks("pace", at, f"{who}: {old:.2f} to {new:.2f} in {spent:.2f} s")
                 # A turn counts once it has gone SWING bands the other way.
-                if way >= 0 and new > mark or way <= 0 and new < mark:
+                if (way >= 0 and new > mark) or (way <= 0 and new < mark):
                     way = way or (1 if new > mark else -1)
                     mark = new
                 elif abs(new - mark) >= SWING:
--- a/pathsaddle/emulator/overload/leases.py
+++ b/pathsaddle/emulator/overload/leases.py
@@ -1,5 +1,6 @@
 """The program's limiter over the ground's lossy ways: who asks whom goes as datagrams do,
-and each use is an event."""
+and each use is an event.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -128,7 +128,8 @@
 
     async def trials(self) -> None:
         """A worker that all have failed at, and all want to try again in the same moment: each whole
-        second."""
+        second.
+        """
         while True:
             await asyncio.sleep((SECOND - self.fellows.clock.now() % SECOND) / SECOND)
             now = self.fellows.clock.now()
--- a/pathsaddle/emulator/overload/plan.py
+++ b/pathsaddle/emulator/overload/plan.py
@@ -19,7 +19,8 @@
     second. cut: members hear nobody and are heard by nobody; oneway: they hear nobody. kill: members end,
     their clients come to the rest. stall: members stand still. lies, mute: members tell strength times their
     load, or nothing. sick: the workers swallow what the first half of the members sends. lossy: so many
-    records are lost. share: of members or workers. most: the members with the most load."""
+    records are lost. share: of members or workers. most: the members with the most load.
+    """
 
     kind: Literal["lose", "slow", "flap", "cut", "kill", "stall", "lies", "mute", "sick", "lossy"]
     at: float
@@ -33,7 +34,8 @@
 class Plan(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """load: of capacity, as first tries. surge: (from, to, load) instead. again: how often a client comes
     again; -1: without end. skew: how uneven the members' loads are;
-    flood: what part the first customer sends."""
+    flood: what part the first customer sends.
+    """
 
     name: str
     seconds: float = 30.0
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -93,7 +93,8 @@
 
 def units_of(plan: Plan) -> dict[str, int]:
     """Each budget in units a second: repeats a fifth of what can be served, looks three a txn,
-    trials a handful."""
+    trials a handful.
+    """
     rate = plan.workers * plan.slots * SECOND // RUN
     units = {budgets.REPEAT: rate // 5, budgets.LOOK: 3 * rate, budgets.TRIAL: max(4, rate // 20)}
     for w in range(plan.workers):
--- a/pathsaddle/emulator/ownership/ground.py
+++ b/pathsaddle/emulator/ownership/ground.py
@@ -166,7 +166,8 @@
 
 class MemberHost(Host):
     """A candidate for all keys; while it owns one it acts: looks,
-    and a while later its effect is on its way."""
+    and a while later its effect is on its way.
+    """
 
     def __init__(self, ground: Ground, name: str, rate: float, prefers: bool) -> None:
         super().__init__(ground, name, rate)
@@ -260,7 +261,8 @@
 
 class Ground:
     """lost, doubled, late: parts of what is sent; `late`: comes again up to two minutes later. hasty,
-    talkative, unfenced: what mutants break."""
+    talkative, unfenced: what mutants break.
+    """
 
     def __init__(
         self,
--- a/pathsaddle/emulator/placement/__init__.py
+++ b/pathsaddle/emulator/placement/__init__.py
@@ -1,2 +1,3 @@
 """A world of islands for placement: planners, the book's keeper, hands that install, large jobs, and what
-goes wrong."""
+goes wrong.
+"""
--- a/pathsaddle/emulator/placement/policies.py
+++ b/pathsaddle/emulator/placement/policies.py
@@ -1,5 +1,6 @@
 """Ways to choose how many units of each kind stand on each island: the plan's baselines and the plan
-itself."""
+itself.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -50,7 +50,8 @@
 @dataclass(frozen=True)
 class Site:
     """islands: how many; filled: part of the bays that serve at first; batches: every so many seconds; jobs:
-    a second."""
+    a second.
+    """
 
     seconds: int = 300
     islands: int = 10
@@ -112,7 +113,8 @@
 
 class Planner:
     """One of three processes. Its life is a generator, so that it can be stopped and killed between any two
-    of its moves; its clock runs up to 2% off."""
+    of its moves; its clock runs up to 2% off.
+    """
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
@@ -666,7 +668,8 @@
     def measured(self) -> dict[str, float]:
         """work: part of the work that came and ended; waits in seconds (a job that gave up: its patience);
         the rest are means over time. widest: part of the target that fits after the loss of any one island,
-        the worst kind."""
+        the worst kind.
+        """
         end = self.bench.now
         came = self.offered - sum(job.width * job.hold for job in [*self.waiting, *self.running.values()])
         waits = sorted([*self.waits, *(end - job.came for job in self.waiting)])
--- a/pathsaddle/emulator/served/clients.py
+++ b/pathsaddle/emulator/served/clients.py
@@ -222,7 +222,7 @@
         low, high = self.load.wait
         for number in range(self.load.retries + 1):
             how, come_back = await self._try(wish, number, chance)
-            if how in ("settled", "hung-up") or how == "reversed" and scheme.semantics == "once-only":
+            if how in ("settled", "hung-up") or (how == "reversed" and scheme.semantics == "once-only"):
                 return
             if how == "lost" and scheme.semantics == "once-only":
                 return
@@ -376,7 +376,8 @@
 
     async def _hand_in(self, wish: Wish) -> None:
         """Submitted until it is taken on, asked for until it has ended, and once more later: always at the same
-        dispatcher, whose store it is in."""
+        dispatcher, whose store it is in.
+        """
         chance = self.world.chance(f"client {wish.number}")
         scheme = wish.scheme
         wish.first = self.world.now()
@@ -551,7 +552,9 @@
                         break
                     for said in hearing.feed(data, at):
                         status = said.status
-                    if how == "unread" and status or how == "sips" and self.world.now() - begun > 5 * TICKS:
+                    if (how == "unread" and status) or (
+                        how == "sips" and self.world.now() - begun > 5 * TICKS
+                    ):
                         break
         except (OSError, TimeoutError, httptools.HttpParserError):
             pass
--- a/pathsaddle/emulator/served/workers.py
+++ b/pathsaddle/emulator/served/workers.py
@@ -198,12 +198,8 @@
     def _loses(self, dispatcher: int, posting: bool) -> bool:
         """Whether what crosses between it and that dispatcher now gets lost."""
         strength = self._side(dispatcher, "loss", *(["hole"] if posting else []))
-        return (
-            strength > 0
-            and self.chance.random() < strength
-            or self.world.weather.loses(
-                self.zone, self.sites.zone_of(dispatcher), self.name, f"d{dispatcher}"
-            )
+        return (strength > 0 and self.chance.random() < strength) or self.world.weather.loses(
+            self.zone, self.sites.zone_of(dispatcher), self.name, f"d{dispatcher}"
         )
 
     def crash(self, told: bool = True) -> None:
@@ -324,7 +320,8 @@
 
     def _unheard(self, said: Said, dispatcher: int, reset: bool = False) -> None:
         """What its sender wrote whole and it never got: for all that the sender can know it may have run. `reset`:
-        the sender learns at once that it is out no more."""
+        the sender learns at once that it is out no more.
+        """
         if said.method != "POST":
             return
         try:
@@ -443,7 +440,7 @@
             if first.over:
                 self.place.start(self._later(job))
             return speech.answer(202)
-        if slots > self.kind.slots or not self._fits(job) and len(self.line) >= self.kind.line:
+        if slots > self.kind.slots or (not self._fits(job) and len(self.line) >= self.kind.line):
             self.world.add("turned_away", id=tag, worker=self.name)
             return speech.answer(503, {"Srv-Declined": "1", "Srv-Load": self._load_line()})
         self.jobs[tag, dispatcher] = job
@@ -578,12 +575,9 @@
         does = self.world.plan.fleet.withdrawal
         self._advance()
         stops = (
-            job in self.line
-            and does != "nothing"
-            or job in self.running
-            and does == "all"
-            or job not in self.line
-            and job not in self.running
+            (job in self.line and does != "nothing")
+            or (job in self.running and does == "all")
+            or (job not in self.line and job not in self.running)
         )
         self.world.events.add(at, "withdrawn", id=job.tag, worker=self.name, ran=job.started is not None)
         if stops:
--- a/pathsaddle/emulator/served/world.py
+++ b/pathsaddle/emulator/served/world.py
@@ -89,7 +89,7 @@
     def parted(self, one: str, other: str, *names: str) -> bool:
         if not self.cut:
             return False
-        return one != other and (one in self.cut or other in self.cut) or any(n in self.cut for n in names)
+        return (one != other and (one in self.cut or other in self.cut)) or any(n in self.cut for n in names)
 
     async def passes(self, one: str, other: str, *names: str) -> None:
         """Until what was sent gets there; after a silence that may be long."""
--- a/pathsaddle/emulator/settings/smoke.py
+++ b/pathsaddle/emulator/settings/smoke.py
@@ -1,5 +1,6 @@
 """python -m pathsaddle experiment run PLAN (ground = "settings"): worlds of keepers and members over seeds, judged from their
-logs alone, each mutant found under its bound, figures last. Exits 0 only if no bound is broken and every mutant is found."""
+logs alone, each mutant found under its bound, figures last. Exits 0 only if no bound is broken and every mutant is found.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -38,7 +38,8 @@
     one way between two regions. faults: mean seconds between two; 0: none. bytes, keeper_bytes, datagrams: each process's
     purse. lease: seconds. acts: whether members act. drift: by which clocks run off. founded: whether members' disks have the founding groups. log:
     groups that a store keeps. astray: of the changes, what part is no good (a row is to be removed that isn't there) or
-    goes by a revision of a moment ago (`--expect`)."""
+    goes by a revision of a moment ago (`--expect`).
+    """
 
     regions: int = 3
     members: int = 5
@@ -302,7 +303,8 @@
 
     def kept(self, keeper: Process, revision: int, digest: str) -> None:
         """Its change of the register goes out: taken if it is still the last owner and nothing came between. With the last
-        of a round's groups all are committed in this moment."""
+        of a round's groups all are committed in this moment.
+        """
         life, before = keeper.life, self.cell
 
         def changes() -> None:
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -44,7 +44,8 @@
     """One run. rate: of the budget; lease and seconds in seconds. loss: of all datagrams, always. faults: a
     second, in the whole fleet. drift: the most that a clock runs off. joiners: that come in one second, half
     way. hot: part of the members that want; mood: for how long the same ones, in seconds; want: how many
-    times the budget they want together. others: what some members' charters say instead, by number."""
+    times the budget they want together. others: what some members' charters say instead, by number.
+    """
 
     members: int
     seed: int
@@ -298,7 +299,8 @@
 
     def rest(self, place: Place) -> None:
         """After anything happened there: what it sends is on its way, its rights are logged,
-        its next moments are set."""
+        its next moments are set.
+        """
         shared = place.shared
         if shared is None:
             return
@@ -321,8 +323,9 @@
 
     def step(self, place: Place, mine: int = -1) -> None:
         """Rights follow the clock, not the process: each change is logged at its very moment,
-        also of one that stands still."""
-        if place.shared is None or mine >= 0 and place.step_at != mine:
+        also of one that stands still.
+        """
+        if place.shared is None or (mine >= 0 and place.step_at != mine):
             return
         now = place.clock()
         state = place.shared.limiter.budgets[BUDGET].state
--- a/pathsaddle/emulator/state/judge.py
+++ b/pathsaddle/emulator/state/judge.py
@@ -194,7 +194,7 @@
     who, member, life, version = more["who"], more["member"], more["life"], more["version"]
     told, there = views.get((who, member), (0, False))
     whose = f"{who} shows {member}/{life} version {version}"
-    if life < told or life == told and not there:
+    if life < told or (life == told and not there):
         verdict.add("old-life", at, f"{whose}, though told that {told} is {'there' if there else 'over'}")
     rows = puts.get((member, life), [])
     place = bisect.bisect_left(rows, (version, 0))
@@ -203,10 +203,8 @@
         return
     verdict.checked += 1
     age = at - rows[place][1]
-    if (
-        more["least"] > age * (1 + drift) + 2
-        or more["most"] is not None
-        and more["most"] < age * (1 - drift) - 2
+    if more["least"] > age * (1 + drift) + 2 or (
+        more["most"] is not None and more["most"] < age * (1 - drift) - 2
     ):
         verdict.add("age-outside", at, f"{whose} as {more['least']} to {more['most']} old, it is {age}")
     if more["sure"] is not None and place + 1 < len(rows):
--- a/pathsaddle/emulator/state/smoke.py
+++ b/pathsaddle/emulator/state/smoke.py
@@ -162,7 +162,8 @@
 
 def play_seeds(members: int, first: int, count: int) -> tuple[int, int, int, int]:
     """(broken, uses, records whose ages were checked, the most bytes of a member in any second);
-    prints what is broken."""
+    prints what is broken.
+    """
     broken = spent = checked = most = 0
     for seed in range(first, first + count):
         verdict = judge(Ground(varied(members, seed)).run().rows)
--- a/pathsaddle/experiment/baseline.py
+++ b/pathsaddle/experiment/baseline.py
@@ -48,7 +48,8 @@
 @contextlib.contextmanager
 def instead(policy: str) -> Iterator[None]:
     """While it holds, the policy picks among all workers that the rules allow, with no word of their load;
-    nothing is held for room and no look is bought. Health, rules and declines stay as they are."""
+    nothing is held for room and no look is bought. Health, rules and declines stay as they are.
+    """
     if not policy:
         yield
         return
--- a/pathsaddle/experiment/capacity.py
+++ b/pathsaddle/experiment/capacity.py
@@ -256,7 +256,8 @@
 @dataclass
 class Plays:
     """A plan's kept plays, the last whole one of each point and seed. old: of another text of the measure or
-    setting. faulted: points and seeds that never came to their end."""
+    setting. faulted: points and seeds that never came to their end.
+    """
 
     plan: scale.Scale
     results: list[scale.Kept]
@@ -378,7 +379,8 @@
 
 def how(one: Held, folder: Folder) -> str:
     """How the figure is known: measured, between points, or from which points, by which law, how far
-    beyond."""
+    beyond.
+    """
     row, slope, prediction = one.row, one.slope, one.prediction
     if slope is None or prediction is None:
         return f"reckoned: {row.source}"
@@ -440,7 +442,8 @@
 
 def tables(path: str | Path, kept: str | Path | None = None, partial: bool = False) -> tuple[str, list[str]]:
     """(the tables as Markdown, what is to be said of the results beside them). Without `partial` a row
-    without a slope raises NoSlope; with it such rows are listed as not measured."""
+    without a slope raises NoSlope; with it such rows are listed as not measured.
+    """
     target = read(path)
     folder = Folder(str(path), Path(path).parent, Path(kept) if kept else Path(path).parent / "kept")
     known = sizes(target)
--- a/pathsaddle/experiment/grounds.py
+++ b/pathsaddle/experiment/grounds.py
@@ -20,7 +20,8 @@
 @dataclass(frozen=True)
 class Program:
     """read: a plan's file, checked whole; raises Error. play: what was read; its end code, figures printed
-    last."""
+    last.
+    """
 
     read: Callable[[str], Any]
     play: Callable[[Any], int]
@@ -79,9 +80,9 @@
 }
 EMULATED = ("virtual", "sockets")
 OPTIONS: dict[str, tuple[str, ...]] = {  # that the command takes for a plan of each
-    **{ground: ("folder", "ground", "jobs", "seeds", "fresh") for ground in EMULATED},
+    **dict.fromkeys(EMULATED, ("folder", "ground", "jobs", "seeds", "fresh")),
     "scale": ("folder", "jobs", "fresh", "short"),
-    **{ground: () for ground in PROGRAMS},
+    **dict.fromkeys(PROGRAMS, ()),
 }
 
 
@@ -98,7 +99,8 @@
 
 def read(path: str | Path) -> tuple[str, Any]:
     """(ground, the plan) of whatever ground, checked whole; a target of capacity counts as one. Raises
-    Error."""
+    Error.
+    """
     from pathsaddle.emulator import plan as emulated
     from pathsaddle.experiment import capacity, scale
 
--- a/pathsaddle/experiment/keep.py
+++ b/pathsaddle/experiment/keep.py
@@ -1,5 +1,6 @@
 """Results as lines of JSON, each with all that tells whether it may stand for a run: plan, variant, seed, ground,
-commit, machine. A run that is there already is not run again."""
+commit, machine. A run that is there already is not run again.
+"""
 
 from __future__ import annotations
 
@@ -142,7 +143,7 @@
 
     def add(self, result: Result) -> None:
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        cut = self.path.exists() and not self.path.read_bytes()[-1:] in (b"", b"\n")
+        cut = self.path.exists() and self.path.read_bytes()[-1:] not in (b"", b"\n")
         with self.path.open("ab") as file:
             file.write((b"\n" if cut else b"") + msgspec.json.encode(result) + b"\n")
             file.flush()
--- a/pathsaddle/experiment/overload.py
+++ b/pathsaddle/experiment/overload.py
@@ -17,7 +17,7 @@
 
 
 def one(plan: dict[str, Any], seed: int, rate: float) -> dict[str, Any]:
-    """rate 0: without the gate."""
+    """Rate 0: without the gate."""
     task = Task(plan, {"name": "base"}, seed, "virtual", "", ".")
     if not rate:
         result = perform(task)
--- a/pathsaddle/experiment/run.py
+++ b/pathsaddle/experiment/run.py
@@ -174,7 +174,8 @@
 @contextlib.contextmanager
 def interrupts() -> Iterator[list[int]]:
     """Keeps that an interrupt came: raised inside a parser's callback, httptools makes a parser's error of it, which
-    an emulated peer takes for bad bytes, and the runs went on as if nobody had asked."""
+    an emulated peer takes for bad bytes, and the runs went on as if nobody had asked.
+    """
     asked: list[int] = []
 
     def heard(number: int, frame: FrameType | None) -> None:
@@ -265,7 +266,8 @@
 
 def failings(plan: Plan, results: list[Result]) -> list[str]:
     """What a plan's results do not hold of what it states: rules for all that is ours, bounds for the plan as it
-    stands. A baseline's rules are judged like any other's."""
+    stands. A baseline's rules are judged like any other's.
+    """
     found = []
     bounds = plan.bounds
     for result in results:
--- a/pathsaddle/experiment/scale.py
+++ b/pathsaddle/experiment/scale.py
@@ -167,14 +167,16 @@
 
     def digest(self, point: int) -> str:
         """Of all that a play's figures hang on beside its seed, as far as the plan and its measure tell
-        it."""
+        it.
+        """
         text = [self.plan.measure, point, msgspec.to_builtins(self.setting), self.source]
         return hashlib.blake2b(msgspec.json.encode(text, order="sorted"), digest_size=8).hexdigest()
 
 
 def read(path: str | Path, package: str = PACKAGE) -> Scale:
     """The plan in a file and its measure; raises Faulty with all that is wrong, also with what its plays
-    need."""
+    need.
+    """
     return of(load(path), str(path), package)
 
 
@@ -342,7 +344,8 @@
 
 def processes(session: int, mark: str) -> list[tuple[int, float]]:
     """(id, MiB of its own) of each process in a session or with a mark in its environment; nothing without
-    /proc."""
+    /proc.
+    """
     found: list[tuple[int, float]] = []
     page = os.sysconf("SC_PAGE_SIZE") / (1 << 20)
     for name in os.listdir("/proc") if os.path.isdir("/proc") else ():
@@ -516,7 +519,8 @@
 
     def go(self, tell: Callable[[Kept], None] = lambda kept: None) -> list[Kept]:
         """All results, in the plan's order. Interrupted or faulted, nothing of a play goes on, and what ended
-        is kept."""
+        is kept.
+        """
         waiting, commit = self.left, commit_of()
         running: dict[int, Play] = {}
 
--- a/pathsaddle/experiment/slope.py
+++ b/pathsaddle/experiment/slope.py
@@ -43,7 +43,8 @@
     """A figure's law. a, b: of y = a + b f(n). error: of left-out points, a part of the mean. errors: of all
     candidates. spread: between plays of a point, most over the points, a part of the point's mean.
     unexplained: root mean square of the points' residuals, a part of the mean; worst: the largest residual, a
-    part of its point's mean, at worst_at."""
+    part of its point's mean, at worst_at.
+    """
 
     law: str
     a: float
--- a/pathsaddle/federation/abroad.py
+++ b/pathsaddle/federation/abroad.py
@@ -68,7 +68,8 @@
 
 class Abroad:
     """capacity: jobs a second that this region's workers do. regions: region -> its members, this one's among
-    them."""
+    them.
+    """
 
     def __init__(self, process: Process, regions: dict[str, list[str]], capacity: float) -> None:
         self.process, self.regions = process, regions
@@ -349,7 +350,8 @@
 
     def remember(self, post: str, outcome: str) -> None:
         """Who is forgotten here was sent longer ago than its caller waits, at the rate at which others may
-        send."""
+        send.
+        """
         self.lent[post] = outcome
         if len(self.lent) > MOST:
             del self.lent[next(iter(self.lent))]
--- a/pathsaddle/federation/check.py
+++ b/pathsaddle/federation/check.py
@@ -43,7 +43,8 @@
 
 def versions(members: int, home: str = "north", moved: str = "north") -> tuple[Version, Version]:
     """1 and 2. `moved`: where version 2 has home; another than `home` is the case that needs everybody's
-    word."""
+    word.
+    """
     names = ", ".join(f'"m{i}"' for i in range(members))
     regions = (
         f'[regions.north]\nmembers = [{names}]\n[regions.west]\nmembers = ["w"]\n'
@@ -205,7 +206,8 @@
 ) -> int:
     """How many worlds there are within `depth` steps; raises Forbidden where the bound fails in one. `moved`
     as in `versions`: with "south" version 2 forbids north itself, which no lease's end makes safe; begun anew
-    with an old disk is then left out, since the word is kept on disk before it is sent."""
+    with an old disk is then left out, since the word is kept on disk before it is sent.
+    """
     one, two = versions(members, moved=moved)
     world = first or start(one, two, members)
     seen, edge = {world}, [(world, None)]
@@ -228,7 +230,8 @@
 
 def walk(seed: int, length: int = 60, members: int = 3, asks: int = 6, lives: int = 4) -> int:
     """One order of events, far longer than all can be tried, drawn by chance; how many steps were taken. Raises
-    Forbidden."""
+    Forbidden.
+    """
     chance = Random(seed)
     one, two = versions(members)
     world = start(one, two, members)
--- a/pathsaddle/federation/disk.py
+++ b/pathsaddle/federation/disk.py
@@ -75,7 +75,8 @@
 
     def last(self) -> Version | None:
         """What can't be read counts as not there: an older one, or the first, goes, and home alone till a
-        lease."""
+        lease.
+        """
         for path in sorted(self.folder.glob(f"{self.name}-*.toml"), reverse=True):
             # A cut or changed file of ours is never a reason not to start.
             with contextlib.suppress(OSError, ValueError, FederationFault):
--- a/pathsaddle/federation/driver.py
+++ b/pathsaddle/federation/driver.py
@@ -412,7 +412,8 @@
 
     def asked(self, said: Said, now: int) -> None:
         """A job of another region: it is begun only where our own rule allows it, whatever its sender
-        thought. A sender that stood still between its look and its sending is stopped here."""
+        thought. A sender that stood still between its look and its sending is stopped here.
+        """
         rule = self.holder.rule(said.scheme, now)
         if self.region not in rule.may:
             self.log(
@@ -514,7 +515,8 @@
 
     def took(self, line: tuple[Entry, ...]) -> bool:
         """Whether the highest is known with its text: of one without it nothing is said, so that nobody goes by what
-        this keeper can't prove or serve."""
+        this keeper can't prove or serve.
+        """
         self.wanted = {}
         for entry in line:
             version = self.disk.have.get(entry.known)
@@ -600,7 +602,8 @@
 
 class Committer(Process):
     """Offers a text to all, serves it for a time, then commits it under the next number. Keepers tell the
-    rest."""
+    rest.
+    """
 
     def __init__(self, ground: Ground, listen: str, path: str) -> None:
         """Raises SpecFaulty, NoFolder, NoAddress."""
@@ -658,7 +661,8 @@
 
     async def offers(self, until: float, last: float = 0.0) -> None:
         """Until then, and with voters until a majority of keepers has the text: one that is committed must outlive us.
-        Raises NoWay."""
+        Raises NoWay.
+        """
         size, need = len(self.spec.text.encode()), len(self.ground.keepers) // 2 + 1
         while time.monotonic() < until or (last and len(self.kept) < need):
             if last and time.monotonic() >= last:
--- a/pathsaddle/federation/faults.py
+++ b/pathsaddle/federation/faults.py
@@ -1,5 +1,6 @@
 """What an operator reads of the federation, all of the one family (docs/errors.md). An address that can't be had is
-`pathsaddle.net.service.place`'s."""
+`pathsaddle.net.service.place`'s.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/federation/lend.py
+++ b/pathsaddle/federation/lend.py
@@ -25,7 +25,8 @@
 @dataclass(frozen=True)
 class Free:
     """The region's own workers as this member last had it. foreign: how many jobs of others they run; of: by
-    scheme."""
+    scheme.
+    """
 
     slots: int
     waiting: int
--- a/pathsaddle/federation/spec.py
+++ b/pathsaddle/federation/spec.py
@@ -100,7 +100,8 @@
 @dataclass(frozen=True)
 class Rule:
     """What one scheme is allowed, already settled between all versions that a member knows. staleness: ticks,
-    or None for any age. order: where to after home."""
+    or None for any age. order: where to after home.
+    """
 
     may: frozenset[str]
     home: str
--- a/pathsaddle/federation/txn_service.py
+++ b/pathsaddle/federation/txn_service.py
@@ -41,7 +41,8 @@
 @dataclass(eq=False)
 class Crossing:
     """One txn of ours that is at another region's door. unknown, again: as in `Job`, over all doors that it
-    was at."""
+    was at.
+    """
 
     txn: Txn
     entry: Entry
@@ -61,7 +62,8 @@
 
 class FederatedTxnService(TxnService):
     """doors: region -> where its dispatchers take calls. room: how many txns may be open here before nothing
-    is lent; a region's members' rooms together are what it can do at once."""
+    is lent; a region's members' rooms together are what it can do at once.
+    """
 
     def __init__(self, *told: Any, member: MemberProcess, doors: dict[str, list[str]], room: int) -> None:
         super().__init__(*told)
@@ -176,7 +178,8 @@
 
     async def _carry(self, exchange: Exchange) -> None:
         """Each posting here is asked for by the spec as it stands now: it may have been tightened while a txn
-        was held."""
+        was held.
+        """
         txn = exchange.posting.txn
         if self.member.region in self.member.holder.rule(self.names[txn.scheme.index], self.member.now()).may:
             await super()._carry(exchange)
@@ -231,7 +234,8 @@
         unknown: list[str] | None = None,
     ) -> bool:
         """Whether there is a door to go to; then its answer is the answer. before: it comes back from
-        another."""
+        another.
+        """
         txn, member, now = entry.txn, self.member, self.member.now()
         doors = self.doors.get(place.region)
         if not doors:
--- a/pathsaddle/federation/versions.py
+++ b/pathsaddle/federation/versions.py
@@ -175,7 +175,8 @@
 
     def caught_up(self, version: Version[T]) -> Holder[T]:
         """A version that is surely committed, perhaps below the highest known: on the way to that one. Keep it on disk,
-        synced, before any word of it."""
+        synced, before any word of it.
+        """
         if version.number <= self.base.number:
             return self
         if version.number >= self.known[0]:
@@ -206,7 +207,8 @@
 
     def ends(self) -> int:
         """Until when it goes by `base` and more than home alone: not at all, where a higher one is known without its
-        text, or where the spec doesn't name this member."""
+        text, or where the spec doesn't name this member.
+        """
         if (self.base.number, self.base.digest) != self.known or not self.base.spec.has_member(
             self.name, self.here
         ):
@@ -290,7 +292,8 @@
 
     def waits_for(self, now: int) -> tuple[str, ...]:
         """The members without whose word, or before whose lease's end, the highest version is not in force;
-        "?" where this keeper does not know all versions that somebody may go by."""
+        "?" where this keeper does not know all versions that somebody may go by.
+        """
         number = self.known[0]
         if not self.history or (self.history[-1].number, self.history[-1].digest) != self.known:
             return ("?",)
@@ -322,7 +325,8 @@
         """As `judged`, but of every version: where commits follow one another closely the highest is never had by all.
         What makes the highest in force makes any: its number was committed before `learnt`, and who has a higher one goes
         by what was committed later. memo: kept by the caller for one line of versions, where a number's text and all
-        below it never differ."""
+        below it never differ.
+        """
         if not self.history or self.history[-1].number - self.begins + 1 != len(self.history):
             return self
         top, told = self.history[-1].number, dict(self.rows)
@@ -385,7 +389,8 @@
 @lru_cache(64)
 def _last_withdrawn(history: tuple[Version[Any], ...], here: str) -> int:
     """The highest number of a version by which somebody in `here` that hears nothing would do what the last forbids;
-    0: none."""
+    0: none.
+    """
     new = history[-1].spec
     return next((one.number for one in history[-2::-1] if one.spec.withdrawn(new, here)), -1)
 
@@ -393,7 +398,8 @@
 @dataclass(frozen=True)
 class Change:
     """region: which is allowed no more, or newly; empty where another right of the scheme differs. key:
-    which."""
+    which.
+    """
 
     scheme: str
     region: str
@@ -404,7 +410,8 @@
 def compared(old: Spec, new: Spec) -> list[Change]:
     """All that `new` takes away or gives, in the order of schemes and regions. Order of failing over,
     home and copies are no
-    rights: they change with the commit, like a loosening."""
+    rights: they change with the commit, like a loosening.
+    """
     found = []
     for name in sorted({**old.schemes, **new.schemes}):
         if name not in old.schemes or name not in new.schemes:
--- a/pathsaddle/federation/voted.py
+++ b/pathsaddle/federation/voted.py
@@ -114,7 +114,8 @@
         commits: bool = False,
     ) -> None:
         """name: nobody else's in this moment, among at most some thousands ever. Raises what
-        ownership's Register does."""
+        ownership's Register does.
+        """
         told = Told(
             name,
             form.fleet,
@@ -141,7 +142,8 @@
 
     async def read(self) -> tuple[int, tuple[Entry, ...]] | None:
         """The number of the last owner, and what was committed after this was called or then; None: no majority proved it.
-        Raises NoWay."""
+        Raises NoWay.
+        """
         self.asked += 1
         op = f"{self.name}/{self.register.owner.life}/read/{self.asked}"
         self.tell("reg.call", who=self.name, op=op, key=KEY, kind="read")
--- a/pathsaddle/federation/ways.py
+++ b/pathsaddle/federation/ways.py
@@ -67,7 +67,8 @@
 
     def room(self, now: int) -> bool:
         """Whether one more of ours may be abroad there; none where nothing was free when it last told of
-        itself."""
+        itself.
+        """
         return self.free > 0 and self.open < self.window and (self.window >= 1 or now >= self.next)
 
     def patience(self) -> int:
@@ -79,7 +80,8 @@
 class Job:
     """A txn as the choice sees it. left: until when an answer counts. work: expected, ticks. origin: whose
     client's. unknown: regions where it may have run. tried: declined there and not asked again before
-    `again`."""
+    `again`.
+    """
 
     tag: str
     scheme: str
@@ -94,7 +96,8 @@
 class Place:
     """What becomes of a txn now. what: `run` (in this region), `send` (to `region`), `hold` (until `until`),
     `decline`, `wait-out` (it may have run: neither again nor declined). code: the reason; key, line, version:
-    of the spec."""
+    of the spec.
+    """
 
     what: str
     code: str
@@ -154,7 +157,8 @@
 
     def word(self, region: str, fellow: str, overdue: int, heard: int, now: int) -> None:
         """A fellow of this region says how many of its askings went unanswered in a row, and after which
-        moment (of our clock, its age made longer by the drift) it was last answered."""
+        moment (of our clock, its age made longer by the drift) it was last answered.
+        """
         way = self.ways[region]
         way.words[fellow] = (overdue, heard, now)
         if len(way.words) > 64:
@@ -175,12 +179,14 @@
 
     def opened(self, region: str, lent: bool) -> None:
         """lent: it is abroad there. What goes home is bounded by trust, not by what that region lends to
-        others."""
+        others.
+        """
         self.ways[region].open += lent
 
     def ended(self, region: str, outcome: str, lent: bool, now: int) -> None:
         """settled, declined (nothing ran), unknown, or gone: nobody waits for it any more, which says
-        nothing."""
+        nothing.
+        """
         way = self.ways[region]
         way.open -= lent
         if outcome == "settled":
@@ -276,7 +282,8 @@
 
     def _abroad(self, job: Job, rule: Rule, spec: Spec, now: int) -> tuple[str, bool] | None:
         """The first in the spec's order that can do it in time; one that has a fresh copy before one that
-        must fetch."""
+        must fetch.
+        """
         after: tuple[str, bool] | None = None
         for region in rule.order:
             if (
--- a/pathsaddle/fleet/asking.py
+++ b/pathsaddle/fleet/asking.py
@@ -126,7 +126,7 @@
 
 
 def _kernel(fault: OSError) -> str:
-    """asyncio puts an address and a tuple where the kernel's word would stand."""
+    """Asyncio puts an address and a tuple where the kernel's word would stand."""
     import os
 
     return os.strerror(fault.errno).lower() if fault.errno else why(fault)
--- a/pathsaddle/fleet/members.py
+++ b/pathsaddle/fleet/members.py
@@ -160,7 +160,8 @@
 
 class Membership:
     """Bounds: what is sent, per second, by Purse; what is kept, by the names that sign with the key, of which the
-    dead are at most `most_dead`; how long a dead one is not noticed, and a live one wrongly, in docs/membership.md."""
+    dead are at most `most_dead`; how long a dead one is not noticed, and a live one wrongly, in docs/membership.md.
+    """
 
     def __init__(self, me: Row, ways: Ways, seeds: Iterable[str], chance: Random, now: int) -> None:
         self.me, self.ways, self.chance = me, ways, chance
@@ -256,7 +257,8 @@
 
     def _stalled(self, now: int) -> None:
         """Called later than we asked for: we stood still, and what others answered meanwhile lies unread. Nobody is
-        judged by that time; suspicions last as much longer, and a beat on top to hear what lies there."""
+        judged by that time; suspicions last as much longer, and a beat on top to hear what lies there.
+        """
         late = now - self.promised
         if late <= self.ways.beat // 2 or not self.ways.lifeguard:
             self.promised = max(self.promised, now)
@@ -421,7 +423,9 @@
             return
         member = self.members.get(row.name)
         if member is None:
-            if len(self.members) >= MOST_MEMBERS or row.state >= DEAD and self._dead() >= self.ways.most_dead:
+            if len(self.members) >= MOST_MEMBERS or (
+                row.state >= DEAD and self._dead() >= self.ways.most_dead
+            ):
                 self._count("no room")
                 return
             member, self.stirred = Member(row, now), True
@@ -528,7 +532,8 @@
 
     def _reach_the_dead(self, now: int) -> None:
         """A partition that has ended is noticed by nobody else. As many try as bring each of the dead about one
-        datagram a beat from the whole fleet."""
+        datagram a beat from the whole fleet.
+        """
         if now < self.apart_due:
             return
         self.apart_due = now + int(APART * self.ways.beat * (0.5 + self.chance.random()))
@@ -697,10 +702,8 @@
         self._stalled(now)
         try:
             said = decode(data, self.ways.key, self.ways.fleet)
-            if (
-                said.to not in (self.me.name, "")
-                or said.me.name == self.me.name
-                and said.me.life == self.me.life
+            if said.to not in (self.me.name, "") or (
+                said.me.name == self.me.name and said.me.life == self.me.life
             ):
                 raise Refused("misdirected")
             self._new(said)
--- a/pathsaddle/fleet/overload/__init__.py
+++ b/pathsaddle/fleet/overload/__init__.py
@@ -1,2 +1,3 @@
 """Overload handled by the fleet as one: who is shed, at which level,
-and what all may do beside first postings."""
+and what all may do beside first postings.
+"""
--- a/pathsaddle/fleet/overload/advice.py
+++ b/pathsaddle/fleet/overload/advice.py
@@ -16,7 +16,8 @@
 
 class Returns:
     """most: returns in any second that all may advise; part: ours of them. phase: 0 to 1, spread evenly over
-    the members. longest: the longest advice, ticks."""
+    the members. longest: the longest advice, ticks.
+    """
 
     def __init__(self, most: float, part: float, phase: float, longest: int) -> None:
         self.each, self.phase, self.longest = most * part / 2, phase, longest
@@ -30,7 +31,8 @@
 
     def advise(self, place: float, free: float, soonest: int, now: int) -> int:
         """Ticks to wait; 0: no advice. place: the txn's draw, 0 to 1.
-        free: what part of all slots is free now."""
+        free: what part of all slots is free now.
+        """
         for second in range((now + soonest) // SECOND + 1, (now + self.longest) // SECOND):
             taken = self.seconds.get(second, 0)
             if taken < min(self.holds(second, free), self.holds(second, 1.0)):
--- a/pathsaddle/fleet/overload/beside.py
+++ b/pathsaddle/fleet/overload/beside.py
@@ -24,7 +24,8 @@
 
 def place(worker: Worker) -> str:
     """Whose budget it is, alike at all members; workers that share one are together bound by what bounds
-    each."""
+    each.
+    """
     return f"w{worker.lot % PLACES}"
 
 
@@ -100,7 +101,8 @@
 
     def come_back(self, txn: Txn, choice: Choice) -> int:
         """None where clients take none; what lies past the longest that the deployment allows is not said
-        either, for cut down to it all would be told the same."""
+        either, for cut down to it all would be told the same.
+        """
         verdict = self.verdicts.pop(txn, None)
         wait = (
             verdict.come_back
--- a/pathsaddle/fleet/overload/budgets.py
+++ b/pathsaddle/fleet/overload/budgets.py
@@ -22,7 +22,8 @@
 
 class Budgets:
     """The limiter raises KeyError for a name that the charter deals nothing for: such a budget binds
-    nothing."""
+    nothing.
+    """
 
     def __init__(self, limiter: Limiter) -> None:
         self.limiter = limiter
@@ -30,7 +31,7 @@
 
     def takes(self, kind: str, worker: str | None, now: int) -> bool:
         """The worker's first, which is the narrower: a unit of the fleet's is rarely taken for nothing."""
-        if worker is not None and not self._takes(f"{kind}.{worker}", now) or not self._takes(kind, now):
+        if (worker is not None and not self._takes(f"{kind}.{worker}", now)) or not self._takes(kind, now):
             self.refused[kind] += 1
             return False
         return True
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -17,7 +17,8 @@
 
 class Levels:
     """One process's gate in its fleet. `before`: called before each of its moments, to tell it what was seen;
-    `after` it, with the level as it stands."""
+    `after` it, with the level as it stands.
+    """
 
     def __init__(
         self, fellows: Fellows, gate: Gate, before: Callable[[], None], after: Callable[[], None]
--- a/pathsaddle/fleet/overload/gate.py
+++ b/pathsaddle/fleet/overload/gate.py
@@ -88,7 +88,8 @@
 
 class Gate:
     """name: its own, as the records' rows name it. number: its place among the members by the charter,
-    from 0."""
+    from 0.
+    """
 
     def __init__(self, ways: Ways, name: str, number: int, limiter: Limiter, now: int) -> None:
         self.ways, self.name, self.now = ways, name, now
@@ -118,7 +119,8 @@
 
     def sees(self, could: float, idle: float, line: float) -> None:
         """Of the workers as this member knows them now. could: slots that can be kept busy, pace included;
-        idle: what part is free; line: jobs that wait, there and with us, for each slot of our part."""
+        idle: what part is free; line: jobs that wait, there and with us, for each slot of our part.
+        """
         self.could, self.idle, self.line = could, idle, line
 
     def came_of(self, turned_away: bool) -> None:
@@ -130,10 +132,11 @@
         """The others' records as the fleet's layer has them. A record counts for STALE from when it was
         written at the earliest, or from when it came where nobody answers for that: who is not heard has its
         part, and nothing said of it is taken for word. An age too low makes a level older,
-        and breaks no bound."""
+        and breaks no bound.
+        """
         for name, life, version, body, (youngest, oldest) in rows:
             held = self.heard.get(name)
-            if name == self.name or held is not None and (life, version) <= held[:2]:
+            if name == self.name or (held is not None and (life, version) <= held[:2]):
                 continue
             try:
                 self.heard[name] = (life, version, read(body), now - (youngest if oldest is None else oldest))
@@ -181,7 +184,8 @@
         """What part of each customer's txns is beyond its share. Where the middle customer is over its own,
         all shares grow by as much: a surge of everybody's is for the level to judge by value, and a flood of
         one does not move the middle. Heard in part, a customer has that part of its share,
-        and more as trims tell of room."""
+        and more as trims tell of room.
+        """
         ratios = {}
         for who, allowance in self.ways.allowances.items():
             rate = sums.customers.get(self.shorts_of[who], 0.0)
@@ -192,7 +196,8 @@
 
     def learns(self, sums: Sums) -> None:
         """The trim: what its own postings meet, against what the sums said. It moves by steps, and up only
-        while it is what binds: a trim that grew in quiet times would let all in when trouble comes."""
+        while it is what binds: a trim that grew in quiet times would let all in when trouble comes.
+        """
         if sums.line > LINE or self.turned > 0.2:
             self.trim *= 1.0 - STEP * min(3.0, max(1.0, sums.line / LINE))
         elif sums.idle > IDLE and sums.line < LINE / 2 and (self.level.stands > 0.0 or sums.heard < HEARD):
@@ -209,7 +214,8 @@
 
     def lets_in(self, ask: Ask, now: int) -> Verdict:
         """Asked once for each try, before its first posting. Who stood still goes by what it knows now, not
-        by what it worked out before: words have aged meanwhile."""
+        by what it worked out before: words have aged meanwhile.
+        """
         if now - self.now > 5 * self.every:
             self.wake(now)
         place, period = drawn(self.ways.secret, ask, now)
@@ -232,7 +238,7 @@
         # advice that need not be kept bunches.
         if (
             stands >= level
-            and (level == 0.0 and ask.late > 0.0 or ask.left >= ask.run)
+            and ((level == 0.0 and ask.late > 0.0) or ask.left >= ask.run)
             and not (early and level > 0.0)
         ):
             self.known.pop(mark, None)
--- a/pathsaddle/fleet/overload/level.py
+++ b/pathsaddle/fleet/overload/level.py
@@ -105,7 +105,8 @@
     def moves(self, target: float, heard: float, now: int) -> float:
         """Towards the target at its pace. A small step only where the target is the floor: there it must not
         hang. heard: part of the fleet that the sums are from; few txns jump about more than many,
-        by the root."""
+        by the root.
+        """
         spent = min(SECOND, max(0, now - self.at)) / SECOND  # a stall of our own is no licence to leap
         self.at = max(self.at, now)
         off = target - self.stands
--- a/pathsaddle/fleet/overload/standing.py
+++ b/pathsaddle/fleet/overload/standing.py
@@ -40,7 +40,8 @@
 def drawn(secret: bytes, ask: Ask, now: int, what: bytes = b"") -> tuple[float, int]:
     """A number from 0 to 1, and its period, that are the same at every member for as long as the period
     lasts. `now` by Unix time: clocks that differ by d disagree for d of each period,
-    which changes the choice but no bound."""
+    which changes the choice but no bound.
+    """
     name = b"\0".join(part.encode() for part in (ask.customer, ask.key, ask.scheme))
     shift = int.from_bytes(blake2b(name, digest_size=4, key=secret).digest()) % PERIOD
     period = (now + shift) // PERIOD
--- a/pathsaddle/fleet/state/carry.py
+++ b/pathsaddle/fleet/state/carry.py
@@ -100,7 +100,8 @@
 @dataclass(frozen=True)
 class Shown:
     """A record as its users see it, ages in ticks. sure: how long ago at most its owner had nothing later
-    than we have; None: that is not known."""
+    than we have; None: that is not known.
+    """
 
     member: str
     life: int
@@ -424,7 +425,8 @@
 
     def heard(self, data: bytes, now: int) -> Packet | None:
         """A datagram has come; what of it is for others than this layer is theirs to read.
-        None: it was refused, counted."""
+        None: it was refused, counted.
+        """
         try:
             packet = decode(data, self.key, self.fleet)
             if packet.to != self.name or packet.name == self.name:
@@ -509,7 +511,7 @@
                 and mine.ago >= 0
                 and (row is None or row.ago < 0 or mine.ago < row.ago or since < origin.seen)
             )
-            if later or row is not None and since > origin.seen:
+            if later or (row is not None and since > origin.seen):
                 if room - size_of(mine) < 0:
                     more = True
                     break
--- a/pathsaddle/fleet/state/form.py
+++ b/pathsaddle/fleet/state/form.py
@@ -39,7 +39,8 @@
 
 class Row(Struct, array_like=True, frozen=True):
     """All up to `seen` of a member's life are here; at some moment of the last `ago` ticks it had no later
-    ones (-1: not known)."""
+    ones (-1: not known).
+    """
 
     name: str
     life: int
@@ -53,7 +54,8 @@
 
 class Compare(Struct, array_like=True, tag=1, frozen=True):
     """The rows are all that its sender has of names after `first` up to `last`;
-    an empty `last`: to the end."""
+    an empty `last`: to the end.
+    """
 
     echo: int
     first: str
@@ -72,7 +74,8 @@
 
 class Ask(Struct, array_like=True, tag=3, frozen=True):
     """For so many pieces of a document: of those whose bits stand in `lacks` (none: any),
-    whichever are there."""
+    whichever are there.
+    """
 
     digest: bytes
     most: int
--- a/pathsaddle/fleet/state/limiter.py
+++ b/pathsaddle/fleet/state/limiter.py
@@ -111,7 +111,8 @@
 
     def takes(self, budget: str, units: int, now: int) -> bool:
         """Whether so many uses may be made now; asked just before them, it counts them as made.
-        KeyError: no such budget."""
+        KeyError: no such budget.
+        """
         one = self.budgets[budget]
         if units <= self.free(budget, now):
             one.spent.append((now, units))
@@ -168,7 +169,8 @@
 
     def leave(self, now: int) -> None:
         """We end: what we hold goes back at once, and its owner lets it rest;
-        our own part is used to the end."""
+        our own part is used to the end.
+        """
         self.leaving, self.there = True, []
         for one in self.budgets.values():
             self._returns_all(one, now)
@@ -296,7 +298,8 @@
 
     def claimed(self, life: int) -> None:
         """We have another life: askings of the old one are answered to nobody;
-        what is lent and held stays as it is."""
+        what is lent and held stays as it is.
+        """
         self.life = life
         for one in self.budgets.values():
             one.state = replace(one.state, life=life, open=())
--- a/pathsaddle/fleet/state/shared.py
+++ b/pathsaddle/fleet/state/shared.py
@@ -1,5 +1,6 @@
 """What one member shares with the others, put together for a driver: the carrying layer and the shares of
-budgets."""
+budgets.
+"""
 
 from __future__ import annotations
 
@@ -126,7 +127,8 @@
     def _spare(self, now: int) -> bytes:
         """What it would lend, as far as a record has room: 16 budgets with names of over 22 characters have more to say
         than that, and a `put` that refused it ended the timer's turn each beat. What is left out is found by chance
-        like what is long past: whoever asks also asks one who told of nothing."""
+        like what is long past: whoever asks also asks one who told of nothing.
+        """
         spares = {name: self.limiter.spare(name, now) for name in list(self.limiter.budgets)[:16]}
         body = _encode(spares)
         if len(body) <= BODY:
@@ -159,7 +161,8 @@
 
     def view(self, now: int) -> dict[str, Any]:
         """Each budget as we hold it, times in milliseconds; of others what they last told,
-        with its age as an interval."""
+        with its age as an interval.
+        """
         budgets = []
         for name, one in self.limiter.budgets.items():
             state = one.state.at(now)
--- a/pathsaddle/fleet/state/shares.py
+++ b/pathsaddle/fleet/state/shares.py
@@ -32,7 +32,8 @@
 @dataclass(frozen=True)
 class Want:
     """Asks for so many units. number: grows with each asking of a life; an answer names it. renews: the
-    number of a loan that is to go on; 0: none."""
+    number of a loan that is to go on; 0: none.
+    """
 
     name: str
     life: int
@@ -95,7 +96,8 @@
 
     def _surely(self) -> int:
         """A lease's length by a clock that may be fast: over by then for certain,
-        and what was done in it rested."""
+        and what was done in it rested.
+        """
         return -int(-(self.lease + self.guard) * (1 + DRIFT) // 1) + 1
 
     def _maybe(self) -> int:
@@ -133,7 +135,8 @@
 
     def asked_by(self, want: Want, spare: int, now: int) -> tuple[State, Lend | None]:
         """Another asks; `spare`: how many of its units this one does not want itself; under 0, so many it
-        lacks. One asking is answered once: what comes twice, or again while its loan runs, gets nothing."""
+        lacks. One asking is answered once: what comes twice, or again while its loan runs, gets nothing.
+        """
         state = self.at(now)
         key = (want.name, want.life, want.number)
         if (
--- a/pathsaddle/histories/__init__.py
+++ b/pathsaddle/histories/__init__.py
@@ -1,2 +1,3 @@
 """Histories checked after the fact: what members wrote down is read by checkers that know nothing of their
-code."""
+code.
+"""
--- a/pathsaddle/histories/__main__.py
+++ b/pathsaddle/histories/__main__.py
@@ -1,5 +1,6 @@
 """python -m pathsaddle.histories: prove the checkers by a plan, check a folder of logs,
-show a history as lanes."""
+show a history as lanes.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +38,7 @@
 
 
 def stated(folder: Path) -> tuple[int, dict[str, dict[str, Any]]]:
-    """skew in ticks, and bounds by checker. Raises HistoryError."""
+    """Skew in ticks, and bounds by checker. Raises HistoryError."""
     path = folder / STATED
     if not path.is_file():
         return 0, {}
--- a/pathsaddle/histories/checkers.py
+++ b/pathsaddle/histories/checkers.py
@@ -38,7 +38,8 @@
     only: Iterable[str] = tuple(CHECKERS),
 ) -> list[Finding]:
     """All that is found in the logs of one run, put in order here. skew: ticks by which any clock may be off
-    true time. bounds: of checkers by name, that they can't know (`Shedding`)."""
+    true time. bounds: of checkers by name, that they can't know (`Shedding`).
+    """
     rows = in_order(events)
     told = bounds or {}
     return check(rows, [checker(name, skew, **told.get(name, {})) for name in only])
--- a/pathsaddle/histories/logs.py
+++ b/pathsaddle/histories/logs.py
@@ -98,7 +98,8 @@
     def later(self, judge: Callable[[Event], None], event: Event, at: int = NEVER) -> None:
         """Judges an event (or what it says of the moment `at`) once all is known that may truly have come
         before: `skew` twice, later. For that long what others wrote with a later moment may have been first;
-        events of the very moment are waited for too."""
+        events of the very moment are waited for too.
+        """
         self._order += 1
         heappush(self._waiting, (max(at, event.at) + 2 * self.skew, self._order, judge, event))
 
@@ -120,7 +121,8 @@
 
     def stays(self, events: Sequence[Event], finding: Finding) -> list[int]:
         """Places of events that a history made small must keep, though no finding names them: those that,
-        left out, could make what was right look wrong. Asked of a checker that has read them all."""
+        left out, could make what was right look wrong. Asked of a checker that has read them all.
+        """
         return []
 
 
@@ -164,7 +166,8 @@
 
 def read(path: Path) -> list[Event]:
     """One file's events: lines that begin with a brace; other lines are the program's words and let be. A
-    last line that was cut by a kill is left out. Raises HistoryError where another line can't be read."""
+    last line that was cut by a kill is left out. Raises HistoryError where another line can't be read.
+    """
     try:
         lines = path.read_bytes().split(b"\n")
     except OSError as fault:
--- a/pathsaddle/histories/placement.py
+++ b/pathsaddle/histories/placement.py
@@ -1,5 +1,6 @@
 """Placement: one unit a bay and one bay a unit, what an island bears, the order of steps,
-planners that wake late."""
+planners that wake late.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/histories/planted.py
+++ b/pathsaddle/histories/planted.py
@@ -365,7 +365,8 @@
 
 class Unchecked(PlacementWorld):
     """Now and then a reservation is taken that one check would have refused;
-    the books are kept as if it had been."""
+    the books are kept as if it had been.
+    """
 
     left_out = ""
 
--- a/pathsaddle/histories/register.py
+++ b/pathsaddle/histories/register.py
@@ -34,7 +34,8 @@
 @dataclass(slots=True, eq=False)
 class Call:
     """One call. end: FOREVER where nobody knows. like: what else it can't be told from,
-    where it is unknown."""
+    where it is unknown.
+    """
 
     event: Event
     order: int
@@ -126,7 +127,8 @@
 class Tried:
     """What was reached, without what something else reached outdoes: the same calls in flight done, an owner
     and a value that are the same, numbers that may be all that the other's may be,
-    no more unknown calls used."""
+    no more unknown calls used.
+    """
 
     __slots__ = ("rows",)
 
@@ -175,7 +177,8 @@
 
     def run(self) -> tuple[str, Call | None]:
         """("", None), ("undecided", the call at which it was given up) or ("not", the call that nothing
-        explains)."""
+        explains).
+        """
         points: list[tuple[int, int, int, Call]] = []
         for call in self.calls:
             points.append((call.begin, 0, call.order, call))  # begins first: of one moment, they may overlap
@@ -225,7 +228,8 @@
         tried: list[Row], call: Call, flight: dict[int, Call], lost: dict[int, list[Call]]
     ) -> Tried | None:
         """All that can stand once this call has ended; None where there is too much of it. Shorter ways
-        first: what they reach outdoes most of what longer ones do."""
+        first: what they reach outdoes most of what longer ones do.
+        """
         after, seen = Tried(), Tried()
         todo = deque(tried)
         count = 0
--- a/pathsaddle/histories/shares.py
+++ b/pathsaddle/histories/shares.py
@@ -23,7 +23,8 @@
 @dataclass(slots=True, eq=False)
 class Held:
     """What one member may use, as it last told. steps: (until, what stands then),
-    each no more than before."""
+    each no more than before.
+    """
 
     event: Event
     units: float
@@ -275,7 +276,8 @@
 
     def stays(self, events: Sequence[Event], finding: Finding) -> list[int]:
         """Each member's last word before the age begins and its last one in it: what it counted between only
-        adds to the sums that were there."""
+        adds to the sums that were there.
+        """
         told = finding.events[0]
         first = (
             (told.at - told.more["age"] - 2 * self.skew) // BUCKET - 4 * self.skew // BUCKET - 2
--- a/pathsaddle/histories/shedding.py
+++ b/pathsaddle/histories/shedding.py
@@ -19,7 +19,8 @@
 
 class Known:
     """What is known of one identity: (level, standing, event) let in and declined;
-    until when it was told to wait."""
+    until when it was told to wait.
+    """
 
     __slots__ = ("declined", "draw", "let_in", "until", "waits")
 
@@ -234,7 +235,8 @@
 
     def _returned(self, at: int) -> None:
         """Advised returns that fall due are counted; all of them up to now are known, since a wait is never
-        less than nothing."""
+        less than nothing.
+        """
         while self.due and self.due[0][0] < at - 2 * self.skew:
             when, _, event = heappop(self.due)
             self.back.append((when, event))
--- a/pathsaddle/histories/small.py
+++ b/pathsaddle/histories/small.py
@@ -50,7 +50,8 @@
 
     def _near(self) -> None:
         """Of a long history first what is near the accused, with what is told seldom (limits, charters,
-        versions): else each of the plays that come reads all of it."""
+        versions): else each of the plays that come reads all of it.
+        """
         begin = min((self.rows_at[place] for place in self.accused), default=0)
         often: dict[str, int] = {}
         for _, event in self.rows:
@@ -97,7 +98,8 @@
 
     def _fewer(self, by: Callable[[Row], Hashable], whole: bool) -> None:
         """Leaves out parts by halves, quarters and so on. whole: a part holds what must stay, and may go as a
-        whole only where it holds none of it."""
+        whole only where it holds none of it.
+        """
         names: dict[Hashable, None] = {}
         stay: dict[Hashable, None] = {}
         for row in self.rows:
@@ -163,7 +165,8 @@
 
 def small(events: Sequence[Event], make: Callable[[], Checker], finding: Finding) -> list[Event]:
     """The least history found in which this finding stands.
-    make: a new checker with the bounds it was found by."""
+    make: a new checker with the bounds it was found by.
+    """
     return Small(events, make, finding).run()
 
 
--- a/pathsaddle/histories/smoke.py
+++ b/pathsaddle/histories/smoke.py
@@ -27,7 +27,8 @@
 class Plan:
     """seeds: how many of each. events: of a history. skew: ticks that clocks are off, each seed without and
     with. small: the most events that a history made small may have left. timed: events by which the seconds
-    for a million are measured. million, seconds: what that and the whole run may take. ground: histories."""
+    for a million are measured. million, seconds: what that and the whole run may take. ground: histories.
+    """
 
     ground: str = "histories"
     name: str = ""
@@ -71,10 +72,8 @@
             raise UnknownKey(file=path, key=key, known=", ".join(known))
         if not isinstance(value, (int, float) if known[key] is float else known[key]) or (
             isinstance(value, bool)
-            or known[key] in (int, float)
-            and value < 0
-            or key == "events"
-            and value < 1
+            or (known[key] in (int, float) and value < 0)
+            or (key == "events" and value < 1)
         ):
             raise WrongValue(file=path, key=key, shown=repr(value), may=MAY[known[key]])
         setattr(plan, key, value)
--- a/pathsaddle/histories/txns.py
+++ b/pathsaddle/histories/txns.py
@@ -1,5 +1,6 @@
 """Txns across everything: one final answer, nothing sent after it,
-once-only effects at workers against answers."""
+once-only effects at workers against answers.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/histories/worlds.py
+++ b/pathsaddle/histories/worlds.py
@@ -172,7 +172,8 @@
 
 class SharesWorld(World):
     """Units that move on lease; each is spent once a second at most, wherever it is.
-    And what is open at once."""
+    And what is open at once.
+    """
 
     def __init__(self, chance: Random, size: int) -> None:
         super().__init__(chance, size)
@@ -365,7 +366,8 @@
 
     def wait(self) -> int:
         """A half second in which a third of a second's returns have room still: three of them make any
-        second."""
+        second.
+        """
         for _ in range(4):
             wait = SECOND + self.some(6 * SECOND)
             half = (self.now + wait) // (SECOND // 2)
@@ -381,7 +383,8 @@
 
 class PlacementWorld(World):
     """Islands, one keeper of reservations, three planners that take turns and wake late,
-    walkers that install."""
+    walkers that install.
+    """
 
     COLD = 2
 
@@ -512,7 +515,8 @@
 
 class FederationWorld(World):
     """Three regions, versions that come to members in any order and late,
-    members that are cut off for a while."""
+    members that are cut off for a while.
+    """
 
     REGIONS, LEASE = ("north", "west", "south"), 3 * SECOND
 
@@ -620,7 +624,8 @@
 
 class TxnsWorld(World):
     """Dispatchers, workers, clients: postings that break, are repeated where they may be,
-    answers that are lost."""
+    answers that are lost.
+    """
 
     def __init__(self, chance: Random, size: int) -> None:
         super().__init__(chance, size)
@@ -691,7 +696,8 @@
 
 class SettingsWorld(World):
     """Keepers that commit groups one after the other, some of them at once; answers that are lost; members that have
-    what reached them, on leases, and go by it without one as well; disks that are lost."""
+    what reached them, on leases, and go by it without one as well; disks that are lost.
+    """
 
     LEASE = 3 * SECOND
 
@@ -773,7 +779,7 @@
         """In force: who is behind has no lease, and nothing that it may do was withdrawn."""
         for number in range(self.force + 1, len(self.line) + 1):
             if all(
-                revision >= number or until < self.now and self.stands(revision, number)
+                revision >= number or (until < self.now and self.stands(revision, number))
                 for revision, until in self.held.values()
             ):
                 self.force = number
--- a/pathsaddle/jobs/life.py
+++ b/pathsaddle/jobs/life.py
@@ -148,7 +148,8 @@
 
 def after_restart(word: Word, now: int, expires: int) -> Next:
     """What a worker's word after our own restart means for its lease: until expiry we go on asking whoever can't
-    say, since it may come back; nothing is posted meanwhile where that could be a second effect."""
+    say, since it may come back; nothing is posted meanwhile where that could be a second effect.
+    """
     if word is Word.RUNNING:
         return Next.RESUME
     if word is Word.DONE:
@@ -162,7 +163,8 @@
 
 def lapsed(word: Word, semantics: Semantics, now: int, expires: int) -> Next:
     """A lease has been without a sign of life for its time. Who may run again is let go; a once-only one waits for
-    the worker's own word until its expiry."""
+    the worker's own word until its expiry.
+    """
     if word is Word.NONE and semantics is not Semantics.ONCE_ONLY:
         return Next.DOUBT
     return after_restart(word, now, expires)
--- a/pathsaddle/jobs/store.py
+++ b/pathsaddle/jobs/store.py
@@ -176,7 +176,8 @@
 
 def commit_all(commit: Callable[[list[Write]], None], group: list[Waiting]) -> list[BaseException | None]:
     """All in one commit, and what came of each. Where one of them can't stand (an id that is there already), each
-    is committed alone, so that it fails alone."""
+    is committed alone, so that it fails alone.
+    """
     try:
         commit([write for writes, _ in group for write in writes])
         return [None] * len(group)
@@ -233,7 +234,8 @@
 class DiskWriter:
     """A disk in virtual time: each sync takes its time; what was not synced when its process is killed is lost, or
     by luck of the seed was there already. `ill`: an error that each commit meets for a while; `slow`: seconds more
-    for one sync."""
+    for one sync.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, chance: Random, sync: float) -> None:
         self.loop = loop
@@ -463,7 +465,8 @@
 
 def made(row: Rows, leases: Iterable[Rows], cancel: Rows | None, final: Rows | None) -> tuple[Accepted, Job]:
     """A job as its rows tell; raises Impossible, KeyError, ValueError, TypeError where they can't be what was
-    written."""
+    written.
+    """
     tag = str(row[0])
     told = Accepted(tag, row[1], row[2], row[3], Semantics[row[4]], row[5], row[6], row[7])
     if told.sum != row[8]:
@@ -486,7 +489,8 @@
 
 def load(db: sqlite3.Connection, ended: bool = True) -> tuple[list[tuple[Accepted, Job]], list[str]]:
     """All jobs as their records tell, those that have ended only if `ended`, and those whose rows are not what was
-    written or contradict each other."""
+    written or contradict each other.
+    """
     jobs, of = ("", "") if ended else (f" WHERE {OPEN.format('jobs')}", f" WHERE {OPEN.format('leases')}")
     leases: dict[str, list[Rows]] = {}
     for row in db.execute(f"{LEASE}{of} ORDER BY job, number"):
--- a/pathsaddle/jobs/txn_service.py
+++ b/pathsaddle/jobs/txn_service.py
@@ -52,7 +52,8 @@
 class Ways:
     """What the charter says of jobs, in ticks. ended: bytes that the ended ones may take of our memory; the others'
     are read from disk when they are asked for. open: bytes that the open ones may take, beyond which new ones are
-    declined; what was accepted before stays, also over a restart."""
+    declined; what was accepted before stays, also over a restart.
+    """
 
     lease: int
     retention: int
@@ -285,7 +286,7 @@
         if kept.told.key is None and not job.in_doubt():
             self._let_go(entry)
             self._end_job(kept, End.CANCELLED, 499, b"")
-        elif kept.told.key is None or not out and self._may_not_again(job):
+        elif kept.told.key is None or (not out and self._may_not_again(job)):
             # Its caller is gone with our last life and may ask anew, or nobody on the list has it: no more
             # postings, and whatever is still heard of it counts until its expiry.
             self._let_go(entry)
@@ -483,7 +484,8 @@
 
     def _admit(self) -> None:
         """The first that waits comes before the decisions as soon as there is room; one past its expiry is
-        declined: it was never posted."""
+        declined: it was never posted.
+        """
         self._admitting = False
         while self.waiting and self.live < LIVE:
             kept = self.waiting.popleft()
@@ -538,7 +540,7 @@
         kept = self.jobs.get(tag) or self._ended_on_disk(tag)
         if kept is None or self._owner(call) != kept.told.owner:
             raise Broken(404, "no such job")
-        elif not kept.job.open or kept.job.cancel:
+        if not kept.job.open or kept.job.cancel:
             if kept.pending is not None:
                 kept.pending.add_done_callback(lambda _: self._say(answer, 200, self._shown(kept)))
                 return
@@ -548,7 +550,8 @@
 
     async def _cancelled(self, kept: Kept, answer: Answer) -> None:
         """The wish is on disk, what is out is withdrawn, and the job's end is that it was cancelled; whether it
-        ran all the same is told by its last lease."""
+        ran all the same is told by its last lease.
+        """
         job = kept.job
         if not await self._surely(self.clock.now() + SECOND, Record(Kind.CANCEL, job.tag, self.clock.now())):
             self._say(answer, 503, {"why": "the store can't be written"}, come_back=SECOND)
--- a/pathsaddle/metering.py
+++ b/pathsaddle/metering.py
@@ -151,7 +151,8 @@
         self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = lambda: None
     ) -> T:
         """A coroutine whose every step, from one wait to the next, is metered; what is thrown into it, such as its
-        cancellation, reaches it. `after` each step."""
+        cancellation, reaches it. `after` each step.
+        """
         return await _Steps(self, purpose, work, after)
 
     def within(self, purpose: Purpose) -> bool:
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -69,7 +69,8 @@
 
     def knows(self, tag: str) -> bool:
         """Open, or over lately. An id is new with every call: what runs again under an old one is somebody
-        else's, and its postings would be taken for repeats of the first."""
+        else's, and its postings would be taken for repeats of the first.
+        """
         return tag in self._entries or tag in self._spent
 
     def __contains__(self, tag: str) -> bool:
--- a/pathsaddle/net/memory/links.py
+++ b/pathsaddle/net/memory/links.py
@@ -91,7 +91,8 @@
 
     def take(self, pool: WorkerPool[L], now: int) -> L | None:
         """An idle link that the worker will not have closed by the time our bytes are there, and on which no more
-        can come that is not the next call's."""
+        can come that is not the next call's.
+        """
         resting, rested = pool.resting, pool.rested
         while resting and (now - resting[0].idle_since >= self.rest or resting[0].ended):
             rested.append(resting.popleft())
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -72,7 +72,8 @@
 
     def read_out(self) -> bool:
         """What has reached us by now is what was told, also what the kernel has handed over while its reader has not
-        resumed, and never will; whether there was a line. Bounded against a peer that pours."""
+        resumed, and never will; whether there was a line. Bounded against a peer that pours.
+        """
         came, before = 0, self.lines
         if self.sock.taken > self.counted:
             came = self.sock.taken - self.counted
@@ -109,7 +110,8 @@
 
     def catch_up(self) -> None:
         """Before something new goes out: what discovery has written to us by now counts as told, and after a stall of
-        our own it lies in the socket while a posting decided before it resumes first."""
+        our own it lies in the socket while a posting decided before it resumes first.
+        """
         watch = self._watch
         if watch is not None and (watch.sock.taken > watch.counted or watch.sock.stirred()):
             try:
@@ -120,7 +122,8 @@
 
     def move(self, address: str) -> None:
         """Another address, maybe with versions of its own: asked for whole, and when the module says so. What the old
-        place had told comes first."""
+        place had told comes first.
+        """
         if address != self.address:
             self.stop("moved")
             self.address, self.index = address, 0
--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -106,7 +106,8 @@
     async def _read(self) -> None:
         """Reads as long as the connection is open, whatever waits for an answer: only a reader sees that its peer has
         gone. A FIN is a hang-up, as the protocol has it, also from one that may still read: what it waits for is
-        given up, what it sent behind that is dropped. Only an answer already on its way is written to its end."""
+        given up, what it sent behind that is dropped. Only an answer already on its way is written to its end.
+        """
         machine = self.machine
         try:
             while True:
@@ -224,7 +225,7 @@
     def _answer(
         self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
     ) -> None:
-        keep = self.worker or keep and not self.front.stopping
+        keep = self.worker or (keep and not self.front.stopping)
         self._put(self.machine.answer(status, body, headers, keep))
         self.idle_since = self.front.clock.now()
         self.front.weigh(self)
@@ -395,7 +396,8 @@
     def make_room(self) -> bool:
         """One is closed: first one that has had its last answer, then, as long as there are strangers, that one of
         them whose leaving costs least, if need be in a moment. By hundreds they had cut off all usual peers' idle
-        connections; these go after them, the longest idle first."""
+        connections; these go after them, the longest idle first.
+        """
         now = self.clock.now()
         leaving = [
             connection
@@ -417,7 +419,8 @@
     def spare_descriptor(self) -> bool:
         """Whether there is one for a connection to a worker that is not counted yet; if need be, an idle client's is
         closed for it. The first connection to each worker may always come up, beyond `links.most`: without this they
-        and clients' together could pass what we have. The kernel gets it back a turn later, out of SPARE till then."""
+        and clients' together could pass what we have. The kernel gets it back a turn later, out of SPARE till then.
+        """
         if self.service.workers.links.count + len(self.connections) >= self.free:
             self.make_room()
         return self.service.workers.links.count + len(self.connections) < self.free
@@ -448,7 +451,8 @@
 
     async def shut(self) -> None:
         """Nobody new any more. Whoever the kernel has let in by now is taken, since the end of the listener would reset
-        him; those who come later are refused at once, and their clients go elsewhere."""
+        him; those who come later are refused at once, and their clients go elsewhere.
+        """
         self._shut = True
         kernels = isinstance(self.sock, socket.socket)
         if kernels:
@@ -470,9 +474,7 @@
             connection.machine.busy
             or connection.outward
             or connection.fresh(now)
-            or connection.known
-            and not connection.worker
-            and not connection.machine.over
+            or (connection.known and not connection.worker and not connection.machine.over)
             for connection in self.connections
         )
 
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -142,7 +142,8 @@
 
     def reread(self) -> None:
         """Of a file that was replaced only discovery's address is taken over: nothing else can change under
-        what is open. One that can't be read leaves all as it is."""
+        what is open. One that can't be read leaves all as it is.
+        """
         self.counters.add("reread")
         try:
             address = self.ground.moved()
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -127,7 +127,8 @@
 
     def take(self, call: Message, answer: Answer) -> Entry | None:
         """A client's call, whole; raises Broken where it is no txn. None: it is answered by and by, and no
-        txn hangs on its connection."""
+        txn hangs on its connection.
+        """
         self._at()
         txn = self.words.txn(call, self.loop.now)
         if self.ledger.knows(txn.tag):
@@ -200,7 +201,8 @@
 
     def retune(self, terms: Terms, words: Words) -> None:
         """Other terms from the next call on, between two events; no txn that is open is touched. Raises nothing: what
-        could be amiss was found before (`charter/service.py`)."""
+        could be amiss was found before (`charter/service.py`).
+        """
         self._at()
         self.words, self.dropped_stay_open = words, terms.dropped_stay_open
         self.loop.choice.retune(
@@ -210,7 +212,8 @@
     @property
     def ready(self) -> bool:
         """Whether a worker is known that can be posted to: the front sends nobody before, and who is held meanwhile
-        could be served elsewhere. Once a call has failed it's said all the same: others may have no list either."""
+        could be served elsewhere. Once a call has failed it's said all the same: others may have no list either.
+        """
         return (
             self.stopping is None
             and self.loop.list_told(self.clock.now())
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -200,7 +200,8 @@
         begins: Callable[[Sending], None] = lambda sending: None,
     ) -> Message:
         """One call and its answer. `begins` is told right before the first byte and may raise to stop it; what it
-        is given says later whether the last one is out."""
+        is given says later whether the last one is out.
+        """
         pool = self.links.pool(worker)
         link = await self._take(worker)
         try:
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -96,7 +96,8 @@
 
 class Words:
     """The names that the wire uses for what the trade knows as objects and numbers. Other terms make other words
-    (`retuned`): whoever holds on to these reads an older call as it was read then."""
+    (`retuned`): whoever holds on to these reads an older call as it was read then.
+    """
 
     def __init__(self, given: dict[str, Any], known: Terms) -> None:
         """Raises terms.Amiss: a call goes by these names, and one without or with another's is never reached."""
@@ -126,7 +127,8 @@
         """Words with these by name, new or changed, or gone (None). An index stays with its name until that is gone.
 
         A changed scheme is another object, so that a txn goes to its end by the one under which it was taken. A
-        customer stays the same one, with another quota: of a txn that was taken it says nothing any more."""
+        customer stays the same one, with another quota: of a txn that was taken it says nothing any more.
+        """
         made = copy(self)
         made.schemes = dict(self.schemes)
         if any(customer is None or name not in self.customers for name, customer in customers.items()):
@@ -160,7 +162,7 @@
         customer = self.customers.get(call.text(b"req-owner") or "")
         if not tag or not ID.fullmatch(tag):
             raise Broken(400, "no Req-Id")
-        if scheme is None or kind is not None and kind not in self.schemes:
+        if scheme is None or (kind is not None and kind not in self.schemes):
             raise Broken(404, "no such kind of job")
         if kind is not None and kind != path:
             raise Broken(400, "two kinds of job at once")
--- a/pathsaddle/net/wire/http.py
+++ b/pathsaddle/net/wire/http.py
@@ -303,7 +303,8 @@
 
     def records(self) -> list[bytes]:
         """The whole objects that have come of a streamed answer, each on one line or indented over several; an empty
-        one for each empty line between them, a sign of life. Raises Broken where one does not end."""
+        one for each empty line between them, a sign of life. Raises Broken where one does not end.
+        """
         *lines, rest = bytes(self.flow).split(b"\n")
         found = []
         for line in lines:
--- a/pathsaddle/ownership/__main__.py
+++ b/pathsaddle/ownership/__main__.py
@@ -1,6 +1,7 @@
 """python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
 python -m pathsaddle.ownership serve CHARTER: votes and stands for the charter's keys, and nothing else,
-until SIGTERM."""
+until SIGTERM.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/ownership/bid.py
+++ b/pathsaddle/ownership/bid.py
@@ -35,7 +35,8 @@
 class Bid:
     """round: the highest seen. value: what is proposed under `ballot`, or chosen by it. votes: (voter, its
     start, when we sent the newest asking that it answered). number: may be acted under before `until`; 0:
-    none. left: where the last ballot was refused, after how many ticks it may be worth another."""
+    none. left: where the last ballot was refused, after how many ticks it may be worth another.
+    """
 
     key: str
     name: str
@@ -66,7 +67,8 @@
 
     def lapsed(self, now: int) -> Bid:
         """A lease that ended has ended for good: no late answer brings it back,
-        nor does a ballot begun under it end well."""
+        nor does a ballot begun under it end well.
+        """
         if self.number and now >= self.until:
             return replace(self, number=0, phase=IDLE, put=None, left=0)
         return self
@@ -113,7 +115,8 @@
         self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
     ) -> tuple[Bid, Out]:
         """`start`: of the voter, as its answer says; `known`: the highest of each that any voter told. `ask`:
-        a number for an asking that may come of it."""
+        a number for an asking that may come of it.
+        """
         bid = self.lapsed(now)
         if voter not in bid.voters or start < known.get(voter, 0):
             return bid, []
--- a/pathsaddle/ownership/check.py
+++ b/pathsaddle/ownership/check.py
@@ -34,7 +34,8 @@
 @dataclass(frozen=True, slots=True)
 class Seat:
     """A voter: `disk`: what of its row is synced. starts: the highest start it knows of each. told: while it
-    is being let in, by whom it was told; None: it takes part."""
+    is being let in, by whom it was told; None: it takes part.
+    """
 
     row: Row = EMPTY
     disk: Row = EMPTY
@@ -208,7 +209,8 @@
 
 def _without_the_dead(world: World) -> World:
     """Messages that can never again change anything: below what their voter has promised for good, or for a
-    ballot that is not its candidate's any more. Worlds that differ by these alone are one."""
+    ballot that is not its candidate's any more. Worlds that differ by these alone are one.
+    """
 
     def lives(said: tuple[str, str, int, tuple[int, ...], Message]) -> bool:
         _, to, _, _, message = said
@@ -237,7 +239,8 @@
 
 def check(depth: int, ways: Ways, first: World | None = None, bid: type[Bid] = Bid) -> int:
     """How many worlds there are within `depth` steps of the first;
-    raises Broken where a bound fails in one."""
+    raises Broken where a bound fails in one.
+    """
     first = first or start(ways, bid)
     seen = {first}
     edge: list[tuple[World, tuple[str, ...]]] = [(first, ())]
@@ -260,7 +263,8 @@
 
 def owned(ways: Ways, bid: type[Bid] = Bid, who: int = 0) -> World:
     """A world to begin from: one candidate just became owner by two voters' word; all that was said is still
-    under way, to come again, and to the third for the first time."""
+    under way, to come again, and to the third for the first time.
+    """
     world = start(ways, bid)
     after, out = world.bids[who].begin(0)
     world = _bid(world, who, after, out, left=_spent(world, 0))
--- a/pathsaddle/ownership/driver.py
+++ b/pathsaddle/ownership/driver.py
@@ -66,7 +66,8 @@
 @dataclass
 class Told:
     """What a process is told. voters: addresses by name. keys: what it stands for,
-    with whether it comes first there."""
+    with whether it comes first there.
+    """
 
     name: str
     fleet: str
@@ -89,7 +90,8 @@
 class Register:
     """A process's part: it votes where its name is among the voters, and stands for its keys. `hear` is
     called with each thing that happened, after it was logged. Raises NoDisk, OtherVoters and
-    what place.py says of an address."""
+    what place.py says of an address.
+    """
 
     def __init__(self, told: Told, ground: Ground, chance: Random, counters: Counters) -> None:
         self.told, self.chance, self.counters = told, chance, counters
@@ -151,7 +153,8 @@
 
     async def put(self, key: str, data: bytes) -> bool:
         """Changes the data of a key that we own. False: it was not taken,
-        or nobody can say what came of it."""
+        or nobody can say what came of it.
+        """
         revision = self.owner.put(key, data, steady())
         if not revision:
             return False
@@ -284,7 +287,8 @@
 
     def _reads(self) -> None:
         """By a reader, since a datagram's source is wanted, where those are answered that the charter doesn't
-        name, and uvloop has no `sock_recvfrom`."""
+        name, and uvloop has no `sock_recvfrom`.
+        """
         told = self.told
         try:
             for _ in range(AT_ONCE):
@@ -338,7 +342,8 @@
 
     def _flush(self) -> None:
         """What happened is logged, then what is to be said is said;
-        what we say to ourselves is heard at once."""
+        what we say to ourselves is heard at once.
+        """
         if self._flushing:
             return
         self._flushing = True
--- a/pathsaddle/ownership/fence.py
+++ b/pathsaddle/ownership/fence.py
@@ -35,7 +35,8 @@
 
     def look(self, key: str, number: int) -> Verdict:
         """An effect comes. Number 0 is nobody's. A key beyond KEYS is refused: forgetting one would let old
-        ones in."""
+        ones in.
+        """
         seen = self.highest.get(key, 0)
         if number <= 0 or number < seen or (not seen and len(self.highest) >= KEYS):
             self.refused[key] = self.refused.get(key, 0) + 1
--- a/pathsaddle/ownership/forms.py
+++ b/pathsaddle/ownership/forms.py
@@ -86,7 +86,8 @@
 
 class Hold(Struct, array_like=True, frozen=True, tag=4):
     """Renews: whoever accepted this ballot and promised none higher holds for its owner a whole lease from
-    now."""
+    now.
+    """
 
     key: str
     ballot: Ballot
@@ -103,7 +104,8 @@
 
 class Refused(Struct, array_like=True, frozen=True, tag=6):
     """promised: the highest promised here. left: ticks until a lease that stands in the way has ended
-    here."""
+    here.
+    """
 
     key: str
     ballot: Ballot
@@ -143,7 +145,8 @@
 
 class Ask(Struct, array_like=True, frozen=True, tag=11):
     """A voter begins: from now on it is the one with this number of starts.
-    All keys after `after` are asked for."""
+    All keys after `after` are asked for.
+    """
 
     start: int
     after: str
@@ -152,7 +155,8 @@
 class Tell(Struct, array_like=True, frozen=True, tag=12):
     """start: of whom asked, as it said. known: the highest of it known here; higher than `start`: it must
     take a higher one. part: whether the teller takes part, or begins itself with a whole disk. last: the last
-    key that this covers; empty: all that there are."""
+    key that this covers; empty: all that there are.
+    """
 
     start: int
     known: int
--- a/pathsaddle/ownership/log.py
+++ b/pathsaddle/ownership/log.py
@@ -65,7 +65,8 @@
 
 def identity(path: Path) -> tuple[int, int]:
     """Inode and birth of a file, in nanoseconds: an inode alone is given again to the next file made. Birth
-    is 0 where the system can't tell it; then the inode goes alone."""
+    is 0 where the system can't tell it; then the inode goes alone.
+    """
     inode = os.stat(path).st_ino
     try:
         # statx(AT_FDCWD, path, 0, STATX_BTIME, ...): stx_btime stands at byte 80 of what it fills in.
@@ -184,7 +185,8 @@
 
     def append(self, writes: list[Write]) -> None:
         """On disk when it returns. Raises OSError: then what of it stands is unknown,
-        and the log is to be opened anew."""
+        and the log is to be opened anew.
+        """
         data, told = b"", self.told
         for body in _lines(writes):
             record, told = _record(told, body)
@@ -222,7 +224,8 @@
 
 def found(folder: Path, name: str, voters: Iterable[str]) -> None:
     """The register begins, empty: done once for each voter, before the first start, and never again. Raises
-    Founded, NoDisk."""
+    Founded, NoDisk.
+    """
     path = folder / NAME
     if path.exists():
         raise Founded(
--- a/pathsaddle/ownership/owner.py
+++ b/pathsaddle/ownership/owner.py
@@ -39,7 +39,8 @@
     """what: `owner` (number; `until`: the lease as it stands), `lost`, `given` (no longer owner, by itself),
     `put` (revision), `unput` (its outcome is unknown), `read` (value, None: no majority answered). Where
     histories are told also `call` and `end` of each ballot (`op`, `kind`: take, renew, set) and `held` (a
-    lease renewed)."""
+    lease renewed).
+    """
 
     what: str
     key: str
@@ -95,7 +96,8 @@
 
     def stand(self, key: str, now: int, prefers: bool = True) -> None:
         """To own `key` whenever nobody does. `prefers`: this one is where the key is wanted (its zone): it
-        comes first where a key is free. An owner that lives is never turned out: nothing flaps."""
+        comes first where a key is free. An owner that lives is never turned out: nothing flaps.
+        """
         bid = Bid(key, self.name, self.life, self.lease, self.voters)
         wake = now if prefers else now + self.lease // 8
         self.standing[key] = Standing(bid, prefers, wake + self.chance.randrange(self.pace))
@@ -111,7 +113,8 @@
 
     def put(self, key: str, data: bytes, now: int) -> int:
         """Changes the key's data; the revision it will have, 0 where we don't own it, or another change is
-        under way. What came of it happens later: `put`, or `unput` where nobody can say."""
+        under way. What came of it happens later: `put`, or `unput` where nobody can say.
+        """
         there = self.standing[key]
         if not there.bid.may_act(now) or there.puts or there.putting or len(data) > MOST_DATA:
             return 0
@@ -121,7 +124,8 @@
 
     def read(self, key: str, now: int) -> int:
         """Asks what the register holds; the number of the asking, by which the answer is known;
-        0: too many."""
+        0: too many.
+        """
         if len(self.reads) >= READS:
             return 0
         self.asked += 1
@@ -223,7 +227,8 @@
 
     def _off(self, there: Standing, now: int, left: int) -> None:
         """Backs off with full jitter; where a lease stands in the way, from its end on. Where the key is
-        wanted comes first, and who owns much comes late."""
+        wanted comes first, and who owns much comes late.
+        """
         if there.bid.may_act(now):  # as owner it has no time to lose
             there.wake = now + 1 + self.chance.randrange(self.pace)
         elif left:
@@ -290,7 +295,7 @@
             if before.phase == ACCEPTING or after.until > before.until:
                 there.sent = 0
                 there.wake = min(max(now + 1, self._renewal(after)), after.until)
-            if after.shaken and not before.shaken or there.puts is not None:
+            if (after.shaken and not before.shaken) or there.puts is not None:
                 there.wake = now
         elif before.phase == PREPARING and after.phase == ACCEPTING:
             there.sent, there.wake = 1, now + self.pace
@@ -346,7 +351,8 @@
 
     def _stands(self, voter: str, start: int, message: Stands) -> None:
         """A value that a majority has accepted under one ballot was the register's when we asked,
-        or came later."""
+        or came later.
+        """
         reading = self.reads.get(message.ask)
         if reading is None or reading.key != message.key:
             return
--- a/pathsaddle/ownership/voter.py
+++ b/pathsaddle/ownership/voter.py
@@ -128,7 +128,8 @@
 @dataclass(frozen=True, slots=True)
 class Write:
     """One line for the disk: a row (key and what is kept of it), or the highest start known of a voter, or
-    that it was let in."""
+    that it was let in.
+    """
 
     key: str = ""
     kept: tuple[Ballot, Ballot, Value] | None = None
@@ -149,7 +150,8 @@
         now: int,
     ) -> None:
         """`rows`, `starts`: what the disk holds. `start`: the number of this start, above the disk's own.
-        `whole`: nothing was lost of the disk, as far as it can tell by itself."""
+        `whole`: nothing was lost of the disk, as far as it can tell by itself.
+        """
         self.name, self.voters = name, tuple(sorted(voters))
         self.rows = {key: Row(*kept).begun(now) for key, kept in rows.items()}
         self.starts = {voter: starts.get(voter, 0) for voter in self.voters}
@@ -173,7 +175,7 @@
         if self.part or now < self.next:
             return
         self.next = now + AGAIN
-        if len(self.voters) == 1 or self.whole and now - self.born >= PATIENCE:
+        if len(self.voters) == 1 or (self.whole and now - self.born >= PATIENCE):
             self._let_in(now)
             return
         for voter in self.voters:
@@ -182,7 +184,8 @@
 
     def learn(self, starts: dict[str, int], now: int) -> None:
         """The starts that another knows of. A later one of our own than ours: our disk is older than it
-        was."""
+        was.
+        """
         if starts.get(self.name, 0) <= self.start:
             return
         self.start = self.starts[self.name] = starts[self.name] + 1
@@ -229,7 +232,8 @@
 
     def _asked(self, sender: str, ask: Ask) -> None:
         """Answered by those who take part, and by those who begin with a whole disk: that holds all they ever
-        said."""
+        said.
+        """
         if sender not in self.starts or sender == self.name or not (self.part or self.whole):
             return
         if ask.start > self.starts[sender]:
--- a/pathsaddle/placement/__init__.py
+++ b/pathsaddle/placement/__init__.py
@@ -1,2 +1,3 @@
 """Which new unit goes into which bay, in which order, so that islands stay balanced for large jobs
-(docs/placement.md)."""
+(docs/placement.md).
+"""
--- a/pathsaddle/placement/__main__.py
+++ b/pathsaddle/placement/__main__.py
@@ -305,7 +305,8 @@
 @click.argument("more", nargs=-1)
 def tell(ledger: Path, word: str, more: tuple[str, ...]) -> None:
     """Tells LEDGER what is so: put UNIT BAY, warmed UNIT, dead UNIT, pulled UNIT, cleared BAY, here UNIT
-    KIND, ordered UNIT KIND, lost ISLAND, back ISLAND; inventory FILE: its islands, demand and targets."""
+    KIND, ordered UNIT KIND, lost ISLAND, back ISLAND; inventory FILE: its islands, demand and targets.
+    """
     kept = File(ledger, ticks)
     book = kept.read()
     if word == "inventory":
--- a/pathsaddle/placement/book.py
+++ b/pathsaddle/placement/book.py
@@ -62,7 +62,8 @@
 
     def lapse(self, number: int, name: str, renewed: int) -> Book:
         """Another's reservation ends: its lease surely did, as this planner saw it stand since that
-        renewal."""
+        renewal.
+        """
         self._number(number)
         unit = self._unit(name)
         if unit.state is not State.RESERVED or unit.renewed != renewed or unit.number >= number:
@@ -96,8 +97,7 @@
             unit
             for unit in units
             if unit.name not in known
-            or known[unit.name].state is State.ORDERED
-            and unit.state is not State.ORDERED
+            or (known[unit.name].state is State.ORDERED and unit.state is not State.ORDERED)
         ]
         return self._changed(*new, base=any(unit.state is not State.ORDERED for unit in new)) if new else self
 
@@ -171,7 +171,8 @@
 
     def island(self, told: Island) -> Book:
         """New, lost, back, or with other limits. Reservations there end where it is lost: that is its
-        word."""
+        word.
+        """
         known = {island.name: island for island in self.inventory.islands}
         if known.get(told.name) == told:
             return self
@@ -189,7 +190,8 @@
 
     def asked(self, demand: tuple[Demand, ...], targets: tuple[Target, ...]) -> Book:
         """What dispatchers count, and the charter's targets. A small change ends no plan: it is let be until
-        it has grown."""
+        it has grown.
+        """
         if demand == self.inventory.demand and targets == self.inventory.targets:
             return self
         old = {(row.kind, row.width): row.high for row in self.inventory.demand}
--- a/pathsaddle/placement/files.py
+++ b/pathsaddle/placement/files.py
@@ -1,5 +1,6 @@
 """The inventory as an operator writes it (TOML), checked whole: each fault names its key and what may stand
-there."""
+there.
+"""
 
 from __future__ import annotations
 
--- a/pathsaddle/placement/inventory.py
+++ b/pathsaddle/placement/inventory.py
@@ -33,7 +33,8 @@
 @dataclass(frozen=True)
 class Kind:
     """Of unit: its slots, and what it draws of an island's power (watts), ports and of what the switches
-    carry."""
+    carry.
+    """
 
     name: str
     slots: int
@@ -91,7 +92,8 @@
 @dataclass(frozen=True)
 class Inventory:
     """blocked: (bay, unit) that was found there and should not be: nothing is put there until it is pulled,
-    or there is word that it is not there. cold: how many units may be cold at once (rule 4)."""
+    or there is word that it is not there. cold: how many units may be cold at once (rule 4).
+    """
 
     kinds: tuple[Kind, ...]
     islands: tuple[Island, ...]
@@ -123,7 +125,8 @@
 
     def width(self, kind: str, end: str = "high") -> int:
         """The widest job that must fit: the charter's target, else the widest that is asked for at that
-        end."""
+        end.
+        """
         told = [target.width for target in self.targets if target.kind == kind]
         if told:
             return max(told)
@@ -156,7 +159,8 @@
 def demand(counts: tuple[Count, ...], members: tuple[str, ...], fresh: int, most: int) -> tuple[Demand, ...]:
     """The sum over members, as intervals: one whose word is older than `fresh` ticks, or that never told, may
     have none or as many as `most` of each kind and width that anybody tells (or what it told last, if
-    more)."""
+    more).
+    """
     rows = []
     for kind, width in sorted({(count.kind, count.width) for count in counts}):
         low = high = 0
--- a/pathsaddle/placement/ledger.py
+++ b/pathsaddle/placement/ledger.py
@@ -93,7 +93,8 @@
 
 class File:
     """clock: ticks, for the story alone. `read` and `do` raise Unusable where the file can't be had for
-    PATIENCE seconds, with nothing changed."""
+    PATIENCE seconds, with nothing changed.
+    """
 
     def __init__(self, path: Path, clock: Callable[[], int]) -> None:
         if not path.exists():
--- a/pathsaddle/placement/plan.py
+++ b/pathsaddle/placement/plan.py
@@ -25,7 +25,8 @@
     `bay`. widest: by kind, slots of the widest job that surely fits from this step's beginning on until the
     next one that withdraws, whichever island is lost: what is placed between them is not counted, since it
     comes up side by side. why: where that is less than the target. after: the steps that must be done before
-    it may begin."""
+    it may begin.
+    """
 
     does: str
     unit: str
@@ -38,7 +39,8 @@
 @dataclass(frozen=True)
 class Plan:
     """name: unique. wanted: units by island and kind at the end. reaches: by kind, what fits then, whichever
-    island is lost. by, gap: as the answer says. notes: for people."""
+    island is lost. by, gap: as the answer says. notes: for people.
+    """
 
     name: str
     number: int
@@ -155,7 +157,8 @@
 
     def key(self, i: int, k: int, short: dict[str, int]) -> tuple[int, int, int, int]:
         """What is placed first: what a target still lacks, on the islands nearest to it; then the least
-        headroom."""
+        headroom.
+        """
         kind, part = self.problem.kinds[k], self.problem.part[i][k]
         slots = self.now[i][k] * kind.slots
         lacks = (
--- a/pathsaddle/placement/problem.py
+++ b/pathsaddle/placement/problem.py
@@ -57,7 +57,8 @@
     """widest: by kind, the slots that the widest job may have whichever one island is lost. headroom: the
     least over islands and kinds of slots against demand, thousandths; None where nothing is asked for.
     stranded: slots on islands where no job of usual width fits, or on none. moves: serving units taken
-    elsewhere. changes: against the last plan."""
+    elsewhere. changes: against the last plan.
+    """
 
     widest: tuple[int, ...]
     reached: tuple[bool, ...]
--- a/pathsaddle/placement/solver.py
+++ b/pathsaddle/placement/solver.py
@@ -193,7 +193,8 @@
 @dataclass(frozen=True)
 class Answer:
     """by: `solver`, or `greedy` where the solver had nothing better in time. bound: what the least headroom,
-    less what moves cost, can at most be; value: what it is here. gap: their distance, a part of the bound."""
+    less what moves cost, can at most be; value: what it is here. gap: their distance, a part of the bound.
+    """
 
     counts: Counts
     by: str
@@ -212,8 +213,8 @@
     kinds = range(len(problem.kinds))
     best, by = greedy(problem), "greedy"
     now = values(problem, model, cols, best)
-    moves = {at: -1.0 for at in cols.out.values()}
-    changes = {at: -1.0 for at in cols.change.values()}
+    moves = dict.fromkeys(cols.out.values(), -1.0)
+    changes = dict.fromkeys(cols.change.values(), -1.0)
 
     def stage(costs: dict[int, float], share: float) -> float:
         """Solves, takes what is better, tells the bound."""
@@ -228,15 +229,15 @@
 
     reach = {cols.wide[k]: 100.0 / problem.width[k] for k in kinds if problem.width[k]}
     if any(now[at] < model.high[at] for at in reach):
-        stage(reach | {at: -0.01 for at in moves}, 0.3)
+        stage(reach | dict.fromkeys(moves, -0.01), 0.3)
     for at in reach:
         model.low[at] = now[at]
     asked = [k for k in kinds if any(row[k] for row in problem.part)]
     aim = (
         {cols.head: 1.0}
         | {cols.heads[k]: KINDS / len(asked) for k in asked}
-        | {at: -PRICE for at in moves}
-        | {at: -CHANGE / 2 for at in changes}
+        | dict.fromkeys(moves, -PRICE)
+        | dict.fromkeys(changes, -CHANGE / 2)
     )
     bound = stage(aim, 0.7)
     value = _sum(aim, now)
@@ -246,8 +247,8 @@
     last = (
         {at: float(problem.kinds[k].slots) for (_, k), at in cols.fit.items()}
         | {row[k]: 0.05 * problem.kinds[k].slots for row in cols.n for k in kinds}
-        | {at: -0.1 for at in moves}
-        | {at: -0.02 for at in changes}
+        | dict.fromkeys(moves, -0.1)
+        | dict.fromkeys(changes, -0.02)
     )
     stage(last, 0.9)
     counts = [[round(now[at]) for at in row] for row in cols.n]
--- a/pathsaddle/placement/story.py
+++ b/pathsaddle/placement/story.py
@@ -175,7 +175,7 @@
         for at, step in enumerate(after.plan.steps):
             # Of a new plan, what became so between its look and now.
             if done(after.inventory, step) and (
-                does == "replaced" or step.unit == words[0] and not done(before.inventory, step)
+                does == "replaced" or (step.unit == words[0] and not done(before.inventory, step))
             ):
                 rows.append(
                     (
--- a/pathsaddle/placement/walk.py
+++ b/pathsaddle/placement/walk.py
@@ -25,7 +25,8 @@
 class Order:
     """does: `stop` (a later planner has begun), `plan`, `renew`, `lapse`, `reserve`, `withdraw`, `cold`: to
     the book; `install`, `warm`, `pull`: to the island of `bay`, with the number, and harmless when told
-    again."""
+    again.
+    """
 
     does: str
     unit: str = ""
@@ -76,7 +77,8 @@
             and plan.base == inventory.base
             and all(done(inventory, step) for step in plan.steps)
             and not any(
-                unit.state in COMING or unit.state is State.WITHDRAWN and unit.bay for unit in inventory.units
+                unit.state in COMING or (unit.state is State.WITHDRAWN and unit.bay)
+                for unit in inventory.units
             )
         )
 
--- a/pathsaddle/settings/applied.py
+++ b/pathsaddle/settings/applied.py
@@ -133,7 +133,8 @@
 ) -> tuple[Charter, Mapping[str, bytes]]:
     """Whether rows fit together, in a charter that says of all else the least; what was made of them, for the next call's
     `before`, which spares reading again what hasn't changed. What only a member's own charter tells (its machines, its zone,
-    its parts of budgets) isn't judged, nor that no scheme is there yet. Raises Faulty, each fault a line with its key."""
+    its parts of budgets) isn't judged, nor that no scheme is there yet. Raises Faulty, each fault a line with its key.
+    """
     made, stands = before or (
         Charter(
             listen="127.0.0.1:1",
--- a/pathsaddle/settings/batch.py
+++ b/pathsaddle/settings/batch.py
@@ -24,7 +24,8 @@
 @dataclass(eq=False)
 class Change:
     """One that waits. expect: the revision which it must follow, or any. tried: the groups, by revision and digest, as which
-    it was proposed in rounds of which nobody could say what came."""
+    it was proposed in rounds of which nobody could say what came.
+    """
 
     puts: tuple[Put, ...]
     author: str = ""
@@ -40,7 +41,8 @@
 @dataclass(frozen=True)
 class Told(Generic[C]):
     """what: MADE (an earlier try was committed, as `revision`, `digest`), SAME (it would change nothing), OUTRUN, REFUSED (why).
-    revision, digest: else the latest committed."""
+    revision, digest: else the latest committed.
+    """
 
     change: C
     what: str
@@ -68,7 +70,8 @@
     joins: Callable[[Sequence[Group]], bool],
 ) -> Round[C]:
     """store: all that is committed, not changed here. fits: raises Error where rows don't fit together. joins: whether groups
-    may go together."""
+    may go together.
+    """
     at = store.copy()
     told: list[Told[C]] = []
     taken: list[tuple[C, Group]] = []
--- a/pathsaddle/settings/changes.py
+++ b/pathsaddle/settings/changes.py
@@ -106,7 +106,8 @@
 
 def _fits(key: str, value: Any) -> None:
     """By the charter's checker, row by row; that rows fit together is judged where a charter is at hand (`applied.py`).
-    Raises Faulty."""
+    Raises Faulty.
+    """
     table, _, name = key.partition(".")
     if table in ("customers", "schemes"):
         kind: type[Customer | Scheme] = Customer if table == "customers" else Scheme
--- a/pathsaddle/settings/check.py
+++ b/pathsaddle/settings/check.py
@@ -53,7 +53,8 @@
 
 class Line:
     """What is committed, one after another: groups, their digests, and the rows after each, reckoned apart from the
-    program's store."""
+    program's store.
+    """
 
     def __init__(self, members: int, allowances: Iterable[int]) -> None:
         self.groups: list[Group] = []
@@ -76,7 +77,8 @@
 @dataclass(frozen=True)
 class World:
     """batch: what follows is proposed and committed together. clocks: each member's own, and the keeper's at the end. disks: of members; disk: the keeper's, with its offers.
-    reading: the number of one that has begun, and what the register had then. force: the highest told."""
+    reading: the number of one that has begun, and what the register had then. force: the highest told.
+    """
 
     line: Line
     members: tuple[Member, ...]
@@ -370,7 +372,8 @@
 
 def left_behind(members: int = 2) -> World:
     """LOOSER's revision 2 is in force by the end of leases: m0 has heard nothing of it and acts by 1, alone. What was before
-    2 is cut from the keeper's history; 3, which forbids what both allow, is proposed."""
+    2 is cut from the keeper's history; 3, which forbids what both allow, is proposed.
+    """
     words = [
         word for i in range(1, members) for word in (f"m{i} hears Commit", f"the keeper hears Have of m{i}")
     ]
--- a/pathsaddle/settings/disk.py
+++ b/pathsaddle/settings/disk.py
@@ -48,7 +48,8 @@
 
 def frames(data: bytes) -> tuple[list[bytes], int]:
     """The bodies, and at which byte a torn tail begins (the end, where none is). Raises Wrong where anything but the last
-    frame is amiss."""
+    frame is amiss.
+    """
     found: list[bytes] = []
     at = 0
     while at < len(data):
--- a/pathsaddle/settings/driver.py
+++ b/pathsaddle/settings/driver.py
@@ -64,7 +64,8 @@
 @dataclass
 class Told:
     """What a driver is told. keepers: addresses by name, nearest first. lease: ticks, the members'. at: the table and file
-    where all this stands, for an operator. control: host:port on the loopback, or none."""
+    where all this stands, for an operator. control: host:port on the loopback, or none.
+    """
 
     name: str
     region: str
@@ -592,7 +593,8 @@
 @dataclass(eq=False)
 class Queued(batch.Change):
     """A change that waits. until: of the monotonic clock, seconds. done: its answer. group: as what it is proposed now.
-    sent: whether the register has been asked to take it, so that it may be committed whatever is heard."""
+    sent: whether the register has been asked to take it, so that it may be committed whatever is heard.
+    """
 
     until: float = 0.0
     done: asyncio.Future[dict[str, Any]] = field(default_factory=asyncio.Future)
@@ -610,7 +612,8 @@
 
 class KeeperProcess(Driver[Keeper]):
     """A keeper: texts on disk, the members of its region, the register by a majority of voters, changes from its control
-    address."""
+    address.
+    """
 
     def __init__(self, told: Told, voters: Electorate, chance: Random, tell: Tell) -> None:
         """Raises also what ownership's Register does."""
@@ -770,7 +773,8 @@
 
     async def change(self, asked: dict[str, Any]) -> dict[str, Any]:
         """Commits one group, all or none, together with others that wait (`batch.py`). Raises Refused, Restart, Outrun,
-        NoMajority."""
+        NoMajority.
+        """
         rows, remove = asked.get("rows") or {}, asked.get("remove") or []
         author, reason = str(asked.get("author", "")), str(asked.get("reason", ""))
         puts = puts_of(rows, remove)
@@ -798,7 +802,8 @@
 
     async def _rounds(self) -> None:
         """Until nothing waits. What fails here fails all that wait; each round else settles what it can, or somebody's time
-        is over."""
+        is over.
+        """
         try:
             async with self.changing:
                 while self.queued:
@@ -997,7 +1002,8 @@
 
     async def _settled(self, revision: int, until: float) -> tuple[int, str]:
         """What the register held by a majority's word after a change of which nobody may have heard what came. Raises
-        NoMajority."""
+        NoMajority.
+        """
         while time.monotonic() < until:
             self._reads_at_once()
             value = await self.register.read(KEY)
--- a/pathsaddle/settings/forms.py
+++ b/pathsaddle/settings/forms.py
@@ -34,7 +34,8 @@
 
 class Wrong(ValueError):
     """A group or snapshot that nobody may take; its text says what is wrong with it. Steers our own code alone: what an
-    operator reads of it is one of `settings/faults.py`."""
+    operator reads of it is one of `settings/faults.py`.
+    """
 
 
 class Put(Struct, array_like=True, frozen=True):
--- a/pathsaddle/settings/serving.py
+++ b/pathsaddle/settings/serving.py
@@ -46,7 +46,8 @@
 
 class Sharing:
     """What the dispatcher begins and ends; its fleet, where it has one, goes with it. `applies` takes a revision into
-    service, whole or not at all, and raises an Error where it can't."""
+    service, whole or not at all, and raises an Error where it can't.
+    """
 
     def __init__(self, file: str, name: str, applies: Callable[[Acting], None]) -> None:
         """Raises Faulty, BadFile, NoDisk, and what net/service/place.py says of an address."""
--- a/pathsaddle/settings/sync.py
+++ b/pathsaddle/settings/sync.py
@@ -88,7 +88,8 @@
 
 class Asking(Struct, array_like=True, frozen=True, tag=1):
     """Member to keeper: what is committed? Also its word that it has (revision, digest) as committed, on disk; whoever
-    answers sends what comes after. echo: grows with each asking of a life."""
+    answers sends what comes after. echo: grows with each asking of a life.
+    """
 
     name: str
     life: int
@@ -110,7 +111,8 @@
 
 class Offer(Struct, array_like=True, frozen=True, tag=3):
     """A group that may come to be committed: committing keeper to keepers, keeper to members of its region. then: to keepers
-    alone, what follows it and is to be committed with it, one after another. All in one datagram: no keeper has a part."""
+    alone, what follows it and is to be committed with it, one after another. All in one datagram: no keeper has a part.
+    """
 
     name: str
     group: Group
@@ -127,7 +129,8 @@
 
 class Commit(Struct, array_like=True, frozen=True, tag=5):
     """Keeper to member (or keeper): committed groups, in order, one after another. known: (revision, digest) of the highest
-    committed. Groups that don't fit into one datagram come as pieces instead, and `groups` is empty."""
+    committed. Groups that don't fit into one datagram come as pieces instead, and `groups` is empty.
+    """
 
     name: str
     known: tuple[int, str]
@@ -151,7 +154,8 @@
 
 class Announce(Struct, array_like=True, frozen=True, tag=8):
     """There is something in pieces. digest: of a group, or hash of a snapshot's bytes. known: what it leads to when taken: for
-    a snapshot its (revision, group's digest). size: bytes. offer: the group is not committed."""
+    a snapshot its (revision, group's digest). size: bytes. offer: the group is not committed.
+    """
 
     name: str
     what: int
@@ -188,7 +192,8 @@
 class Write(Struct, frozen=True):
     """To be put on disk, synced, before `out` is sent. group: is appended to the committed log (committed) or kept beside it
     as an offer (a keeper's). over: digests of the offers that made room for it. snapshot: takes the place of rows and log;
-    later groups follow it."""
+    later groups follow it.
+    """
 
     group: Group | None = None
     snapshot: Snapshot | None = None
@@ -233,7 +238,8 @@
 class Status(Struct, frozen=True):
     """revision, digest: acted by. known: highest heard of as committed. leased; until: end of the lease, ticks (meaningless
     without one). age: ticks since a keeper last proved what is committed, None in a life where none did. offers: revisions
-    offered and not settled. keeper: whom it asks."""
+    offered and not settled. keeper: whom it asks.
+    """
 
     revision: int
     digest: str
@@ -247,7 +253,8 @@
 
 def nearest(keepers: Mapping[str, str], name: str, region: str) -> list[str]:
     """Those of that region first; of the others each member has an order of its own, so that who leaves a keeper doesn't go
-    where all others go. keepers: regions by name."""
+    where all others go. keepers: regions by name.
+    """
     return sorted(keepers, key=lambda one: (keepers[one] != region, hashed(f"{name} {one}".encode())))
 
 
@@ -429,7 +436,8 @@
 
     def rows(self, now: int) -> Mapping[str, bytes]:
         """What it acts by: the committed rows that it has, narrowed by offers; none before it is `proven`. Not to be
-        changed; another object after any change."""
+        changed; another object after any change.
+        """
         if not self.proven:
             return {}
         holder = self.holder
@@ -530,7 +538,8 @@
 
     def _knows(self, known: tuple[int, str]) -> None:
         """The highest committed, or a lower. A group that was offered and is the one committed is applied here, on disk as any
-        other: `holder.told` alone would act by it unkept."""
+        other: `holder.told` alone would act by it unkept.
+        """
         if known[1] in self.held:
             self._waits(self.held[known[1]])
             self._drain()
@@ -538,7 +547,8 @@
 
     def _answers(self, sender: str, before: int, now: int) -> None:
         """The word of what it has; where it lacks something, no oftener than it gets on or a wait is over: else a text that
-        doesn't fit would go to and fro for ever."""
+        doesn't fit would go to and fro for ever.
+        """
         self._lagging(now)
         base = self.holder.base
         if not self._behind() or self.store.revision > before:
@@ -712,7 +722,8 @@
 @dataclass(frozen=True)
 class Client:
     """A member that asks this keeper. at: when it last did. has: (revision, digest). offer: the digest of the last offer
-    that was sent to it."""
+    that was sent to it.
+    """
 
     at: int
     has: tuple[int, str]
@@ -903,7 +914,8 @@
     def propose(self, group: Group, now: int, then: Sequence[Group] = ()) -> int:
         """Offers it to keepers and members, and to keepers what is to be committed with it, all or none: `joins` says so.
         `kept` is told once a majority of keepers has all on disk. The caller owns the register's key and has looked that
-        (revision - 1, before) is the latest. Raises forms.Wrong. When `wake` is due."""
+        (revision - 1, before) is the latest. Raises forms.Wrong. When `wake` is due.
+        """
         groups = (group, *then)
         if not self.joins(groups):
             raise Wrong(f"{len(groups)} groups, which don't go out together")
@@ -974,7 +986,8 @@
         """Whether all are on disk when what is sent leaves; none, if there is no room for one. At the bound only what surely
         never counts makes room: a rival of its own revision (whoever proposes this has looked and found none committed, and
         owns the key), or of one that it follows. All else may be committed, and this may be one of the few that have its
-        text."""
+        text.
+        """
         offers = dict(self.offers)
         new: list[tuple[Group, str, tuple[str, ...]]] = []
         for group in groups:
@@ -1097,7 +1110,8 @@
 
     def _spreads(self, taken: Sequence[Group], now: int) -> None:
         """What was taken just now, one after another, to our members: who had what the first follows is sent as many as go
-        into one datagram (the first it may have, as an offer); all else follows by what each says to have."""
+        into one datagram (the first it may have, as an offer); all else follows by what each says to have.
+        """
         if not taken:
             return
         known, digest = (self.store.revision, self.store.digest), digest_of(taken[0])
@@ -1349,7 +1363,8 @@
 
     def status(self, now: int) -> dict[str, Any]:
         """revision, digest: committed, with its text here. known: committed. force; waits_for: of `known`. rows: name ->
-        revision that it said to have. queue: members that wait for what they lack. offers: revisions not committed."""
+        revision that it said to have. queue: members that wait for what they lack. offers: revisions not committed.
+        """
         return {
             "revision": self.store.revision,
             "digest": self.store.digest,
--- a/pathsaddle/settings/terms.py
+++ b/pathsaddle/settings/terms.py
@@ -229,7 +229,8 @@
 
     def narrowed(self, other: Terms) -> Terms:
         """With each right the lesser of the two's. Where that would leave no customer, which reads as anybody, customers
-        stay: that part waits for its commit, as a loosening does."""
+        stay: that part waits for its commit, as a loosening does.
+        """
         puts: list[Put] = []
         customers: list[Put] = []
         left = self.customers
--- a/pathsaddle/trade.py
+++ b/pathsaddle/trade.py
@@ -122,7 +122,8 @@
 
     def may_get(self, dropped_stay_open: bool) -> bool:
         """Rule 3: whether something new may go there by the list. Where the settings say that dropped workers
-        stay open, a draining that was told binds alone, also after it is listed as gone or left out."""
+        stay open, a draining that was told binds alone, also after it is listed as gone or left out.
+        """
         return self.standing is Standing.READY or (
             dropped_stay_open and self.standing is Standing.GONE and not self.drained
         )
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -64,7 +64,8 @@
 
 def failed_in(code: int, said: str) -> tuple[set[str], int, bool]:
     """Of one file's report: which stories failed, how many failures are counted, and whether there is nothing else that
-    its end code can come from than these."""
+    its end code can come from than these.
+    """
     heads = HEAD.findall(said)
     last = said.rpartition("\nRan ")[2]
     counted = sum(map(int, re.findall(r"(?:failures|errors)=(\d+)", last)))
--- a/tests/measures/trouble.py
+++ b/tests/measures/trouble.py
@@ -15,7 +15,8 @@
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """how: what goes wrong. folder: where ids of processes are written. each: processes that a point
-    needs."""
+    needs.
+    """
 
     how: str = ""
     folder: str = ""
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,5 +1,6 @@
 """Stories of the capacity tables: worst fit first, each figure says how it is known, and the page is what is
-kept."""
+kept.
+"""
 
 import json
 import re
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -1,5 +1,6 @@
 """Stories of what members share: records and their ages, documents, rights and uses,
-with what is between them broken."""
+with what is between them broken.
+"""
 
 import unittest
 from random import Random
@@ -482,7 +483,8 @@
 
     def test_random_faults_of_all_kinds_break_no_bound(self):
         """A few seeds; five hundred are an experiment (`python -m pathsaddle.emulator.state.smoke
-        --seeds`)."""
+        --seeds`).
+        """
         for members, seeds in ((5, range(12)), (20, range(4)), (60, range(1))):
             for seed in seeds:
                 with self.subTest(members=members, seed=seed):
--- a/tests/test_carry_processes.py
+++ b/tests/test_carry_processes.py
@@ -1,5 +1,6 @@
 """Seven real processes that make uses by the program's own driver, through cuts, loss, stops and kills;
-one verdict."""
+one verdict.
+"""
 
 import json
 import os
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -49,7 +49,8 @@
 
 def worst(log: list[Sent], bears: Bears) -> float:
     """The most that those sent who had been told, over every span that ends while the worker is cold, as a part of
-    N + 2 root N + 2 mean jobs."""
+    N + 2 root N + 2 mean jobs.
+    """
     most = 0.0
     spans: dict[str, deque[Sent]] = {}
     for line in sorted(log, key=lambda line: line.at):
@@ -218,7 +219,8 @@
 
     def test_of_jobs_without_hints_as_many_calls_as_the_budget_and_its_chance_hold(self) -> None:
         """By the mean of the few runs that each knew, 200 dispatchers came over it in half of the seeds. What work
-        a call turns out to be nobody knows before: that sum may go over in one seed of twenty."""
+        a call turns out to be nobody knows before: that sum may go over in one seed of twenty.
+        """
         heavy = 0
         for many, seeds in SEEDS.items():
             used = 0.0
--- a/tests/test_crossings_virtual.py
+++ b/tests/test_crossings_virtual.py
@@ -115,7 +115,8 @@
 class LostWithdrawals(unittest.TestCase):
     def test_a_withdrawal_whose_connection_broke_is_none(self) -> None:
         """Its last byte was written and a reset took it: the worker never heard, and a second copy went out beside
-        the first where two at once are forbidden. Only its answer proves that it got there."""
+        the first where two at once are forbidden. Only its answer proves that it got there.
+        """
         given = {
             **BASE,
             "seconds": 8,
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,5 +1,6 @@
 """Stories of what an operator is told: each error raised by its real cause, its sentence read; the page that lists them;
-defects inside the membership's core, caught at its driver."""
+defects inside the membership's core, caught at its driver.
+"""
 
 import asyncio
 import contextlib
@@ -96,7 +97,8 @@
 
     def reads(self, said: str, name: str, *words: object) -> None:
         """The sentence has what happened, what can be done with the very thing meant, and its name; no bare word of
-        the kernel's or the library's."""
+        the kernel's or the library's.
+        """
         KNOWN.add(name)
         self.assertIn(f" [{name}]", said)
         line = next(line for line in said.splitlines() if f"[{name}]" in line)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -403,7 +403,8 @@
 
     def test_where_nobody_tells_of_load_a_key_has_no_keepers(self) -> None:
         """206 dispatchers sent each key to the same few of 129 workers and saw nothing of their queues: a calm day
-        served less of its worth than the plainest policy. Of six dispatchers each sees a good part of it."""
+        served less of its worth than the plainest policy. Of six dispatchers each sees a good part of it.
+        """
         for hears, fleet, most, least in ((True, 20, 6, 1), (False, 20, 20, 7), (False, 6, 6, 1)):
             host = self.host(
                 2, of=scheme(), dispatchers=fleet, reports_in_answers=hears, reports_in_probes=False
--- a/tests/test_federation_processes.py
+++ b/tests/test_federation_processes.py
@@ -1,5 +1,6 @@
 """The spec's members as real processes, and what is between them broken: cut off, SIGSTOP, SIGKILL.
-Histories are judged from the logs alone; each process dies with the test that started it."""
+Histories are judged from the logs alone; each process dies with the test that started it.
+"""
 
 import hashlib
 import os
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,8 @@
 
 class SlowList:
     """A list service that works through calls in turn, five a second, also those that have waited two
-    seconds and were told so; who comes behind four seconds' work finds no place."""
+    seconds and were told so; who comes behind four seconds' work finds no place.
+    """
 
     def __init__(self, hosts: list[FakeHost], rate: int = 5) -> None:
         self.hosts, self.rate = hosts, rate
@@ -52,7 +53,8 @@
 class TheList(unittest.TestCase):
     def test_forty_births_at_once_all_get_the_list(self) -> None:
         """Killed together in a release and born together, 28 of 40 asked in one moment, were told to come
-        again and did, twice a second each: discovery answered none of 486 calls in 38 s."""
+        again and did, twice a second each: discovery answered none of 486 calls in 38 s.
+        """
         for beats in (False, True):  # on the simulator, on sockets
             hosts = [
                 FakeHost(
@@ -68,7 +70,8 @@
     def test_watches_that_fall_silent_are_asked_for_anew_before_what_they_missed_counts_as_told(self) -> None:
         """Discovery answered all the while, in 17 ms; the wait after an outage on top of 3 s of silence had 3 to 7
         postings at draining workers, the first 0.6 s after the change counted as told. 72 calls in one second
-        stood in no queue there."""
+        stood in no queue there.
+        """
         for many, rate in ((2, 5), (40, 25), (200, 72)):
             hosts = [FakeHost(must_ask=True, dispatchers=many, number=n, seed=n) for n in range(many)]
             service = SlowList(hosts, rate)
@@ -100,7 +103,8 @@
     def test_a_few_jumps_of_others_load_make_no_word_late(self) -> None:
         """Each sees a worker once in seconds, and others' load has moved meanwhile by as much as one's own few
         postings: a third of all postings of forty dispatchers went by "late" word, half of those were turned
-        away."""
+        away.
+        """
         late = 0
         for seed in range(40):
             host = FakeHost(workers=2, seed=seed)
@@ -120,7 +124,8 @@
 class ColdWorkers(unittest.TestCase):
     def test_whose_turn_it_is_finds_the_cold_worker_idle(self) -> None:
         """Six in ten workers were replaced at once and two thirds of the new ones had no txn in nine seconds: an
-        even part for each of forty holds no job, and a new worker was taken to be as full as its zone."""
+        even part for each of forty holds no job, and a new worker was taken to be as full as its zone.
+        """
         posted = []
         for number in (2, 3, 16):
             host = FakeHost(workers=1, dispatchers=40, number=number)
@@ -137,7 +142,8 @@
 class Errors(unittest.TestCase):
     def test_a_worker_that_failed_stays_out_until_our_next_turn_there(self) -> None:
         """Few txns each: a worker that had failed one 40 ms ago was free again long before the next posting, and
-        forty dispatchers met nine failing workers 346 times, 94 would have told them all."""
+        forty dispatchers met nine failing workers 346 times, 94 would have told them all.
+        """
         slow = {"sla_time": 6 * SECOND, "expiry": 20 * SECOND}
         host = FakeHost(scheme(**slow), scheme(ONCE_ONLY, index=1, **slow), workers=2)
         for tag in "abc":  # one txn in two seconds
@@ -154,7 +160,8 @@
 
     def test_what_an_error_loses_goes_where_one_has_ended_well(self) -> None:
         """Nine workers failed quickly and showed free slots: each of forty dispatchers learnt that of each by a
-        txn of its own, and a once-only one was lost with it."""
+        txn of its own, and a once-only one was lost with it.
+        """
         host = FakeHost(scheme(), scheme(ONCE_ONLY, index=1), workers=12)
         for tag in "abcde":
             host.ask(tag, of=tag != "a")
@@ -166,7 +173,8 @@
 class LostZone(unittest.TestCase):
     def test_three_that_break_speak_for_their_zone(self) -> None:
         """Five seconds before the list said so fifteen workers of a zone were gone: 393 postings found that out,
-        up to four of one txn, and the txn was declined."""
+        up to four of one txn, and the txn was declined.
+        """
         host = FakeHost(workers=12)
         for worker in host.workers[6:]:
             worker.zone = 1
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,5 +1,6 @@
 """Members as real processes, with what is between them broken: relays cut, SIGSTOP, SIGKILL. Whatever happens here, all
-of them are ended: each dies with the process that started it."""
+of them are ended: each dies with the process that started it.
+"""
 
 import json
 import os
--- a/tests/test_grounds.py
+++ b/tests/test_grounds.py
@@ -1,5 +1,6 @@
 """Stories of the one command: a plan's ground says who plays it, and each is reached, here with a tiny
-plan."""
+plan.
+"""
 
 import contextlib
 import io
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,5 +1,6 @@
 """Histories checked after the fact: what is planted is found, what is right passes,
-what failed is made small."""
+what failed is made small.
+"""
 
 import io
 import subprocess
@@ -75,7 +76,8 @@
 
 def plainly(calls, order_of=permutations):
     """Whether any order of calls, with any of the unknown ones left out,
-    is that of a plain register: all tried."""
+    is that of a plain register: all tried.
+    """
     sure = [call for call in calls if call.end < FOREVER]
     maybe = [call for call in calls if call.end == FOREVER]
     for bits in range(1 << len(maybe)):
--- a/tests/test_histories_settings.py
+++ b/tests/test_histories_settings.py
@@ -146,7 +146,7 @@
                 break
             able = [row for row in calls if (row.more["revision"], row.more["digest"]) == (number, digest)]
             begun = [row.at for row in able if row.more["op"] not in refused]
-            if not begun or before is not None and able[0].more["before"] != before:
+            if not begun or (before is not None and able[0].more["before"] != before):
                 right = False
                 break
             now = max(now, min(begun))
--- a/tests/test_hollow_members.py
+++ b/tests/test_hollow_members.py
@@ -1,5 +1,6 @@
 """Hollow members: what a measure returns, that the virtual ground's counts hang on the seed alone, that nothing of a
-play on sockets is left when it ends or fails."""
+play on sockets is left when it ends or fails.
+"""
 
 import subprocess
 import sys
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -1,5 +1,6 @@
 """Stories of the hollow peers of slope 1: they answer the program's own client side as the protocol wants, and the
-measures return what they name and leave nothing behind."""
+measures return what they name and leave nothing behind.
+"""
 
 import asyncio
 import math
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -1,5 +1,6 @@
 """Stories of the list's clock: what has reached our socket is told, and 6 s after discovery is back we have its list, or
-nothing new goes out."""
+nothing new goes out.
+"""
 
 import asyncio
 import heapq
@@ -233,7 +234,8 @@
 
     async def test_before_a_posting_goes_out_what_lies_in_the_socket_is_told_and_only_once(self) -> None:
         """A process that was stopped for 3 s resumed a posting that it had decided on before, to a worker whose drain
-        lay in its socket."""
+        lay in its socket.
+        """
         side = await self.watches()
         side.send(chunk(line(6, "leaving")))
         await self.until(self.socks[0].stirred)
@@ -408,7 +410,8 @@
 
 class Discovery:
     """One dispatcher's discovery through drawn troubles: spells of them, each with well ones between. What the driver
-    tells of a call is played with the driver's limits; all that the judge reads stands in the log."""
+    tells of a call is played with the driver's limits; all that the judge reads stands in the log.
+    """
 
     def __init__(
         self, seed: int, many: int, slow: float = 0.0, news: ListNews = WHOLE, seconds: int = 30
@@ -562,7 +565,8 @@
 
 def broken(log: list[Said], reachable: list[tuple[int, int]]) -> list[str]:
     """Postings while a change may count as told that was not had. A change counts as told 6 s after discovery had it
-    and could be reached: it may be made at any moment of a spell, also just after the last list or line."""
+    and could be reached: it may be made at any moment of a spell, also just after the last list or line.
+    """
     found, missed = [], None  # since when changes are missed; None while a watch is live
     for row in log:
         if row.what.startswith("missed"):
@@ -632,7 +636,8 @@
 
     def test_an_outage_in_which_every_call_fails_stops_nobody(self) -> None:
         """Each failed call proves that there was nothing to be had. Only what was quick or silent and then a call that
-        hangs for its whole time have no room together: 1.1 s each time, in an outage of one kind once."""
+        hangs for its whole time have no room together: 1.1 s each time, in an outage of one kind once.
+        """
         for many in (1, 40, 200):
             for seed in range(6):
                 for kind in ILLS:
@@ -667,7 +672,8 @@
 
     def test_a_birth_posts_nothing_until_it_has_the_list_whatever_became_of_its_calls(self) -> None:
         """zone+mass: 57 were stopped for 18 s, had an old `known`, and posted 105 times to workers that had left: what
-        discovery had 6 s before a process begins counts as told from its first moment, AskEvery or not."""
+        discovery had 6 s before a process begins counts as told from its first moment, AskEvery or not.
+        """
         for seed in range(40):
             for pushed in (False, True):
                 for fails in range(4):
@@ -698,7 +704,8 @@
 
     def test_births_ask_within_what_a_watch_may_be_silent_and_rarer_with_each_refusal(self) -> None:
         """Spread over 5 s, each of them was not ready for as long; within 1.4 s, 16 at a discovery of 3 calls a second
-        asked again and again and had it at 11 s: what they get meanwhile is declined, so that haste serves nobody."""
+        asked again and again and had it at 11 s: what they get meanwhile is declined, so that haste serves nobody.
+        """
         for many in (1, 2, 57, 200):
             asked = []
             for seed in range(200):
@@ -730,7 +737,8 @@
 
 class Overfull(unittest.TestCase):
     """A list service that works through all calls in their order, also those that no longer wait, and refuses each that
-    has waited for two seconds: herd+vast, where 28 of 40 began again and none had the list to the end of the day."""
+    has waited for two seconds: herd+vast, where 28 of 40 began again and none had the list to the end of the day.
+    """
 
     PATIENCE, STEP = 2 * SECOND, SECOND // 50
 
@@ -777,7 +785,8 @@
 
     def test_births_that_are_refused_late_leave_it_time_and_all_have_the_list(self) -> None:
         """Five calls a second for 40 dispatchers. Before, of eight such seeds two never had it at 18 of 28, the others after 19
-        to 30 s, by 87 to 195 calls."""
+        to 30 s, by 87 to 195 calls.
+        """
         for seed in range(1, 9):
             had, calls = self.plays(seed, births=28, broken=8, rate=5, seconds=25)
             self.assertEqual(len(had), 28, seed)
@@ -865,7 +874,8 @@
 
     def test_from_a_start_on_the_list_as_last_had_is_good_for_nothing_new(self) -> None:
         """It was good for a grace where lists are pushed, and for AskEvery elsewhere: too long for what was told to
-        our agent, or counted as told, before we began."""
+        our agent, or counted as told, before we began.
+        """
         for pushed in (True, False):
             host = self.host(pushed)
             self.assertTrue(host.loop.choice.list_unsure(host.now))
@@ -874,7 +884,8 @@
 
     def test_where_no_clock_of_sockets_binds_a_birth_goes_by_what_it_has_until_it_must_ask(self) -> None:
         """On the operators' simulator what was listed counts as told after AskEvery without a call: hcm-prod-later fell
-        from 0.908 to 0.695 while births held back there."""
+        from 0.908 to 0.695 while births held back there.
+        """
         host = FakeHost(must_ask=True, dispatchers=200, news=ListNews.REMEMBERED)
         host.ask("a")
         self.assertEqual(len(host.posted), 1)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -304,7 +304,8 @@
 
     def test_an_accusation_is_told_also_when_carrying_has_spent_all_that_it_may(self):
         """25 members that told of their load twice a second: two in three of membership's datagrams went without
-        news, nobody heard a second accuser, and a death was known after 27 s instead of 10."""
+        news, nobody heard a second accuser, and a death was known after 27 s instead of 10.
+        """
         for most in (12_000, 13_000, 24_000):
             with self.subTest(bytes=most):
                 core, others = (
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -91,7 +91,7 @@
 
 class Words(unittest.TestCase):
     def test_a_record_of_the_busiest_member_fits_two_hundred_bytes(self) -> None:
-        told = Word(1e9, 2.0, 0.5, 1e9, 1e9, [1e9] * BANDS, {n: 1e9 for n in range(500)})
+        told = Word(1e9, 2.0, 0.5, 1e9, 1e9, [1e9] * BANDS, dict.fromkeys(range(500), 1000000000.0))
         body = packed(told)
         self.assertLessEqual(len(body), MOST)
         self.assertEqual(TELLS, len(read(body).customers))
--- a/tests/test_overload_ground.py
+++ b/tests/test_overload_ground.py
@@ -1,5 +1,6 @@
 """Hard cases of overload on its ground, judged from the log alone; and the judge,
-by histories that are bad."""
+by histories that are bad.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,5 +1,6 @@
 """One owner at a time: what the register, its leases and its voters go through,
-and who would be found doing it wrong."""
+and who would be found doing it wrong.
+"""
 
 import asyncio
 import errno
@@ -335,7 +336,8 @@
 
     def slowly(self, ways, bid):
         """The answers to an accepted ballot come a moment later than they were said; from there on,
-        all orders."""
+        all orders.
+        """
         world = check.start(ways, bid)
         after, out = world.bids[0].begin(0)
         world = check._bid(world, 0, after, out)
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -1,5 +1,6 @@
 """Voters and candidates as real processes: kill -9, SIGSTOP, relays cut, disks lost and exchanged;
-the judge reads their logs."""
+the judge reads their logs.
+"""
 
 import asyncio
 import os
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -129,7 +129,8 @@
 
     def stopped(self, planner):
         """Stands still, outside a commit: inside one it bars the ledger for all, which is safe and lets
-        nobody on."""
+        nobody on.
+        """
         other = sqlite3.connect(self.path, isolation_level=None, timeout=0.5)
         self.addCleanup(other.close)
         for _ in range(50):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -125,7 +125,8 @@
 
     def test_hundreds_of_dispatchers_take_turns_with_whole_jobs(self) -> None:
         """An even share of a cold worker held no job and nobody sent any; in any span the sum must hold: it falls at
-        N + 3 root N + 3 mean jobs, N being what the settings allow it, and two thirds are used at the worst."""
+        N + 3 root N + 3 mean jobs, N being what the settings allow it, and two thirds are used at the worst.
+        """
         sent = []
         for number in range(40):
             host = FakeHost(workers=1, dispatchers=40, number=number)
@@ -152,7 +153,8 @@
     def test_a_dozen_dispatchers_without_hints_use_a_cold_worker_and_stay_under_its_budget(self) -> None:
         """Two at once had more than they had jobs for: a worker that came back cold stood idle for most of nine
         seconds. Dealt out in whole jobs, the sum of all of them must hold in any span, at the worst moment; each
-        has seen other runs, so that no two agree on how many have their turn."""
+        has seen other runs, so that no two agree on how many have their turn.
+        """
         sent = []
         for number in range(11):
             host = FakeHost(workers=1, dispatchers=11, number=number, fall_multiple=2.5, cold_share=0.32)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,6 @@
 """Stories of the scale rig: what it refuses at once, what it keeps, and that nothing of a play is left
-behind."""
+behind.
+"""
 
 import os
 import select
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -1,5 +1,6 @@
 """Shared settings as real processes: three keepers that vote, four members; SIGSTOP, kill -9, disks that are kept. What
-members acted by is judged from their logs alone; each process dies with the test that started it."""
+members acted by is judged from their logs alone; each process dies with the test that started it.
+"""
 
 import asyncio
 import contextlib
@@ -45,7 +46,8 @@
 
 class Ways(Relays):
     """What keepers and members say to one another, through sockets of ours, in a thread of its own: ways that are cut, and what
-    each sent and got in any second. Voters' ways are their own."""
+    each sent and got in any second. Voters' ways are their own.
+    """
 
     def __init__(self, ways):
         self.began = time.monotonic()
@@ -89,7 +91,8 @@
 class VotersWays:
     """Voters' ways: each has an address of ours. Who comes there gets a socket of its own here, as behind a translated
     address, since who commits stands for the register by a port that nobody knows before. `cut`: (sender, taker) names whose
-    datagrams are lost; anybody else is "": a keeper's committing too, whosever it is."""
+    datagrams are lost; anybody else is "": a keeper's committing too, whosever it is.
+    """
 
     def __init__(self, ways):
         self.own = {name: peer_of(own) for name, (own, _) in ways.items()}
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -31,7 +31,8 @@
 
     def test_a_member_whose_disk_was_lost_acts_on_nothing_before_it_has_a_lease(self) -> None:
         """Found by these seeds: it had said what was on its disk, lost it, and on its way back from nothing acted on what
-        was forbidden and told in force, on its word."""
+        was forbidden and told in force, on its word.
+        """
         for plan, seed in ((Plan(), 9), (Plan(), 26), (Plan(members=20, regions=5, keepers=5), 3)):
             self.holds(plan, seed)
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -124,7 +124,8 @@
 
     def test_no_second_holds_more_uses_than_the_budget_in_every_world_within_seven_steps(self):
         """With loans that go on and loans given back. To depth 9,
-        2.9 million worlds of (2, 0) and 5.7 of (1, 1), by hand."""
+        2.9 million worlds of (2, 0) and 5.7 of (1, 1), by hand.
+        """
         count = check.check(7, parts=(2, 0), uses=True)
         print(f"uses: {count} worlds to depth 7", flush=True)
         self.assertGreater(count, 100_000)
@@ -133,7 +134,8 @@
 
     def test_what_breaks_the_bound_is_found(self):
         """A lease counted from its arrival, a loan credited twice,
-        one that the owner's new life has forgotten."""
+        one that the owner's new life has forgotten.
+        """
         lent_by, surely = State.lent_by, State._surely
 
         def by_arrival(self, lend, now):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -109,7 +109,8 @@
 
     async def test_a_second_answer_never_passes_for_the_next_calls(self) -> None:
         """Twice in one piece, in a piece of its own at once, and while the next call waits for a connection: the
-        next posting, which is being done, looked as if it had never run."""
+        next posting, which is being done, looked as if it had never run.
+        """
         declined = b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
         for apart in (False, True):
 
@@ -148,7 +149,8 @@
 
     async def test_a_second_answer_to_a_look_never_passes_for_the_postings_behind_it(self) -> None:
         """Behind the posting: its own answer counts and the link is used no more. Before it: another link is used. With
-        503, which a posting may be answered with too: it may have run, and the late 202 is no other call's."""
+        503, which a posting may be answered with too: it may have run, and the late 202 is no other call's.
+        """
         looked = b"HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n"
         for status, before, expected in (
             (b"200 OK", False, [202, 202]),
@@ -237,8 +239,9 @@
         self.assertEqual(self.counters["link_end.worker-early"], 1)
 
     async def test_what_the_kernel_took_is_sent_whatever_our_task_has_seen_of_it(self) -> None:
-        """uvloop resumes who waits for sock_sendall a turn after the last send: given up in that turn, a posting
-        that its worker had whole was said never to have run."""
+        """Uvloop resumes who waits for sock_sendall a turn after the last send: given up in that turn, a posting
+        that its worker had whole was said never to have run.
+        """
         workers = await self.workers(self.accepting)
         seen: list[tuple[bool, bool]] = []
         kept: list[Sending] = []
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -128,7 +128,8 @@
 
     async def test_what_a_connection_came_up_too_late_for_is_withheld_at_its_first_byte(self) -> None:
         """Decided in time, and a dial of 1.5 s later the worker had started anew, the window had closed, or the
-        client's time was over."""
+        client's time was over.
+        """
         for late in ("anew", "window", "expired", "in time"):
             self.open()
             entry = await self.ask(within="700")
--- a/tests/test_untrue.py
+++ b/tests/test_untrue.py
@@ -33,7 +33,8 @@
 class SilentWatches(unittest.TestCase):
     def test_watches_fall_silent_and_no_drain_is_broken_whatever_the_size_of_the_fleet(self) -> None:
         """What they miss counts as told 6 s later, come or not; discovery and ways are well meanwhile. Alone a call
-        after a silence waits half a second, among forty or more it had waited for up to 5 s."""
+        after a silence waits half a second, among forty or more it had waited for up to 5 s.
+        """
         for many in (2, 40, 120):
             given = {
                 **BASE,
