--- a/pathsaddle/cli/fleet.py
+++ b/pathsaddle/cli/fleet.py
@@ -12,9 +12,9 @@
 
 def _asked(charter: str, word: str) -> Any:
     """By the control address that a charter names, or that stands in its place."""
-    from pathsaddle.charter.told import read
     from pathsaddle.cli.stop import NoControl
-    from pathsaddle.fleet.asking import NoAddress, asked
+    from pathsaddle.config.loader import read
+    from pathsaddle.fleet.control_client import NoAddress, asked
 
     address = charter
     if (
--- a/pathsaddle/cli/main.py
+++ b/pathsaddle/cli/main.py
@@ -31,7 +31,7 @@
 @click.option("--log-form", type=click.Choice(["text", "json"]), help="Instead of what the charter says.")
 def serve(charter: str, log_form: str | None) -> None:
     """Serve by the operator's CHARTER, in the foreground, until SIGTERM or Ctrl-C. SIGHUP rereads it."""
-    from pathsaddle.charter.ground import CharterGround
+    from pathsaddle.config.dispatcher import CharterGround
     from pathsaddle.net.service import logbook, start
 
     ground = CharterGround(Path(charter), log_form)
@@ -51,10 +51,10 @@
 @click.option("--plan", is_flag=True, help="FILE is a plan of an experiment; with --explain: a plan's keys.")
 def check(file: str | None, explain: bool, plan: bool) -> None:
     """Check a charter, or a plan, and say all that is wrong in it, one line a fault."""
-    from pathsaddle.charter.check import explain as rows
-    from pathsaddle.charter.form import IN_SERVICE, Charter
-    from pathsaddle.charter.told import read
     from pathsaddle.cli.show import explained
+    from pathsaddle.config.loader import read
+    from pathsaddle.config.schema import IN_SERVICE, Charter
+    from pathsaddle.config.validation import explain as rows
     from pathsaddle.emulator import plan as plans
 
     if explain:
--- a/pathsaddle/cli/settings.py
+++ b/pathsaddle/cli/settings.py
@@ -31,8 +31,8 @@
 def _addresses(at: str) -> list[str]:
     if at.rpartition(":")[2].isdigit() and not Path(at).exists():
         return [at]
-    from pathsaddle.settings.faults import BadFile
-    from pathsaddle.settings.ground import ground_of
+    from pathsaddle.settings.cluster_file import ground_of
+    from pathsaddle.settings.errors import BadFile
 
     found = [row.control for row in ground_of(at).keepers.values() if row.control]
     if not found:
@@ -42,8 +42,8 @@
 
 def _asked(at: str, word: str, patience: float = 5.0, **more: Any) -> tuple[str, dict[str, Any]]:
     """Of the first keeper that answers; who it is."""
-    from pathsaddle.settings.asking import ask
-    from pathsaddle.settings.faults import Unreached
+    from pathsaddle.settings.control_client import ask
+    from pathsaddle.settings.errors import Unreached
 
     addresses = _addresses(at)
     for address in addresses:
@@ -102,9 +102,9 @@
     """Commit the rows of FILE, all or none: [customers.NAME], [schemes.NAME], [budgets], [members.NAME], zones, [rules],
     and `remove = [keys]`.
     """
-    from pathsaddle.charter.check import load
+    from pathsaddle.config.validation import load
     from pathsaddle.settings.changes import puts_of, written
-    from pathsaddle.settings.faults import Waits
+    from pathsaddle.settings.errors import Waits
 
     rows, remove = written(load(file))
     puts_of(rows, remove)
@@ -143,7 +143,7 @@
 
 
 def _forced(address: str, revision: int, until: float, shows: bool) -> dict[str, Any]:
-    from pathsaddle.settings.asking import ask
+    from pathsaddle.settings.control_client import ask
 
     shown: list[str] | None = None
     while True:
--- a/pathsaddle/charter/ground.py
+++ b/pathsaddle/config/dispatcher.py
@@ -10,9 +10,9 @@
 
 from msgspec.structs import replace
 
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.service import in_service, retune
-from pathsaddle.charter.told import read, told
+from pathsaddle.config.loader import read, told
+from pathsaddle.config.reload import in_service, retune
+from pathsaddle.config.schema import Charter
 from pathsaddle.errors import Error
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
@@ -22,11 +22,11 @@
 from pathsaddle.net.wire.forms import Words
 
 if TYPE_CHECKING:
-    from pathsaddle.charter.metered import Metered
-    from pathsaddle.fleet.driver import Fellows
+    from pathsaddle.config.metering import Metered
+    from pathsaddle.fleet.udp_driver import Fellows
     from pathsaddle.net.service.ground import Fellows as Beside
+    from pathsaddle.settings.dispatcher_subscription import Sharing
     from pathsaddle.settings.driver import Acting
-    from pathsaddle.settings.serving import Sharing
 
 ENDED_PART, OPEN_PART = 16, 2  # of the memory that we are told: what ended jobs may take, and open ones
 
@@ -57,7 +57,7 @@
         for a restart was given one. Raises Faulty where the rows don't fit this charter: to serve without them would go back
         behind what it has said to have.
         """
-        from pathsaddle.settings.serving import Sharing
+        from pathsaddle.settings.dispatcher_subscription import Sharing
 
         shared = self.charter.settings
         assert shared is not None
@@ -70,7 +70,7 @@
     def service(self, terms: Any, words: Words, *told: Any) -> TxnService:
         """As `net` asks for it: terms, words, seed, clock, workers, counters, the asking for the list."""
         if self.charter.control.meter:
-            from pathsaddle.charter.metered import Metered, MeteredWords
+            from pathsaddle.config.metering import Metered, MeteredWords
 
             self._metered = Metered(self.charter.control, told[3], self.memory_mb)
             self._metered.begins()
@@ -84,14 +84,14 @@
     def watch(self, address: str, index: int, service: TxnService, counters: Counters) -> DiscoveryWatch:
         if self._metered is None:
             return super().watch(address, index, service, counters)
-        from pathsaddle.charter.metered import MeteredWatch
+        from pathsaddle.config.metering import MeteredWatch
 
         return MeteredWatch(self._metered.meter, address, index, service, counters, self.stream)
 
     def _made(self, *told: Any) -> TxnService:
         if self.charter.federation is not None:
-            from pathsaddle.federation.driver import MemberProcess, ground_of
-            from pathsaddle.federation.txn_service import FederatedTxnService
+            from pathsaddle.federation.request_handler import FederatedTxnService
+            from pathsaddle.federation.udp_driver import MemberProcess, ground_of
 
             regions = self.charter.federation
             member = MemberProcess(ground_of(regions.ground), regions.member, serving=True)
@@ -100,8 +100,8 @@
             return FederatedTxnService(*told, member=member, doors=regions.doors, room=regions.room)
         if self.charter.jobs is None:
             return TxnService(*told)
+        from pathsaddle.jobs.job_service import DurableTxnService, Ways
         from pathsaddle.jobs.store import Store, ThreadWriter, Unusable
-        from pathsaddle.jobs.txn_service import DurableTxnService, Ways
 
         jobs = self.charter.jobs
         try:
@@ -137,14 +137,14 @@
     def _joined(self, counters: Counters) -> Fellows | None:
         if self.charter.fleet is None:
             return None
-        from pathsaddle.charter.fellows import told as fellow
-        from pathsaddle.fleet.driver import Fellows
-        from pathsaddle.fleet.lives import Lives
+        from pathsaddle.config.fleet import told as fellow
+        from pathsaddle.fleet.incarnation_store import Lives
+        from pathsaddle.fleet.udp_driver import Fellows
 
         folder = self.charter.fleet.folder
         told = fellow(self.charter, self.file())
         if self.charter.fleet.owners is not None:
-            from pathsaddle.ownership.fellows import OwningFellows
+            from pathsaddle.consensus.fleet_member import OwningFellows
 
             return OwningFellows(
                 self.charter,
@@ -175,7 +175,7 @@
 
     def _with(self, file: Charter, rows: Mapping[str, bytes]) -> Charter:
         """The file's charter with the rows in place of its own. Raises Faulty."""
-        from pathsaddle.settings.applied import NAMED, charter_with
+        from pathsaddle.settings.configuration import NAMED, charter_with
 
         stands = {key: value for key, value in self._rows.items() if key.partition(".")[0] in NAMED}
         if stands:  # hundreds of rows aren't read again for one that has changed
@@ -193,7 +193,7 @@
         except Error as fault:
             if not acting.offers or acting.terms is None:
                 raise
-            from pathsaddle.settings.serving import logged
+            from pathsaddle.settings.dispatcher_subscription import logged
 
             logged(fault)
             self._takes(acting.terms.rows(), f"revision {acting.revision}")
@@ -204,7 +204,7 @@
         wanted = self._with(self._file, rows)
         _, stays = in_service(self.charter, wanted)
         if stays:
-            from pathsaddle.settings.faults import Unfit
+            from pathsaddle.settings.errors import Unfit
 
             raise Unfit(
                 f"{which} of shared settings can't come into service: "
@@ -222,7 +222,7 @@
         if self._service is not None:
             retune(self._service, before, self.charter)
         if self._fellows is not None:
-            from pathsaddle.charter.fellows import dealt
+            from pathsaddle.config.fleet import dealt
 
             self._fellows.retune(dealt(self.charter))
         if self._metered is not None:
--- a/pathsaddle/charter/fellows.py
+++ b/pathsaddle/config/fleet.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from pathsaddle.charter.form import Charter
-from pathsaddle.fleet.driver import Told
-from pathsaddle.fleet.members import Ways
-from pathsaddle.fleet.state.limiter import Dealt
+from pathsaddle.config.schema import Charter
+from pathsaddle.fleet.membership import Ways
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.udp_driver import Told
 
 
 def told(charter: Charter, file: str = "the charter") -> Told:
--- a/pathsaddle/charter/told.py
+++ b/pathsaddle/config/loader.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import Any
 
-from pathsaddle.charter.check import check, load
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check, load
 
 TICK = 100_000  # nanoseconds in a tenth of a millisecond
 SEMANTICS = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
--- a/pathsaddle/charter/metered.py
+++ b/pathsaddle/config/metering.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
-from pathsaddle.charter.form import Control
-from pathsaddle.metering import PURPOSES, ControlMeter, Purpose
+from pathsaddle.config.schema import Control
+from pathsaddle.control_metrics import PURPOSES, ControlMeter, Purpose
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.discovery import DiscoveryWatch
--- a/pathsaddle/charter/owners.py
+++ b/pathsaddle/config/register_schema.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct, field
 
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.units import Duration
 
 
 class Owners(Struct, kw_only=True, forbid_unknown_fields=True):
--- a/pathsaddle/charter/service.py
+++ b/pathsaddle/config/reload.py
@@ -17,9 +17,9 @@
 
 from msgspec.structs import replace
 
-from pathsaddle.charter.check import Amiss
-from pathsaddle.charter.form import IN_SERVICE, Charter, Customer, Scheme, changes
-from pathsaddle.charter.told import settings
+from pathsaddle.config.loader import settings
+from pathsaddle.config.schema import IN_SERVICE, Charter, Customer, Scheme, changes
+from pathsaddle.config.validation import Amiss
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import terms
 from pathsaddle.trade import Customer as Known
--- a/pathsaddle/charter/form.py
+++ b/pathsaddle/config/schema.py
@@ -9,9 +9,9 @@
 
 from msgspec import Meta, Struct, field
 
-from pathsaddle.charter.check import Amiss, Fault, Missing, NotAmong, OutOfBounds, TooLong, Twice, shown
-from pathsaddle.charter.owners import Owners
-from pathsaddle.charter.units import Duration, Size
+from pathsaddle.config.register_schema import Owners
+from pathsaddle.config.units import Duration, Size
+from pathsaddle.config.validation import Amiss, Fault, Missing, NotAmong, OutOfBounds, TooLong, Twice, shown
 
 Part = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
--- a/pathsaddle/charter/check.py
+++ b/pathsaddle/config/validation.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from pathsaddle.charter.units import Duration, Size, hook, written
+from pathsaddle.config.units import Duration, Size, hook, written
 from pathsaddle.errors import Error, access, why
 
 T = TypeVar("T")
--- a/pathsaddle/ownership/voter.py
+++ b/pathsaddle/consensus/acceptor.py
@@ -24,7 +24,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from pathsaddle.ownership.forms import (
+from pathsaddle.consensus.messages import (
     NEVER,
     NOBODY,
     Accept,
--- a/pathsaddle/ownership/log.py
+++ b/pathsaddle/consensus/acceptor_log.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
+from pathsaddle.consensus.acceptor import Write
+from pathsaddle.consensus.errors import Founded, NoDisk, OtherVoters
+from pathsaddle.consensus.messages import Ballot, Value
 from pathsaddle.errors import access, why
-from pathsaddle.ownership.faults import Founded, NoDisk, OtherVoters
-from pathsaddle.ownership.forms import Ballot, Value
-from pathsaddle.ownership.voter import Write
 
 SUM = 8
 MOST = 1 << 16  # bytes of a record
--- a/pathsaddle/ownership/fellows.py
+++ b/pathsaddle/consensus/fleet_member.py
@@ -7,10 +7,10 @@
 from random import SystemRandom
 from typing import Any
 
-from pathsaddle.charter.form import Charter
-from pathsaddle.fleet.driver import Fellows
-from pathsaddle.metering import Unmetered
-from pathsaddle.ownership.driver import Register, Told
+from pathsaddle.config.schema import Charter
+from pathsaddle.consensus.udp_driver import Register, Told
+from pathsaddle.control_metrics import Unmetered
+from pathsaddle.fleet.udp_driver import Fellows
 
 
 def told(charter: Charter, file: str = "the charter") -> Told:
--- a/pathsaddle/ownership/owner.py
+++ b/pathsaddle/consensus/lease_manager.py
@@ -12,8 +12,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from pathsaddle.ownership.bid import ACCEPTING, CHOSEN, IDLE, PREPARING, Bid
-from pathsaddle.ownership.forms import (
+from pathsaddle.consensus.messages import (
     MOST_DATA,
     NEVER,
     NOBODY,
@@ -27,6 +26,7 @@
     Value,
     maybe,
 )
+from pathsaddle.consensus.proposer import ACCEPTING, CHOSEN, IDLE, PREPARING, Bid
 from pathsaddle.trade import MILLISECOND
 
 TRIES = 4  # times that a phase of a ballot is asked for before it is given up
--- a/pathsaddle/ownership/check.py
+++ b/pathsaddle/consensus/model_checker.py
@@ -17,9 +17,9 @@
 
 from dataclasses import dataclass, replace
 
-from pathsaddle.ownership.bid import CHOSEN, IDLE, PREPARING, Bid, Out
-from pathsaddle.ownership.forms import Accepted, Message, Promise, Refused
-from pathsaddle.ownership.voter import EMPTY, Row
+from pathsaddle.consensus.acceptor import EMPTY, Row
+from pathsaddle.consensus.messages import Accepted, Message, Promise, Refused
+from pathsaddle.consensus.proposer import CHOSEN, IDLE, PREPARING, Bid, Out
 
 LEASE = 100
 SLOW, FAST = 50, 52  # what a moment is by a candidate's clock and by a voter's
--- a/pathsaddle/ownership/bid.py
+++ b/pathsaddle/consensus/proposer.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from pathsaddle.ownership.forms import (
+from pathsaddle.consensus.messages import (
     NEVER,
     NOBODY,
     Accept,
--- a/pathsaddle/ownership/driver.py
+++ b/pathsaddle/consensus/udp_driver.py
@@ -17,15 +17,11 @@
 from random import Random
 from typing import Any, Protocol
 
-from pathsaddle.errors import access, why
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.metering import Unmetered
-from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service import logbook
-from pathsaddle.net.wire.terms import Peer, peer_of
-from pathsaddle.ownership.faults import NoDisk, OwnershipFault
-from pathsaddle.ownership.forms import (
+from pathsaddle.consensus.acceptor import Voter, Write
+from pathsaddle.consensus.acceptor_log import Log
+from pathsaddle.consensus.errors import NoDisk, OwnershipFault
+from pathsaddle.consensus.lease_manager import Happened, Owner
+from pathsaddle.consensus.messages import (
     MOST,
     Accept,
     Ask,
@@ -42,9 +38,13 @@
     group_of,
     packed,
 )
-from pathsaddle.ownership.log import Log
-from pathsaddle.ownership.owner import Happened, Owner
-from pathsaddle.ownership.voter import Voter, Write
+from pathsaddle.control_metrics import Unmetered
+from pathsaddle.errors import access, why
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.net.memory.counters import Counters
+from pathsaddle.net.service import logbook
+from pathsaddle.net.wire.terms import Peer, peer_of
 from pathsaddle.trade import SECOND
 
 AT_ONCE = 64
--- a/pathsaddle/emulator/federation/around.py
+++ b/pathsaddle/emulator/federation/around.py
@@ -7,7 +7,7 @@
 
 from pathsaddle.emulator.federation.ground import Ground
 from pathsaddle.emulator.federation.plans import Plan
-from pathsaddle.federation.versions import Have, Version
+from pathsaddle.leased_versions import Have, Version
 
 
 class KeeperMan(Protocol):
--- a/pathsaddle/emulator/federation/keepers.py
+++ b/pathsaddle/emulator/federation/keepers.py
@@ -8,7 +8,7 @@
 from pathsaddle.emulator.federation.around import World
 from pathsaddle.emulator.federation.member import Member
 from pathsaddle.emulator.federation.plans import LEASE, REGIONS
-from pathsaddle.federation.versions import Ask, Commit, Have, Keeper, Version
+from pathsaddle.leased_versions import Ask, Commit, Have, Keeper, Version
 from pathsaddle.trade import SECOND
 
 
--- a/pathsaddle/emulator/federation/member.py
+++ b/pathsaddle/emulator/federation/member.py
@@ -10,10 +10,10 @@
 from pathsaddle.emulator.federation.ground import Clock
 from pathsaddle.emulator.federation.plans import EXPIRY, KINDS, LEASE, ON_TIME, REGIONS, WORK
 from pathsaddle.emulator.federation.pool import Piece
-from pathsaddle.federation.lend import Lender, parts
-from pathsaddle.federation.versions import Commit, Holder, Renewed, Version, holder
-from pathsaddle.federation.ways import SOON, Job, Place, Ways
-from pathsaddle.fleet.state.shares import DRIFT, Lend, Want
+from pathsaddle.federation.routing import SOON, Job, Place, Ways
+from pathsaddle.federation.spare_capacity import Lender, parts
+from pathsaddle.fleet.quota.leases import DRIFT, Lend, Want
+from pathsaddle.leased_versions import Commit, Holder, Renewed, Version, holder
 from pathsaddle.trade import MILLISECOND, SECOND
 
 
--- a/pathsaddle/emulator/federation/mutants.py
+++ b/pathsaddle/emulator/federation/mutants.py
@@ -13,11 +13,11 @@
 
 from pathsaddle.emulator.federation.plans import COURSES, Plan
 from pathsaddle.emulator.federation.pool import Piece, Pool
-from pathsaddle.federation.lend import Free, Lender
+from pathsaddle.federation.routing import Job, Place, Ways
+from pathsaddle.federation.spare_capacity import Free, Lender
 from pathsaddle.federation.spec import Rule, Spec
-from pathsaddle.federation.versions import Have, Holder, Keeper, Renewed, Version
-from pathsaddle.federation.ways import Job, Place, Ways
-from pathsaddle.fleet.state.shares import State
+from pathsaddle.fleet.quota.leases import State
+from pathsaddle.leased_versions import Have, Holder, Keeper, Renewed, Version
 
 Patches = list[Any]
 
--- a/pathsaddle/emulator/federation/pool.py
+++ b/pathsaddle/emulator/federation/pool.py
@@ -8,7 +8,7 @@
 
 from pathsaddle.emulator.federation.around import World
 from pathsaddle.emulator.federation.plans import COLD, WORK
-from pathsaddle.federation.lend import Free
+from pathsaddle.federation.spare_capacity import Free
 
 
 @dataclass(eq=False)
--- a/pathsaddle/emulator/federation/smoke.py
+++ b/pathsaddle/emulator/federation/smoke.py
@@ -15,14 +15,14 @@
 
 import msgspec
 
-from pathsaddle.charter.check import Faulty, NotAmong, check, load
+from pathsaddle.config.validation import Faulty, NotAmong, check, load
 from pathsaddle.emulator.federation.judge import earned, judged, lent, turned
 from pathsaddle.emulator.federation.mutants import MUTANTS, mutant, shown_in
 from pathsaddle.emulator.federation.plans import COURSES, Plan, any_course
 from pathsaddle.emulator.federation.world import World
 from pathsaddle.emulator.steps import Steps
-from pathsaddle.federation.check import Forbidden
-from pathsaddle.federation.check import check as every_order
+from pathsaddle.federation.model_checker import Forbidden
+from pathsaddle.federation.model_checker import check as every_order
 from pathsaddle.trade import SECOND
 
 HOWS = ("off", "plain", "on")
--- a/pathsaddle/emulator/federation/world.py
+++ b/pathsaddle/emulator/federation/world.py
@@ -20,7 +20,7 @@
 from pathsaddle.emulator.federation.plans import KINDS, REGIONS, WORK, Plan, Trouble, text_of
 from pathsaddle.emulator.federation.pool import Pool
 from pathsaddle.federation.spec import Spec, parse
-from pathsaddle.federation.versions import Version
+from pathsaddle.leased_versions import Version
 from pathsaddle.trade import SECOND
 
 
--- a/pathsaddle/emulator/ground/links.py
+++ b/pathsaddle/emulator/ground/links.py
@@ -26,7 +26,7 @@
 from pathsaddle.net.wire.terms import Peer, peer_of
 
 if TYPE_CHECKING:
-    from pathsaddle.fleet.driver import Fellows
+    from pathsaddle.fleet.udp_driver import Fellows
     from pathsaddle.net.memory.counters import Counters
 
 BUFFER = 256 * 1024  # bytes under way in one direction before the sender waits
--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -16,9 +16,9 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.fleet.purse import SECOND, Purse
-from pathsaddle.fleet.state.limiter import Dealt
-from pathsaddle.fleet.state.shared import SPARE, Shared
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.quota.shared_state import SPARE, Shared
+from pathsaddle.fleet.rate_limiter import SECOND, Purse
 
 TOLD = 16  # budgets of which a member tells what it would lend
 
--- a/pathsaddle/emulator/hollow/changes.py
+++ b/pathsaddle/emulator/hollow/changes.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from pathsaddle.emulator.hollow.serving import Client, Ground, Process
-from pathsaddle.fleet.purse import SECOND, Purse
-from pathsaddle.fleet.state.carry import Carry
+from pathsaddle.fleet.gossip.gossip import Carry
+from pathsaddle.fleet.rate_limiter import SECOND, Purse
 
 DAY = 86_400.0
 KINDS = ("quota", "scheme", "budget", "limit")
--- a/pathsaddle/emulator/hollow/control.py
+++ b/pathsaddle/emulator/hollow/control.py
@@ -22,6 +22,7 @@
 import msgspec
 import uvloop
 
+from pathsaddle.control_metrics import PURPOSES, ControlMeter
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.hollow import sockets_members, workers
 from pathsaddle.emulator.hollow.fleet_ground import KEY
@@ -29,8 +30,7 @@
 from pathsaddle.emulator.hollow.sockets_members import LONGEST, Shard, spent_us
 from pathsaddle.emulator.stage import ends_with_us
 from pathsaddle.errors import FINDING, Error
-from pathsaddle.fleet.asking import asked
-from pathsaddle.metering import PURPOSES, ControlMeter
+from pathsaddle.fleet.control_client import asked
 
 CALLS = 20_000  # of an empty call through a meter, by which its own cost is reckoned
 MARK = 0.02  # seconds between two looks at what is waited for
--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -21,12 +21,12 @@
 from pathsaddle.emulator.ground.moments import Moments
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.served.members import Disk
-from pathsaddle.fleet.driver import Fellows, Told
-from pathsaddle.fleet.members import Change, Ways
-from pathsaddle.fleet.purse import SECOND
-from pathsaddle.fleet.state.limiter import Dealt
-from pathsaddle.fleet.state.shared import SPARE
-from pathsaddle.fleet.wire import CARRIED, DEAD, Row
+from pathsaddle.fleet.membership import Change, Ways
+from pathsaddle.fleet.messages import CARRIED, DEAD, Row
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.quota.shared_state import SPARE
+from pathsaddle.fleet.rate_limiter import SECOND
+from pathsaddle.fleet.udp_driver import Fellows, Told
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.wire.terms import Peer
 
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from pathsaddle.jobs.life import End, Kind, Record
+from pathsaddle.jobs.state_machine import End, Kind, Record
 from pathsaddle.jobs.store import Accepted, DiskWriter, Forget, Store, Write
 from pathsaddle.trade import SECOND, Semantics
 
--- a/pathsaddle/emulator/hollow/open_sockets.py
+++ b/pathsaddle/emulator/hollow/open_sockets.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from pathsaddle.charter.check import check
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check
 from pathsaddle.emulator.hollow.waits import percentile
 
 READY_WITHIN = 15.0  # seconds
--- a/pathsaddle/emulator/hollow/open_txns.py
+++ b/pathsaddle/emulator/hollow/open_txns.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from pathsaddle.charter.check import check
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check
 from pathsaddle.loop import Loop
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.wire.birth import Birth, birth
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
+from pathsaddle.consensus.messages import Message, Said, group_of, packed
 from pathsaddle.emulator.hollow.fleet_ground import Spent, Tally, most
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.ownership.ground import Ground, Host, MemberHost, VoterHost
-from pathsaddle.ownership.forms import Message, Said, group_of, packed
 from pathsaddle.trade import SECOND
 
 KEY = b"the hollow owners' own secret"
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -20,9 +20,9 @@
 import msgspec
 
 from pathsaddle.beliefs import Book
-from pathsaddle.charter.check import check
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check
 from pathsaddle.loop import Loop
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
--- a/pathsaddle/emulator/hollow/served.py
+++ b/pathsaddle/emulator/hollow/served.py
@@ -18,7 +18,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.schema import Charter
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.trade import SECOND
--- a/pathsaddle/emulator/hollow/settings.py
+++ b/pathsaddle/emulator/hollow/settings.py
@@ -12,7 +12,7 @@
 
 from pathsaddle.emulator.settings.smoke import at, waits
 from pathsaddle.emulator.settings.world import SECOND, Plan, Process, World, worst
-from pathsaddle.settings.forms import encoded
+from pathsaddle.settings.documents import encoded
 
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -27,12 +27,12 @@
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.hollow.fleet_ground import KEY, introduced
 from pathsaddle.emulator.hollow.places import places
-from pathsaddle.fleet.driver import Fellows, Told
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.members import Ways
-from pathsaddle.fleet.purse import SECOND
-from pathsaddle.fleet.state.limiter import Dealt
-from pathsaddle.fleet.wire import Row
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.membership import Ways
+from pathsaddle.fleet.messages import Row
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.rate_limiter import SECOND
+from pathsaddle.fleet.udp_driver import Fellows, Told
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -25,9 +25,9 @@
 import msgspec
 
 from pathsaddle.beliefs import Account
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.told import read, settings
 from pathsaddle.choice import HANDFUL
+from pathsaddle.config.loader import read, settings
+from pathsaddle.config.schema import Charter
 from pathsaddle.emulator.hollow.serving import Ground, rss_mib
 from pathsaddle.loop import Loop
 from pathsaddle.trade import (
--- a/pathsaddle/emulator/hollow/workers.py
+++ b/pathsaddle/emulator/hollow/workers.py
@@ -26,9 +26,9 @@
 import msgspec
 import uvloop
 
-from pathsaddle.charter.check import check
-from pathsaddle.charter.form import Charter
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check
 from pathsaddle.emulator.hollow.outside import cpu_seconds, descriptors, memory_mib
 from pathsaddle.emulator.hollow.served import Clients, HollowList, Workers, until
 from pathsaddle.emulator.stage import ends_with_us
--- a/pathsaddle/emulator/judges/crossings.py
+++ b/pathsaddle/emulator/judges/crossings.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.schema import Charter
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import FAR, SECOND, Finding
 
--- a/pathsaddle/emulator/judges/fleet_judge.py
+++ b/pathsaddle/emulator/judges/fleet_judge.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from math import log2, log10
 
-from pathsaddle.charter.form import Fleet
+from pathsaddle.config.schema import Fleet
 from pathsaddle.emulator.events import Event
 
 FAR = 1 << 60
--- a/pathsaddle/emulator/judges/judge.py
+++ b/pathsaddle/emulator/judges/judge.py
@@ -37,7 +37,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from pathsaddle.charter.form import Charter, Scheme
+from pathsaddle.config.schema import Charter, Scheme
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges import fleet_judge
 
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -13,15 +13,15 @@
 from unittest import mock
 
 from pathsaddle.choice import Choice
-from pathsaddle.fleet import members
-from pathsaddle.fleet.members import Membership
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.fleet.wire import Row
-from pathsaddle.jobs import life, txn_service
-from pathsaddle.jobs.call import key_of
-from pathsaddle.jobs.life import Kind, Next, Record, Word, after_restart
+from pathsaddle.fleet import membership
+from pathsaddle.fleet.membership import Membership
+from pathsaddle.fleet.messages import Row
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.jobs import job_service, state_machine
+from pathsaddle.jobs.job_service import DurableTxnService
+from pathsaddle.jobs.state_machine import Kind, Next, Record, Word, after_restart
 from pathsaddle.jobs.store import Accepted
-from pathsaddle.jobs.txn_service import DurableTxnService
+from pathsaddle.jobs.submitted_call import key_of
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.trade import SECOND, Outcome, Posting, Semantics, Standing, Txn
 
@@ -211,13 +211,13 @@
     def clear(word: Word, now: int, expires: int) -> Next:
         return Next.CLEAR if word is Word.NONE else after_restart(word, now, expires)
 
-    return [mock.patch.object(life, "after_restart", clear)]
+    return [mock.patch.object(state_machine, "after_restart", clear)]
 
 
 def _forgets_keys() -> Patches:
     """A submission under a known key is another job."""
     count = itertools.count()
-    return [mock.patch.object(txn_service, "key_of", lambda call: f"{key_of(call)}-{next(count)}")]
+    return [mock.patch.object(job_service, "key_of", lambda call: f"{key_of(call)}-{next(count)}")]
 
 
 def _loses_the_accepted() -> Patches:
@@ -287,8 +287,8 @@
     """Nothing bounds what is sent, and pages are sent as fast as they come."""
     return [
         mock.patch.object(Purse, "pays", lambda self, size, now, spare=0.0: True),
-        mock.patch.object(members, "ROWS_APART", 0.02),
-        mock.patch.object(members, "ROWS", 1e9),
+        mock.patch.object(membership, "ROWS_APART", 0.02),
+        mock.patch.object(membership, "ROWS", 1e9),
     ]
 
 
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -15,12 +15,12 @@
 from unittest import mock
 
 from pathsaddle.choice import Choice
-from pathsaddle.fleet.overload import budgets
-from pathsaddle.fleet.overload.beside import PLACES, Beside
-from pathsaddle.fleet.overload.gate import Gate, Ways
-from pathsaddle.fleet.overload.word import read
-from pathsaddle.fleet.state.limiter import Dealt, Limiter
-from pathsaddle.fleet.state.shares import Back, Lend, Want
+from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.fleet.overload.admission_gate import Gate, Ways
+from pathsaddle.fleet.overload.load_summary import read
+from pathsaddle.fleet.overload.scheduler_gate import PLACES, Beside
+from pathsaddle.fleet.quota.leases import Back, Lend, Want
+from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
 from pathsaddle.trade import SECOND, Txn
 
 LATE = 3 * SECOND // 10
@@ -90,7 +90,11 @@
     def made(self: Choice, terms: Any, seed: int, now: int, door: Any, gate: Any = None) -> None:
         begin(self, terms, seed, now, door, gate)
         name = f"d{terms.number}"
-        wholes = {budgets.REPEAT: rate / 5, budgets.TRIAL: rate / 20, budgets.LOOK: 6 * rate}
+        wholes = {
+            retry_budgets.REPEAT: rate / 5,
+            retry_budgets.TRIAL: rate / 20,
+            retry_budgets.LOOK: 6 * rate,
+        }
         wholes |= {
             f"{kind}.w{place}": 2 * whole / PLACES
             for kind, whole in wholes.items()
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -19,9 +19,9 @@
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.overload.plan import Plan, Trouble
 from pathsaddle.emulator.overload.policies import Decided, Policy, fleet, policy, ways_of
-from pathsaddle.fleet.overload import budgets
-from pathsaddle.fleet.overload.standing import Ask
-from pathsaddle.fleet.state.shares import Back, Lend, Want
+from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.fleet.overload.shed_rank import Ask
+from pathsaddle.fleet.quota.leases import Back, Lend, Want
 from pathsaddle.trade import MILLISECOND, SECOND
 
 VALUES = (1.0, 2.0, 4.0, 12.0)  # by scheme
@@ -180,7 +180,9 @@
             for _, _, w in rooms:
                 if not left or self.purse < 1.0:
                     break
-                if now - self.told[w] > SECOND // 10 and self.policy.goes_out(budgets.LOOK, f"w{w}", now):
+                if now - self.told[w] > SECOND // 10 and self.policy.goes_out(
+                    retry_budgets.LOOK, f"w{w}", now
+                ):
                     left -= 1
                     self.purse -= 1.0
                     ground.events.add(now, "look", who=self.name, worker=f"w{w}")
@@ -192,7 +194,7 @@
             if room < 0.3:
                 return False
             # What a budget refuses at one worker may have a place at the next.
-            kind = budgets.TRIAL if self.failed[best] else budgets.REPEAT if one.postings else ""
+            kind = retry_budgets.TRIAL if self.failed[best] else retry_budgets.REPEAT if one.postings else ""
             if kind and not self.policy.goes_out(kind, f"w{best}", now):
                 continue
             if not self.policy.posts(now):
--- a/pathsaddle/emulator/overload/leases.py
+++ b/pathsaddle/emulator/overload/leases.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from pathsaddle.emulator.overload.around import Member
-from pathsaddle.fleet.state.limiter import Dealt, Limiter
-from pathsaddle.fleet.state.shares import Back, Lend, Want
+from pathsaddle.fleet.quota.leases import Back, Lend, Want
+from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
 from pathsaddle.trade import SECOND
 
 LEASE = 4 * SECOND
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -19,14 +19,14 @@
 import msgspec
 
 from pathsaddle.emulator.events import Event
-from pathsaddle.fleet.driver import Fellows, Told
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.members import Ways as FleetWays
-from pathsaddle.fleet.overload import budgets
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.membership import Ways as FleetWays
+from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.fleet.overload.admission_gate import Gate, Ways
 from pathsaddle.fleet.overload.driver import Levels
-from pathsaddle.fleet.overload.gate import Gate, Ways
-from pathsaddle.fleet.overload.standing import Ask
-from pathsaddle.fleet.state.limiter import Dealt
+from pathsaddle.fleet.overload.shed_rank import Ask
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.udp_driver import Fellows, Told
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.trade import SECOND
@@ -120,10 +120,10 @@
         )
         if given.let:
             worker = f"w{chance.randrange(4)}"
-            if self.gate.goes_out(budgets.LOOK, worker, now):
+            if self.gate.goes_out(retry_budgets.LOOK, worker, now):
                 self.log(now, "look", worker=worker)
             self.log(now, "post.sent", post=f"{txn}/1", txn=txn, worker=worker, kind="first")
-            if chance.random() < FAILS and self.gate.goes_out(budgets.REPEAT, worker, now):
+            if chance.random() < FAILS and self.gate.goes_out(retry_budgets.REPEAT, worker, now):
                 self.log(now, "post.sent", post=f"{txn}/2", txn=txn, worker=worker, kind="repeat")
 
     async def trials(self) -> None:
@@ -133,7 +133,7 @@
         while True:
             await asyncio.sleep((SECOND - self.fellows.clock.now() % SECOND) / SECOND)
             now = self.fellows.clock.now()
-            if self.gate.goes_out(budgets.TRIAL, "w1", now):
+            if self.gate.goes_out(retry_budgets.TRIAL, "w1", now):
                 self.count += 1
                 self.log(
                     now,
--- a/pathsaddle/emulator/overload/plan.py
+++ b/pathsaddle/emulator/overload/plan.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.overload.faults import BadPlan
+from pathsaddle.fleet.overload.errors import BadPlan
 
 POLICIES = ("alone", "fleet", "whole", "dagor", "breakwater", "throttle", "finagle", "envoy", "doorman")
 MUTANTS = ("jumpy", "dice", "arrival", "unspread")
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -27,10 +27,10 @@
 from pathsaddle.emulator.overload.around import Member
 from pathsaddle.emulator.overload.leases import Leases
 from pathsaddle.emulator.overload.plan import Plan
-from pathsaddle.fleet.overload import budgets, word
-from pathsaddle.fleet.overload.gate import Gate, Verdict, Ways
-from pathsaddle.fleet.overload.level import Level
-from pathsaddle.fleet.overload.standing import BANDS, Ask, band, drawn
+from pathsaddle.fleet.overload import load_summary, retry_budgets
+from pathsaddle.fleet.overload.admission_gate import Gate, Verdict, Ways
+from pathsaddle.fleet.overload.shed_level import Level
+from pathsaddle.fleet.overload.shed_rank import BANDS, Ask, band, drawn
 from pathsaddle.trade import MILLISECOND, SECOND
 
 SECRET = b"an emulated fleet's key"
@@ -96,12 +96,16 @@
     trials a handful.
     """
     rate = plan.workers * plan.slots * SECOND // RUN
-    units = {budgets.REPEAT: rate // 5, budgets.LOOK: 3 * rate, budgets.TRIAL: max(4, rate // 20)}
+    units = {
+        retry_budgets.REPEAT: rate // 5,
+        retry_budgets.LOOK: 3 * rate,
+        retry_budgets.TRIAL: max(4, rate // 20),
+    }
     for w in range(plan.workers):
         units |= {
-            f"{budgets.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
-            f"{budgets.LOOK}.w{w}": max(4, rate * 6 // plan.workers),
-            f"{budgets.TRIAL}.w{w}": 4,
+            f"{retry_budgets.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
+            f"{retry_budgets.LOOK}.w{w}": max(4, rate * 6 // plan.workers),
+            f"{retry_budgets.TRIAL}.w{w}": 4,
         }
     return units
 
@@ -169,13 +173,13 @@
                 told.offered = [part * self.tells for part in told.offered]
                 told.could *= self.tells
                 told.steady *= self.tells
-            body = word.packed(told)
-            read = word.read(body)
+            body = load_summary.packed(told)
+            read = load_summary.read(body)
             name = member.name
             ground.tells(member, lambda other: fleet(other).hears(name, version, read, now), len(body))
         self.leases.tick(now)
 
-    def hears(self, name: str, version: int, told: word.Word, at: int) -> None:
+    def hears(self, name: str, version: int, told: load_summary.Word, at: int) -> None:
         self.gate.hears_read(name, 1, version, told, at)
 
 
@@ -291,7 +295,7 @@
         return LET
 
     def goes_out(self, kind: str, worker: str, now: int) -> bool:
-        if kind == budgets.LOOK:
+        if kind == retry_budgets.LOOK:
             return True
         for row in (self.calls, self.again):
             while row and row[0] < now - 10 * SECOND:
@@ -308,7 +312,7 @@
         self.again: deque[int] = deque()
 
     def goes_out(self, kind: str, worker: str, now: int) -> bool:
-        if kind == budgets.LOOK:
+        if kind == retry_budgets.LOOK:
             return True
         while self.again and self.again[0] < now - RUN:  # a retry is active for about a run
             self.again.popleft()
--- a/pathsaddle/emulator/overload/smoke.py
+++ b/pathsaddle/emulator/overload/smoke.py
@@ -22,7 +22,7 @@
 from pathsaddle.emulator.overload.ground import Ground
 from pathsaddle.emulator.overload.judge import Judge, cut_off
 from pathsaddle.emulator.overload.plan import POLICIES, Plan, Smoke, of
-from pathsaddle.fleet.overload.faults import BadPlan
+from pathsaddle.fleet.overload.errors import BadPlan
 
 AT_ONCE = min(8, os.cpu_count() or 4)
 
--- a/pathsaddle/emulator/ownership/ground.py
+++ b/pathsaddle/emulator/ownership/ground.py
@@ -15,11 +15,11 @@
 from random import Random
 from typing import Any
 
+from pathsaddle.consensus.acceptor import Voter, Write
+from pathsaddle.consensus.fencing import Fence
+from pathsaddle.consensus.lease_manager import Owner
+from pathsaddle.consensus.messages import Ballot, Message, Value, size_of
 from pathsaddle.emulator.events import Events
-from pathsaddle.ownership.fence import Fence
-from pathsaddle.ownership.forms import Ballot, Message, Value, size_of
-from pathsaddle.ownership.owner import Owner
-from pathsaddle.ownership.voter import Voter, Write
 from pathsaddle.trade import MILLISECOND, SECOND
 
 
--- a/pathsaddle/emulator/ownership/mutants.py
+++ b/pathsaddle/emulator/ownership/mutants.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
+from pathsaddle.consensus.acceptor import Row
+from pathsaddle.consensus.messages import Accept, Message
+from pathsaddle.consensus.proposer import Bid, Out
 from pathsaddle.emulator.ownership.ground import Disk, Ground
-from pathsaddle.ownership.bid import Bid, Out
-from pathsaddle.ownership.forms import Accept, Message
-from pathsaddle.ownership.voter import Row
 
 
 class ByArrival(Bid):
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -19,15 +19,15 @@
 
 import msgspec
 
-from pathsaddle.charter.told import read
+from pathsaddle.config.loader import read
+from pathsaddle.consensus.fleet_member import told
+from pathsaddle.consensus.lease_manager import Happened
+from pathsaddle.consensus.udp_driver import Register, steady
 from pathsaddle.emulator.events import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.ownership.driver import Register, steady
-from pathsaddle.ownership.fellows import told
-from pathsaddle.ownership.owner import Happened
 
 PAUSE = 0.01
 
--- a/pathsaddle/emulator/ownership/smoke.py
+++ b/pathsaddle/emulator/ownership/smoke.py
@@ -15,9 +15,9 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.charter.check import Faulty, NotAmong, check, load
-from pathsaddle.charter.form import Count, Form
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.schema import Count, Form
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import Faulty, NotAmong, check, load
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.faults import troubled
 from pathsaddle.emulator.ownership.ground import Ground, MemberHost
--- a/pathsaddle/emulator/placement/mutants.py
+++ b/pathsaddle/emulator/placement/mutants.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from pathsaddle.placement.book import Book
 from pathsaddle.placement.inventory import State
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import WITHDRAW, Plan, done
-from pathsaddle.placement.walk import Order, Walk
+from pathsaddle.placement.rollout import Order, Walk
 
 
 class Unrevised(Book):
--- a/pathsaddle/emulator/placement/smoke.py
+++ b/pathsaddle/emulator/placement/smoke.py
@@ -20,7 +20,7 @@
 from pathsaddle.emulator.placement.policies import POLICIES
 from pathsaddle.emulator.placement.world import Site, Trouble, World
 from pathsaddle.errors import why
-from pathsaddle.placement.faults import Key, PlacementFault
+from pathsaddle.placement.errors import Key, PlacementFault
 from pathsaddle.placement.files import table
 
 KEYS = ("ground", "name", "about", "seeds", "policies", "mutants", "site", "trouble", "bounds")
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -16,13 +16,13 @@
 
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.placement.policies import Choose
-from pathsaddle.placement.book import Book
-from pathsaddle.placement.faults import Refused
+from pathsaddle.placement.errors import Refused
 from pathsaddle.placement.inventory import Count, Inventory, Island, Kind, State, Target, Unit, demand
 from pathsaddle.placement.ledger import Memory
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import plan_of
 from pathsaddle.placement.problem import figures, problem_of
-from pathsaddle.placement.walk import Walk
+from pathsaddle.placement.rollout import Walk
 from pathsaddle.trade import SECOND
 
 CLAIM = 5 * SECOND  # a planner's lease on being the planner
--- a/pathsaddle/emulator/plan.py
+++ b/pathsaddle/emulator/plan.py
@@ -11,9 +11,9 @@
 from msgspec import Meta, Struct, field
 from msgspec.structs import fields
 
-from pathsaddle.charter.check import Fault, Faulty, check, load
-from pathsaddle.charter.form import Charter, Form
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.schema import Charter, Form
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import Fault, Faulty, check, load
 from pathsaddle.errors import access, why
 
 MS, S = 10, 10_000
--- a/pathsaddle/emulator/served/clients.py
+++ b/pathsaddle/emulator/served/clients.py
@@ -13,7 +13,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.charter.form import Customer, Scheme
+from pathsaddle.config.schema import Customer, Scheme
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.emulator.plan import Kind
--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -9,10 +9,10 @@
 from pathsaddle.emulator.ground.links import Host, Net, VirtualGround
 from pathsaddle.emulator.plan import charter_of
 from pathsaddle.emulator.served.world import World
-from pathsaddle.fleet.driver import Fellows
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.members import Change
-from pathsaddle.fleet.wire import STATES
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.membership import Change
+from pathsaddle.fleet.messages import STATES
+from pathsaddle.fleet.udp_driver import Fellows
 from pathsaddle.net.memory.counters import Counters
 
 SAMPLE = 1.0  # seconds between looks at what members claim to have heard; a quarter of it among few
@@ -54,7 +54,7 @@
         return f"10.3.{dispatcher >> 8}.{dispatcher & 255}:7100"
 
     def fellows(self, dispatcher: int, ground: VirtualGround, counters: Counters, zone: str) -> Fellows:
-        from pathsaddle.charter.fellows import told as fellow
+        from pathsaddle.config.fleet import told as fellow
 
         plan = self.world.plan
         charter = charter_of(plan, name=f"d{dispatcher}", zone=zone)
--- a/pathsaddle/emulator/served/workers.py
+++ b/pathsaddle/emulator/served/workers.py
@@ -11,7 +11,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.charter.form import Scheme
+from pathsaddle.config.schema import Scheme
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.emulator.plan import Machines
--- a/pathsaddle/emulator/served/world.py
+++ b/pathsaddle/emulator/served/world.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.schema import Charter
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.ground.links import Host, Net
 from pathsaddle.emulator.ground.speech import Hearing, Said
--- a/pathsaddle/emulator/settings/judge.py
+++ b/pathsaddle/emulator/settings/judge.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pathsaddle.emulator.events import Event
-from pathsaddle.settings.terms import allows
+from pathsaddle.settings.active_terms import allows
 
 
 @dataclass(frozen=True)
--- a/pathsaddle/emulator/settings/mutants.py
+++ b/pathsaddle/emulator/settings/mutants.py
@@ -8,22 +8,22 @@
 from typing import Any
 from unittest import mock
 
+from pathsaddle import leased_versions
 from pathsaddle.emulator.settings import world
 from pathsaddle.emulator.settings.world import Plan, Process
-from pathsaddle.federation import versions
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.settings import batch
-from pathsaddle.settings.forms import Group
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.settings import commit_round
+from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.documents import Group
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import Keeper, Member
-from pathsaddle.settings.terms import Terms
 
 
 def _force_early() -> Any:
     def judged(self: Any, now: int, memo: Any) -> Any:
         return replace(self, force=self.history[-1].number) if self.history else self
 
-    return mock.patch.object(versions.Keeper, "judged_each", judged)
+    return mock.patch.object(leased_versions.Keeper, "judged_each", judged)
 
 
 def _halves() -> Any:
@@ -71,7 +71,7 @@
 
 
 def _lease_from_answer() -> Any:
-    renewed = versions.Holder.renewed
+    renewed = leased_versions.Holder.renewed
 
     def late(self: Any, told: Any, now: int) -> Any:
         after = renewed(self, told, now)
@@ -81,7 +81,7 @@
             else after
         )
 
-    return mock.patch.object(versions.Holder, "renewed", late)
+    return mock.patch.object(leased_versions.Holder, "renewed", late)
 
 
 def _unpaid() -> Any:
@@ -114,7 +114,7 @@
 
 
 def _outrun_counts() -> Any:
-    return mock.patch.object(batch, "expected", lambda change, revision: True)
+    return mock.patch.object(commit_round, "expected", lambda change, revision: True)
 
 
 ROUGH = Plan(faults=0.7, loss=0.15, lease=2.0, quiet=1.0)
--- a/pathsaddle/emulator/settings/smoke.py
+++ b/pathsaddle/emulator/settings/smoke.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pathsaddle.charter.check import Faulty, NotAmong, WrongKind, load, shown
+from pathsaddle.config.validation import Faulty, NotAmong, WrongKind, load, shown
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.emulator.settings.mutants import MUTANTS, planted
 from pathsaddle.emulator.settings.world import SECOND, Plan, World
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -18,10 +18,10 @@
 import msgspec
 
 from pathsaddle.emulator.events import Events
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.settings import batch
-from pathsaddle.settings.batch import MADE, Change
-from pathsaddle.settings.forms import Group, Put, Snapshot, Wrong, canonical, digest_of, hashed
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.settings import commit_round
+from pathsaddle.settings.commit_round import MADE, Change
+from pathsaddle.settings.documents import Group, Put, Snapshot, Wrong, canonical, digest_of, hashed
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import Keeper, Member, Said, Write, nearest, size_of
 
@@ -310,7 +310,7 @@
         def changes() -> None:
             if self.committer != keeper.name or not self.reaches(keeper.region) or self.cell != before:
                 return
-            groups = batch.way(digest, before[1], self.groups.get)
+            groups = commit_round.way(digest, before[1], self.groups.get)
             if not groups or groups[0].revision != before[0] + 1:
                 return
             self.cell = (revision, digest)
@@ -385,7 +385,7 @@
         process = self.processes[self.committer]
         machine = process.machine
         assert isinstance(machine, Keeper)
-        found = batch.together(machine.store, self.wanted, lambda terms: None, machine.joins)
+        found = commit_round.together(machine.store, self.wanted, lambda terms: None, machine.joins)
         for told in found.told:
             self.tells(told.change, told.what, told.revision, told.digest)
         if not found.taken:
--- a/pathsaddle/emulator/stage.py
+++ b/pathsaddle/emulator/stage.py
@@ -15,7 +15,7 @@
 
 from loguru import logger
 
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.faults.faults import ServedFaults
 from pathsaddle.emulator.ground.air import Air
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:  # earlier commits of ours, over which this is laid, have no jobs
     from pathsaddle.emulator.membership.stage import MembersStage
     from pathsaddle.emulator.served.members import Fleet
-    from pathsaddle.fleet.driver import Fellows
+    from pathsaddle.fleet.udp_driver import Fellows
     from pathsaddle.jobs.store import DiskWriter, Store
     from pathsaddle.net.memory.counters import Counters
 
@@ -249,8 +249,8 @@
         jobs = self.world.charter.jobs
         if jobs is None:
             return TxnService(*told)
+        from pathsaddle.jobs.job_service import DurableTxnService, Ways
         from pathsaddle.jobs.store import DiskWriter, Store
-        from pathsaddle.jobs.txn_service import DurableTxnService, Ways
 
         self.lives += 1
         chance = self.world.chance(f"disk {dispatcher} {self.lives}")
@@ -453,7 +453,7 @@
 
     async def _sample(self, dispatcher: int) -> None:
         """Asks a member now and then what it claims to have heard, as its operator would."""
-        from pathsaddle.fleet.asking import Unasked, ask
+        from pathsaddle.fleet.control_client import Unasked, ask
 
         address = self.sites.address("control", dispatcher, 0)
         while True:
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from pathsaddle.emulator.events import Events
-from pathsaddle.fleet.purse import SECOND, Purse
-from pathsaddle.fleet.state.limiter import Dealt
-from pathsaddle.fleet.state.shared import SPARE, Shared
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.quota.shared_state import SPARE, Shared
+from pathsaddle.fleet.rate_limiter import SECOND, Purse
 
 BUDGET = "uses"
 KEY = b"the ground's own secret"
--- a/pathsaddle/emulator/state/mutants.py
+++ b/pathsaddle/emulator/state/mutants.py
@@ -9,11 +9,11 @@
 
 from pathsaddle.emulator.state.ground import Ground, varied
 from pathsaddle.emulator.state.judge import judge
-from pathsaddle.fleet.purse import SECOND
-from pathsaddle.fleet.state import limiter, shares
-from pathsaddle.fleet.state.carry import Carry
-from pathsaddle.fleet.state.limiter import Budget, Limiter
-from pathsaddle.fleet.state.shares import Back, Lend, Loan, State
+from pathsaddle.fleet.gossip.gossip import Carry
+from pathsaddle.fleet.quota import leases, quota_limiter
+from pathsaddle.fleet.quota.leases import Back, Lend, Loan, State
+from pathsaddle.fleet.quota.quota_limiter import Budget, Limiter
+from pathsaddle.fleet.rate_limiter import SECOND
 
 _lent_by, _own, _asked, _fallback, _take, _life, _claimed, _row, _returns, _fall, _ended = (
     State.lent_by,
@@ -132,7 +132,10 @@
     "fallback forgets what was lent": ("rights-over-budget", [(Limiter, "_fallback", _forgets)]),
     "owner's lease too short": ("rights-over-budget", [(State, "_surely", lambda self: self.lease // 2)]),
     "given back and used on": ("rights-over-budget", [(State, "returns", _goes_on)]),
-    "no rest after a lease": ("spent-over-budget", [(limiter, "born", lambda *told: shares.born(*told[:5]))]),
+    "no rest after a lease": (
+        "spent-over-budget",
+        [(quota_limiter, "born", lambda *told: leases.born(*told[:5]))],
+    ),
     "lent though just used": ("spent-over-budget", [(Limiter, "asked", _used_before)]),
     "counted by the second's border": ("spent-over-budget", [(Limiter, "_clear", _by_the_border)]),
     "an old life's records live on": ("old-life", [(Carry, "_life", _all_lives)]),
--- a/pathsaddle/emulator/state/processes.py
+++ b/pathsaddle/emulator/state/processes.py
@@ -30,7 +30,7 @@
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.state.judge import Verdict, judge
-from pathsaddle.fleet.purse import SECOND
+from pathsaddle.fleet.rate_limiter import SECOND
 
 BUDGET, RATE, LEASE = "uses", 140, 2
 FIRST = ("third", "oneway", "owner", "taker", "stall", "loss", "halves")  # each once, then at random
--- a/pathsaddle/emulator/state/smoke.py
+++ b/pathsaddle/emulator/state/smoke.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from pathsaddle.charter.check import Faulty, NotAmong, check, load
-from pathsaddle.charter.form import Count, Form, Part
+from pathsaddle.config.schema import Count, Form, Part
+from pathsaddle.config.validation import Faulty, NotAmong, check, load
 from pathsaddle.emulator.state import mutants
 from pathsaddle.emulator.state.ground import Ground, Place, Plan, varied
 from pathsaddle.emulator.state.judge import judge
-from pathsaddle.fleet.purse import SECOND
+from pathsaddle.fleet.rate_limiter import SECOND
 
 PART = 10  # units of each member where it is measured
 
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from pathsaddle.charter.check import check
-from pathsaddle.charter.fellows import told as fellow
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.fleet import told as fellow
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import check
 from pathsaddle.emulator.events import Event
-from pathsaddle.fleet.driver import Fellows
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.state.shared import SPARE, Shared
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.quota.shared_state import SPARE, Shared
+from pathsaddle.fleet.udp_driver import Fellows
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.trade import SECOND
--- a/pathsaddle/experiment/capacity.py
+++ b/pathsaddle/experiment/capacity.py
@@ -17,7 +17,8 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.charter.check import (
+from pathsaddle.config.schema import Form
+from pathsaddle.config.validation import (
     Amiss,
     Fault,
     Faulty,
@@ -29,7 +30,6 @@
     load,
     shown,
 )
-from pathsaddle.charter.form import Form
 from pathsaddle.errors import Error, access, why
 from pathsaddle.experiment import scale
 from pathsaddle.experiment.slope import WORDS, FewPoints, Prediction, Slope, fit, judged, number, told
--- a/pathsaddle/experiment/grounds.py
+++ b/pathsaddle/experiment/grounds.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from pathsaddle.charter.check import Faulty, NotAmong, WrongKind, load, shown
+from pathsaddle.config.validation import Faulty, NotAmong, WrongKind, load, shown
 
 
 @dataclass(frozen=True)
--- a/pathsaddle/experiment/scale.py
+++ b/pathsaddle/experiment/scale.py
@@ -35,8 +35,8 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.charter.check import Fault, Faulty, NotAmong, check, load, shown
-from pathsaddle.charter.form import Count, Form
+from pathsaddle.config.schema import Count, Form
+from pathsaddle.config.validation import Fault, Faulty, NotAmong, check, load, shown
 from pathsaddle.errors import Error, access, why
 from pathsaddle.experiment.keep import ROOT, Unkept, commit_of, machine
 from pathsaddle.experiment.slope import Slope, fit, judged, number, told
--- a/pathsaddle/experiment/throughput.py
+++ b/pathsaddle/experiment/throughput.py
@@ -26,7 +26,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from pathsaddle.charter.told import told
+from pathsaddle.config.loader import told
 from pathsaddle.emulator.plan import Plan, charter_of, varied
 from pathsaddle.errors import FINDING, Error
 from pathsaddle.experiment.keep import ROOT, commit_of, machine
--- a/pathsaddle/federation/__main__.py
+++ b/pathsaddle/federation/__main__.py
@@ -10,7 +10,7 @@
 
 from pathsaddle.errors import Error
 from pathsaddle.federation.spec import load
-from pathsaddle.federation.versions import compared
+from pathsaddle.leased_versions import compared
 
 
 @click.group()
@@ -47,7 +47,7 @@
 )
 def commit_command(ground: str, spec: str, listen: str, offer: float, wait: float) -> None:
     """Offers a spec and commits it as the next version."""
-    from pathsaddle.federation.driver import Committer, ground_of
+    from pathsaddle.federation.udp_driver import Committer, ground_of
 
     version = asyncio.run(Committer(ground_of(ground), listen, spec).run(offer, wait))
     click.echo(f"committed: version {version.number}, digest {version.digest}")
@@ -58,7 +58,7 @@
 @click.argument("name")
 def member_command(ground: str, name: str) -> None:
     """Runs one member's part in the spec."""
-    from pathsaddle.federation.driver import MemberProcess, ground_of
+    from pathsaddle.federation.udp_driver import MemberProcess, ground_of
 
     asyncio.run(MemberProcess(ground_of(ground), name).run())
 
@@ -68,7 +68,7 @@
 @click.argument("name")
 def keeper_command(ground: str, name: str) -> None:
     """Runs one keeper."""
-    from pathsaddle.federation.driver import KeeperProcess, ground_of
+    from pathsaddle.federation.udp_driver import KeeperProcess, ground_of
 
     asyncio.run(KeeperProcess(ground_of(ground), name).run())
 
--- a/pathsaddle/federation/disk.py
+++ b/pathsaddle/federation/disk.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 from pathsaddle.errors import access, why
-from pathsaddle.federation.faults import FederationFault, NoFolder, Outrun
+from pathsaddle.federation.errors import FederationFault, NoFolder, Outrun
 from pathsaddle.federation.spec import parse
-from pathsaddle.federation.versions import Version
+from pathsaddle.leased_versions import Version
 
 
 def synced(path: Path, data: bytes) -> None:
--- a/pathsaddle/federation/faults.py
+++ b/pathsaddle/federation/errors.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from pathsaddle.charter.check import Fault
+from pathsaddle.config.validation import Fault
 from pathsaddle.errors import FINDING, Error
 
 
--- a/pathsaddle/federation/check.py
+++ b/pathsaddle/federation/model_checker.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from pathsaddle.federation.spec import parse
-from pathsaddle.federation.versions import (
+from pathsaddle.leased_versions import (
     Ask,
     Commit,
     Have,
--- a/pathsaddle/federation/abroad.py
+++ b/pathsaddle/federation/remote_region.py
@@ -17,12 +17,12 @@
 
 import msgspec
 
-from pathsaddle.federation.lend import Free, Lender, parts
+from pathsaddle.federation.datagrams import ANSWER, JOB, LOOK, NEVER, PING, PONG, SHARE, WORD, Said
+from pathsaddle.federation.routing import SOON, Job, Ways
+from pathsaddle.federation.spare_capacity import Free, Lender, parts
 from pathsaddle.federation.spec import Rule
-from pathsaddle.federation.versions import Holder
-from pathsaddle.federation.ways import SOON, Job, Ways
-from pathsaddle.federation.wire import ANSWER, JOB, LOOK, NEVER, PING, PONG, SHARE, WORD, Said
-from pathsaddle.fleet.state.shares import DRIFT, Lend, Want
+from pathsaddle.fleet.quota.leases import DRIFT, Lend, Want
+from pathsaddle.leased_versions import Holder
 from pathsaddle.trade import MILLISECOND, SECOND
 
 WORK = 10 * MILLISECOND  # what a drill's job is taken to need
--- a/pathsaddle/federation/txn_service.py
+++ b/pathsaddle/federation/request_handler.py
@@ -19,11 +19,11 @@
 from typing import Any
 
 from pathsaddle.errors import Error
-from pathsaddle.federation.driver import MemberProcess
-from pathsaddle.federation.faults import Contradiction, SpecFaulty
-from pathsaddle.federation.lend import Free
+from pathsaddle.federation.errors import Contradiction, SpecFaulty
+from pathsaddle.federation.routing import Job, Place
+from pathsaddle.federation.spare_capacity import Free
 from pathsaddle.federation.spec import Rule
-from pathsaddle.federation.ways import Job, Place
+from pathsaddle.federation.udp_driver import MemberProcess
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Sending
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
--- a/pathsaddle/federation/lend.py
+++ b/pathsaddle/federation/spare_capacity.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from pathsaddle.federation.spec import Rule
-from pathsaddle.fleet.state.shares import DRIFT, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import DRIFT, Lend, State, Want, born
 from pathsaddle.trade import SECOND
 
 LEASE = 4 * SECOND  # of a loan among members
--- a/pathsaddle/federation/spec.py
+++ b/pathsaddle/federation/spec.py
@@ -20,10 +20,10 @@
 
 from msgspec import Meta, Struct, field
 
-from pathsaddle.charter.check import Faulty, NoForm, NoText, Unreadable, check
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import Faulty, NoForm, NoText, Unreadable, check
 from pathsaddle.errors import access, why
-from pathsaddle.federation.faults import Contradiction, SpecFaulty, TooBig
+from pathsaddle.federation.errors import Contradiction, SpecFaulty, TooBig
 
 Part = Annotated[float, Meta(gt=0, le=1)]
 Added = Annotated[float, Meta(ge=0)]
--- a/pathsaddle/federation/voted.py
+++ b/pathsaddle/federation/spec_register.py
@@ -20,16 +20,16 @@
 
 import msgspec
 
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.units import Duration
+from pathsaddle.consensus.lease_manager import Happened
+from pathsaddle.consensus.udp_driver import Register, Told, steady
 from pathsaddle.errors import access, why
 from pathsaddle.federation.disk import synced, version_at
-from pathsaddle.federation.faults import FederationFault, NoAddress, NoWay, Outrun
-from pathsaddle.federation.versions import Version
+from pathsaddle.federation.errors import FederationFault, NoAddress, NoWay, Outrun
+from pathsaddle.leased_versions import Version
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.ownership.driver import Register, Told, steady
-from pathsaddle.ownership.owner import Happened
 from pathsaddle.trade import SECOND
 
 KEY = "spec"
--- a/pathsaddle/federation/driver.py
+++ b/pathsaddle/federation/udp_driver.py
@@ -16,16 +16,10 @@
 
 import msgspec
 
-from pathsaddle.charter.check import Faulty, check, load
-from pathsaddle.charter.units import Duration
-from pathsaddle.federation.abroad import Abroad
-from pathsaddle.federation.disk import Disk, FolderRegister, had
-from pathsaddle.federation.faults import BadKey, GroundFaulty, NoAddress, NoMember, NoWay
-from pathsaddle.federation.spec import load as load_spec
-from pathsaddle.federation.spec import parse
-from pathsaddle.federation.versions import Ask, Commit, Have, Keeper, Renewed, Version, holder
-from pathsaddle.federation.voted import Entry, Texts, Voted, VotersForm, checked
-from pathsaddle.federation.wire import (
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import Faulty, check, load
+from pathsaddle.control_metrics import Unmetered
+from pathsaddle.federation.datagrams import (
     ASK,
     COMMIT,
     HAVE,
@@ -42,8 +36,14 @@
     decode,
     encode,
 )
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.metering import Unmetered
+from pathsaddle.federation.disk import Disk, FolderRegister, had
+from pathsaddle.federation.errors import BadKey, GroundFaulty, NoAddress, NoMember, NoWay
+from pathsaddle.federation.remote_region import Abroad
+from pathsaddle.federation.spec import load as load_spec
+from pathsaddle.federation.spec import parse
+from pathsaddle.federation.spec_register import Entry, Texts, Voted, VotersForm, checked
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.leased_versions import Ask, Commit, Have, Keeper, Renewed, Version, holder
 from pathsaddle.net.service.place import unhad
 from pathsaddle.net.wire.terms import peer_of
 from pathsaddle.trade import SECOND
--- /dev/null
+++ b/pathsaddle/fleet/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Gossip among dispatchers: small records and larger documents, exchanged by anti-entropy (Scuttlebutt)."""
--- a/pathsaddle/fleet/state/carry.py
+++ b/pathsaddle/fleet/gossip/gossip.py
@@ -27,8 +27,7 @@
 from math import ceil, log10
 from random import Random
 
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.fleet.state.form import (
+from pathsaddle.fleet.gossip.messages import (
     BODY,
     PIECE,
     ROOM,
@@ -46,8 +45,9 @@
     encode,
     size_of,
 )
-from pathsaddle.fleet.state.shares import DRIFT
-from pathsaddle.fleet.wire import Refused
+from pathsaddle.fleet.messages import Refused
+from pathsaddle.fleet.quota.leases import DRIFT
+from pathsaddle.fleet.rate_limiter import Purse
 
 NEVER = -(1 << 60)
 LONGER = 1 + 2.1 * DRIFT  # by how much more our clock may run while another's tells a span; (1 + d) / (1 - d)
--- a/pathsaddle/fleet/state/form.py
+++ b/pathsaddle/fleet/gossip/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from pathsaddle.fleet.wire import CARRIED, MOST, SUM, Refused, opened, sealed
+from pathsaddle.fleet.messages import CARRIED, MOST, SUM, Refused, opened, sealed
 
 BODY = 400  # bytes of a record at most
 PIECE = 900  # bytes of a document in one datagram
--- a/pathsaddle/fleet/state/check_carry.py
+++ b/pathsaddle/fleet/gossip/model_checker.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pathsaddle.fleet.state.carry import Carry
-from pathsaddle.fleet.state.check import Exceeded
+from pathsaddle.fleet.gossip.gossip import Carry
+from pathsaddle.fleet.quota.model_checker import Exceeded
 
 NAMES = ("a", "b", "c")  # "a" writes
 
--- a/pathsaddle/fleet/members.py
+++ b/pathsaddle/fleet/membership.py
@@ -20,8 +20,7 @@
 from math import ceil, log10
 from random import Random
 
-from pathsaddle.fleet.purse import SECOND, Purse
-from pathsaddle.fleet.wire import (
+from pathsaddle.fleet.messages import (
     ACK,
     ALIVE,
     ASK,
@@ -43,6 +42,7 @@
     encode,
     size_of,
 )
+from pathsaddle.fleet.rate_limiter import SECOND, Purse
 
 FAR = 1 << 60
 NEVER = -FAR
--- a/pathsaddle/fleet/overload/gate.py
+++ b/pathsaddle/fleet/overload/admission_gate.py
@@ -16,13 +16,13 @@
 from dataclasses import dataclass
 from math import exp
 
-from pathsaddle.fleet.overload import budgets
-from pathsaddle.fleet.overload.advice import Returns
-from pathsaddle.fleet.overload.budgets import Budgets, Limiter
-from pathsaddle.fleet.overload.faults import BadWord
-from pathsaddle.fleet.overload.level import STALE, Level, Sums, middle
-from pathsaddle.fleet.overload.standing import BANDS, Ask, band, drawn
-from pathsaddle.fleet.overload.word import TELLS, Word, packed, read, short
+from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.fleet.overload.errors import BadWord
+from pathsaddle.fleet.overload.load_summary import TELLS, Word, packed, read, short
+from pathsaddle.fleet.overload.retry_advice import Returns
+from pathsaddle.fleet.overload.retry_budgets import Budgets, Limiter
+from pathsaddle.fleet.overload.shed_level import STALE, Level, Sums, middle
+from pathsaddle.fleet.overload.shed_rank import BANDS, Ask, band, drawn
 from pathsaddle.trade import SECOND
 
 # name, life, version, body, age at the least, at most
@@ -266,4 +266,4 @@
 
 def kind_of(again: bool, suspect: bool) -> str:
     """Which budget a posting asks: a first posting at a worker in good standing asks none."""
-    return budgets.TRIAL if suspect else budgets.REPEAT if again else ""
+    return retry_budgets.TRIAL if suspect else retry_budgets.REPEAT if again else ""
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from pathsaddle.fleet.driver import Fellows
-from pathsaddle.fleet.overload.gate import Gate
+from pathsaddle.fleet.overload.admission_gate import Gate
+from pathsaddle.fleet.udp_driver import Fellows
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.trade import SECOND
--- a/pathsaddle/fleet/overload/word.py
+++ b/pathsaddle/fleet/overload/load_summary.py
@@ -12,8 +12,8 @@
 from hashlib import blake2b
 from math import isfinite
 
-from pathsaddle.fleet.overload.faults import BadWord
-from pathsaddle.fleet.overload.standing import BANDS
+from pathsaddle.fleet.overload.errors import BadWord
+from pathsaddle.fleet.overload.shed_rank import BANDS
 
 FORM = 1  # grows with the form
 MOST = 200
--- a/pathsaddle/fleet/overload/beside.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -10,9 +10,9 @@
 
 from typing import TYPE_CHECKING
 
-from pathsaddle.fleet.overload import budgets
-from pathsaddle.fleet.overload.gate import Gate, Verdict, kind_of
-from pathsaddle.fleet.overload.standing import Ask
+from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.fleet.overload.admission_gate import Gate, Verdict, kind_of
+from pathsaddle.fleet.overload.shed_rank import Ask
 from pathsaddle.trade import SECOND, Standing, Txn, Worker
 
 if TYPE_CHECKING:
@@ -92,12 +92,12 @@
         kind = kind_of(bool(txn.postings), choice.books[worker].suspect)
         if not kind or self.core.goes_out(kind, place(worker), choice.now):
             return True
-        if kind == budgets.TRIAL:  # it would be the least again: for a moment the next one is
+        if kind == retry_budgets.TRIAL:  # it would be the least again: for a moment the next one is
             choice.books[worker].shut_until = choice.now + SECOND // 10
         return False
 
     def may_look(self, worker: Worker, choice: Choice) -> bool:
-        return self.core.goes_out(budgets.LOOK, place(worker), choice.now)
+        return self.core.goes_out(retry_budgets.LOOK, place(worker), choice.now)
 
     def come_back(self, txn: Txn, choice: Choice) -> int:
         """None where clients take none; what lies past the longest that the deployment allows is not said
--- a/pathsaddle/fleet/overload/level.py
+++ b/pathsaddle/fleet/overload/shed_level.py
@@ -20,8 +20,8 @@
 
 from collections.abc import Iterable, Sequence
 
-from pathsaddle.fleet.overload.standing import BANDS
-from pathsaddle.fleet.overload.word import Word
+from pathsaddle.fleet.overload.load_summary import Word
+from pathsaddle.fleet.overload.shed_rank import BANDS
 from pathsaddle.trade import SECOND
 
 RISES = 12.0  # bands a second: harm comes quickly
--- /dev/null
+++ b/pathsaddle/fleet/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Rates that all dispatchers together must not exceed, lent among them as leases of quota units."""
--- a/pathsaddle/fleet/state/check.py
+++ b/pathsaddle/fleet/quota/model_checker.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, replace
 
-from pathsaddle.fleet.state.shares import Back, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import Back, Lend, State, Want, born
 
 MOMENT = 100  # ticks
 LEASE = 300
--- a/pathsaddle/fleet/state/limiter.py
+++ b/pathsaddle/fleet/quota/quota_limiter.py
@@ -34,8 +34,8 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from pathsaddle.fleet.purse import SECOND
-from pathsaddle.fleet.state.shares import DRIFT, Back, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import DRIFT, Back, Lend, State, Want, born
+from pathsaddle.fleet.rate_limiter import SECOND
 
 WINDOW = int(SECOND * (1 + DRIFT)) + 1
 PAUSE = SECOND // 10  # between askings for one budget at least; twice as long after each that brought nothing
--- a/pathsaddle/fleet/state/shared.py
+++ b/pathsaddle/fleet/quota/shared_state.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.fleet.state.carry import SHARES, Carry
-from pathsaddle.fleet.state.form import BODY, Lent, Packet, Returned, Saying, Wanted
-from pathsaddle.fleet.state.limiter import Dealt, Limiter
-from pathsaddle.fleet.state.shares import Back, Lend, Want
-from pathsaddle.metering import Unmetered
+from pathsaddle.control_metrics import Unmetered
+from pathsaddle.fleet.gossip.gossip import SHARES, Carry
+from pathsaddle.fleet.gossip.messages import BODY, Lent, Packet, Returned, Saying, Wanted
+from pathsaddle.fleet.quota.leases import Back, Lend, Want
+from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
+from pathsaddle.fleet.rate_limiter import Purse
 
 SPARE = "spare"  # the topic under which each tells what it would lend
 _encode = msgspec.msgpack.Encoder().encode
--- a/pathsaddle/fleet/driver.py
+++ b/pathsaddle/fleet/udp_driver.py
@@ -18,13 +18,13 @@
 from random import Random
 from typing import Any, Protocol
 
+from pathsaddle.control_metrics import Purpose, Unmetered
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.lives import Lives, NoFolder
-from pathsaddle.fleet.members import Change, Membership, Ways, life_of
-from pathsaddle.fleet.state.limiter import Dealt
-from pathsaddle.fleet.state.shared import Shared
-from pathsaddle.fleet.wire import ALIVE, CARRIED, DEAD, FORM, LEFT, MOST, STATES, Row
-from pathsaddle.metering import Purpose, Unmetered
+from pathsaddle.fleet.incarnation_store import Lives, NoFolder
+from pathsaddle.fleet.membership import Change, Membership, Ways, life_of
+from pathsaddle.fleet.messages import ALIVE, CARRIED, DEAD, FORM, LEFT, MOST, STATES, Row
+from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.quota.shared_state import Shared
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
--- a/pathsaddle/jobs/txn_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.jobs import life
-from pathsaddle.jobs.call import PATH, as_txn, digest, key_of, pack, unpack
-from pathsaddle.jobs.life import End, Job, Kind, Lease, Next, Record, Word
+from pathsaddle.jobs import state_machine
+from pathsaddle.jobs.state_machine import End, Job, Kind, Lease, Next, Record, Word
 from pathsaddle.jobs.store import Accepted, Fenced, Forget, Store, tell_done
+from pathsaddle.jobs.submitted_call import PATH, as_txn, digest, key_of, pack, unpack
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Whole
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
@@ -191,7 +191,7 @@
             self._opened(kept)
             if told.key is not None:
                 self.by_key[told.owner, told.key] = kept
-            job.expires = life.expires_after_restart(job.accepted, job.expires, begun)
+            job.expires = state_machine.expires_after_restart(job.accepted, job.expires, begun)
             open_jobs.append(kept)
         self.born_with = []
         for text in self.store.set_aside:
@@ -267,7 +267,7 @@
             if not job.open:  # its result came meanwhile
                 self._let_go(entry)
                 return
-            follows = life.after_restart(word, self.clock.now(), job.expires)
+            follows = state_machine.after_restart(word, self.clock.now(), job.expires)
             self.counters.add(f"jobs.after_restart.{follows.name.lower()}")
             if follows is Next.SETTLE:
                 self._settle(kept, result)
@@ -597,7 +597,7 @@
         self.counters.add("jobs.read_back")
         try:
             found = self.store.ended(tag)
-        except life.Impossible as fault:
+        except state_machine.Impossible as fault:
             logbook.job_set_aside(what=str(fault))
             return None
         except FAULTS as fault:
@@ -708,7 +708,7 @@
             asked = self.clock.now()
             if not posting.out or not job.open:
                 return
-            follows = life.lapsed(word, job.semantics, asked, job.expires)
+            follows = state_machine.lapsed(word, job.semantics, asked, job.expires)
             self.counters.add(f"jobs.lapsed.{follows.name.lower()}")
             if follows is Next.SETTLE:
                 self._end(exchange, Outcome.SETTLED, result=result)
--- a/pathsaddle/jobs/model.py
+++ b/pathsaddle/jobs/model_checker.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-from pathsaddle.jobs import life
-from pathsaddle.jobs.life import End, Impossible, Job, Kind, Next, Record, Word
+from pathsaddle.jobs import state_machine
+from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Next, Record, Word
 from pathsaddle.trade import Semantics
 
 LEASES = 2  # a job at the most
@@ -194,7 +194,11 @@
     ) -> Iterator[tuple[str, State]]:
         word, asked = self._word(state, number, lease, worker)
         semantics = self.kinds[number]
-        follows = life.after_restart(word, 0, EXPIRES) if after else life.lapsed(word, semantics, 0, EXPIRES)
+        follows = (
+            state_machine.after_restart(word, 0, EXPIRES)
+            if after
+            else state_machine.lapsed(word, semantics, 0, EXPIRES)
+        )
         mark = (number, lease)
         matched = replace(
             asked,
--- a/pathsaddle/jobs/store.py
+++ b/pathsaddle/jobs/store.py
@@ -23,7 +23,7 @@
 from typing import IO, Any, Protocol
 
 from pathsaddle.errors import Error, access, why
-from pathsaddle.jobs.life import End, Impossible, Job, Kind, Record
+from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Record
 from pathsaddle.trade import Semantics
 
 VERSION = 2
--- a/pathsaddle/federation/versions.py
+++ b/pathsaddle/leased_versions.py
@@ -31,7 +31,7 @@
 from typing import TYPE_CHECKING, Any, Generic, Protocol, Self
 
 from pathsaddle.federation.spec import Rule, Spec
-from pathsaddle.fleet.state.shares import DRIFT
+from pathsaddle.fleet.quota.leases import DRIFT
 
 LEASE = 100_000  # ticks
 NEVER = -1 << 60
--- a/pathsaddle/ownership/__init__.py
+++ b/pathsaddle/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""One owner at a time for a key of the fleet's work, by a register that a majority of named voters keeps."""
+"""The former name of `pathsaddle.consensus`, kept for the command `python -m pathsaddle.ownership`."""
--- a/pathsaddle/placement/__main__.py
+++ b/pathsaddle/placement/__main__.py
@@ -21,14 +21,14 @@
 
 from pathsaddle.emulator.events import Event
 from pathsaddle.errors import Error
-from pathsaddle.placement.book import Book
-from pathsaddle.placement.faults import Refused, Unusable
+from pathsaddle.placement.errors import Refused, Unusable
 from pathsaddle.placement.files import read
 from pathsaddle.placement.inventory import State, Unit
 from pathsaddle.placement.ledger import File, Memory, made
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import Plan, plan_of
 from pathsaddle.placement.problem import Counts, Problem
-from pathsaddle.placement.walk import Order, Walk
+from pathsaddle.placement.rollout import Order, Walk
 from pathsaddle.trade import SECOND
 
 LOOK = 0.1  # seconds between looks at the ledger
@@ -156,7 +156,7 @@
             tell("planner.ended", why="number", more=str(why))
             sys.exit(1)
         return
-    from pathsaddle.placement.owning import Owning  # sockets and voters, where they are asked for alone
+    from pathsaddle.placement.leadership import Owning  # sockets and voters, where they are asked for alone
 
     owning = Owning(charter)
     owning.begin()
--- a/pathsaddle/placement/story.py
+++ b/pathsaddle/placement/audit_events.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from typing import Any
 
-from pathsaddle.placement.book import Book
-from pathsaddle.placement.faults import Refused
+from pathsaddle.placement.errors import Refused
 from pathsaddle.placement.inventory import Island, State, Unit
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import PLACE, done
 
 Row = tuple[str, dict[str, Any]]
--- a/pathsaddle/placement/files.py
+++ b/pathsaddle/placement/files.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from pathsaddle.errors import access, why
-from pathsaddle.placement.check import broken
-from pathsaddle.placement.faults import Key, NoToml, Unreadable, Untrue
+from pathsaddle.placement.errors import Key, NoToml, Unreadable, Untrue
+from pathsaddle.placement.invariants import broken
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, State, Target, Unit
 
 
--- a/pathsaddle/placement/owning.py
+++ b/pathsaddle/placement/leadership.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 from random import SystemRandom
 
-from pathsaddle.charter.told import read
+from pathsaddle.config.loader import read
+from pathsaddle.consensus.fleet_member import told
+from pathsaddle.consensus.udp_driver import Register
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
-from pathsaddle.ownership.driver import Register
-from pathsaddle.ownership.fellows import told
-from pathsaddle.placement.faults import Unreadable
+from pathsaddle.placement.errors import Unreadable
 from pathsaddle.trade import SECOND
 
 KEY = "plan"
--- a/pathsaddle/placement/ledger.py
+++ b/pathsaddle/placement/ledger.py
@@ -16,13 +16,13 @@
 import msgspec
 
 from pathsaddle.errors import why
-from pathsaddle.placement.book import Book
-from pathsaddle.placement.check import broken
-from pathsaddle.placement.faults import Refused, Untrue, Unusable
+from pathsaddle.placement.audit_events import KEEPER, opening, refused, told
+from pathsaddle.placement.errors import Refused, Untrue, Unusable
 from pathsaddle.placement.files import MENDS
+from pathsaddle.placement.invariants import broken
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, Target, Unit
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import Plan
-from pathsaddle.placement.story import KEEPER, opening, refused, told
 
 VERSION = 1
 PATIENCE = 2.0  # seconds
--- a/pathsaddle/placement/book.py
+++ b/pathsaddle/placement/placement_state.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass, replace
 
-from pathsaddle.placement.faults import Refused
+from pathsaddle.placement.errors import Refused
 from pathsaddle.placement.inventory import Demand, Inventory, Island, State, Target, Unit
 from pathsaddle.placement.plan import PLACE, WITHDRAW, Plan, waits
 
--- a/pathsaddle/placement/walk.py
+++ b/pathsaddle/placement/rollout.py
@@ -13,8 +13,8 @@
 
 from dataclasses import dataclass, field
 
-from pathsaddle.placement.book import Book
 from pathsaddle.placement.inventory import COMING, Inventory, State
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import PLACE, done, waits
 
 DRIFT = 0.02  # as for the fleet's leases
--- a/pathsaddle/settings/__main__.py
+++ b/pathsaddle/settings/__main__.py
@@ -14,14 +14,14 @@
 import click
 import msgspec
 
+from pathsaddle.consensus.udp_driver import steady
 from pathsaddle.errors import Error, access, why
 from pathsaddle.net.service import logbook
-from pathsaddle.ownership.driver import steady
+from pathsaddle.settings.cluster_file import GroundForm, ground_of, named
+from pathsaddle.settings.dispatcher_subscription import told as member_told
+from pathsaddle.settings.documents import hashed
 from pathsaddle.settings.driver import Driver, Electorate, KeeperProcess, MemberDriver, Told
-from pathsaddle.settings.faults import NoDisk
-from pathsaddle.settings.forms import hashed
-from pathsaddle.settings.ground import GroundForm, ground_of, named
-from pathsaddle.settings.serving import told as member_told
+from pathsaddle.settings.errors import NoDisk
 
 
 @click.group()
@@ -34,7 +34,7 @@
 @click.option("--keeper", required=True, help="Its name, as at keepers.NAME and voters.names.")
 def found_command(file: str, keeper: str) -> None:
     """Begins the register of a keeper that votes: once in its life, before its first start."""
-    from pathsaddle.ownership.log import found
+    from pathsaddle.consensus.acceptor_log import found
 
     ground = ground_of(file)
     row = named(file, "keepers", ground.keepers, keeper)
--- a/pathsaddle/settings/terms.py
+++ b/pathsaddle/settings/active_terms.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from pathsaddle.charter.units import duration
-from pathsaddle.settings.forms import Group, Put, Wrong, canonical, value_of
+from pathsaddle.config.units import duration
+from pathsaddle.settings.documents import Group, Put, Wrong, canonical, value_of
 
 FAR = float("inf")
 
--- a/pathsaddle/settings/changes.py
+++ b/pathsaddle/settings/changes.py
@@ -11,11 +11,11 @@
 
 from msgspec import Meta
 
-from pathsaddle.charter.check import Faulty, check
-from pathsaddle.charter.form import Charter, Customer, Form, Rules, Scheme
+from pathsaddle.config.schema import Charter, Customer, Form, Rules, Scheme
+from pathsaddle.config.validation import Faulty, check
 from pathsaddle.errors import Error
-from pathsaddle.settings.faults import Refused, Restart, Unfit
-from pathsaddle.settings.forms import SINGLE, TABLES, Put, Wrong, canonical, row
+from pathsaddle.settings.documents import SINGLE, TABLES, Put, Wrong, canonical, row
+from pathsaddle.settings.errors import Refused, Restart, Unfit
 
 WHY = "each process takes it from its own charter as it starts"
 WHAT = "known are customers.NAME, schemes.NAME, budgets.NAME, members.NAME, zones, rules and remove"
--- a/pathsaddle/settings/ground.py
+++ b/pathsaddle/settings/cluster_file.py
@@ -8,11 +8,11 @@
 
 from msgspec import field
 
-from pathsaddle.charter.check import check, load
-from pathsaddle.charter.form import Form
-from pathsaddle.charter.units import Duration
+from pathsaddle.config.schema import Form
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import check, load
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.faults import BadFile
+from pathsaddle.settings.errors import BadFile
 from pathsaddle.trade import SECOND
 
 LEAST_KEY = 16
--- a/pathsaddle/settings/batch.py
+++ b/pathsaddle/settings/commit_round.py
@@ -14,9 +14,9 @@
 from typing import Generic, TypeVar
 
 from pathsaddle.errors import Error
-from pathsaddle.settings.forms import Group, Put, Wrong
+from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.documents import Group, Put, Wrong
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.terms import Terms
 
 MADE, SAME, OUTRUN, REFUSED = "made", "same", "outrun", "refused"
 
--- a/pathsaddle/settings/applied.py
+++ b/pathsaddle/settings/configuration.py
@@ -16,8 +16,10 @@
 import msgspec
 from msgspec.structs import replace
 
-from pathsaddle.charter import service
-from pathsaddle.charter.check import (
+from pathsaddle.config import reload
+from pathsaddle.config.schema import Charter, Customer, Fleet, Rules, Scheme
+from pathsaddle.config.units import Duration
+from pathsaddle.config.validation import (
     Amiss,
     Fault,
     Faulty,
@@ -28,8 +30,6 @@
     check,
     shown,
 )
-from pathsaddle.charter.form import Charter, Customer, Fleet, Rules, Scheme
-from pathsaddle.charter.units import Duration
 
 NAMED: dict[str, type[Scheme | Customer]] = {"customers": Customer, "schemes": Scheme}
 WHERE = "shared settings"  # in the place of a file's name, in faults
@@ -76,7 +76,7 @@
 
 def restarts(before: Charter, after: Charter) -> list[str]:
     """The keys that differ and ask for a restart, a line each: `key: why`."""
-    return [f"{key}: {why}" for key, why in service.restarts(before, after).items()]
+    return [f"{key}: {why}" for key, why in reload.restarts(before, after).items()]
 
 
 def charter_with(
--- a/pathsaddle/settings/asking.py
+++ b/pathsaddle/settings/control_client.py
@@ -8,7 +8,7 @@
 
 from pathsaddle.errors import CATALOGUE, Error, why
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.faults import Defect, Refused, Unreached
+from pathsaddle.settings.errors import Defect, Refused, Unreached
 
 MOST = 64 << 20  # bytes of an answer
 
--- a/pathsaddle/settings/disk.py
+++ b/pathsaddle/settings/disk.py
@@ -26,9 +26,9 @@
 import msgspec
 
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.settings.faults import NoDisk
-from pathsaddle.settings.forms import Group, Snapshot, Wrong, digest_of, encoded, group_at, snapshot_at
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.settings.documents import Group, Snapshot, Wrong, digest_of, encoded, group_at, snapshot_at
+from pathsaddle.settings.errors import NoDisk
 from pathsaddle.settings.store import LOG, Store
 from pathsaddle.settings.sync import OFFERS, Write
 
--- a/pathsaddle/settings/serving.py
+++ b/pathsaddle/settings/dispatcher_subscription.py
@@ -12,12 +12,12 @@
 from random import SystemRandom
 from typing import Any
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.errors import Error
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Fellows
+from pathsaddle.settings.cluster_file import GroundForm, ground_of, named
 from pathsaddle.settings.driver import Acting, MemberDriver, Told
-from pathsaddle.settings.ground import GroundForm, ground_of, named
 from pathsaddle.settings.sync import nearest
 
 
--- a/pathsaddle/settings/driver.py
+++ b/pathsaddle/settings/driver.py
@@ -25,28 +25,28 @@
 
 import msgspec
 
-from pathsaddle.charter.check import Faulty
-from pathsaddle.charter.form import Charter
+from pathsaddle.config.schema import Charter
+from pathsaddle.config.validation import Faulty
+from pathsaddle.consensus.messages import Value
+from pathsaddle.consensus.udp_driver import Register, steady
+from pathsaddle.consensus.udp_driver import Told as Standing
+from pathsaddle.control_metrics import Unmetered
 from pathsaddle.errors import Error
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.metering import Unmetered
+from pathsaddle.fleet.rate_limiter import Purse
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.place import unhad
 from pathsaddle.net.wire.terms import Peer, peer_of
-from pathsaddle.ownership.driver import Register, steady
-from pathsaddle.ownership.driver import Told as Standing
-from pathsaddle.ownership.forms import Value
-from pathsaddle.settings import batch
-from pathsaddle.settings.applied import fitting
+from pathsaddle.settings import commit_round
+from pathsaddle.settings.active_terms import Terms
 from pathsaddle.settings.changes import puts_of
+from pathsaddle.settings.configuration import fitting
+from pathsaddle.settings.datagrams import Refused as Unread
+from pathsaddle.settings.datagrams import decode, encode
 from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.faults import Defect, NoDisk, NoMajority, Outrun, Refused, Unfit
-from pathsaddle.settings.forms import START, WORDS, Group, Wrong, digest_of, encoded, value_of
+from pathsaddle.settings.documents import START, WORDS, Group, Wrong, digest_of, encoded, value_of
+from pathsaddle.settings.errors import Defect, NoDisk, NoMajority, Outrun, Refused, Unfit
 from pathsaddle.settings.sync import DATAGRAM, LEASE, SECOND, Happened, Keeper, Member, Ready, Said
-from pathsaddle.settings.terms import Terms
-from pathsaddle.settings.wire import Refused as Unread
-from pathsaddle.settings.wire import decode, encode
 
 KEY = "settings"  # the voters' key
 AT_ONCE = 64  # datagrams in one turn
@@ -591,7 +591,7 @@
 
 
 @dataclass(eq=False)
-class Queued(batch.Change):
+class Queued(commit_round.Change):
     """A change that waits. until: of the monotonic clock, seconds. done: its answer. group: as what it is proposed now.
     sent: whether the register has been asked to take it, so that it may be committed whatever is heard.
     """
@@ -876,7 +876,7 @@
                 "start the keepers that are down, and apply again",
             )
         core = self._keeps()
-        found = batch.together(core.store, self.queued, self._fits, core.joins)
+        found = commit_round.together(core.store, self.queued, self._fits, core.joins)
         for told in found.told:
             self._tells_verdict(told, latest)
         if not found.taken:
@@ -931,12 +931,12 @@
                     self.queued.remove(one)
                     one.fails(self._outrun(settled, one.expect))
 
-    def _tells_verdict(self, told: batch.Told[Queued], latest: tuple[int, str]) -> None:
+    def _tells_verdict(self, told: commit_round.Told[Queued], latest: tuple[int, str]) -> None:
         one = told.change
         self.queued.remove(one)
-        if told.what in (batch.MADE, batch.SAME):
-            one.answers(told.revision, told.digest, told.what == batch.MADE)
-        elif told.what == batch.OUTRUN:
+        if told.what in (commit_round.MADE, commit_round.SAME):
+            one.answers(told.revision, told.digest, told.what == commit_round.MADE)
+        elif told.what == commit_round.OUTRUN:
             one.fails(self._outrun(latest, one.expect))
         elif isinstance(told.why, Error):
             one.fails(told.why)
--- a/pathsaddle/settings/check.py
+++ b/pathsaddle/settings/model_checker.py
@@ -20,8 +20,9 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.federation import versions
-from pathsaddle.settings.forms import Group, Put, canonical, digest_of
+from pathsaddle import leased_versions
+from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.documents import Group, Put, canonical, digest_of
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
     Client,
@@ -33,7 +34,6 @@
     Said,
     Write,
 )
-from pathsaddle.settings.terms import Terms
 
 LEASE = 300
 MOMENT = 160
@@ -164,7 +164,7 @@
         held.append(member)
     keeper = _keeper(1, line.store(1), (), 0)
     for i in range(members):
-        keeper.core = keeper.core.hears(versions.Have(f"m{i}", 1, line.digests[1]))
+        keeper.core = keeper.core.hears(leased_versions.Have(f"m{i}", 1, line.digests[1]))
         keeper.clients[f"m{i}"] = Client(0, (1, line.digests[1]))
     keeper.core = replace(keeper.core, force=1)
     keeper.propose(line.groups[1], 0, line.groups[2:] if batch else ())
--- a/pathsaddle/settings/store.py
+++ b/pathsaddle/settings/store.py
@@ -8,7 +8,8 @@
 
 from collections.abc import Iterable
 
-from pathsaddle.settings.forms import (
+from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.documents import (
     ROWS,
     Group,
     Snapshot,
@@ -18,7 +19,6 @@
     snapshot_of,
     value_of,
 )
-from pathsaddle.settings.terms import Terms
 
 LOG = 1024  # groups
 
--- a/pathsaddle/settings/sync.py
+++ b/pathsaddle/settings/sync.py
@@ -39,13 +39,14 @@
 import msgspec
 from msgspec import Struct
 
-from pathsaddle.federation import versions
-from pathsaddle.federation.versions import Holder, Version
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.settings.forms import (
+from pathsaddle import leased_versions
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.leased_versions import Holder, Version
+from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.documents import (
     SNAPSHOT as MOST_SNAPSHOT,
 )
-from pathsaddle.settings.forms import (
+from pathsaddle.settings.documents import (
     START,
     Group,
     Snapshot,
@@ -58,7 +59,6 @@
     snapshot_at,
 )
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.terms import Terms
 
 SECOND = 10_000  # ticks
 LEASE = 10 * SECOND
@@ -413,7 +413,7 @@
         """store: what its disk has (committed alone), or an empty one. keepers: names, nearest first; one at least."""
         super().__init__(name, region, life, store, chance, purse, size)
         self.keepers, self.lease = tuple(keepers), lease
-        self.holder: Holder[Terms] = versions.holder(
+        self.holder: Holder[Terms] = leased_versions.holder(
             name, region, life, lease, Version(store.revision, store.digest, store.terms)
         )
         self.pending: dict[int, Group] = {}
@@ -514,7 +514,7 @@
         before, asked = self.store.revision, dict(self.holder.open).get(said.echo)
         self._knows((said.revision, said.digest))
         self.holder = self.holder.renewed(
-            versions.Renewed(said.to, said.life, said.echo, said.revision, said.digest), now
+            leased_versions.Renewed(said.to, said.life, said.echo, said.revision, said.digest), now
         )
         if asked is None:
             self._lagging(now)
@@ -543,7 +543,7 @@
         if known[1] in self.held:
             self._waits(self.held[known[1]])
             self._drain()
-        self.holder = self.holder.told(versions.Commit(*known))[0]
+        self.holder = self.holder.told(leased_versions.Commit(*known))[0]
 
     def _answers(self, sender: str, before: int, now: int) -> None:
         """The word of what it has; where it lacks something, no oftener than it gets on or a wait is over: else a text that
@@ -762,7 +762,7 @@
         super().__init__(name, region, life, store, chance, purse, size)
         self.peers, self.lease = tuple(peers), lease
         version = Version(store.revision, store.digest, store.terms)
-        self.core: versions.Keeper[Terms] = versions.Keeper(
+        self.core: leased_versions.Keeper[Terms] = leased_versions.Keeper(
             lease,
             now,
             (store.revision, store.digest),
@@ -891,7 +891,7 @@
             self.waiting = {**asked, **self.waiting}
             return self._due(now)
         for ask in asked.values():
-            told = self.core.answers(versions.Ask(ask.name, ask.life, ask.echo))
+            told = self.core.answers(leased_versions.Ask(ask.name, ask.life, ask.echo))
             if not self.say(
                 ask.name, Renewal(self.name, told.name, told.life, told.echo, told.number, told.digest), now
             ):
@@ -1209,7 +1209,7 @@
         for name in names:
             if name in members:
                 old = self.core
-                self.core = old.hears(versions.Have(name, revision, digest))
+                self.core = old.hears(leased_versions.Have(name, revision, digest))
                 if own and self.core is not old:
                     self.fresh[name] = SAID
                     if self.gossip_due == FAR:
@@ -1237,7 +1237,7 @@
             (
                 at
                 for at in (
-                    at + versions.surely(self.lease)
+                    at + leased_versions.surely(self.lease)
                     for number, at in self.core.learnt
                     if number > self.core.force
                 )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.experiment.capacity import (
     BEGIN,
     END,
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -11,14 +11,14 @@
 from pathsaddle.emulator.state import mutants
 from pathsaddle.emulator.state.ground import BUDGET, Ground, Plan, varied
 from pathsaddle.emulator.state.judge import judge
-from pathsaddle.fleet.purse import SECOND, Purse
-from pathsaddle.fleet.state import check_carry
-from pathsaddle.fleet.state.carry import ROWS, Carry, Origin
-from pathsaddle.fleet.state.check import Exceeded
-from pathsaddle.fleet.state.form import BODY, Compare, decode
-from pathsaddle.fleet.state.limiter import WINDOW, Dealt, Limiter
-from pathsaddle.fleet.state.shared import SPARE, Shared
-from pathsaddle.fleet.state.shares import Lend, Want
+from pathsaddle.fleet.gossip import model_checker
+from pathsaddle.fleet.gossip.gossip import ROWS, Carry, Origin
+from pathsaddle.fleet.gossip.messages import BODY, Compare, decode
+from pathsaddle.fleet.quota.leases import Lend, Want
+from pathsaddle.fleet.quota.model_checker import Exceeded
+from pathsaddle.fleet.quota.quota_limiter import WINDOW, Dealt, Limiter
+from pathsaddle.fleet.quota.shared_state import SPARE, Shared
+from pathsaddle.fleet.rate_limiter import SECOND, Purse
 
 KEY = b"sixteen bytes or more"
 
@@ -204,7 +204,7 @@
     def test_nothing_is_lacked_up_to_what_was_seen_and_no_old_life_shown_in_every_world_within_six_steps(
         self,
     ):
-        count = check_carry.check(6)
+        count = model_checker.check(6)
         print(f"carry: {count} worlds to depth 6", flush=True)
         self.assertGreater(count, 20_000)
 
@@ -219,7 +219,7 @@
 
         for name, instead in (("_take", over_gaps), ("_life", mutants._all_lives)):
             with self.subTest(name), mock.patch.object(Carry, name, instead), self.assertRaises(Exceeded):
-                check_carry.check(5)
+                model_checker.check(5)
 
 
 class DocumentStory(unittest.TestCase):
@@ -318,9 +318,9 @@
         self.assertEqual((one.takes("r", 1, now), one.out), (False, []))
 
     def test_what_is_wrong_in_a_charters_budgets_is_said(self):
-        from pathsaddle.charter.check import Faulty, check
-        from pathsaddle.charter.fellows import equal_part
-        from pathsaddle.charter.form import Fleet
+        from pathsaddle.config.fleet import equal_part
+        from pathsaddle.config.schema import Fleet
+        from pathsaddle.config.validation import Faulty, check
 
         base = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:3"}
         check(Fleet, {**base, "budgets": {"repeats": 30}, "parts": {"repeats": 12}}, "x")
--- a/tests/test_charter.py
+++ b/tests/test_charter.py
@@ -7,12 +7,12 @@
 from typing import Any, ClassVar
 from unittest import mock
 
-from pathsaddle.charter.check import Faulty, explain, load
-from pathsaddle.charter.form import IN_SERVICE, Charter
-from pathsaddle.charter.ground import CharterGround
-from pathsaddle.charter.told import read, told
-from pathsaddle.charter.units import duration, size, written
 from pathsaddle.cli.show import explained
+from pathsaddle.config.dispatcher import CharterGround
+from pathsaddle.config.loader import read, told
+from pathsaddle.config.schema import IN_SERVICE, Charter
+from pathsaddle.config.units import duration, size, written
+from pathsaddle.config.validation import Faulty, explain, load
 from pathsaddle.emulator import plan
 from pathsaddle.experiment import capacity, scale
 from pathsaddle.net.service import logbook
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -29,9 +29,10 @@
 
 import pathsaddle
 from pathsaddle import errors
-from pathsaddle.charter.check import Fault, Faulty
-from pathsaddle.charter.told import read
 from pathsaddle.cli.main import main
+from pathsaddle.config.loader import read
+from pathsaddle.config.validation import Fault, Faulty
+from pathsaddle.consensus.acceptor_log import found as begins_register
 from pathsaddle.emulator import stage
 from pathsaddle.emulator.ground import ports
 from pathsaddle.emulator.ground.ports import udp_places
@@ -41,26 +42,25 @@
 from pathsaddle.experiment.keep import Result, Store
 from pathsaddle.experiment.run import tree
 from pathsaddle.federation.disk import FolderRegister
-from pathsaddle.federation.driver import ground_of
 from pathsaddle.federation.spec import load as load_spec
 from pathsaddle.federation.spec import parse
-from pathsaddle.federation.versions import Version
-from pathsaddle.fleet import asking
-from pathsaddle.fleet.driver import WAKES, Fellows, Told
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.fleet.members import Ways
+from pathsaddle.federation.udp_driver import ground_of
+from pathsaddle.fleet import control_client
+from pathsaddle.fleet.incarnation_store import Lives
+from pathsaddle.fleet.membership import Ways
+from pathsaddle.fleet.udp_driver import WAKES, Fellows, Told
 from pathsaddle.histories.logs import write
 from pathsaddle.histories.planted import wrong
 from pathsaddle.jobs import store as jobs
+from pathsaddle.leased_versions import Version
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.place import unhad
-from pathsaddle.ownership.log import found as begins_register
 from pathsaddle.settings.changes import puts_of
+from pathsaddle.settings.cluster_file import ground_of as settings_ground
 from pathsaddle.settings.driver import Electorate, KeeperProcess
 from pathsaddle.settings.driver import Told as SettingsTold
-from pathsaddle.settings.ground import ground_of as settings_ground
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = 'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\nname = "d"\n'
@@ -689,8 +689,8 @@
 
 class AskingStory(Reading):
     def asks(self, address: str, name: str, *words: object) -> None:
-        with self.assertRaises(asking.Unasked) as caught:
-            asking.asked(address, "members", 0.3)
+        with self.assertRaises(control_client.Unasked) as caught:
+            control_client.asked(address, "members", 0.3)
         self.assertEqual(caught.exception.code, 1)
         self.reads(str(caught.exception), name, address, *words)
 
@@ -725,8 +725,10 @@
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", said is None, 0)
             )
             async with server:
-                with self.assertRaises(asking.Unasked) as caught:
-                    await asking.ask(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "members", 5.0)
+                with self.assertRaises(control_client.Unasked) as caught:
+                    await control_client.ask(
+                        f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "members", 5.0
+                    )
                 return str(caught.exception)
 
         for said in (b"", None):
@@ -765,8 +767,8 @@
         return line
 
     async def ask(self, word: str) -> str:
-        with self.assertRaises(asking.Unasked) as caught:
-            await asking.ask(self.control, word, 5.0)
+        with self.assertRaises(control_client.Unasked) as caught:
+            await control_client.ask(self.control, word, 5.0)
         KNOWN.add(caught.exception.name)
         return str(caught.exception)
 
@@ -856,7 +858,7 @@
             said = await self.ask("members")
         self.assertIn("[control.fault]", said)
         self.assertEqual(self.lines[0][0], "fault_control")
-        self.assertEqual((await asking.ask(self.control, "members", 5.0))["name"], "a")
+        self.assertEqual((await control_client.ask(self.control, "members", 5.0))["name"], "a")
         self.assertIn("[control.no-budgets]", await self.ask("budgets"))
         self.assertIn("[control.unmetered]", await self.ask("control"))
         self.assertIn("'nonsense' was asked, and it knows members", said := await self.ask("nonsense"))
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -5,10 +5,10 @@
 
 from pathsaddle.emulator.federation.mutants import IN_MODEL, mutant
 from pathsaddle.emulator.steps import Steps
-from pathsaddle.federation.check import Forbidden, check, versions, walk
-from pathsaddle.federation.faults import SpecFaulty
+from pathsaddle.federation.errors import SpecFaulty
+from pathsaddle.federation.model_checker import Forbidden, check, versions, walk
 from pathsaddle.federation.spec import parse
-from pathsaddle.federation.versions import (
+from pathsaddle.leased_versions import (
     Change,
     Commit,
     Keeper,
--- a/tests/test_federation_processes.py
+++ b/tests/test_federation_processes.py
@@ -18,7 +18,7 @@
 from pathsaddle.emulator.events import read
 from pathsaddle.emulator.federation.judge import judged
 from pathsaddle.emulator.ground.ports import udp_ports
-from pathsaddle.federation import wire
+from pathsaddle.federation import datagrams
 
 ROOT = Path(__file__).resolve().parent.parent
 NAMES = {"n0": "north", "n1": "north", "w0": "west", "s0": "south"}
@@ -420,29 +420,29 @@
     """What comes from outside: datagrams of strangers, files that are wrong."""
 
     def test_a_datagram_that_is_cut_a_strangers_or_of_another_form_is_refused_by_its_reason(self):
-        data = wire.encode(wire.Said("n", 1, wire.ASK, echo=3), b"k" * 16)
-        self.assertEqual(wire.decode(data, b"k" * 16).echo, 3)
+        data = datagrams.encode(datagrams.Said("n", 1, datagrams.ASK, echo=3), b"k" * 16)
+        self.assertEqual(datagrams.decode(data, b"k" * 16).echo, 3)
         for why, bad, key in (
             ("cut", data[:9], b"k" * 16),
             ("stranger", data, b"x" * 16),
             ("stranger", data[:-1] + b"!", b"k" * 16),
             ("cut", data + bytes(1200), b"k" * 16),
         ):
-            with self.subTest(why), self.assertRaisesRegex(wire.Refused, why):
-                wire.decode(bad, key)
+            with self.subTest(why), self.assertRaisesRegex(datagrams.Refused, why):
+                datagrams.decode(bad, key)
 
     def test_a_text_in_pieces_counts_when_it_is_whole_and_is_what_its_digest_says(self):
         text = bytes(range(256)) * 9
         digest = hashlib.blake2b(text, digest_size=16).hexdigest()
         for told, found in ((digest, text), ("f" * 32, None)):
-            pieces = wire.Pieces()
+            pieces = datagrams.Pieces()
             self.assertEqual(pieces.begin(2, told, len(text)), 0)
             last = [
                 pieces.took(
-                    wire.Said(
+                    datagrams.Said(
                         "k",
                         1,
-                        wire.TEXT,
+                        datagrams.TEXT,
                         number=2,
                         digest=told,
                         size=len(text),
--- a/tests/test_federation_world.py
+++ b/tests/test_federation_world.py
@@ -10,9 +10,9 @@
 from pathsaddle.emulator.federation.judge import earned, judged, turned
 from pathsaddle.emulator.federation.plans import COURSES, Plan, Trouble
 from pathsaddle.emulator.federation.world import World
-from pathsaddle.federation.lend import Free, Lender, parts
+from pathsaddle.federation.routing import BACK, FIRST, IN_A_ROW, Job, Ways
+from pathsaddle.federation.spare_capacity import Free, Lender, parts
 from pathsaddle.federation.spec import parse
-from pathsaddle.federation.ways import BACK, FIRST, IN_A_ROW, Job, Ways
 from pathsaddle.trade import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -181,8 +181,8 @@
 
 class ChartStory(unittest.TestCase):
     def test_what_is_wrong_in_a_fleets_table_is_said_all_at_once(self):
-        from pathsaddle.charter.check import Faulty, check
-        from pathsaddle.charter.form import Charter
+        from pathsaddle.config.schema import Charter
+        from pathsaddle.config.validation import Faulty, check
 
         base = {
             "listen": "127.0.0.1:1",
@@ -208,7 +208,7 @@
             check(Charter, {**base, "name": "pathsaddle", "dispatchers": 2, "fleet": fleet}, "x")
 
     def test_a_plans_links_name_whom_there_is(self):
-        from pathsaddle.charter.check import Faulty
+        from pathsaddle.config.validation import Faulty
         from pathsaddle.emulator import plan as plans
 
         table = {
--- a/tests/test_grounds.py
+++ b/tests/test_grounds.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from unittest import mock
 
-from pathsaddle.charter.check import Faulty
 from pathsaddle.cli.main import main
+from pathsaddle.config.validation import Faulty
 from pathsaddle.errors import Error
 from pathsaddle.experiment import grounds
 
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from pathsaddle.charter.told import settings
+from pathsaddle.config.loader import settings
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing
 from pathsaddle.emulator.hollow import outside, scan, workers
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -41,10 +41,10 @@
 )
 # Of each part: what it may not import, wherever in its source the import stands.
 BELOW = {
-    "trade": ("beliefs", "choice", "loop", "net", "fleet", "jobs", "charter", *ABOVE),
-    "beliefs": ("choice", "loop", "net", "fleet", "jobs", "charter", *ABOVE),
-    "choice": ("net", "fleet", "jobs", "charter", *ABOVE),
-    "loop": ("net", "fleet", "jobs", "charter", *ABOVE),
+    "trade": ("beliefs", "choice", "loop", "net", "fleet", "jobs", "config", *ABOVE),
+    "beliefs": ("choice", "loop", "net", "fleet", "jobs", "config", *ABOVE),
+    "choice": ("net", "fleet", "jobs", "config", *ABOVE),
+    "loop": ("net", "fleet", "jobs", "config", *ABOVE),
     "net": ("fleet", *ABOVE),
     "fleet": ABOVE,
     "jobs": ABOVE,
@@ -52,7 +52,7 @@
         "net",
         "fleet",
         "jobs",
-        "charter",
+        "config",
         "emulator.ground",
         "emulator.served",
         "emulator.faults",
@@ -66,9 +66,9 @@
         *RUNS,
     ),  # it writes events
     "federation": ABOVE,
-    "ownership": ABOVE,
+    "consensus": ABOVE,
     "settings": ABOVE,
-    "charter": ABOVE,
+    "config": ABOVE,
     "emulator": ("experiment",),
     "emulator.ground": ("emulator.served", "emulator.faults", "emulator.plan", *RUNS),
     "emulator.served": ("emulator.faults", *RUNS),
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -16,8 +16,9 @@
 
 from pathsaddle.emulator.ground.links import Host, Net
 from pathsaddle.emulator.ground.moments import Moments
-from pathsaddle.jobs import life, model
-from pathsaddle.jobs.life import End, Impossible, Job, Kind, Next, Record, Word
+from pathsaddle.jobs import model_checker, state_machine
+from pathsaddle.jobs.job_service import OPEN, DurableTxnService, Ways
+from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Next, Record, Word
 from pathsaddle.jobs.store import (
     MIGRATIONS,
     Accepted,
@@ -31,7 +32,6 @@
     rows,
     verify,
 )
-from pathsaddle.jobs.txn_service import OPEN, DurableTxnService, Ways
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.memory.ledger import Whole
 from pathsaddle.net.service import logbook
@@ -83,28 +83,31 @@
             (Word.FAILED, Next.DOUBT),
             (Word.NONE, Next.ASK),
         ):
-            self.assertIs(life.after_restart(word, 0, 10), follows)
-        self.assertIs(life.after_restart(Word.NONE, 10, 10), Next.DOUBT)
-        self.assertIs(life.lapsed(Word.NONE, AGAIN, 0, 10), Next.DOUBT)
-        self.assertIs(life.lapsed(Word.NONE, ONCE, 0, 10), Next.ASK)
+            self.assertIs(state_machine.after_restart(word, 0, 10), follows)
+        self.assertIs(state_machine.after_restart(Word.NONE, 10, 10), Next.DOUBT)
+        self.assertIs(state_machine.lapsed(Word.NONE, AGAIN, 0, 10), Next.DOUBT)
+        self.assertIs(state_machine.lapsed(Word.NONE, ONCE, 0, 10), Next.ASK)
 
     def test_a_clock_stepped_back_gives_no_job_more_time_than_it_had(self) -> None:
-        self.assertEqual(life.expires_after_restart(1000, 1500, 200), 700)
-        self.assertEqual(life.expires_after_restart(1000, 1500, 1200), 1500)
+        self.assertEqual(state_machine.expires_after_restart(1000, 1500, 200), 700)
+        self.assertEqual(state_machine.expires_after_restart(1000, 1500, 1200), 1500)
 
     def test_every_order_of_steps(self) -> None:
-        states = model.Model([ONCE, AGAIN]).search(10)
+        states = model_checker.Model([ONCE, AGAIN]).search(10)
         print(f"model: {states} states of two jobs to depth 10", file=sys.stderr)
         self.assertGreater(states, 40_000)
 
     def test_the_model_finds_what_is_wrong(self) -> None:
-        real = life.after_restart
+        real = state_machine.after_restart
 
         def trusting(word: Word, now: int, expires: int) -> Next:
             return Next.CLEAR if word is Word.NONE else real(word, now, expires)
 
-        with mock.patch.object(life, "after_restart", trusting), self.assertRaises(model.Broken) as caught:
-            model.Model([ONCE]).search(18)
+        with (
+            mock.patch.object(state_machine, "after_restart", trusting),
+            self.assertRaises(model_checker.Broken) as caught,
+        ):
+            model_checker.Model([ONCE]).search(18)
         self.assertIn("once-only job 0", str(caught.exception))
 
 
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -20,7 +20,7 @@
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.placement.judge import judged as placed
 from pathsaddle.placement.__main__ import ticks
-from pathsaddle.placement.check import broken
+from pathsaddle.placement.invariants import broken
 from pathsaddle.placement.inventory import State
 from pathsaddle.placement.ledger import made
 from tests.test_ownership_processes import CHARTER
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,11 +11,11 @@
 from pathsaddle.emulator import stage
 from pathsaddle.emulator.judges.judge import judge
 from pathsaddle.emulator.judges.mutants import MEMBER_MUTANTS, mutated
-from pathsaddle.fleet import wire
-from pathsaddle.fleet.members import MOST_MEMBERS, Membership, Ways, life_of
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.fleet.state.carry import Carry
-from pathsaddle.fleet.wire import ALIVE, DEAD, LEFT, SUSPECT, Refused, Row, Said
+from pathsaddle.fleet import messages
+from pathsaddle.fleet.gossip.gossip import Carry
+from pathsaddle.fleet.membership import MOST_MEMBERS, Membership, Ways, life_of
+from pathsaddle.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Refused, Row, Said
+from pathsaddle.fleet.rate_limiter import Purse
 
 ROOT = Path(__file__).resolve().parent.parent
 SECOND = 10_000
@@ -217,16 +217,16 @@
     def test_what_is_not_a_fellows_is_counted_by_its_reason_and_changes_nothing(self):
         core = member("a")
         other = member("b", seed=1)
-        said = Said("f", other.me, 1, "a", wire.PING, 7)
-        good = wire.encode(said, KEY)
-        newer = bytes((wire.FORM + 1,)) + good[1:-16]
-        newer += wire.hmac.digest(KEY, newer, "sha256")[:16]
+        said = Said("f", other.me, 1, "a", messages.PING, 7)
+        good = messages.encode(said, KEY)
+        newer = bytes((messages.FORM + 1,)) + good[1:-16]
+        newer += messages.hmac.digest(KEY, newer, "sha256")[:16]
         cases = {
             "cut": good[:10],
-            "stranger": wire.encode(said, b"another key, as long as it"),
+            "stranger": messages.encode(said, b"another key, as long as it"),
             "newer": newer,
-            "fleet": wire.encode(Said("g", other.me, 1, "a", wire.PING), KEY),
-            "misdirected": wire.encode(Said("f", other.me, 1, "z", wire.PING), KEY),
+            "fleet": messages.encode(Said("g", other.me, 1, "a", messages.PING), KEY),
+            "misdirected": messages.encode(Said("f", other.me, 1, "z", messages.PING), KEY),
         }
         for reason, data in cases.items():
             core.heard(data, 1)
@@ -247,7 +247,7 @@
         kept = [
             (address, data)
             for address, data in [
-                (a.me.address, wire.encode(Said("f", b.me, 1 << 40, "a", wire.ACK, 1), KEY))
+                (a.me.address, messages.encode(Said("f", b.me, 1 << 40, "a", messages.ACK, 1), KEY))
             ]
         ]
         del between.at[b.me.address]
@@ -274,13 +274,13 @@
     def test_a_helper_without_an_answer_says_so_in_time_for_who_asked(self):
         core, asker, gone = member("a"), member("b", seed=1), member("c", seed=2)
         self.meet(core, asker, gone)
-        asked = wire.encode(Said("f", asker.me, 1, "a", wire.ASK, 7, "c"), KEY)
+        asked = messages.encode(Said("f", asker.me, 1, "a", messages.ASK, 7, "c"), KEY)
         core.wake(0)
         core.heard(asked, 50)
         self.assertLessEqual(core.due(50), 50 + core.ways.patience)
         core.out = []
         core.wake(50 + core.ways.patience)
-        self.assertIn(wire.MISSED, [wire.decode(data, KEY, "f").kind for _, data in core.out])
+        self.assertIn(messages.MISSED, [messages.decode(data, KEY, "f").kind for _, data in core.out])
 
     def test_a_member_whom_nobody_answers_tells_its_doubts_to_nobody(self):
         a, others = member("a"), [member(name, seed=ord(name)) for name in "bcde"]
@@ -292,7 +292,7 @@
         for _ in range(600):
             between.now += 1000
             a.wake(between.now) if a.promised <= between.now else None
-            sent += [row for _, data in a.out for row in wire.decode(data, KEY, "f").rows]
+            sent += [row for _, data in a.out for row in messages.decode(data, KEY, "f").rows]
             a.out = []
         self.assertEqual(a.alone(), True)
         self.assertLessEqual(len({row.name for row in sent if row.state in (SUSPECT, DEAD)}), 2)
@@ -330,7 +330,7 @@
                 )
                 core.beat_due = 0
                 core.wake(0)
-                told = [row.name for _, data in core.out for row in wire.decode(data, KEY, "f").rows]
+                told = [row.name for _, data in core.out for row in messages.decode(data, KEY, "f").rows]
                 self.assertIn("f", told)
 
     def test_the_dead_are_remembered_up_to_a_bound_and_a_name_that_comes_and_goes_takes_one_place(self):
@@ -414,7 +414,7 @@
             elif what == "drop" and air:
                 air.pop(which % len(air))
             elif what == "says":
-                cores[which].heard(wire.encode(more, KEY), now)
+                cores[which].heard(messages.encode(more, KEY), now)
             elif what == "noise":
                 cores[which].heard(more, now)
             elif what == "leave":
@@ -425,9 +425,9 @@
                 core.out, core.changes = [], []
 
     def valid(self, core, now):
-        self.assertTrue(all(len(data) <= wire.MOST for _, data in core.out))
+        self.assertTrue(all(len(data) <= messages.MOST for _, data in core.out))
         for _, data in core.out:
-            wire.decode(data, KEY, "f")
+            messages.decode(data, KEY, "f")
         self.assertLess(len(core.members), MOST_MEMBERS)
         self.assertNotIn(core.me.name, core.members)
         self.assertLessEqual(set(core.gossip), set(core.members))
@@ -442,9 +442,9 @@
 class RefusalStory(unittest.TestCase):
     def test_no_bytes_but_a_fellows_are_read(self):
         chance = Random(9)
-        good = wire.encode(Said("f", Row("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", wire.PING), KEY)
+        good = messages.encode(Said("f", Row("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", messages.PING), KEY)
         for _ in range(500):
             bad = bytearray(good)
             bad[chance.randrange(len(bad))] ^= 1 << chance.randrange(8)
             with self.assertRaises(Refused):
-                wire.decode(bytes(bad), KEY, "f")
+                messages.decode(bytes(bad), KEY, "f")
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -6,13 +6,13 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from pathsaddle.charter.form import Control
-from pathsaddle.charter.metered import MINUTE, Metered, MeteredWatch, MeteredWords
-from pathsaddle.charter.told import settings
 from pathsaddle.cli.fleet import _control
+from pathsaddle.config.loader import settings
+from pathsaddle.config.metering import MINUTE, Metered, MeteredWatch, MeteredWords
+from pathsaddle.config.schema import Control
+from pathsaddle.control_metrics import PURPOSES, WITH_TXNS, ControlMeter, Unmetered
 from pathsaddle.emulator.hollow import control
 from pathsaddle.emulator.hollow.workers import charter
-from pathsaddle.metering import PURPOSES, WITH_TXNS, ControlMeter, Unmetered
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.wire import terms
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,15 +10,15 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from pathsaddle.fleet.overload import budgets, driver
-from pathsaddle.fleet.overload.advice import Returns
-from pathsaddle.fleet.overload.beside import Beside
-from pathsaddle.fleet.overload.faults import BadWord
-from pathsaddle.fleet.overload.gate import Gate, Ways
-from pathsaddle.fleet.overload.level import DEAD, FALLS, RISES, Level, Sums
-from pathsaddle.fleet.overload.standing import BANDS, PERIOD, Ask, band, drawn
-from pathsaddle.fleet.overload.word import MOST, TELLS, Word, packed, read, short
-from pathsaddle.metering import Unmetered
+from pathsaddle.control_metrics import Unmetered
+from pathsaddle.fleet.overload import driver, retry_budgets
+from pathsaddle.fleet.overload.admission_gate import Gate, Ways
+from pathsaddle.fleet.overload.errors import BadWord
+from pathsaddle.fleet.overload.load_summary import MOST, TELLS, Word, packed, read, short
+from pathsaddle.fleet.overload.retry_advice import Returns
+from pathsaddle.fleet.overload.scheduler_gate import Beside
+from pathsaddle.fleet.overload.shed_level import DEAD, FALLS, RISES, Level, Sums
+from pathsaddle.fleet.overload.shed_rank import BANDS, PERIOD, Ask, band, drawn
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.trade import SECOND, Outcome, Scheme
@@ -276,10 +276,10 @@
     def test_a_budget_of_the_worker_refuses_before_the_fleets_is_asked(self) -> None:
         limiter = Free("repeat.w1")
         gate = self.gate(limiter=limiter)
-        self.assertFalse(gate.goes_out(budgets.REPEAT, "w1", 0))
+        self.assertFalse(gate.goes_out(retry_budgets.REPEAT, "w1", 0))
         self.assertEqual(["repeat.w1"], limiter.asked)
-        self.assertTrue(gate.goes_out(budgets.REPEAT, "w2", 0))
-        self.assertEqual(1, gate.budgets.refused[budgets.REPEAT])
+        self.assertTrue(gate.goes_out(retry_budgets.REPEAT, "w2", 0))
+        self.assertEqual(1, gate.budgets.refused[retry_budgets.REPEAT])
 
 
 class BesideAChoice(unittest.TestCase):
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -11,21 +11,13 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.emulator.events import Event
-from pathsaddle.emulator.ownership import linear
-from pathsaddle.emulator.ownership.faults import troubled
-from pathsaddle.emulator.ownership.ground import Disk, Ground
-from pathsaddle.emulator.ownership.judge import judge
-from pathsaddle.emulator.ownership.mutants import ByArrival, Reuses, mutant
-from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Ground as Machine
-from pathsaddle.ownership import check
-from pathsaddle.ownership.check import Broken, Ways
-from pathsaddle.ownership.driver import Register, Told
-from pathsaddle.ownership.faults import OtherVoters
-from pathsaddle.ownership.fence import Fence
-from pathsaddle.ownership.forms import (
+from pathsaddle.consensus import model_checker
+from pathsaddle.consensus.acceptor import Voter, Write
+from pathsaddle.consensus.acceptor_log import LARGE, NAME, Log, found
+from pathsaddle.consensus.errors import OtherVoters
+from pathsaddle.consensus.fencing import Fence
+from pathsaddle.consensus.lease_manager import Owner
+from pathsaddle.consensus.messages import (
     MOST,
     MOST_DATA,
     NEVER,
@@ -40,9 +32,17 @@
     group_of,
     packed,
 )
-from pathsaddle.ownership.log import LARGE, NAME, Log, found
-from pathsaddle.ownership.owner import Owner
-from pathsaddle.ownership.voter import Voter, Write
+from pathsaddle.consensus.model_checker import Broken, Ways
+from pathsaddle.consensus.udp_driver import Register, Told
+from pathsaddle.emulator.events import Event
+from pathsaddle.emulator.ownership import linear
+from pathsaddle.emulator.ownership.faults import troubled
+from pathsaddle.emulator.ownership.ground import Disk, Ground
+from pathsaddle.emulator.ownership.judge import judge
+from pathsaddle.emulator.ownership.mutants import ByArrival, Reuses, mutant
+from pathsaddle.net.memory.counters import Counters
+from pathsaddle.net.service import logbook
+from pathsaddle.net.service.ground import Ground as Machine
 from pathsaddle.trade import SECOND
 
 
@@ -302,32 +302,34 @@
     def test_in_every_order_of_events_to_the_stated_depth_the_bounds_hold(self):
         for name, depth, ways, first in (
             ("from nothing", 6, Ways(), None),
-            ("from an owner", 6, Ways(), check.owned(Ways())),
+            ("from an owner", 6, Ways(), model_checker.owned(Ways())),
             (
                 "given back, begun anew",
                 5,
                 Ways(gives=1, ends=1, kills=0),
-                check.owned(Ways(gives=1, ends=1, kills=0)),
+                model_checker.owned(Ways(gives=1, ends=1, kills=0)),
             ),
-            ("a disk lost", 4, Ways(losses=1), check.owned(Ways(losses=1))),
+            ("a disk lost", 4, Ways(losses=1), model_checker.owned(Ways(losses=1))),
         ):
             with self.subTest(name):
-                worlds = check.check(depth, ways, first)
+                worlds = model_checker.check(depth, ways, first)
                 print(f"ownership, {name}: {worlds} worlds to depth {depth}")
                 self.assertGreater(worlds, 2000)
 
     def test_what_is_wrong_is_found_by_the_model_too(self):
         with self.assertRaisesRegex(Broken, "a number twice"):
             ways = Ways(hasty=True, kills=2, moments=0, renewals=0, ballots=2)
-            check.check(5, ways, self.through(ways, check.Bid, "v0 is killed", "v1 is killed"))
+            model_checker.check(
+                5, ways, self.through(ways, model_checker.Bid, "v0 is killed", "v1 is killed")
+            )
         late = Ways(kills=0, renewals=0)
         with self.assertRaisesRegex(Broken, "two may act"):
             # One voter's answer is there; a moment later the other's counts from its arrival.
             self.slowly(late, ByArrival)
-        self.slowly(late, check.Bid)
+        self.slowly(late, model_checker.Bid)
         ways = Ways(kills=0, renewals=0, ends=1)
         with self.assertRaisesRegex(Broken, "a number twice"):
-            check.check(
+            model_checker.check(
                 5,
                 ways,
                 self.through(ways, Reuses, "c0 begins anew", "a moment", "a moment", "a moment"),
@@ -338,9 +340,9 @@
         """The answers to an accepted ballot come a moment later than they were said; from there on,
         all orders.
         """
-        world = check.start(ways, bid)
+        world = model_checker.start(ways, bid)
         after, out = world.bids[0].begin(0)
-        world = check._bid(world, 0, after, out)
+        world = model_checker._bid(world, 0, after, out)
         for word in (
             "c0>v0 Prepare",
             "c0>v1 Prepare",
@@ -358,16 +360,18 @@
             "c1>v0 Accept 2 and back",
             "c1>v1 Accept 2 and back",
         ):
-            world = next((after for name, after in check.steps(world, ways) if name.startswith(word)), world)
-            if check.broken(world):
-                raise Broken(check.broken(world))
-        check.check(3, ways, world, bid)
+            world = next(
+                (after for name, after in model_checker.steps(world, ways) if name.startswith(word)), world
+            )
+            if model_checker.broken(world):
+                raise Broken(model_checker.broken(world))
+        model_checker.check(3, ways, world, bid)
 
     def through(self, ways, bid, *words):
         """An owner, and what happened then."""
-        world = check.owned(ways, bid)
+        world = model_checker.owned(ways, bid)
         for word in words:
-            world = next(after for name, after in check.steps(world, ways) if name == word)
+            world = next(after for name, after in model_checker.steps(world, ways) if name == word)
         return world
 
 
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -17,14 +17,14 @@
 
 import msgspec
 
+from pathsaddle.consensus.fencing import Fence
+from pathsaddle.consensus.udp_driver import steady
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_places
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.judge import judge
-from pathsaddle.ownership.driver import steady
-from pathsaddle.ownership.fence import Fence
 from pathsaddle.trade import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,17 +13,17 @@
 from pathsaddle.emulator.placement.mutants import MUTANTS, Unnumbered, Unrevised
 from pathsaddle.emulator.placement.policies import POLICIES
 from pathsaddle.emulator.placement.world import Site, Trouble, World
-from pathsaddle.placement.book import Book
-from pathsaddle.placement.check import broken
-from pathsaddle.placement.faults import PlacementFault, Refused
+from pathsaddle.placement.errors import PlacementFault, Refused
 from pathsaddle.placement.files import read
 from pathsaddle.placement.greedy import greedy
+from pathsaddle.placement.invariants import broken
 from pathsaddle.placement.inventory import Count, Demand, Inventory, Island, Kind, State, Target, Unit, demand
 from pathsaddle.placement.ledger import Memory
+from pathsaddle.placement.placement_state import Book
 from pathsaddle.placement.plan import WITHDRAW, plan_of
 from pathsaddle.placement.problem import figures, problem_of
+from pathsaddle.placement.rollout import Walk
 from pathsaddle.placement.solver import planned
-from pathsaddle.placement.walk import Walk
 
 ROOT = Path(__file__).resolve().parent.parent
 GPU = Kind("gpu", 8, 1000, 2, 10)
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -21,7 +21,7 @@
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.placement.judge import judged
 from pathsaddle.placement.__main__ import ticks
-from pathsaddle.placement.check import broken
+from pathsaddle.placement.invariants import broken
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, State, Target, Unit
 from pathsaddle.placement.ledger import made
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -14,24 +14,24 @@
 from typing import Any
 from unittest import mock
 
-from pathsaddle.charter.check import Faulty, check, explain
-from pathsaddle.charter.fellows import equal_part
-from pathsaddle.charter.form import IN_SERVICE, Charter
-from pathsaddle.charter.ground import CharterGround
-from pathsaddle.charter.service import WHY, in_service, restarts
-from pathsaddle.charter.told import told
 from pathsaddle.cli.show import TABLES
-from pathsaddle.fleet.purse import SECOND as TICKS
-from pathsaddle.fleet.state.limiter import WINDOW, Dealt, Limiter
-from pathsaddle.fleet.state.shares import Back, Lend, Loan, Want
+from pathsaddle.config.dispatcher import CharterGround
+from pathsaddle.config.fleet import equal_part
+from pathsaddle.config.loader import told
+from pathsaddle.config.reload import WHY, in_service, restarts
+from pathsaddle.config.schema import IN_SERVICE, Charter
+from pathsaddle.config.validation import Faulty, check, explain
+from pathsaddle.fleet.quota.leases import Back, Lend, Loan, Want
+from pathsaddle.fleet.quota.quota_limiter import WINDOW, Dealt, Limiter
+from pathsaddle.fleet.rate_limiter import SECOND as TICKS
+from pathsaddle.jobs.job_service import DurableTxnService, Ways
 from pathsaddle.jobs.store import Store, ThreadWriter
-from pathsaddle.jobs.txn_service import DurableTxnService, Ways
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.settings import applied
+from pathsaddle.settings import configuration
 from pathsaddle.trade import SECOND, ListNews, Outcome, Worker
 from tests.fakehost import FakeHost, scheme
 from tests.test_program import ROOT
@@ -274,7 +274,7 @@
 
 class RestartStory(unittest.TestCase):
     def named(self, before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-        found = applied.restarts(charter(**before), charter(**after))
+        found = configuration.restarts(charter(**before), charter(**after))
         self.assertEqual(
             found, [f"{key}: {why}" for key, why in restarts(charter(**before), charter(**after)).items()]
         )
@@ -328,7 +328,7 @@
 class RowsStory(unittest.TestCase):
     def test_rows_there_and_back_are_the_same_charter(self) -> None:
         one = charter(fleet=FLEET, name="d0", rules={"cold_time": "1234567.8ms"}, zones=["here", "b"])
-        rows = applied.rows_of(one)
+        rows = configuration.rows_of(one)
         self.assertEqual(
             sorted(rows),
             [
@@ -341,15 +341,15 @@
                 "zones",
             ],
         )
-        back = applied.charter_with(one, rows)
-        self.assertEqual(applied.rows_of(back), rows)
-        self.assertEqual(applied.differences(one, back), [])
-        anew = applied.charter_with(charter(fleet=FLEET, name="d0"), rows)
+        back = configuration.charter_with(one, rows)
+        self.assertEqual(configuration.rows_of(back), rows)
+        self.assertEqual(configuration.differences(one, back), [])
+        anew = configuration.charter_with(charter(fleet=FLEET, name="d0"), rows)
         self.assertEqual(anew.rules.cold_time, 12_345_678)
 
     def test_all_faults_are_told_by_their_row_and_nothing_is_left_behind(self) -> None:
         one = charter(fleet=FLEET, name="d0")
-        rows = applied.rows_of(one)
+        rows = configuration.rows_of(one)
         bad = {
             **rows,
             "customers.acme": b'{"allowance":-1,"portoin":0.1}',
@@ -361,7 +361,7 @@
             "members.d0": b"{}",
         }
         with self.assertRaises(Faulty) as caught:
-            applied.charter_with(one, bad)
+            configuration.charter_with(one, bad)
         self.assertEqual(
             sorted(fault.path for fault in caught.exception.faults),
             [
@@ -375,20 +375,22 @@
                 "zones",
             ],
         )
-        self.assertEqual(applied.rows_of(one), rows)
+        self.assertEqual(configuration.rows_of(one), rows)
         with self.assertRaises(Faulty) as caught:
-            applied.charter_with(
+            configuration.charter_with(
                 one, {**rows, "schemes.render": b'{"expiry":"5s","machine":"m9","semantics":"repeatable"}'}
             )
         self.assertEqual([fault.path for fault in caught.exception.faults], ["schemes.render.machine"])
 
     def test_what_did_not_change_is_not_read_again(self) -> None:
         one = charter()
-        rows = applied.rows_of(one)
-        two = applied.charter_with(one, {**rows, "customers.acme": b'{"allowance":7,"portion":0}'}, rows)
+        rows = configuration.rows_of(one)
+        two = configuration.charter_with(
+            one, {**rows, "customers.acme": b'{"allowance":7,"portion":0}'}, rows
+        )
         self.assertIs(two.schemes[1], one.schemes[0])
         self.assertEqual(
-            applied.differences(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')]
+            configuration.differences(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')]
         )
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import get_args
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.experiment import scale
 from pathsaddle.experiment.slope import LAWS
 
--- a/tests/test_settings_batch.py
+++ b/tests/test_settings_batch.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from pathsaddle.errors import Error
-from pathsaddle.settings import batch
-from pathsaddle.settings.batch import MADE, OUTRUN, REFUSED, SAME, Change, together
+from pathsaddle.settings import commit_round
+from pathsaddle.settings.commit_round import MADE, OUTRUN, REFUSED, SAME, Change, together
 from pathsaddle.settings.disk import Folder
+from pathsaddle.settings.documents import Group, Put, Wrong, canonical, digest_of
 from pathsaddle.settings.driver import KeeperProcess
-from pathsaddle.settings.faults import NoMajority, Outrun, Refused, Unfit
-from pathsaddle.settings.forms import Group, Put, Wrong, canonical, digest_of
+from pathsaddle.settings.errors import NoMajority, Outrun, Refused, Unfit
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
     BATCH,
@@ -204,10 +204,10 @@
 
     def test_that_planted_faults_are_found_by_it(self):
         for fault in (
-            mock.patch.object(batch, "expected", lambda change, revision: True),
+            mock.patch.object(commit_round, "expected", lambda change, revision: True),
             mock.patch.object(Store, "fits", lambda store, group: None),
             mock.patch.object(
-                batch,
+                commit_round,
                 "next_of",
                 lambda store, change: Group(
                     store.revision + 1, store.digest, change.author, change.reason, change.at, change.puts
@@ -500,7 +500,7 @@
 
     async def test_a_defect_ends_these_changes_alone(self):
         self.driver._says_fault = mock.Mock()
-        with mock.patch.object(batch, "together", side_effect=ZeroDivisionError("ours")):
+        with mock.patch.object(commit_round, "together", side_effect=ZeroDivisionError("ours")):
             found = await self.all({"rows": {"budgets.a": 1}}, {"rows": {"budgets.b": 1}})
         self.assertEqual([one.name for one in found if isinstance(one, Error)], ["settings.defect"] * 2)
         self.assertEqual((await self.all({"rows": {"budgets.a": 1}}))[0]["revision"], 2)
--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from pathsaddle.federation import versions
-from pathsaddle.federation.versions import Holder, Version, surely
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.settings import forms
-from pathsaddle.settings.check import LOOSER, TIGHTER, Forbidden, check, left_behind, walk
-from pathsaddle.settings.forms import (
+from pathsaddle import leased_versions
+from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.leased_versions import Holder, Version, surely
+from pathsaddle.settings import documents
+from pathsaddle.settings.active_terms import LIMITS, Terms, allows, narrower
+from pathsaddle.settings.documents import (
     START,
     Group,
     Put,
@@ -26,6 +26,7 @@
     group_at,
     snapshot_at,
 )
+from pathsaddle.settings.model_checker import LOOSER, TIGHTER, Forbidden, check, left_behind, walk
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
     ANSWER,
@@ -45,7 +46,6 @@
     nearest,
     size_of,
 )
-from pathsaddle.settings.terms import LIMITS, Terms, allows, narrower
 
 decode = msgspec.msgpack.Decoder(Said).decode
 encode = msgspec.msgpack.Encoder().encode
@@ -307,7 +307,7 @@
         store.append(group_of(store, {"members.m0": None}))
 
     def test_rows_are_bounded(self):
-        store = Store(Snapshot(1, "0" * 32, tuple((f"budgets.b{i:05}", b"1") for i in range(forms.ROWS))))
+        store = Store(Snapshot(1, "0" * 32, tuple((f"budgets.b{i:05}", b"1") for i in range(documents.ROWS))))
         with self.assertRaisesRegex(Wrong, "20000 at most"):
             store.append(group_of(store, {"budgets.more": 1}))
         store.append(group_of(store, {"budgets.b00000": None, "budgets.more": 1}))
@@ -339,9 +339,13 @@
         self.assertTrue(allows("customers.a", canonical({"portion": 0.5}), canonical({"portion": 0.1})))
 
     def test_the_defaults_are_the_charters(self):
-        from pathsaddle.charter import form
+        from pathsaddle.config import schema
 
-        for table, kind in (("customers", form.Customer), ("schemes", form.Scheme), ("rules", form.Rules)):
+        for table, kind in (
+            ("customers", schema.Customer),
+            ("schemes", schema.Scheme),
+            ("rules", schema.Rules),
+        ):
             defaults = dict(
                 zip(
                     kind.__struct_fields__[len(kind.__struct_fields__) - len(kind.__struct_defaults__) :],
@@ -429,7 +433,7 @@
     """versions.Keeper over rows, its history cut."""
 
     def keeper(self, *changes):
-        store, core = Store(), versions.Keeper(LEASE, 0)
+        store, core = Store(), leased_versions.Keeper(LEASE, 0)
         for puts in changes:
             store.append(group_of(store, puts))
             core = core.reads(
@@ -446,12 +450,12 @@
     def test_what_is_in_force_is_where_history_begins_and_a_member_cleared_by_a_lease_is_found_by_it(self):
         store, core = self.keeper(members_of(2, **{"customers.a": quota(5)}))
         core = (
-            core.hears(versions.Have("m0", 1, store.digest))
-            .hears(versions.Have("m1", 1, store.digest))
+            core.hears(leased_versions.Have("m0", 1, store.digest))
+            .hears(leased_versions.Have("m1", 1, store.digest))
             .judged(0)
         )
         core = self.more(store, core, {"customers.a": quota(9)}, 10)
-        core = core.hears(versions.Have("m0", 2, store.digest))
+        core = core.hears(leased_versions.Have("m0", 2, store.digest))
         self.assertEqual(core.waits_for(20), ("m1",))
         later = 10 + surely(LEASE)
         core = core.judged(later).cut(8)
@@ -459,7 +463,9 @@
         # m1, which has 1 on disk (5), is within 2 (9); 3 (7) forbids nothing of 1, but what is kept can't tell: waited for.
         core = self.more(store, core, {"customers.a": quota(7)}, later)
         self.assertEqual(core.waits_for(10 * later), ("m0", "m1"))
-        core = core.hears(versions.Have("m0", 3, store.digest)).hears(versions.Have("m1", 3, store.digest))
+        core = core.hears(leased_versions.Have("m0", 3, store.digest)).hears(
+            leased_versions.Have("m1", 3, store.digest)
+        )
         self.assertEqual(core.judged(later).force, 3)
 
     def test_of_every_version_the_highest_is_judged_alike_by_both_ways_and_none_above_one_that_waits(self):
@@ -470,7 +476,7 @@
                 core = self.more(store, core, {"customers.a": quota(chance.randrange(1, 9))}, 1000 * (i + 1))
                 for name in chance.sample(["m0", "m1", "m2"], chance.randrange(4)):
                     revision = chance.randrange(1, store.revision + 1)
-                    core = core.hears(versions.Have(name, revision, store.digest_at(revision)))
+                    core = core.hears(leased_versions.Have(name, revision, store.digest_at(revision)))
             now = chance.randrange(0, 2 * LEASE)
             each = core.judged_each(now, {})
             self.assertEqual(each.force == core.known[0], not core.waits_for(now))
@@ -501,7 +507,7 @@
         store, core = self.keeper(members_of(1, **{"customers.a": quota(5)}))
         for i in range(3700):
             core = self.more(store, core, {"customers.a": quota(6 + i)}, i)
-            core = core.hears(versions.Have("m0", store.revision, store.digest)).judged(i).cut(256)
+            core = core.hears(leased_versions.Have("m0", store.revision, store.digest)).judged(i).cut(256)
             self.assertEqual(len(core.history), 1)
 
 
@@ -915,7 +921,9 @@
         self.found(
             "in-force",
             mock.patch.object(
-                versions.Keeper, "judged_each", lambda core, now, memo: replace(core, force=core.known[0])
+                leased_versions.Keeper,
+                "judged_each",
+                lambda core, now, memo: replace(core, force=core.known[0]),
             ),
         )
 
@@ -959,7 +967,7 @@
 
     def test_a_commit_of_an_offer_that_is_acted_by_unkept_is_found(self):
         def knows(member, known):
-            member.holder = member.holder.told(versions.Commit(*known))[0]
+            member.holder = member.holder.told(leased_versions.Commit(*known))[0]
 
         self.found("back", mock.patch.object(Member, "_knows", knows))
 
@@ -984,10 +992,10 @@
             keeper.core = keeper.core.cut(8)
             judged(keeper, now)
 
-        whole, judged = versions.Keeper.cut, Keeper.judges
+        whole, judged = leased_versions.Keeper.cut, Keeper.judges
         self.found(
             "in-force",
-            mock.patch.object(versions.Keeper, "cut", cut),
+            mock.patch.object(leased_versions.Keeper, "cut", cut),
             mock.patch.object(Keeper, "judges", judges),
             depth=7,
         )
--- a/tests/test_settings_disk.py
+++ b/tests/test_settings_disk.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from pathsaddle.settings import disk, wire
+from pathsaddle.settings import datagrams, disk
 from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.faults import NoDisk
-from pathsaddle.settings.forms import Group, Put, canonical, digest_of
+from pathsaddle.settings.documents import Group, Put, canonical, digest_of
+from pathsaddle.settings.errors import NoDisk
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
     GROUP,
@@ -73,14 +73,14 @@
     def test_each_message_comes_as_it_went_and_takes_the_bytes_that_the_purse_paid(self):
         for said in self.said():
             with self.subTest(type(said).__name__):
-                data = wire.encode(said, KEY)
-                self.assertEqual(wire.decode(data, KEY), said)
+                data = datagrams.encode(said, KEY)
+                self.assertEqual(datagrams.decode(data, KEY), said)
                 self.assertEqual(len(data), size_of(said))
 
     def test_what_is_cut_a_strangers_of_another_form_or_means_nothing_is_refused_by_its_reason(self):
-        data = wire.encode(self.said()[0], KEY)
-        with mock.patch.object(wire, "FORM", 84):
-            newer = wire.encode(self.said()[0], KEY)
+        data = datagrams.encode(self.said()[0], KEY)
+        with mock.patch.object(datagrams, "FORM", 84):
+            newer = datagrams.encode(self.said()[0], KEY)
         bad = [
             ("cut", data[:9]),
             ("stranger", data[:-1] + bytes((data[-1] ^ 1,))),
@@ -101,24 +101,24 @@
             Announce("k", GROUP, "d", (1, self.D), 3),
             Haves("k", ((1, "x", ("m",)),)),
         ):
-            bad.append(("cut", wire.encode(said, KEY)))
+            bad.append(("cut", datagrams.encode(said, KEY)))
         for why, one in bad:
-            with self.subTest(why), self.assertRaisesRegex(wire.Refused, why):
-                wire.decode(one, KEY)
-        with self.assertRaisesRegex(wire.Refused, "stranger"):
-            wire.decode(data, b"another key of ours")
+            with self.subTest(why), self.assertRaisesRegex(datagrams.Refused, why):
+                datagrams.decode(one, KEY)
+        with self.assertRaisesRegex(datagrams.Refused, "stranger"):
+            datagrams.decode(data, b"another key of ours")
 
     def test_bytes_that_chance_changed_are_refused_and_nothing_else_is_raised(self):
         chance = random.Random(7)
         for _ in range(2000):
-            body = bytearray(bytes((wire.FORM,)) + msgspec.msgpack.encode(chance.choice(self.said())))
+            body = bytearray(bytes((datagrams.FORM,)) + msgspec.msgpack.encode(chance.choice(self.said())))
             for _ in range(chance.randrange(1, 4)):
                 body[chance.randrange(len(body))] = chance.randrange(256)
-            data = bytes(body) + wire.hmac.digest(KEY, bytes(body), "sha256")[:16]
+            data = bytes(body) + datagrams.hmac.digest(KEY, bytes(body), "sha256")[:16]
             try:
-                wire.decode(data, KEY)
-            except wire.Refused as why:
-                self.assertIn(str(why), wire.REASONS)
+                datagrams.decode(data, KEY)
+            except datagrams.Refused as why:
+                self.assertIn(str(why), datagrams.REASONS)
 
 
 class FolderStory(unittest.TestCase):
--- a/tests/test_settings_driver.py
+++ b/tests/test_settings_driver.py
@@ -8,12 +8,12 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.fleet.purse import Purse
-from pathsaddle.ownership.driver import steady
+from pathsaddle.consensus.udp_driver import steady
+from pathsaddle.fleet.rate_limiter import Purse
 from pathsaddle.settings.disk import Folder
+from pathsaddle.settings.documents import Group, Put, canonical, digest_of
 from pathsaddle.settings.driver import MemberDriver, Told
-from pathsaddle.settings.faults import NoDisk
-from pathsaddle.settings.forms import Group, Put, canonical, digest_of
+from pathsaddle.settings.errors import NoDisk
 from pathsaddle.settings.sync import Commit, Have, Member, Write
 
 KEY = b"sixteen bytes or more"
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -25,8 +25,8 @@
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.errors import Error
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.asking import ask
-from pathsaddle.settings.forms import hashed
+from pathsaddle.settings.control_client import ask
+from pathsaddle.settings.documents import hashed
 from tests.ports import tcp_port
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_settings_serve.py
+++ b/tests/test_settings_serve.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import ClassVar
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.errors import Error
-from pathsaddle.settings.applied import fitting
-from pathsaddle.settings.asking import ask
+from pathsaddle.settings.configuration import fitting
+from pathsaddle.settings.control_client import ask
 from tests.test_program import ROOT
 from tests.test_settings_processes import free
 from tests.test_shutdown import READY, Shutdown, job
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.hollow import settings as hollow
 from pathsaddle.emulator.settings import smoke
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,8 +5,8 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.fleet.state import check
-from pathsaddle.fleet.state.shares import Loan, State, born
+from pathsaddle.fleet.quota import model_checker
+from pathsaddle.fleet.quota.leases import Loan, State, born
 
 LEASE = 10_000
 
@@ -118,7 +118,7 @@
     """Three members with two units each: asked, lent, taken, doubled, late, clocks 1% slow, begun anew."""
 
     def test_the_bound_holds_in_every_world_within_six_steps(self):
-        count = check.check(6)
+        count = model_checker.check(6)
         print(f"shares: {count} worlds to depth 6", flush=True)
         self.assertGreater(count, 100_000)
 
@@ -126,11 +126,11 @@
         """With loans that go on and loans given back. To depth 9,
         2.9 million worlds of (2, 0) and 5.7 of (1, 1), by hand.
         """
-        count = check.check(7, parts=(2, 0), uses=True)
+        count = model_checker.check(7, parts=(2, 0), uses=True)
         print(f"uses: {count} worlds to depth 7", flush=True)
         self.assertGreater(count, 100_000)
-        with mock.patch.object(check, "WINDOW", 0), self.assertRaises(check.Exceeded):
-            check.check(4, parts=(1, 1), uses=True)
+        with mock.patch.object(model_checker, "WINDOW", 0), self.assertRaises(model_checker.Exceeded):
+            model_checker.check(4, parts=(1, 1), uses=True)
 
     def test_what_breaks_the_bound_is_found(self):
         """A lease counted from its arrival, a loan credited twice,
@@ -166,8 +166,8 @@
             "forgets": mock.patch.object(State, "own", forgets),
             "owner's short": mock.patch.object(State, "_surely", lambda self: surely(self) // 2),
         }.items():
-            with self.subTest(name), patch, self.assertRaises(check.Exceeded):
-                check.check(depths.get(name, 6), parts=(2, 0))
+            with self.subTest(name), patch, self.assertRaises(model_checker.Exceeded):
+                model_checker.check(depths.get(name, 6), parts=(2, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.charter.check import Faulty
+from pathsaddle.config.validation import Faulty
 from pathsaddle.emulator import plan as plans
 from pathsaddle.emulator.federation import smoke
 from pathsaddle.emulator.steps import Steps
