--- a/pathsaddle/cli/fleet.py
+++ b/pathsaddle/cli/fleet.py
@@ -13,8 +13,8 @@
 def _asked(charter: str, word: str) -> Any:
     """By the control address that a charter names, or that stands in its place."""
     from pathsaddle.cli.stop import NoControl
-    from pathsaddle.config.loader import read
-    from pathsaddle.fleet.control_client import NoAddress, asked
+    from pathsaddle.config.loader import read_configuration
+    from pathsaddle.fleet.control_client import MissingControlAddressError, query_dispatcher
 
     address = charter
     if (
@@ -23,13 +23,13 @@
         and "/" not in charter
         and (not charter.rpartition(":")[1])
     ):
-        raise NoAddress(address=charter)
+        raise MissingControlAddressError(address=charter)
     if not charter.rpartition(":")[2].isdigit():
-        told = read(charter)
+        told = read_configuration(charter)
         if told.fleet is None or not told.fleet.control:
             raise NoControl(charter=charter)
         address = told.fleet.control
-    return asked(address, word)
+    return query_dispatcher(address, word)
 
 
 @click.group()
--- a/pathsaddle/cli/jobs.py
+++ b/pathsaddle/cli/jobs.py
@@ -60,11 +60,11 @@
 @click.argument("job")
 def show(store: str, job: str) -> None:
     """One JOB of a STORE, with its result."""
-    from pathsaddle.jobs.store import NoJob, rows
+    from pathsaddle.jobs.store import JobNotFoundError, rows
 
     found = [(told, one) for told, one in rows(Path(store)) if one.tag == job]
     if not found:
-        raise NoJob(path=store, job=job)
+        raise JobNotFoundError(path=store, job=job)
     told, one = found[0]
     click.echo(json.dumps({**_shown(told, one), "result": one.result.decode(errors="replace")}, indent=1))
 
--- a/pathsaddle/cli/main.py
+++ b/pathsaddle/cli/main.py
@@ -31,10 +31,10 @@
 @click.option("--log-form", type=click.Choice(["text", "json"]), help="Instead of what the charter says.")
 def serve(charter: str, log_form: str | None) -> None:
     """Serve by the operator's CHARTER, in the foreground, until SIGTERM or Ctrl-C. SIGHUP rereads it."""
-    from pathsaddle.config.dispatcher import CharterGround
+    from pathsaddle.config.dispatcher import ConfiguredDispatcher
     from pathsaddle.net.service import logbook, start
 
-    ground = CharterGround(Path(charter), log_form)
+    ground = ConfiguredDispatcher(Path(charter), log_form)
     ground.open_log()
     try:
         start.run(ground)
@@ -52,13 +52,13 @@
 def check(file: str | None, explain: bool, plan: bool) -> None:
     """Check a charter, or a plan, and say all that is wrong in it, one line a fault."""
     from pathsaddle.cli.show import explained
-    from pathsaddle.config.loader import read
-    from pathsaddle.config.schema import IN_SERVICE, Charter
-    from pathsaddle.config.validation import explain as rows
+    from pathsaddle.config.loader import read_configuration
+    from pathsaddle.config.schema import RELOADABLE_KEYS, Configuration
+    from pathsaddle.config.validation import explain_keys as rows
     from pathsaddle.emulator import plan as plans
 
     if explain:
-        click.echo(explained(rows(plans.Plan)) if plan else explained(rows(Charter), IN_SERVICE))
+        click.echo(explained(rows(plans.Plan)) if plan else explained(rows(Configuration), RELOADABLE_KEYS))
         if plan:
             from pathsaddle.experiment import scale
 
@@ -72,7 +72,7 @@
 
         grounds.read(file)
     else:
-        read(file)
+        read_configuration(file)
     click.echo(f"{file}: nothing is wrong")
 
 
--- a/pathsaddle/cli/settings.py
+++ b/pathsaddle/cli/settings.py
@@ -31,25 +31,27 @@
 def _addresses(at: str) -> list[str]:
     if at.rpartition(":")[2].isdigit() and not Path(at).exists():
         return [at]
-    from pathsaddle.settings.cluster_file import ground_of
-    from pathsaddle.settings.errors import BadFile
+    from pathsaddle.settings.cluster_file import load_cluster_file
+    from pathsaddle.settings.errors import ClusterFileError
 
-    found = [row.control for row in ground_of(at).keepers.values() if row.control]
+    found = [row.control for row in load_cluster_file(at).keepers.values() if row.control]
     if not found:
-        raise BadFile(f"{at}: no keeper has a control address", f"write one at keepers.NAME.control in {at}")
+        raise ClusterFileError(
+            f"{at}: no keeper has a control address", f"write one at keepers.NAME.control in {at}"
+        )
     return found
 
 
 def _asked(at: str, word: str, patience: float = 5.0, **more: Any) -> tuple[str, dict[str, Any]]:
     """Of the first keeper that answers; who it is."""
-    from pathsaddle.settings.control_client import ask
-    from pathsaddle.settings.errors import Unreached
+    from pathsaddle.settings.control_client import query
+    from pathsaddle.settings.errors import ServerUnreachableError
 
     addresses = _addresses(at)
     for address in addresses:
         try:
-            return address, ask(address, word, patience, **more)
-        except Unreached as fault:
+            return address, query(address, word, patience, **more)
+        except ServerUnreachableError as fault:
             # Nobody took the connection: nothing was asked. Of anything else nobody knows what came of it.
             if address == addresses[-1] or not _unheard(fault):
                 raise
@@ -102,12 +104,12 @@
     """Commit the rows of FILE, all or none: [customers.NAME], [schemes.NAME], [budgets], [members.NAME], zones, [rules],
     and `remove = [keys]`.
     """
-    from pathsaddle.config.validation import load
-    from pathsaddle.settings.changes import puts_of, written
-    from pathsaddle.settings.errors import Waits
+    from pathsaddle.config.validation import load_toml
+    from pathsaddle.settings.changes import changes_from_tables, parse_change_file
+    from pathsaddle.settings.errors import NotYetActiveError
 
-    rows, remove = written(load(file))
-    puts_of(rows, remove)
+    rows, remove = parse_change_file(load_toml(file))
+    changes_from_tables(rows, remove)
     begun = time.monotonic()
     address, told = _asked(
         at,
@@ -131,7 +133,7 @@
         if as_json:
             click.echo(json.dumps(told))
         if not state["in_force"]:
-            raise Waits(
+            raise NotYetActiveError(
                 revision=told["revision"],
                 within=within,
                 names=", ".join(state["waits_for"]) or "leases to end",
@@ -143,11 +145,11 @@
 
 
 def _forced(address: str, revision: int, until: float, shows: bool) -> dict[str, Any]:
-    from pathsaddle.settings.control_client import ask
+    from pathsaddle.settings.control_client import query
 
     shown: list[str] | None = None
     while True:
-        state = ask(address, "status", revision=revision)
+        state = query(address, "status", revision=revision)
         if state["in_force"] or time.monotonic() >= until:
             return state
         if shows and state["waits_for"] != shown:
--- a/pathsaddle/config/fleet.py
+++ b/pathsaddle/config/fleet.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from pathsaddle.config.schema import Charter
-from pathsaddle.fleet.membership import Ways
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.udp_driver import Told
+from pathsaddle.config.schema import Configuration
+from pathsaddle.fleet.membership import MembershipOptions
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.udp_driver import MembershipConfig
 
 
-def told(charter: Charter, file: str = "the charter") -> Told:
+def membership_config(charter: Configuration, file: str = "the charter") -> MembershipConfig:
     fleet = charter.fleet
     assert fleet is not None
-    ways = Ways(
+    ways = MembershipOptions(
         fleet.name,
         fleet.key.encode(),
         int(fleet.beat),
@@ -20,8 +20,8 @@
         fleet.datagrams,
         lifeguard=fleet.lifeguard,
     )
-    budgets = dealt(charter) or None
-    return Told(
+    budgets = quota_configs(charter) or None
+    return MembershipConfig(
         charter.name,
         charter.zone or charter.zones[0],
         fleet.listen,
@@ -34,12 +34,12 @@
     )
 
 
-def dealt(charter: Charter) -> dict[str, Dealt]:
+def quota_configs(charter: Configuration) -> dict[str, QuotaConfig]:
     """The budgets with this member's parts, by name."""
     fleet = charter.fleet
     assert fleet is not None
     return {
-        name: Dealt(
+        name: QuotaConfig(
             rate,
             fleet.parts.get(name, equal_part(rate, charter.dispatchers, charter.number)),
             int(fleet.lease),
--- a/pathsaddle/config/loader.py
+++ b/pathsaddle/config/loader.py
@@ -5,19 +5,19 @@
 from pathlib import Path
 from typing import Any
 
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check, load
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import load_toml, validate
 
 TICK = 100_000  # nanoseconds in a tenth of a millisecond
 SEMANTICS = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
 
 
-def read(path: str | Path) -> Charter:
+def read_configuration(path: str | Path) -> Configuration:
     """The checked file; raises Faulty."""
-    return check(Charter, load(path), str(path))
+    return validate(Configuration, load_toml(path), str(path))
 
 
-def settings(charter: Charter) -> dict[str, Any]:
+def platform_settings(charter: Configuration) -> dict[str, Any]:
     """The object that the platform calls `settings`."""
 
     def ns(ticks: int | None) -> int:
@@ -92,7 +92,7 @@
     }
 
 
-def told(charter: Charter, known: dict[str, Any] | None = None) -> dict[str, Any]:
+def platform_config(charter: Configuration, known: dict[str, Any] | None = None) -> dict[str, Any]:
     """What the platform's file would say of the same dispatcher."""
     return {
         "name": charter.name,
@@ -101,5 +101,5 @@
         "seed": charter.seed,
         "limits": {"sockets": charter.limits.sockets, "memory_mb": charter.limits.memory / 1e6},
         "known": known or {"index": 0, "snapshot": True, "endpoints": []},
-        "settings": settings(charter),
+        "settings": platform_settings(charter),
     }
--- a/pathsaddle/config/metering.py
+++ b/pathsaddle/config/metering.py
@@ -91,7 +91,7 @@
         return super().report_in(answer)
 
 
-class Metered:
+class DispatcherMetering:
     """One dispatcher's meter, its budget, and what others are told of it. `memory_mb`: the process's own."""
 
     def __init__(self, budget: Control, counters: Counters, memory_mb: Callable[[], float]) -> None:
--- a/pathsaddle/config/reload.py
+++ b/pathsaddle/config/reload.py
@@ -2,10 +2,10 @@
 
 Two charters are compared by key. What may change does, between two events of the running dispatcher; what may not is
 named with the reason. A txn that was taken goes to its end by the scheme under which it was taken. Lowered or raised, a
-quota and a rule's figure bind from the next decision on, a budget as `fleet/state/limiter.py` has it.
+quota and a rule's figure bind from the next decision on, a budget as `fleet/quota/quota_limiter.py` has it.
 
-An operator's file read again and rows of shared settings (`settings/applied.py`) go this one road, which ends in the road
-that a start takes (`charter/told.py`): no value is read in two ways. What it costs grows with what has changed, but for
+An operator's file read again and rows of shared settings (`settings/configuration.py`) go this one road, which ends in the road
+that a start takes (`config/loader.py`): no value is read in two ways. What it costs grows with what has changed, but for
 one look at each name.
 """
 
@@ -17,16 +17,22 @@
 
 from msgspec.structs import replace
 
-from pathsaddle.config.loader import settings
-from pathsaddle.config.schema import IN_SERVICE, Charter, Customer, Scheme, changes
-from pathsaddle.config.validation import Amiss
+from pathsaddle.config.loader import platform_settings
+from pathsaddle.config.schema import (
+    RELOADABLE_KEYS,
+    Configuration,
+    RequestClassTable,
+    TenantTable,
+    changed_keys,
+)
+from pathsaddle.config.validation import InvalidValueError
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import terms
 from pathsaddle.trade import Customer as Known
 from pathsaddle.trade import Scheme as Kind
 
-Row = TypeVar("Row", Scheme, Customer)
-WHY = {  # by table or key, the longest that fits
+Row = TypeVar("Row", RequestClassTable, TenantTable)
+RESTART_REASONS = {  # by table or key, the longest that fits
     "listen": "the address is had at the start",
     "name": "others and the log know the process by it",
     "seed": "all chance was drawn from it at the start",
@@ -51,19 +57,23 @@
 }
 
 
-def restarts(before: Charter, after: Charter) -> dict[str, str]:
+def restart_reasons(before: Configuration, after: Configuration) -> dict[str, str]:
     """The keys that differ and ask for a restart, each with the reason."""
     found = {}
-    for key in changes(before, after):
-        if key not in IN_SERVICE:
+    for key in changed_keys(before, after):
+        if key not in RELOADABLE_KEYS:
             parts = key.split(".")
-            found[key] = next(WHY[at] for n in range(len(parts), 0, -1) if (at := ".".join(parts[:n])) in WHY)
+            found[key] = next(
+                RESTART_REASONS[at]
+                for n in range(len(parts), 0, -1)
+                if (at := ".".join(parts[:n])) in RESTART_REASONS
+            )
     if bool(before.customers) != bool(after.customers):
         found["customers"] = (
             "without any customer anybody may send, with one nobody else: calls under way can't be told which"
         )
-    if home(before) != home(after):
-        found["zone" if before.zone != after.zone else "zones"] = WHY["zone"]
+    if home_zone(before) != home_zone(after):
+        found["zone" if before.zone != after.zone else "zones"] = RESTART_REASONS["zone"]
     if before.federation is not None and _kinds(before) != _kinds(after):
         found["schemes"] = (
             "names and semantics stand in the federation's spec too, which is held against them at the start"
@@ -73,41 +83,41 @@
             found["fleet.budgets"] = "a member that began without any carries nothing shared"
     elif (before.fleet is None) != (after.fleet is None):
         # Its budgets as well: with the table itself they come and go, and there is nothing to take them into.
-        found["fleet"] = found["fleet.budgets"] = WHY["fleet"]
+        found["fleet"] = found["fleet.budgets"] = RESTART_REASONS["fleet"]
     return found
 
 
-def home(charter: Charter) -> str:
+def home_zone(charter: Configuration) -> str:
     return charter.zone if charter.zone is not None else charter.zones[0]
 
 
-def _kinds(charter: Charter) -> dict[str, str]:
+def _kinds(charter: Configuration) -> dict[str, str]:
     return {scheme.name: scheme.semantics for scheme in charter.schemes}
 
 
-def in_service(before: Charter, after: Charter) -> tuple[Charter, dict[str, str]]:
+def reloaded(before: Configuration, after: Configuration) -> tuple[Configuration, dict[str, str]]:
     """What the dispatcher of `before` can serve by now that `after` is wanted, and the keys that stay, with the reason:
     those that ask for a restart, and such as do not fit them.
     """
-    stays = restarts(before, after)
-    made = _of(before, after, [key for key in changes(before, after) if key not in stays])
+    stays = restart_reasons(before, after)
+    made = _of(before, after, [key for key in changed_keys(before, after) if key not in stays])
     amiss = list(_amiss(made))
     if amiss:
         kept = ("discovery", "log.level")
-        for key in changes(before, after):
+        for key in changed_keys(before, after):
             if key not in kept and key not in stays:
                 stays[key] = f"beside what stays: {amiss[0].of('the charter', '')}"
         made = _of(before, after, list(kept))
     return made, stays
 
 
-def _amiss(charter: Charter) -> Iterator[Amiss]:
+def _amiss(charter: Configuration) -> Iterator[InvalidValueError]:
     yield from charter.amiss()
     if charter.fleet is not None:
         yield from charter.fleet.amiss()
 
 
-def _of(before: Charter, after: Charter, keys: list[str]) -> Charter:
+def _of(before: Configuration, after: Configuration, keys: list[str]) -> Configuration:
     """`before` with these keys of `after`."""
     top: dict[str, object] = {}
     tables: dict[str, dict[str, object]] = {}
@@ -122,7 +132,7 @@
     return replace(before, **top)
 
 
-def differing(old: list[Row], new: list[Row]) -> dict[str, Row | None]:
+def changed_rows(old: list[Row], new: list[Row]) -> dict[str, Row | None]:
     """By name what is new or has changed, None for what is gone."""
     had = {row.name: row for row in old}
     found: dict[str, Row | None] = {row.name: row for row in new if had.get(row.name) != row}
@@ -130,16 +140,16 @@
     return found | {name: None for name in had if name not in names}
 
 
-def retune(service: TxnService, before: Charter, after: Charter) -> None:
+def apply_reload(service: TxnService, before: Configuration, after: Configuration) -> None:
     """Takes `after` into service where txns are served by `before`: as `in_service` has made it, so that nothing
     in it asks for a restart.
     """
     schemes, customers = (
-        differing(before.schemes, after.schemes),
-        differing(before.customers, after.customers),
+        changed_rows(before.schemes, after.schemes),
+        changed_rows(before.customers, after.customers),
     )
     made = terms.terms(
-        settings(
+        platform_settings(
             replace(
                 after,
                 schemes=[one for one in schemes.values() if one is not None],
--- a/pathsaddle/config/schema.py
+++ b/pathsaddle/config/schema.py
@@ -11,7 +11,16 @@
 
 from pathsaddle.config.register_schema import Owners
 from pathsaddle.config.units import Duration, Size
-from pathsaddle.config.validation import Amiss, Fault, Missing, NotAmong, OutOfBounds, TooLong, Twice, shown
+from pathsaddle.config.validation import (
+    ConfigKeyError,
+    DuplicateError,
+    InvalidValueError,
+    MissingKeyError,
+    NotAllowedValueError,
+    OutOfBoundsError,
+    TooLongError,
+    display_value,
+)
 
 Part = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
@@ -28,45 +37,45 @@
 MIB = 1 << 20
 
 
-class Form(Struct, kw_only=True, forbid_unknown_fields=True):
+class ConfigTable(Struct, kw_only=True, forbid_unknown_fields=True):
     """A table of the file."""
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         """What in it doesn't fit together, beyond each key's own kind; asked where each key is of its kind."""
         yield from ()
 
 
-class NeedsWindow(Fault):
+class WindowRequiredError(ConfigKeyError):
     name = "charter.needs-window"
     what = "a referenced scheme needs a window, and {scheme} has none"
     do = 'write at {path} for how long its workers drop repeats, such as "6s", or make it repeatable'
 
 
-class NotLoopback(Fault):
+class NotLoopbackError(ConfigKeyError):
     name = "charter.not-loopback"
     what = "{shown} stands there, which others reach, and nobody signs in there"
     do = 'write an address of the loopback, such as "127.0.0.1:7199", at {path}'
 
 
-class NotReached(Fault):
+class UnreachableAddressError(ConfigKeyError):
     name = "charter.not-reached"
     what = "{shown} stands there, to which no other member can send"
     do = "write at {path} the address, host:port, by which the others reach this one"
 
 
-class TooSlow(Fault):
+class TooSlowError(ConfigKeyError):
     name = "charter.patience"
     what = "patience {patience} leaves no time for asking others within a beat of {beat}"
     do = "write less than half of the beat, and more than 0, at {path}"
 
 
-class NeedsName(Fault):
+class NameRequiredError(ConfigKeyError):
     name = "charter.needs-name"
     what = 'with a fleet each dispatcher needs a name of its own, and "pathsaddle" is what all have'
     do = "write a name that no other member has at {path}"
 
 
-class Limits(Form):
+class Limits(ConfigTable):
     """What the process may take of its machine.
 
     sockets: descriptors it may hold; a quarter of what is free at start is for connections to workers.
@@ -79,12 +88,14 @@
     memory: Size = Size(192 * MIB)
     open: Count | None = None
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         if self.memory < 32_000_000:  # the program itself takes 21 MB: it would warn four times a second
-            yield Amiss("memory", OutOfBounds, shown=shown(self.memory), may='a size of at least "32MB"')
+            yield InvalidValueError(
+                "memory", OutOfBoundsError, shown=display_value(self.memory), may='a size of at least "32MB"'
+            )
 
 
-class Scheme(Form):
+class RequestClassTable(ConfigTable):
     """A kind of job.
 
     name: as the first part of a call's path says it.
@@ -111,22 +122,24 @@
     window: Duration = Duration(0)
     machine: str | None = None
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         if not re.fullmatch(r"[A-Za-z0-9._~-]+", self.name) or self.name in ("ready", "callback"):
-            yield Amiss(
+            yield InvalidValueError(
                 "name",
-                NotAmong,
-                shown=shown(self.name),
+                NotAllowedValueError,
+                shown=display_value(self.name),
                 may="letters, digits and ._~- "
                 "(a call's path begins with it; `ready` and `callback` are taken)",
             )
         if self.semantics == "referenced" and not self.window:
-            yield Amiss("window", NeedsWindow, scheme=self.name)
+            yield InvalidValueError("window", WindowRequiredError, scheme=self.name)
         if not self.expiry:
-            yield Amiss("expiry", OutOfBounds, shown=shown(self.expiry), may='a time above "0ms"')
+            yield InvalidValueError(
+                "expiry", OutOfBoundsError, shown=display_value(self.expiry), may='a time above "0ms"'
+            )
 
 
-class Customer(Form):
+class TenantTable(ConfigTable):
     """Who sends jobs.
 
     name: as the header of a call says it.
@@ -139,7 +152,7 @@
     portion: Part = 0.0
 
 
-class Rules(Form):
+class Rules(ConfigTable):
     """The figures of the rules.
 
     answer_slack: by how much a final answer may come after expiry.
@@ -163,7 +176,7 @@
     fall_time: Duration = Duration(2 * S)
 
 
-class Allowed(Form):
+class Allowed(ConfigTable):
     """What a dispatcher may do.
 
     postings: for one txn at most.
@@ -180,7 +193,7 @@
     come_back: Duration = Duration(2 * S)
 
 
-class Reports(Form):
+class Reports(ConfigTable):
     """What workers tell of themselves.
 
     source: where their load reports stand.
@@ -197,7 +210,7 @@
     order: Literal["fifo", "backfill", "priority"] = "fifo"
 
 
-class Prices(Form):
+class Prices(ConfigTable):
     """What things cost, in units of the mean job's value.
 
     cross: a job that crosses zones.
@@ -218,7 +231,7 @@
     by_work: bool = False
 
 
-class Reach(Form):
+class Reach(ConfigTable):
     """Connections to workers.
 
     connect: how long one may take to come up.
@@ -229,7 +242,7 @@
     idle: Duration = Duration(60 * S)
 
 
-class Jobs(Form):
+class Jobs(ConfigTable):
     """Durable jobs: taken on by a store on disk, recovered after a crash.
 
     path: the store's file, on a disk that lasts; one process alone may have it.
@@ -248,7 +261,7 @@
     margin: Duration = Duration(50 * MS)
 
 
-class Fleet(Form):
+class FleetTable(ConfigTable):
     """This dispatcher among others: who else is there, told by datagrams; off where the table is missing.
 
     name: the fleet's; datagrams of another are not read.
@@ -287,59 +300,78 @@
     lease: Duration = Duration(10 * S)
     owners: Owners | None = None
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         if self.control and not self.control.startswith("127."):
-            yield Amiss("control", NotLoopback, shown=shown(self.control))
+            yield InvalidValueError("control", NotLoopbackError, shown=display_value(self.control))
         if not re.fullmatch(NAME, self.name):
-            yield Amiss("name", NotAmong, shown=shown(self.name), may="1 to 64 letters, digits and ._-")
+            yield InvalidValueError(
+                "name",
+                NotAllowedValueError,
+                shown=display_value(self.name),
+                may="1 to 64 letters, digits and ._-",
+            )
         if self.control.endswith(":0"):
-            yield Amiss(
+            yield InvalidValueError(
                 "control",
-                OutOfBounds,
-                shown=shown(self.control),
+                OutOfBoundsError,
+                shown=display_value(self.control),
                 may="a port above 0, which can be asked at,",
             )
         for i, seed in enumerate(self.seeds):
             if seed.endswith(":0"):
-                yield Amiss(
-                    f"seeds[{i}]", OutOfBounds, shown=shown(seed), may="fleet.address of another member"
+                yield InvalidValueError(
+                    f"seeds[{i}]",
+                    OutOfBoundsError,
+                    shown=display_value(seed),
+                    may="fleet.address of another member",
                 )
         where = self.address or self.listen
         if where.startswith("0.0.0.0:") or where.endswith(":0"):
-            yield Amiss("address", NotReached, shown=shown(where))
+            yield InvalidValueError("address", UnreachableAddressError, shown=display_value(where))
         if not self.listen:
-            yield Amiss("listen", Missing, may="an address, host:port")
+            yield InvalidValueError("listen", MissingKeyError, may="an address, host:port")
         if self.beat < 50 * MS:
-            yield Amiss("beat", OutOfBounds, shown=shown(self.beat), may="50ms at least")
+            yield InvalidValueError(
+                "beat", OutOfBoundsError, shown=display_value(self.beat), may="50ms at least"
+            )
         elif not 0 < self.patience < self.beat // 2:
-            yield Amiss("patience", TooSlow, patience=shown(self.patience), beat=shown(self.beat))
+            yield InvalidValueError(
+                "patience", TooSlowError, patience=display_value(self.patience), beat=display_value(self.beat)
+            )
         if len(self.budgets) > 16:
-            yield Amiss("budgets", TooLong, shown="a table", count=len(self.budgets), unit="budgets", most=16)
+            yield InvalidValueError(
+                "budgets", TooLongError, shown="a table", count=len(self.budgets), unit="budgets", most=16
+            )
         for name in self.budgets:
             if not re.fullmatch(r"[A-Za-z0-9_.-]{1,32}", name):
-                yield Amiss(
-                    "budgets", NotAmong, shown=shown(name), may="names of 1 to 32 letters, digits and ._-"
+                yield InvalidValueError(
+                    "budgets",
+                    NotAllowedValueError,
+                    shown=display_value(name),
+                    may="names of 1 to 32 letters, digits and ._-",
                 )
         for name, part in self.parts.items():
             if name not in self.budgets:
-                yield Amiss(
+                yield InvalidValueError(
                     f"parts.{name}",
-                    NotAmong,
-                    shown=shown(name),
+                    NotAllowedValueError,
+                    shown=display_value(name),
                     may=f"a name of budgets ({', '.join(self.budgets) or 'none is there'})",
                 )
             elif part > self.budgets[name]:
-                yield Amiss(
+                yield InvalidValueError(
                     f"parts.{name}",
-                    OutOfBounds,
-                    shown=shown(part),
+                    OutOfBoundsError,
+                    shown=display_value(part),
                     may=f"at most budgets.{name} ({self.budgets[name]})",
                 )
         if not 2 * S <= self.lease <= 600 * S:
-            yield Amiss("lease", OutOfBounds, shown=shown(self.lease), may="2s to 10min")
+            yield InvalidValueError(
+                "lease", OutOfBoundsError, shown=display_value(self.lease), may="2s to 10min"
+            )
 
 
-class Federation(Form):
+class Federation(ConfigTable):
     """Other regions, by the spec that `ground` names.
 
     ground: the file of the federation's members and keepers (docs/federation.md).
@@ -354,7 +386,7 @@
     room: Count = 64
 
 
-class Settings(Form):
+class Settings(ConfigTable):
     """Settings that all dispatchers share, changed at keepers; off where the table is missing.
 
     ground: the file of keepers, voters and members (docs/settings-store.md).
@@ -365,7 +397,7 @@
     member: str
 
 
-class Log(Form):
+class Log(ConfigTable):
     """What is logged, to standard error.
 
     level: the least that is logged.
@@ -376,7 +408,7 @@
     form: Literal["text", "json"] = "text"
 
 
-class Control(Form):
+class Control(ConfigTable):
     """What control may cost, apart from txns: the list, membership, what members share, owners, settings, the spec.
 
     core: the part of a core that it may take, as a mean over a minute; beyond, a line says so; none: whatever it takes.
@@ -389,7 +421,7 @@
     meter: bool = True
 
 
-class Charter(Form):
+class Configuration(ConfigTable):
     """One dispatcher, as its operator wants it.
 
     name: its name, in its log.
@@ -420,7 +452,7 @@
 
     listen: Address
     discovery: Address
-    schemes: list[Scheme]
+    schemes: list[RequestClassTable]
     name: str = "pathsaddle"
     seed: str = "0"
     number: Annotated[int, Meta(ge=0)] = 0
@@ -430,7 +462,7 @@
     machines: list[str] = field(default_factory=list)
     tick: Duration = Duration(2 * MS)
     limits: Limits = field(default_factory=Limits)
-    customers: list[Customer] = field(default_factory=list)
+    customers: list[TenantTable] = field(default_factory=list)
     rules: Rules = field(default_factory=Rules)
     allowed: Allowed = field(default_factory=Allowed)
     reports: Reports = field(default_factory=Reports)
@@ -439,25 +471,27 @@
     log: Log = field(default_factory=Log)
     control: Control = field(default_factory=Control)
     jobs: Jobs | None = None
-    fleet: Fleet | None = None
+    fleet: FleetTable | None = None
     federation: Federation | None = None
     settings: Settings | None = None
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         for key in ("listen", "discovery"):
             if not getattr(self, key):
-                yield Amiss(key, Missing, may="an address, host:port")
+                yield InvalidValueError(key, MissingKeyError, may="an address, host:port")
         if not re.fullmatch(r"[0-9a-fA-F]{1,64}", self.seed):
-            yield Amiss("seed", NotAmong, shown=shown(self.seed), may="1 to 64 hexadecimal digits")
+            yield InvalidValueError(
+                "seed", NotAllowedValueError, shown=display_value(self.seed), may="1 to 64 hexadecimal digits"
+            )
         if self.number >= self.dispatchers:
-            yield Amiss(
+            yield InvalidValueError(
                 "number",
-                OutOfBounds,
-                shown=shown(self.number),
+                OutOfBoundsError,
+                shown=display_value(self.number),
                 may=f"less than dispatchers ({self.dispatchers})",
             )
         if not self.schemes:
-            yield Amiss("schemes", Missing, may="at least one table, [[schemes]],")
+            yield InvalidValueError("schemes", MissingKeyError, may="at least one table, [[schemes]],")
         for key, names in (
             ("schemes", [s.name for s in self.schemes]),
             ("zones", self.zones),
@@ -466,45 +500,53 @@
         ):
             for name, times in Counter(names).items():  # of hundreds: not a count of all for each
                 if times > 1:
-                    yield Amiss(key, Twice, shown=shown(name))
+                    yield InvalidValueError(key, DuplicateError, shown=display_value(name))
         if not self.zones:
-            yield Amiss("zones", Missing, may="at least one zone's name")
+            yield InvalidValueError("zones", MissingKeyError, may="at least one zone's name")
         if self.fleet is not None and self.name == "pathsaddle" and self.dispatchers > 1:
-            yield Amiss("name", NeedsName)
+            yield InvalidValueError("name", NameRequiredError)
         if self.fleet is not None:
             for key, name in (("name", self.name), ("zone", self.zone or "".join(self.zones[:1]))):
                 if not re.fullmatch(NAME, name):
-                    yield Amiss(key, NotAmong, shown=shown(name), may="1 to 64 letters, digits and ._-")
+                    yield InvalidValueError(
+                        key,
+                        NotAllowedValueError,
+                        shown=display_value(name),
+                        may="1 to 64 letters, digits and ._-",
+                    )
         if self.jobs is not None and self.federation is not None:
-            yield Amiss(
+            yield InvalidValueError(
                 "federation",
-                Fault,
+                ConfigKeyError,
                 "stands beside jobs, and durable jobs don't leave their region",
                 "take [jobs] or [federation] out",
             )
         if self.jobs is not None and any(scheme.name == "jobs" for scheme in self.schemes):
-            yield Amiss(
+            yield InvalidValueError(
                 "schemes",
-                NotAmong,
+                NotAllowedValueError,
                 shown='the name "jobs"',
                 may="another name for that scheme, since /jobs/ is the path of durable jobs,",
             )
         if self.zone is not None and self.zone not in self.zones:
-            yield Amiss(
-                "zone", NotAmong, shown=shown(self.zone), may=f"one of zones ({', '.join(self.zones)})"
+            yield InvalidValueError(
+                "zone",
+                NotAllowedValueError,
+                shown=display_value(self.zone),
+                may=f"one of zones ({', '.join(self.zones)})",
             )
         for i, scheme in enumerate(self.schemes):
             if scheme.machine is not None and scheme.machine not in self.machines:
-                yield Amiss(
+                yield InvalidValueError(
                     f"schemes[{i}].machine",
-                    NotAmong,
-                    shown=shown(scheme.machine),
+                    NotAllowedValueError,
+                    shown=display_value(scheme.machine),
                     may=f"one of machines ({', '.join(self.machines) or 'none is named there'})",
                 )
 
 
-# What may change in service; `charter/service.py` has the few cases in which one of these may not.
-IN_SERVICE = frozenset(
+# What may change in service; `config/reload.py` has the few cases in which one of these may not.
+RELOADABLE_KEYS = frozenset(
     (
         "discovery",
         "log.level",
@@ -530,7 +572,7 @@
 )
 
 
-def changes(before: Charter, after: Charter) -> list[str]:
+def changed_keys(before: Configuration, after: Configuration) -> list[str]:
     """The key paths at which two charters differ."""
 
     def flat(form: Struct, path: str) -> dict[str, object]:
--- a/pathsaddle/config/units.py
+++ b/pathsaddle/config/units.py
@@ -25,25 +25,25 @@
     return float(match[1]) * units[match[2]]
 
 
-def duration(text: Any) -> Duration:
+def parse_duration(text: Any) -> Duration:
     """Raises ValueError that says what may stand there."""
     return Duration(round(_read(text, UNITS, "250ms")))
 
 
-def size(text: Any) -> Size:
+def parse_size(text: Any) -> Size:
     return Size(round(_read(text, dict(SIZES), "64MiB")))
 
 
 def hook(kind: type, told: Any) -> Any:
     """For msgspec: the types that TOML has no word for."""
     if kind is Duration:
-        return duration(told)
+        return parse_duration(told)
     if kind is Size:
-        return size(told)
+        return parse_size(told)
     raise NotImplementedError(kind)
 
 
-def written(value: Any) -> str:
+def format_quantity(value: Any) -> str:
     """A value the way it would stand in the file."""
     if isinstance(value, Duration):
         for unit, ticks in (("h", 36_000_000), ("min", 600_000), ("s", 10_000), ("ms", 10)):
@@ -59,5 +59,5 @@
     if isinstance(value, str):
         return f'"{value}"'
     if isinstance(value, (list, tuple)):
-        return "[" + ", ".join(written(item) for item in value) + "]"
+        return "[" + ", ".join(format_quantity(item) for item in value) + "]"
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/pathsaddle/config/validation.py
+++ b/pathsaddle/config/validation.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from pathsaddle.config.units import Duration, Size, hook, written
+from pathsaddle.config.units import Duration, Size, format_quantity, hook
 from pathsaddle.errors import Error, access, why
 
 T = TypeVar("T")
 
 
-class Fault(Error):
+class ConfigKeyError(Error):
     """One thing that is wrong in a file. `path`: of its key, as `schemes[0].expiry`; "-" of the file as a whole."""
 
     name = "charter.wrong"
@@ -49,88 +49,88 @@
         return f"{self.file}: {where}{super().__str__()}"
 
 
-class Unreadable(Fault):
+class UnreadableFileError(ConfigKeyError):
     name = "charter.unreadable"
     what = "can't be read: {why}"
     do = ""
 
 
-class NoText(Fault):
+class NotUtf8Error(ConfigKeyError):
     name = "charter.no-text"
     what = "is no text in UTF-8: byte {at} is none"
     do = "save {file} as UTF-8"
 
 
-class NoForm(Fault):
+class TomlSyntaxError(ConfigKeyError):
     name = "charter.no-form"
     what = "is not {form}: {why}"
     do = "write {form} at that place of {file}"
 
 
-class UnknownKey(Fault):
+class UnknownKeyError(ConfigKeyError):
     name = "charter.unknown-key"
     what = "no such key; {hint}"
     do = "rename {path} or take it out"
 
 
-class Missing(Fault):
+class MissingKeyError(ConfigKeyError):
     name = "charter.missing"
     what = "is missing"
     do = "write {may} at {path}"
 
 
-class WrongKind(Fault):
+class WrongTypeError(ConfigKeyError):
     name = "charter.wrong-kind"
     what = "{shown} stands there"
     do = "write {may} at {path}"
 
 
-class OutOfBounds(WrongKind):
+class OutOfBoundsError(WrongTypeError):
     name = "charter.out-of-bounds"
 
 
-class TooShort(Fault):
+class TooShortError(ConfigKeyError):
     name = "charter.too-short"
     what = "{shown} stands there, of {count} {unit}"
     do = "write {least} {unit} at least at {path}"
 
 
-class TooLong(Fault):
+class TooLongError(ConfigKeyError):
     name = "charter.too-long"
     what = "{shown} stands there, of {count} {unit}"
     do = "write {most} {unit} at most at {path}"
 
 
-class NotAmong(WrongKind):
+class NotAllowedValueError(WrongTypeError):
     name = "charter.not-among"
 
 
-class NoAddress(Fault):
+class InvalidAddressError(ConfigKeyError):
     name = "charter.no-address"
     what = "{shown} stands there, which is no address: {why}"
     do = "write {may} at {path}"
 
 
-class NoPath(Fault):
+class InvalidPathError(ConfigKeyError):
     name = "charter.no-path"
     what = "{shown} stands there, which names no {kind}"
     do = "write the path of a {kind} at {path}"
 
 
-class Twice(Fault):
+class DuplicateError(ConfigKeyError):
     name = "charter.twice"
     what = "{shown} stands there twice"
     do = "give each of {path} a name of its own"
 
 
-class Faulty(Error):
+class InvalidConfigError(Error):
     """The file can't be used; holds all that is wrong in it, and prints as one line each."""
 
     name = "charter.faulty"
     what = "{count} things are wrong in {file}: {all}"
     do = "mend them all, then `pathsaddle check {file}`"
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[ConfigKeyError]) -> None:
         super().__init__(count=len(faults), file=faults[0].file, all="; ".join(map(str, faults)))
         self.faults = faults
         self.args = (faults,)
@@ -139,18 +139,20 @@
         return "\n".join(map(str, self.faults))
 
 
-class Amiss(Exception):
+class InvalidValueError(Exception):
     """Of a form whose keys don't fit together: what fault is to be made of it. Only `check` knows file and path."""
 
-    def __init__(self, key: str, kind: type[Fault], what: str = "", do: str = "", /, **told: object) -> None:
+    def __init__(
+        self, key: str, kind: type[ConfigKeyError], what: str = "", do: str = "", /, **told: object
+    ) -> None:
         super().__init__(key, what)
         self.key, self.kind, self.what, self.do, self.told = key, kind, what, do, told
 
-    def of(self, file: str, path: str) -> Fault:
+    def of(self, file: str, path: str) -> ConfigKeyError:
         return self.kind(file, _join(path, self.key) or "-", self.what, self.do, **self.told)
 
 
-def load(path: str | Path) -> dict[str, Any]:
+def load_toml(path: str | Path) -> dict[str, Any]:
     """The file's table; raises Faulty where it can't be read or is no TOML."""
     file = str(path)
     try:
@@ -160,21 +162,23 @@
             return told if isinstance(told, dict) else {"": told}
         return tomllib.loads(text)
     except UnicodeDecodeError as fault:
-        raise Faulty([NoText(file, "-", at=fault.start)]) from None
+        raise InvalidConfigError([NotUtf8Error(file, "-", at=fault.start)]) from None
     except OSError as fault:
-        raise Faulty([Unreadable(file, "-", "", access(fault, path), why=why(fault))]) from None
+        raise InvalidConfigError(
+            [UnreadableFileError(file, "-", "", access(fault, path), why=why(fault))]
+        ) from None
     except tomllib.TOMLDecodeError as fault:
-        raise Faulty([NoForm(file, "-", form="TOML", why=why(fault))]) from None
+        raise InvalidConfigError([TomlSyntaxError(file, "-", form="TOML", why=why(fault))]) from None
     except json.JSONDecodeError as fault:
-        raise Faulty([NoForm(file, "-", form="JSON", why=why(fault))]) from None
+        raise InvalidConfigError([TomlSyntaxError(file, "-", form="JSON", why=why(fault))]) from None
 
 
-def check(kind: type[T], told: Any, file: str, path: str = "") -> T:
+def validate(kind: type[T], told: Any, file: str, path: str = "") -> T:
     """The object that a table stands for; raises Faulty with all faults. `path`: of the table, where it is a part."""
-    faults: list[Fault] = []
+    faults: list[ConfigKeyError] = []
     made = _value(kind, told, path, file, faults)
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigError(faults)
     return typing.cast(T, made)
 
 
@@ -190,18 +194,18 @@
     return kind
 
 
-def _value(kind: Any, told: Any, path: str, file: str, faults: list[Fault]) -> Any:
+def _value(kind: Any, told: Any, path: str, file: str, faults: list[ConfigKeyError]) -> Any:
     plain = bare(kind)
     if is_form(plain):
         return _form(plain, told, path, file, faults)
     if get_origin(plain) is list and is_form(get_args(plain)[0]):
         if not isinstance(told, list):
-            faults.append(WrongKind(file, path, shown=shown(told), may="a list of tables"))
+            faults.append(WrongTypeError(file, path, shown=display_value(told), may="a list of tables"))
             return []
         return [_form(get_args(plain)[0], item, f"{path}[{i}]", file, faults) for i, item in enumerate(told)]
     if get_origin(plain) is dict and is_form(get_args(plain)[1]):
         if not isinstance(told, dict):
-            faults.append(WrongKind(file, path, shown=shown(told), may="a table of tables"))
+            faults.append(WrongTypeError(file, path, shown=display_value(told), may="a table of tables"))
             return {}
         return {
             name: _form(get_args(plain)[1], item, f"{path}.{name}", file, faults)
@@ -224,19 +228,19 @@
             or (place == "file" and (not made or made.endswith(("/", "/.", "/..")) or made in (".", "..")))
         )
     ):
-        faults.append(NoPath(file, path, shown=shown(told), kind=place))
+        faults.append(InvalidPathError(file, path, shown=display_value(told), kind=place))
     if address := _more(of).get("address"):
         faults += [
-            NoAddress(file, key, shown=shown(one), why=fault, may=may_stand(of))
+            InvalidAddressError(file, key, shown=display_value(one), why=fault, may=allowed_values(of))
             for key, one in texts
-            if one is not None and (fault := no_address(one, address == "IPv4"))
+            if one is not None and (fault := address_problem(one, address == "IPv4"))
         ]
     return made
 
 
-def _unfit(kind: Any, told: Any, path: str, file: str) -> Fault:
+def _unfit(kind: Any, told: Any, path: str, file: str) -> ConfigKeyError:
     """What is wrong with a value that is none of its kind."""
-    plain, seen = bare(kind), shown(told)
+    plain, seen = bare(kind), display_value(told)
     # A secret is not shown: faults go to logs, and are pasted where help is asked for.
     if _more(kind).get("secret") and isinstance(told, str):
         seen = "a text"
@@ -252,14 +256,16 @@
         unit = "characters" if isinstance(told, str) else "values"
         for meta in metas:
             if meta.min_length is not None and len(told) < meta.min_length:
-                return TooShort(file, path, shown=seen, count=len(told), unit=unit, least=meta.min_length)
+                return TooShortError(
+                    file, path, shown=seen, count=len(told), unit=unit, least=meta.min_length
+                )
             if meta.max_length is not None and len(told) > meta.max_length:
-                return TooLong(file, path, shown=seen, count=len(told), unit=unit, most=meta.max_length)
+                return TooLongError(file, path, shown=seen, count=len(told), unit=unit, most=meta.max_length)
     if inner in (int, float) and type(told) in (int, float) and (inner is float or type(told) is int):
-        return OutOfBounds(file, path, shown=seen, may=may_stand(kind))
+        return OutOfBoundsError(file, path, shown=seen, may=allowed_values(kind))
     if get_origin(plain) is Literal and type(told) in {type(value) for value in get_args(plain)}:
-        return NotAmong(file, path, shown=seen, may=may_stand(kind))
-    return WrongKind(file, path, shown=seen, may=may_stand(kind))
+        return NotAllowedValueError(file, path, shown=seen, may=allowed_values(kind))
+    return WrongTypeError(file, path, shown=seen, may=allowed_values(kind))
 
 
 def _more(kind: Any) -> dict[str, Any]:
@@ -272,7 +278,7 @@
     return found
 
 
-def no_address(told: str, ipv4: bool = False) -> str:
+def address_problem(told: str, ipv4: bool = False) -> str:
     """Why a text is no host:port, to stand after "no address:"; empty where it is one, or is empty itself."""
     if not told:
         return ""
@@ -295,9 +301,9 @@
 OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
 
 
-def _form(kind: Any, told: Any, path: str, file: str, faults: list[Fault]) -> Any:
+def _form(kind: Any, told: Any, path: str, file: str, faults: list[ConfigKeyError]) -> Any:
     if not isinstance(told, dict):
-        faults.append(WrongKind(file, path or "-", shown=shown(told), may="a table"))
+        faults.append(WrongTypeError(file, path or "-", shown=display_value(told), may="a table"))
         return None
     fields = _fields(kind)
     made, before = {}, len(faults)
@@ -305,14 +311,18 @@
         if key not in fields:
             near = difflib.get_close_matches(key, fields, 1, 0.5)
             hint = f"the nearest known key is {near[0]}" if near else f"known are {', '.join(fields)}"
-            faults.append(UnknownKey(file, _join(path, key), hint=hint))
+            faults.append(UnknownKeyError(file, _join(path, key), hint=hint))
         else:
             made[fields[key].name] = _value(fields[key].type, value, _join(path, key), file, faults)
     for key, field in fields.items():
         if field.required and key not in told:
             inner = get_args(bare(field.type))[:1] if get_origin(bare(field.type)) is list else ()
-            may = f"at least one table, [[{key}]]," if inner and is_form(inner[0]) else may_stand(field.type)
-            faults.append(Missing(file, _join(path, key), may=may))
+            may = (
+                f"at least one table, [[{key}]],"
+                if inner and is_form(inner[0])
+                else allowed_values(field.type)
+            )
+            faults.append(MissingKeyError(file, _join(path, key), may=may))
     if len(faults) > before:
         return None
     try:
@@ -321,7 +331,7 @@
         key, colon, text = str(fault).partition(": ")
         if not (colon and key in fields):
             key, text = "", str(fault)
-        faults.append(Fault(file, _join(path, key) or "-", text))
+        faults.append(ConfigKeyError(file, _join(path, key) or "-", text))
         return None
     found = list(form.amiss()) if hasattr(form, "amiss") else []
     faults += [one.of(file, path) for one in found]
@@ -338,9 +348,9 @@
     return f"{path}.{key}" if path and key else path or key
 
 
-def shown(told: Any) -> str:
+def display_value(told: Any) -> str:
     """What stands in a file, for one line of a log: short, and what can't be printed by its number."""
-    text = _printable(written(told)) if not isinstance(told, dict) else "a table"
+    text = _printable(format_quantity(told)) if not isinstance(told, dict) else "a table"
     return text if len(text) < 60 else text[:57] + "..."
 
 
@@ -358,18 +368,18 @@
 }
 
 
-def may_stand(kind: Any) -> str:
+def allowed_values(kind: Any) -> str:
     """What may stand at a key of this kind, in words."""
     kind = bare(kind)
     if get_origin(kind) in (Union, UnionType):
-        return ", or ".join(map(may_stand, get_args(kind)))
+        return ", or ".join(map(allowed_values, get_args(kind)))
     if get_origin(kind) is typing.Annotated:
         inner, *more = get_args(kind)
         if words := _more(kind).get("words"):
             return str(words)
         for meta in more:
             if isinstance(meta, msgspec.Meta) and meta.min_length and meta.min_length == meta.max_length:
-                return f"{may_stand(inner)}, {meta.min_length} of them"
+                return f"{allowed_values(inner)}, {meta.min_length} of them"
         if counts := [
             f"{word} {count}"
             for meta in more
@@ -378,7 +388,7 @@
             if count is not None
         ]:
             unit = "characters" if inner is str else "values"
-            return f"{may_stand(inner)}, {' and '.join(counts)} {unit}"
+            return f"{allowed_values(inner)}, {' and '.join(counts)} {unit}"
         bounds = [
             f"{word} {value:g}"
             for meta in more
@@ -391,22 +401,22 @@
             )
             if value is not None
         ]
-        return " ".join([may_stand(inner), *bounds])
+        return " ".join([allowed_values(inner), *bounds])
     if get_origin(kind) is Literal:
         return " or ".join(f'"{value}"' for value in get_args(kind))
     if get_origin(kind) is list and is_form(get_args(kind)[0]):
         return "a list of tables"
     if get_origin(kind) is list:
-        return f"a list, each {may_stand(get_args(kind)[0])}"
+        return f"a list, each {allowed_values(get_args(kind)[0])}"
     if get_origin(kind) is dict:
         inner = get_args(kind)[1]
-        return "a table" if inner is Any else f"a table, each {may_stand(inner)}"
+        return "a table" if inner is Any else f"a table, each {allowed_values(inner)}"
     if is_form(kind):
         return "a table"
     return NAMES.get(kind, getattr(kind, "__name__", str(kind)))
 
 
-def meanings(kind: Any) -> dict[str, str]:
+def key_descriptions(kind: Any) -> dict[str, str]:
     """What the docstring of a form says of each key: lines `key: meaning`, more lines indented under it."""
     found: dict[str, str] = {}
     key = ""
@@ -421,10 +431,10 @@
     return found
 
 
-def explain(kind: Any, path: str = "") -> list[tuple[str, str, str, str]]:
+def explain_keys(kind: Any, path: str = "") -> list[tuple[str, str, str, str]]:
     """Rows (key path, what may stand there, default, meaning) of a form and of all forms in it."""
     rows, below = [], []
-    told = meanings(kind)
+    told = key_descriptions(kind)
     for field in msgspec.structs.fields(kind):
         name, plain = _join(path, field.encode_name), bare(field.type)
         inner = plain
@@ -433,14 +443,14 @@
         if is_form(inner):
             below += [
                 (name, "a table each" if inner is not plain else "a table", "", told[field.encode_name]),
-                *explain(inner, name),
+                *explain_keys(inner, name),
             ]
             continue
         if field.required:
             default = "must be given"
         elif field.default_factory is not msgspec.NODEFAULT:
-            default = written(field.default_factory())
+            default = format_quantity(field.default_factory())
         else:
-            default = "none" if field.default is None else written(field.default)
-        rows.append((name, may_stand(field.type), default, told[field.encode_name]))
+            default = "none" if field.default is None else format_quantity(field.default)
+        rows.append((name, allowed_values(field.type), default, told[field.encode_name]))
     return rows + below
--- a/pathsaddle/consensus/__main__.py
+++ b/pathsaddle/consensus/__main__.py
@@ -11,19 +11,19 @@
 from pathlib import Path
 from random import SystemRandom
 
-from pathsaddle.config.loader import read
-from pathsaddle.config.schema import Charter
-from pathsaddle.consensus.acceptor_log import found
-from pathsaddle.consensus.errors import NoTable
-from pathsaddle.consensus.fleet_member import told
-from pathsaddle.consensus.udp_driver import Register
+from pathsaddle.config.loader import read_configuration
+from pathsaddle.config.schema import Configuration
+from pathsaddle.consensus.acceptor_log import create_log
+from pathsaddle.consensus.errors import MissingTableError
+from pathsaddle.consensus.fleet_member import register_config
+from pathsaddle.consensus.udp_driver import RegisterDriver
 from pathsaddle.errors import Error
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 
 
-async def serve(register: Register) -> None:
+async def serve(register: RegisterDriver) -> None:
     stop = asyncio.Event()
     events = asyncio.get_running_loop()
     events.add_signal_handler(signal.SIGTERM, stop.set)
@@ -41,19 +41,23 @@
         print(__doc__, file=sys.stderr)
         return 2
     try:
-        charter: Charter = read(Path(words[1]))
+        charter: Configuration = read_configuration(Path(words[1]))
     except Error as fault:
         print(fault, file=sys.stderr)
         return fault.code
     if charter.fleet is None or charter.fleet.owners is None:
-        print(missing := NoTable(charter=words[1]), file=sys.stderr)
+        print(missing := MissingTableError(charter=words[1]), file=sys.stderr)
         return missing.code
     logbook.open_log(charter.log.level, charter.log.form)
     try:
         if words[0] == "found":
-            found(Path(charter.fleet.owners.folder), charter.name, charter.fleet.owners.voters)
+            create_log(Path(charter.fleet.owners.folder), charter.name, charter.fleet.owners.voters)
         else:
-            asyncio.run(serve(Register(told(charter, words[1]), Ground(), SystemRandom(), Counters())))
+            asyncio.run(
+                serve(
+                    RegisterDriver(register_config(charter, words[1]), Ground(), SystemRandom(), Counters())
+                )
+            )
     except Error as fault:
         print(fault, file=sys.stderr)
         return fault.code
--- a/pathsaddle/consensus/acceptor.py
+++ b/pathsaddle/consensus/acceptor.py
@@ -25,22 +25,22 @@
 from dataclasses import dataclass, replace
 
 from pathsaddle.consensus.messages import (
-    NEVER,
-    NOBODY,
+    NO_BALLOT,
+    NO_VALUE,
     Accept,
     Accepted,
-    Ask,
     Ballot,
-    Free,
-    Hold,
+    LeaseReleased,
     Message,
-    Open,
     Prepare,
     Promise,
     Read,
+    ReadReply,
     Refused,
-    Stands,
-    Tell,
+    Release,
+    Renew,
+    SyncReply,
+    SyncRequest,
     Value,
     size_of,
     surely,
@@ -61,15 +61,15 @@
     until: for how long it holds for the value's owner. freed: the ballot whose owner gave it back.
     """
 
-    promised: Ballot = NEVER
-    accepted: Ballot = NEVER
-    value: Value = NOBODY
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
+    value: Value = NO_VALUE
     until: int = 0
-    freed: Ballot = NEVER
+    freed: Ballot = NO_BALLOT
 
     def begun(self, now: int) -> Row:
         """As a voter that begins has it."""
-        return replace(self, until=now + surely(self.value.lease) if self.value.owner else 0, freed=NEVER)
+        return replace(self, until=now + surely(self.value.lease) if self.value.owner else 0, freed=NO_BALLOT)
 
     def heard(self, message: Message, now: int) -> tuple[Row, Message | None]:
         """Its answer; where `promised`, `accepted` or `value` changed, only after a sync."""
@@ -90,7 +90,7 @@
             until = max(self.until if ballot == self.accepted else 0, now + surely(message.value.lease))
             row = replace(self, promised=ballot, accepted=ballot, value=message.value, until=until)
             return (row if self.freed != ballot else self), Accepted(message.key, ballot, message.ask)
-        if isinstance(message, Hold):
+        if isinstance(message, Renew):
             if message.ballot < self.promised:
                 return self, self.refuses(message.key, message.ballot, now)
             if message.ballot != self.accepted or message.ballot == self.freed:
@@ -99,12 +99,12 @@
                 replace(self, until=max(self.until, now + surely(self.value.lease))),
                 Accepted(message.key, message.ballot, message.ask),
             )
-        if isinstance(message, Free):
+        if isinstance(message, Release):
             if message.ballot == self.accepted and message.ballot != self.freed:
-                return replace(self, until=0, freed=message.ballot), Open(message.key)
+                return replace(self, until=0, freed=message.ballot), LeaseReleased(message.key)
             return self, None
         if isinstance(message, Read):
-            return self, Stands(message.key, message.ask, self.promised, self.accepted, self.value)
+            return self, ReadReply(message.key, message.ask, self.promised, self.accepted, self.value)
         return self, None
 
     def refuses(self, key: str, ballot: Ballot, now: int) -> Refused:
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class DiskWrite:
     """One line for the disk: a row (key and what is kept of it), or the highest start known of a voter, or
     that it was let in.
     """
@@ -138,7 +138,7 @@
     whole: bool = False
 
 
-class Voter:
+class Acceptor:
     def __init__(
         self,
         name: str,
@@ -157,7 +157,7 @@
         self.starts = {voter: starts.get(voter, 0) for voter in self.voters}
         self.start, self.whole = max(start, self.starts[name] + 1), whole
         self.starts[name] = self.start
-        self.writes: list[Write] = [Write(voter=name, start=self.start, whole=whole)]
+        self.writes: list[DiskWrite] = [DiskWrite(voter=name, start=self.start, whole=whole)]
         self.out: list[tuple[str, Message]] = []
         self.waiters: dict[str, dict[str, None]] = {}
         self.counts: dict[str, int] = {}
@@ -165,7 +165,7 @@
         self.enough = len(self.voters) // 2 + 1
         self.told: dict[str, str | None] = {}  # whom all was heard from (None), or up to which key
         self.part = False  # whether it takes part
-        self.born, self.next = now, now
+        self.started_at, self.next = now, now
 
     def due(self) -> int:
         return 1 << 60 if self.part else self.next
@@ -175,12 +175,12 @@
         if self.part or now < self.next:
             return
         self.next = now + AGAIN
-        if len(self.voters) == 1 or (self.whole and now - self.born >= PATIENCE):
+        if len(self.voters) == 1 or (self.whole and now - self.started_at >= PATIENCE):
             self._let_in(now)
             return
         for voter in self.voters:
             if voter != self.name and self.told.get(voter, "") is not None:
-                self.out.append((voter, Ask(self.start, self.told.get(voter) or "")))
+                self.out.append((voter, SyncRequest(self.start, self.told.get(voter) or "")))
 
     def learn(self, starts: dict[str, int], now: int) -> None:
         """The starts that another knows of. A later one of our own than ours: our disk is older than it
@@ -192,13 +192,13 @@
         self.whole = self.part = False
         self.told.clear()
         self.out.clear()
-        self.writes.append(Write(voter=self.name, start=self.start))
+        self.writes.append(DiskWrite(voter=self.name, start=self.start))
         self.next = now
 
     def heard(self, sender: str, message: Message, now: int) -> None:
-        if isinstance(message, Ask):
+        if isinstance(message, SyncRequest):
             self._asked(sender, message)
-        elif isinstance(message, Tell):
+        elif isinstance(message, SyncReply):
             self._told(sender, message, now)
         elif self.part:
             self._take(sender, message, now)
@@ -207,7 +207,7 @@
 
     def _take(self, sender: str, message: Message, now: int) -> None:
         key = getattr(message, "key", "")
-        if isinstance(message, (Prepare, Accept, Hold, Free)) and message.ballot.name != sender:
+        if isinstance(message, (Prepare, Accept, Renew, Release)) and message.ballot.name != sender:
             return
         row = self.rows.get(key, EMPTY)
         if row is EMPTY and len(self.rows) >= KEYS:
@@ -217,8 +217,8 @@
         if after is not row:
             self.rows[key] = after
             if after.kept != row.kept:
-                self.writes.append(Write(key, after.kept))
-        if isinstance(answer, Open):
+                self.writes.append(DiskWrite(key, after.kept))
+        if isinstance(answer, LeaseReleased):
             for waiter in self.waiters.pop(key, {}):
                 self.out.append((waiter, answer))
         elif answer is not None:
@@ -230,7 +230,7 @@
 
     # Letting in.
 
-    def _asked(self, sender: str, ask: Ask) -> None:
+    def _asked(self, sender: str, ask: SyncRequest) -> None:
         """Answered by those who take part, and by those who begin with a whole disk: that holds all they ever
         said.
         """
@@ -238,21 +238,21 @@
             return
         if ask.start > self.starts[sender]:
             self.starts[sender] = ask.start
-            self.writes.append(Write(voter=sender, start=ask.start))
+            self.writes.append(DiskWrite(voter=sender, start=ask.start))
         known = self.starts[sender]
         rows: list[tuple[str, Ballot, Ballot, Value]] = []
         last, size = "", 0
         if ask.start == known:
             for key in sorted(key for key in self.rows if key > ask.after):
                 row = (key, *self.rows[key].kept)
-                size += size_of(Tell(0, 0, True, "", "", [row]))
+                size += size_of(SyncReply(0, 0, True, "", "", [row]))
                 if rows and size > PAGE:
                     last = rows[-1][0]
                     break
                 rows.append(row)
-        self.out.append((sender, Tell(ask.start, known, self.part, ask.after, last, rows)))
+        self.out.append((sender, SyncReply(ask.start, known, self.part, ask.after, last, rows)))
 
-    def _told(self, sender: str, tell: Tell, now: int) -> None:
+    def _told(self, sender: str, tell: SyncReply, now: int) -> None:
         if self.part or sender not in self.starts or tell.start != self.start or sender == self.name:
             return
         if tell.known > self.start:
@@ -267,11 +267,11 @@
             row = self.rows.get(key, EMPTY)
             after = row.joined(promised, accepted, value)
             if after.kept != row.kept:
-                self.writes.append(Write(key, after.kept))
+                self.writes.append(DiskWrite(key, after.kept))
             self.rows[key] = after
         self.told[sender] = tell.last or None
         if tell.last:
-            self.out.append((sender, Ask(self.start, tell.last)))
+            self.out.append((sender, SyncRequest(self.start, tell.last)))
         elif sum(1 for last in self.told.values() if last is None) >= self.enough:
             self._let_in(now)
 
@@ -279,5 +279,5 @@
         """From here on it takes part; all that it may ever have held it holds from now."""
         self.part = True
         self.rows = {key: row.begun(now) for key, row in self.rows.items()}
-        self.writes.append(Write(voter=self.name, start=self.start, whole=True))
+        self.writes.append(DiskWrite(voter=self.name, start=self.start, whole=True))
         self.whole = True
--- a/pathsaddle/consensus/acceptor_log.py
+++ b/pathsaddle/consensus/acceptor_log.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from pathsaddle.consensus.acceptor import Write
-from pathsaddle.consensus.errors import Founded, NoDisk, OtherVoters
+from pathsaddle.consensus.acceptor import DiskWrite
+from pathsaddle.consensus.errors import AlreadyInitializedError, StorageError, VoterSetMismatchError
 from pathsaddle.consensus.messages import Ballot, Value
 from pathsaddle.errors import access, why
 
@@ -88,13 +88,13 @@
     return len(body).to_bytes(4, "big") + told + body, told
 
 
-def _lines(writes: Iterable[Write]) -> list[bytes]:
+def _lines(writes: Iterable[DiskWrite]) -> list[bytes]:
     return [
         msgspec.msgpack.encode(Line(one.key, one.kept, one.voter, one.start, one.whole)) for one in writes
     ]
 
 
-class Log:
+class AcceptorLog:
     """Raises NoDisk, OtherVoters."""
 
     def __init__(self, folder: Path, name: str, voters: Iterable[str]) -> None:
@@ -109,7 +109,7 @@
             else:
                 self.file = os.open(self.path, os.O_WRONLY | os.O_APPEND)
         except OSError as fault:
-            raise NoDisk(
+            raise StorageError(
                 f"{self.path}: {why(fault)}",
                 access(fault, self.path, self.path.parent) + ", at fleet.owners.folder, on a disk with room",
             ) from None
@@ -131,7 +131,7 @@
             return Held(why=held.why or "it is empty")
         head = msgspec.msgpack.decode(bodies[0], type=Head)
         if head.voters != self.voters or head.voter != self.name:
-            raise OtherVoters(
+            raise VoterSetMismatchError(
                 f"{self.path} is of voter {head.voter} among {', '.join(head.voters)}, the charter says "
                 f"{self.name} among "
                 f"{', '.join(self.voters)}",
@@ -160,10 +160,10 @@
         file = os.open(other, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
             head = Head(1, self.name, self.voters, identity(other), whole)
-            writes = [Write(key, kept) for key, kept in self.held.rows.items()]
-            writes += [Write(voter=voter, start=start) for voter, start in self.held.starts.items()]
+            writes = [DiskWrite(key, kept) for key, kept in self.held.rows.items()]
+            writes += [DiskWrite(voter=voter, start=start) for voter, start in self.held.starts.items()]
             if self.held.start:
-                writes.append(Write(voter=self.name, start=self.held.start, whole=whole))
+                writes.append(DiskWrite(voter=self.name, start=self.held.start, whole=whole))
             told, data = b"", b""
             for body in [msgspec.msgpack.encode(head), *_lines(writes)]:
                 record, told = _record(told, body)
@@ -183,7 +183,7 @@
             os.close(self.file)
         self.file, self.told, self.size, self.live = file, told, len(data), len(data)
 
-    def append(self, writes: list[Write]) -> None:
+    def append(self, writes: list[DiskWrite]) -> None:
         """On disk when it returns. Raises OSError: then what of it stands is unknown,
         and the log is to be opened anew.
         """
@@ -222,22 +222,22 @@
         data = data[os.write(file, data) :]
 
 
-def found(folder: Path, name: str, voters: Iterable[str]) -> None:
+def create_log(folder: Path, name: str, voters: Iterable[str]) -> None:
     """The register begins, empty: done once for each voter, before the first start, and never again. Raises
     Founded, NoDisk.
     """
     path = folder / NAME
     if path.exists():
-        raise Founded(
+        raise AlreadyInitializedError(
             f"{path}: a register is there already",
             f"go on with {path}: it is founded once in its life, also where it was lost since",
         )
-    log = Log.__new__(Log)
+    log = AcceptorLog.__new__(AcceptorLog)
     log.path, log.name, log.voters, log.file, log.held = path, name, sorted(voters), -1, Held()
     try:
         log._anew(True)
     except OSError as fault:
-        raise NoDisk(
+        raise StorageError(
             f"{path}: {why(fault)}", access(fault, path, path.parent) + ", at fleet.owners.folder"
         ) from None
     log.close()
--- a/pathsaddle/consensus/errors.py
+++ b/pathsaddle/consensus/errors.py
@@ -5,29 +5,29 @@
 from pathsaddle.errors import Error
 
 
-class OwnershipFault(Error):
+class ConsensusError(Error):
     """Any of ownership's."""
 
 
-class Founded(OwnershipFault):
+class AlreadyInitializedError(ConsensusError):
     """To be founded where there is a register already."""
 
     name = "ownership.founded"
 
 
-class OtherVoters(OwnershipFault):
+class VoterSetMismatchError(ConsensusError):
     """The charter's voters are not those that the register was founded with."""
 
     name = "ownership.other-voters"
 
 
-class NoDisk(OwnershipFault):
+class StorageError(ConsensusError):
     """The folder can't be read or written."""
 
     name = "ownership.no-disk"
 
 
-class NoTable(OwnershipFault):
+class MissingTableError(ConsensusError):
     name = "ownership.no-table"
     what = "{charter}: fleet.owners: no such table"
     do = "write [fleet.owners] in {charter}, as docs/ownership.md shows"
--- a/pathsaddle/consensus/fleet_member.py
+++ b/pathsaddle/consensus/fleet_member.py
@@ -7,17 +7,17 @@
 from random import SystemRandom
 from typing import Any
 
-from pathsaddle.config.schema import Charter
-from pathsaddle.consensus.udp_driver import Register, Told
-from pathsaddle.control_metrics import Unmetered
-from pathsaddle.fleet.udp_driver import Fellows
+from pathsaddle.config.schema import Configuration
+from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
+from pathsaddle.control_metrics import NullMeter
+from pathsaddle.fleet.udp_driver import MembershipDriver
 
 
-def told(charter: Charter, file: str = "the charter") -> Told:
+def register_config(charter: Configuration, file: str = "the charter") -> RegisterConfig:
     fleet = charter.fleet
     assert fleet is not None and fleet.owners is not None
     owners, zone = fleet.owners, charter.zone or charter.zones[0]
-    return Told(
+    return RegisterConfig(
         charter.name,
         fleet.name,
         fleet.key.encode(),
@@ -32,14 +32,16 @@
     )
 
 
-class OwningFellows(Fellows):
+class LeasingMembershipDriver(MembershipDriver):
     """A member of the fleet that has a `Register` too."""
 
-    def __init__(self, charter: Charter, *more: Any) -> None:
+    def __init__(self, charter: Configuration, *more: Any) -> None:
         super().__init__(*more)
-        self.register = Register(told(charter, self.told.file), self.ground, SystemRandom(), self.counters)
+        self.register = RegisterDriver(
+            register_config(charter, self.told.file), self.ground, SystemRandom(), self.counters
+        )
 
-    def metered(self, meter: Unmetered, control: Callable[[], dict[str, Any]]) -> None:
+    def metered(self, meter: NullMeter, control: Callable[[], dict[str, Any]]) -> None:
         super().metered(meter, control)
         self.register.meter = meter
 
--- a/pathsaddle/consensus/lease_manager.py
+++ b/pathsaddle/consensus/lease_manager.py
@@ -2,7 +2,7 @@
 and reading a register.
 
 Fed messages and moments; what is to be sent is in `out`, what happened in `happened`. Chance only from the
-one handed in. Whoever does a key's work asks `may_act` just before each effect and puts the number on it
+one handed in. Whoever does a key's work asks `fencing_token` just before each effect and puts the number on it
 (`fence.py`).
 """
 
@@ -13,20 +13,20 @@
 from random import Random
 
 from pathsaddle.consensus.messages import (
-    MOST_DATA,
-    NEVER,
-    NOBODY,
+    MAX_VALUE_BYTES,
+    NO_BALLOT,
+    NO_VALUE,
     Ballot,
-    Free,
+    LeaseReleased,
     Message,
-    Open,
     Read,
+    ReadReply,
     Refused,
-    Stands,
+    Release,
     Value,
     maybe,
 )
-from pathsaddle.consensus.proposer import ACCEPTING, CHOSEN, IDLE, PREPARING, Bid
+from pathsaddle.consensus.proposer import ACCEPTING, CHOSEN, IDLE, PREPARING, Proposer
 from pathsaddle.trade import MILLISECOND
 
 TRIES = 4  # times that a phase of a ballot is asked for before it is given up
@@ -56,8 +56,8 @@
 
 
 @dataclass(slots=True)
-class Standing:
-    bid: Bid
+class Campaign:
+    bid: Proposer
     prefers: bool
     wake: int
     began: int = 0
@@ -76,14 +76,14 @@
     answers: dict[str, tuple[int, Ballot, Value]]
 
 
-class Owner:
+class LeaseManager:
     def __init__(self, name: str, life: int, voters: Iterable[str], lease: int, chance: Random) -> None:
         """`life`: of this process, that no other ever has under this name. `lease`: ticks."""
         self.name, self.life, self.lease, self.chance = name, life, lease, chance
         self.voters = tuple(sorted(voters))
         self.pace = max(20 * MILLISECOND, min(lease // 12, 300 * MILLISECOND))
         self.known: dict[str, int] = {}
-        self.standing: dict[str, Standing] = {}
+        self.standing: dict[str, Campaign] = {}
         self.reads: dict[int, Reading] = {}
         self.out: list[tuple[str, Message]] = []
         self.happened: list[Happened] = []
@@ -98,25 +98,25 @@
         """To own `key` whenever nobody does. `prefers`: this one is where the key is wanted (its zone): it
         comes first where a key is free. An owner that lives is never turned out: nothing flaps.
         """
-        bid = Bid(key, self.name, self.life, self.lease, self.voters)
+        bid = Proposer(key, self.name, self.life, self.lease, self.voters)
         wake = now if prefers else now + self.lease // 8
-        self.standing[key] = Standing(bid, prefers, wake + self.chance.randrange(self.pace))
+        self.standing[key] = Campaign(bid, prefers, wake + self.chance.randrange(self.pace))
         self._next = min(self._next, self.standing[key].wake)
 
-    def may_act(self, key: str, now: int) -> int:
+    def fencing_token(self, key: str, now: int) -> int:
         """The number to put on an effect that begins now; 0: none may."""
         there = self.standing.get(key)
-        return there.bid.may_act(now) if there is not None else 0
+        return there.bid.fencing_token(now) if there is not None else 0
 
     def owned(self, now: int) -> list[str]:
-        return [key for key, there in self.standing.items() if there.bid.may_act(now)]
+        return [key for key, there in self.standing.items() if there.bid.fencing_token(now)]
 
     def put(self, key: str, data: bytes, now: int) -> int:
         """Changes the key's data; the revision it will have, 0 where we don't own it, or another change is
         under way. What came of it happens later: `put`, or `unput` where nobody can say.
         """
         there = self.standing[key]
-        if not there.bid.may_act(now) or there.puts or there.putting or len(data) > MOST_DATA:
+        if not there.bid.fencing_token(now) or there.puts or there.putting or len(data) > MAX_VALUE_BYTES:
             return 0
         there.puts = (there.bid.value.revision + 1, data)
         there.wake = self._next = now
@@ -143,8 +143,8 @@
         for key, there in self.standing.items():
             self._give(key, there, now, "stopping")
 
-    def _give(self, key: str, there: Standing, now: int, why: str) -> None:
-        number = there.bid.may_act(now)
+    def _give(self, key: str, there: Campaign, now: int, why: str) -> None:
+        number = there.bid.fencing_token(now)
         ballot = there.bid.ballot
         self._ended(key, there, "unknown" if there.bid.phase == ACCEPTING else "refused")
         there.bid, out = there.bid.stopped()
@@ -175,13 +175,13 @@
                 self._wake(key, there, now)
         self._next = min((there.wake for there in self.standing.values()), default=ALWAYS)
 
-    def _wake(self, key: str, there: Standing, now: int) -> None:
+    def _wake(self, key: str, there: Campaign, now: int) -> None:
         self._lapse(key, there, now)
         if there.wake > now and there.bid.phase == IDLE:
             return
         if there.freeing is not None:
             ballot, times = there.freeing
-            self.out += [(voter, Free(key, ballot)) for voter in self.voters]
+            self.out += [(voter, Release(key, ballot)) for voter in self.voters]
             there.freeing = (ballot, times - 1) if times > 1 else None
             there.wake = now + self.pace if there.freeing else ALWAYS if self.stopping else there.began
             return
@@ -221,15 +221,15 @@
         self.asked += 1
         return self.asked
 
-    def _renewal(self, bid: Bid) -> int:
+    def _renewal(self, bid: Proposer) -> int:
         """A third of the lease after the asking that it stands on."""
         return bid.until - maybe(bid.value.lease) + self.lease // 3
 
-    def _off(self, there: Standing, now: int, left: int) -> None:
+    def _off(self, there: Campaign, now: int, left: int) -> None:
         """Backs off with full jitter; where a lease stands in the way, from its end on. Where the key is
         wanted comes first, and who owns much comes late.
         """
-        if there.bid.may_act(now):  # as owner it has no time to lose
+        if there.bid.fencing_token(now):  # as owner it has no time to lose
             there.wake = now + 1 + self.chance.randrange(self.pace)
         elif left:
             there.tries = 0
@@ -238,7 +238,7 @@
             there.tries = min(there.tries + 1, 12)
             there.wake = now + 1 + self.chance.randrange(min(self.lease, 2 * self.pace << there.tries))
 
-    def _place(self, there: Standing, now: int, span: int) -> int:
+    def _place(self, there: Campaign, now: int, span: int) -> int:
         wait = self.chance.randrange(1, max(2, span))
         if not there.prefers:
             wait += span
@@ -255,7 +255,7 @@
         if voter not in self.voters:
             return
         self.learn({voter: start})
-        if isinstance(message, Stands):
+        if isinstance(message, ReadReply):
             self._stands(voter, start, message)
             return
         there = self.standing.get(getattr(message, "key", ""))
@@ -264,9 +264,9 @@
         self._hears(there.bid.key, there, voter, start, message, now)
         self._next = min(self._next, there.wake)
 
-    def _hears(self, key: str, there: Standing, voter: str, start: int, message: Message, now: int) -> None:
+    def _hears(self, key: str, there: Campaign, voter: str, start: int, message: Message, now: int) -> None:
         self._lapse(key, there, now)
-        if isinstance(message, Open):
+        if isinstance(message, LeaseReleased):
             if there.bid.phase == IDLE and there.freeing is None and not self.stopping and there.began <= now:
                 there.tries = 0
                 there.wake = min(there.wake, now + self._place(there, now, self.pace // 4))
@@ -306,7 +306,7 @@
                 self._unput(key, there)
             self._off(there, now, after.left if isinstance(message, Refused) else 0)
 
-    def _lapse(self, key: str, there: Standing, now: int) -> None:
+    def _lapse(self, key: str, there: Campaign, now: int) -> None:
         before = there.bid
         there.bid = before.lapsed(now)
         if before.number and not there.bid.number:
@@ -317,7 +317,7 @@
             self._unput(key, there)
             self._off(there, now, 0)
 
-    def _called(self, key: str, there: Standing) -> None:
+    def _called(self, key: str, there: Campaign) -> None:
         if self.histories:
             bid = there.bid
             kind = "take" if not bid.number else "set" if bid.put is not None else "renew"
@@ -327,7 +327,7 @@
                 Happened("call", key, bid.number, revision - 1, op=there.op[0], kind=kind, data=data)
             )
 
-    def _ended(self, key: str, there: Standing, outcome: str) -> None:
+    def _ended(self, key: str, there: Campaign, outcome: str) -> None:
         if there.op[0]:
             value = there.bid.value
             self.happened.append(
@@ -344,12 +344,12 @@
             )
             there.op = "", ""
 
-    def _unput(self, key: str, there: Standing) -> None:
+    def _unput(self, key: str, there: Campaign) -> None:
         for revision, _ in (row for row in (there.putting, there.puts) if row is not None):
             self.happened.append(Happened("unput", key, revision=revision, why="no longer owner"))
         there.putting = there.puts = None
 
-    def _stands(self, voter: str, start: int, message: Stands) -> None:
+    def _stands(self, voter: str, start: int, message: ReadReply) -> None:
         """A value that a majority has accepted under one ballot was the register's when we asked,
         or came later.
         """
@@ -362,6 +362,8 @@
             if sum(1 for row in there if row[1] == ballot) > len(self.voters) // 2:
                 del self.reads[message.ask]
                 self.happened.append(
-                    Happened("read", message.key, ask=message.ask, value=NOBODY if ballot == NEVER else value)
+                    Happened(
+                        "read", message.key, ask=message.ask, value=NO_VALUE if ballot == NO_BALLOT else value
+                    )
                 )
                 return
--- a/pathsaddle/consensus/messages.py
+++ b/pathsaddle/consensus/messages.py
@@ -2,7 +2,7 @@
 and datagrams of messages signed with the fleet's key.
 
 A datagram is a byte that names the form, msgpack of one `Said`, and the first 16 bytes of HMAC-SHA256 over
-all before. Its first byte is none of `fleet/wire.py`'s forms: the two never read each other's.
+all before. Its first byte is none of `fleet/messages.py`'s forms: the two never read each other's.
 Knows no socket.
 """
 
@@ -17,21 +17,23 @@
 
 FORM = 0x41
 SUM = 16
-MOST = 1460  # bytes of a datagram: the longest value with the longest names, in one piece on a usual link
-MOST_DATA = 1024  # bytes that a value may carry: a digest and a revision, not the thing itself
-MOST_NAME = 64
-MOST_VOTERS = 7
-DRIFT = 0.02  # by how much a monotonic clock may run faster or slower than it should
+MAX_DATAGRAM_BYTES = (
+    1460  # bytes of a datagram: the longest value with the longest names, in one piece on a usual link
+)
+MAX_VALUE_BYTES = 1024  # bytes that a value may carry: a digest and a revision, not the thing itself
+MAX_NAME_BYTES = 64
+MAX_VOTERS = 7
+MAX_CLOCK_DRIFT = 0.02  # by how much a monotonic clock may run faster or slower than it should
 
 
 def surely(lease: int) -> int:
     """A lease's length by a clock that may be fast: over by then for certain."""
-    return int(lease * (1 + DRIFT)) + 2
+    return int(lease * (1 + MAX_CLOCK_DRIFT)) + 2
 
 
 def maybe(lease: int) -> int:
     """And by one that may be slow: not over until then for certain."""
-    return int(lease * (1 - 2 * DRIFT)) - 1
+    return int(lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
 
 class Ballot(Struct, array_like=True, frozen=True, order=True):
@@ -57,8 +59,8 @@
     data: bytes
 
 
-NEVER = Ballot(0, "", 0)
-NOBODY = Value("", 0, 0, 0, 0, b"")
+NO_BALLOT = Ballot(0, "", 0)
+NO_VALUE = Value("", 0, 0, 0, 0, b"")
 
 
 class Prepare(Struct, array_like=True, frozen=True, tag=1):
@@ -84,7 +86,7 @@
     ask: int
 
 
-class Hold(Struct, array_like=True, frozen=True, tag=4):
+class Renew(Struct, array_like=True, frozen=True, tag=4):
     """Renews: whoever accepted this ballot and promised none higher holds for its owner a whole lease from
     now.
     """
@@ -115,14 +117,14 @@
     number: int
 
 
-class Free(Struct, array_like=True, frozen=True, tag=7):
+class Release(Struct, array_like=True, frozen=True, tag=7):
     """The owner by this ballot has stopped for good: what is held for it may be let go."""
 
     key: str
     ballot: Ballot
 
 
-class Open(Struct, array_like=True, frozen=True, tag=8):
+class LeaseReleased(Struct, array_like=True, frozen=True, tag=8):
     """Given back: whoever was refused here may come now."""
 
     key: str
@@ -133,7 +135,7 @@
     ask: int
 
 
-class Stands(Struct, array_like=True, frozen=True, tag=10):
+class ReadReply(Struct, array_like=True, frozen=True, tag=10):
     """To Read."""
 
     key: str
@@ -143,7 +145,7 @@
     value: Value
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=11):
+class SyncRequest(Struct, array_like=True, frozen=True, tag=11):
     """A voter begins: from now on it is the one with this number of starts.
     All keys after `after` are asked for.
     """
@@ -152,7 +154,7 @@
     after: str
 
 
-class Tell(Struct, array_like=True, frozen=True, tag=12):
+class SyncReply(Struct, array_like=True, frozen=True, tag=12):
     """start: of whom asked, as it said. known: the highest of it known here; higher than `start`: it must
     take a higher one. part: whether the teller takes part, or begins itself with a whole disk. last: the last
     key that this covers; empty: all that there are.
@@ -166,10 +168,23 @@
     rows: list[tuple[str, Ballot, Ballot, Value]]
 
 
-Message = Prepare | Promise | Accept | Hold | Accepted | Refused | Free | Open | Read | Stands | Ask | Tell
+Message = (
+    Prepare
+    | Promise
+    | Accept
+    | Renew
+    | Accepted
+    | Refused
+    | Release
+    | LeaseReleased
+    | Read
+    | ReadReply
+    | SyncRequest
+    | SyncReply
+)
 
 
-class Said(Struct, array_like=True, frozen=True):
+class Envelope(Struct, array_like=True, frozen=True):
     """One datagram.
 
     group: a sum over the voters' names: who has others is not listened to.
@@ -186,16 +201,16 @@
     messages: list[Message]
 
 
-class Unread(ValueError):
+class DatagramRejectedError(ValueError):
     """A datagram that is not read; its text is the reason, one of REASONS. Never leaves the driver."""
 
 
 REASONS = ("cut", "stranger", "fleet", "voters", "misdirected")
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Said).decode
+_decode = msgspec.msgpack.Decoder(Envelope).decode
 
 
-def group_of(voters: Iterable[str]) -> int:
+def group_checksum(voters: Iterable[str]) -> int:
     return zlib.crc32("\0".join(sorted(voters)).encode())
 
 
@@ -203,19 +218,19 @@
     return len(_encode(message))
 
 
-def encode(said: Said, key: bytes) -> bytes:
+def encode(said: Envelope, key: bytes) -> bytes:
     body = bytes((FORM,)) + _encode(said)
     return body + hmac.digest(key, body, "sha256")[:SUM]
 
 
-def packed(said: Said, messages: Sequence[Message], key: bytes) -> Iterator[bytes]:
+def pack_datagrams(said: Envelope, messages: Sequence[Message], key: bytes) -> Iterator[bytes]:
     """As few datagrams as hold them all, in order."""
     base = len(encode(msgspec.structs.replace(said, messages=[]), key)) + 4
     part: list[Message] = []
     size = base
     for message in messages:
         more = size_of(message)
-        if part and size + more > MOST:
+        if part and size + more > MAX_DATAGRAM_BYTES:
             yield encode(msgspec.structs.replace(said, messages=part), key)
             part, size = [], base
         part.append(message)
@@ -224,21 +239,21 @@
         yield encode(msgspec.structs.replace(said, messages=part), key)
 
 
-def decode(data: bytes, key: bytes, fleet: str, group: int, me: str) -> Said:
+def decode(data: bytes, key: bytes, fleet: str, group: int, me: str) -> Envelope:
     """Raises Unread."""
-    if len(data) <= 1 + SUM or len(data) > MOST or data[0] != FORM:
-        raise Unread("cut")
+    if len(data) <= 1 + SUM or len(data) > MAX_DATAGRAM_BYTES or data[0] != FORM:
+        raise DatagramRejectedError("cut")
     body, told = data[:-SUM], data[-SUM:]
     if not hmac.compare_digest(hmac.digest(key, body, "sha256")[:SUM], told):
-        raise Unread("stranger")
+        raise DatagramRejectedError("stranger")
     try:
         said = _decode(body[1:])
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise Unread("cut") from None
+        raise DatagramRejectedError("cut") from None
     if said.fleet != fleet:
-        raise Unread("fleet")
+        raise DatagramRejectedError("fleet")
     if said.group != group:
-        raise Unread("voters")
+        raise DatagramRejectedError("voters")
     if said.to != me:
-        raise Unread("misdirected")
+        raise DatagramRejectedError("misdirected")
     return said
--- a/pathsaddle/consensus/model_checker.py
+++ b/pathsaddle/consensus/model_checker.py
@@ -19,7 +19,7 @@
 
 from pathsaddle.consensus.acceptor import EMPTY, Row
 from pathsaddle.consensus.messages import Accepted, Message, Promise, Refused
-from pathsaddle.consensus.proposer import CHOSEN, IDLE, PREPARING, Bid, Out
+from pathsaddle.consensus.proposer import CHOSEN, IDLE, PREPARING, Outbox, Proposer
 
 LEASE = 100
 SLOW, FAST = 50, 52  # what a moment is by a candidate's clock and by a voter's
@@ -27,7 +27,7 @@
 Kept = tuple[object, ...]
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """A bound does not hold; its text is how that came about."""
 
 
@@ -47,7 +47,7 @@
 @dataclass(frozen=True, slots=True)
 class World:
     seats: tuple[Seat, ...]
-    bids: tuple[Bid, ...]
+    bids: tuple[Proposer, ...]
     known: tuple[tuple[int, ...], ...]  # by candidate
     # sender, taker, its start, the starts it knows
     air: frozenset[tuple[str, str, int, tuple[int, ...], Message]]
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Ways:
+class CheckerOptions:
     """How often each may happen in one history; `hasty`: voters answer before they sync (a mutant)."""
 
     ballots: int = 2
@@ -71,7 +71,7 @@
     hasty: bool = False
 
 
-def start(ways: Ways, bid: type[Bid] = Bid) -> World:
+def start(ways: CheckerOptions, bid: type[Proposer] = Proposer) -> World:
     bids = tuple(bid("k", f"c{i}", 1, LEASE, VOTERS) for i in range(2))
     return World(
         (Seat(),) * 3,
@@ -88,7 +88,7 @@
     return (*world.left[:which], world.left[which] - 1, *world.left[which + 1 :])
 
 
-def _bid(world: World, i: int, bid: Bid, out: Out, **more: object) -> World:
+def _bid(world: World, i: int, bid: Proposer, out: Outbox, **more: object) -> World:
     before = world.bids[i]
     numbers = world.numbers
     if bid.number and bid.number != before.number:
@@ -136,7 +136,7 @@
     return _bid(world, i, bid, out)
 
 
-def steps(world: World, ways: Ways) -> list[tuple[str, World]]:
+def steps(world: World, ways: CheckerOptions) -> list[tuple[str, World]]:
     """Every next world, and what led to it."""
     found: list[tuple[str, World]] = []
     slow, fast = world.moments * SLOW, world.moments * FAST
@@ -232,12 +232,14 @@
         return "a number twice"
     if sorted(numbers) != numbers:
         return "numbers go back"
-    if sum(1 for bid in world.bids if bid.may_act(world.moments * SLOW)) > 1:
+    if sum(1 for bid in world.bids if bid.fencing_token(world.moments * SLOW)) > 1:
         return "two may act"
     return ""
 
 
-def check(depth: int, ways: Ways, first: World | None = None, bid: type[Bid] = Bid) -> int:
+def check(
+    depth: int, ways: CheckerOptions, first: World | None = None, bid: type[Proposer] = Proposer
+) -> int:
     """How many worlds there are within `depth` steps of the first;
     raises Broken where a bound fails in one.
     """
@@ -255,13 +257,13 @@
                 seen.add(after)
                 wrong = broken(after)
                 if wrong:
-                    raise Broken(f"{wrong}: " + ", ".join((*path, name)))
+                    raise InvariantViolationError(f"{wrong}: " + ", ".join((*path, name)))
                 following.append((after, (*path, name)))
         edge = following
     return len(seen)
 
 
-def owned(ways: Ways, bid: type[Bid] = Bid, who: int = 0) -> World:
+def owned(ways: CheckerOptions, bid: type[Proposer] = Proposer, who: int = 0) -> World:
     """A world to begin from: one candidate just became owner by two voters' word; all that was said is still
     under way, to come again, and to the third for the first time.
     """
@@ -275,5 +277,5 @@
                     world, answer = _to_seat(world, VOTERS.index(voter), said[4], ways.hasty)
                     if answer is not None:
                         world = _to_bid(world, who, answer)
-    assert world.bids[who].may_act(0)
+    assert world.bids[who].fencing_token(0)
     return world
--- a/pathsaddle/consensus/proposer.py
+++ b/pathsaddle/consensus/proposer.py
@@ -11,28 +11,28 @@
 from dataclasses import dataclass, replace
 
 from pathsaddle.consensus.messages import (
-    NEVER,
-    NOBODY,
+    NO_BALLOT,
+    NO_VALUE,
     Accept,
     Accepted,
     Ballot,
-    Free,
-    Hold,
     Message,
     Prepare,
     Promise,
     Refused,
+    Release,
+    Renew,
     Value,
     maybe,
 )
 
 IDLE, PREPARING, ACCEPTING, CHOSEN = range(4)
 ASKS = 8  # askings that may still be answered
-Out = list[tuple[str, Message]]
+Outbox = list[tuple[str, Message]]
 
 
 @dataclass(frozen=True, slots=True)
-class Bid:
+class Proposer:
     """round: the highest seen. value: what is proposed under `ballot`, or chosen by it. votes: (voter, its
     start, when we sent the newest asking that it answered). number: may be acted under before `until`; 0:
     none. left: where the last ballot was refused, after how many ticks it may be worth another.
@@ -45,10 +45,10 @@
     voters: tuple[str, ...]
     round: int = 0
     phase: int = IDLE
-    ballot: Ballot = NEVER
+    ballot: Ballot = NO_BALLOT
     promises: tuple[tuple[str, int, Ballot, Value], ...] = ()
     refusals: tuple[tuple[str, int], ...] = ()
-    value: Value = NOBODY
+    value: Value = NO_VALUE
     votes: tuple[tuple[str, int, int], ...] = ()
     asks: tuple[tuple[int, int], ...] = ()
     number: int = 0
@@ -61,11 +61,11 @@
     def need(self) -> int:
         return len(self.voters) // 2 + 1
 
-    def may_act(self, now: int) -> int:
+    def fencing_token(self, now: int) -> int:
         """The number, 0 where it may not. Asked for just before each effect, never remembered."""
         return self.number if now < self.until else 0
 
-    def lapsed(self, now: int) -> Bid:
+    def lapsed(self, now: int) -> Proposer:
         """A lease that ended has ended for good: no late answer brings it back,
         nor does a ballot begun under it end well.
         """
@@ -73,7 +73,7 @@
             return replace(self, number=0, phase=IDLE, put=None, left=0)
         return self
 
-    def begin(self, now: int, put: bytes | None = None) -> tuple[Bid, Out]:
+    def begin(self, now: int, put: bytes | None = None) -> tuple[Proposer, Outbox]:
         """A new ballot: to own the key, or, owning it, to go on or to change its data."""
         bid = self.lapsed(now)
         ballot = Ballot(bid.round + 1, bid.name, bid.life)
@@ -91,7 +91,7 @@
         )
         return bid, [(voter, Prepare(bid.key, ballot)) for voter in bid.voters]
 
-    def again(self, ask: int, now: int) -> tuple[Bid, Out]:
+    def again(self, ask: int, now: int) -> tuple[Proposer, Outbox]:
         """Says what it said to whom it has no answer from; of a chosen ballot: renews it at all."""
         bid = self.lapsed(now)
         if bid.phase == PREPARING:
@@ -104,7 +104,7 @@
         return bid, [
             (
                 voter,
-                Hold(bid.key, bid.ballot, ask)
+                Renew(bid.key, bid.ballot, ask)
                 if voter in there and bid.phase == CHOSEN
                 else Accept(bid.key, bid.ballot, bid.value, ask),
             )
@@ -113,7 +113,7 @@
 
     def heard(
         self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
-    ) -> tuple[Bid, Out]:
+    ) -> tuple[Proposer, Outbox]:
         """`start`: of the voter, as its answer says; `known`: the highest of each that any voter told. `ask`:
         a number for an asking that may come of it.
         """
@@ -146,7 +146,7 @@
             return bid, []
         return bid, []
 
-    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Bid, Out]:
+    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Proposer, Outbox]:
         there = [row for row in self.promises if row[1] >= known.get(row[0], 0)]
         if len(there) < self.need:
             return self, []
@@ -163,7 +163,7 @@
         bid = replace(bid, phase=ACCEPTING, value=value, refusals=(), votes=(), asks=((ask, now),))
         return bid, [(voter, Accept(bid.key, bid.ballot, value, ask)) for voter in bid.voters]
 
-    def _accepted(self, known: Mapping[str, int], now: int) -> Bid:
+    def _accepted(self, known: Mapping[str, int], now: int) -> Proposer:
         sent = sorted((row[2] for row in self.votes if row[1] >= known.get(row[0], 0)), reverse=True)
         if len(sent) < self.need:
             return self
@@ -175,9 +175,9 @@
         until = max(until, self.until) if self.number else until
         return replace(self, phase=CHOSEN, number=self.value.number, until=until, put=None)
 
-    def stopped(self) -> tuple[Bid, Out]:
+    def stopped(self) -> tuple[Proposer, Outbox]:
         """Acts no more from this moment; then what is held for it may be let go."""
-        out: Out = []
+        out: Outbox = []
         if self.phase in (ACCEPTING, CHOSEN):
-            out = [(voter, Free(self.key, self.ballot)) for voter in self.voters]
+            out = [(voter, Release(self.key, self.ballot)) for voter in self.voters]
         return replace(self, number=0, until=0, phase=IDLE, put=None, promises=(), votes=(), asks=()), out
--- a/pathsaddle/consensus/udp_driver.py
+++ b/pathsaddle/consensus/udp_driver.py
@@ -17,31 +17,31 @@
 from random import Random
 from typing import Any, Protocol
 
-from pathsaddle.consensus.acceptor import Voter, Write
-from pathsaddle.consensus.acceptor_log import Log
-from pathsaddle.consensus.errors import NoDisk, OwnershipFault
-from pathsaddle.consensus.lease_manager import Happened, Owner
+from pathsaddle.consensus.acceptor import Acceptor, DiskWrite
+from pathsaddle.consensus.acceptor_log import AcceptorLog
+from pathsaddle.consensus.errors import ConsensusError, StorageError
+from pathsaddle.consensus.lease_manager import Happened, LeaseManager
 from pathsaddle.consensus.messages import (
-    MOST,
+    MAX_DATAGRAM_BYTES,
     Accept,
-    Ask,
-    Free,
-    Hold,
+    DatagramRejectedError,
+    Envelope,
     Message,
     Prepare,
     Read,
-    Said,
-    Tell,
-    Unread,
+    Release,
+    Renew,
+    SyncReply,
+    SyncRequest,
     Value,
     decode,
-    group_of,
-    packed,
+    group_checksum,
+    pack_datagrams,
 )
-from pathsaddle.control_metrics import Unmetered
+from pathsaddle.control_metrics import NullMeter
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.wire.terms import Peer, peer_of
@@ -51,20 +51,20 @@
 INBOX = 2048  # messages that wait for a voter's disk; more are dropped as any way may drop them
 PEERS = 4096
 MEND = SECOND  # until a voter whose disk failed is tried again
-TO_VOTERS = (Prepare, Accept, Hold, Free, Read, Ask, Tell)
+TO_VOTERS = (Prepare, Accept, Renew, Release, Read, SyncRequest, SyncReply)
 
 
-def steady() -> int:
+def monotonic_ticks() -> int:
     """Ticks of the monotonic clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 100_000
 
 
-class Ground(Protocol):
+class Environment(Protocol):
     def datagrams(self, address: str) -> tuple[socket.socket, Peer]: ...
 
 
 @dataclass
-class Told:
+class RegisterConfig:
     """What a process is told. voters: addresses by name. keys: what it stands for,
     with whether it comes first there.
     """
@@ -82,37 +82,37 @@
     file: str = "the charter"  # where it stands, for an operator
 
 
-def life_of(before: int, chance: Random) -> int:
+def next_incarnation(before: int, chance: Random) -> int:
     """Above `before`, and nobody else's: milliseconds of the wall clock, and chance."""
     return max(before + 1, (time.time_ns() // 1_000_000 << 20) | chance.randrange(1 << 20))
 
 
-class Register:
+class RegisterDriver:
     """A process's part: it votes where its name is among the voters, and stands for its keys. `hear` is
     called with each thing that happened, after it was logged. Raises NoDisk, OtherVoters and
     what place.py says of an address.
     """
 
-    def __init__(self, told: Told, ground: Ground, chance: Random, counters: Counters) -> None:
+    def __init__(self, told: RegisterConfig, ground: Environment, chance: Random, counters: Counters) -> None:
         self.told, self.chance, self.counters = told, chance, counters
-        self.group = group_of(told.voters)
+        self.group = group_checksum(told.voters)
         self.order = sorted(told.voters)
         self.hear: list[Callable[[Happened], None]] = []
-        lives = Lives(told.folder, f"{told.name}.owner")
+        lives = IncarnationStore(told.folder, f"{told.name}.owner")
         try:
-            life = life_of(lives.last(), chance)
+            life = next_incarnation(lives.last(), chance)
             lives.keep(life)
         except OSError as fault:
-            raise NoDisk(
+            raise StorageError(
                 f"{told.folder}: {why(fault)}",
                 access(fault, told.folder, told.folder) + f", at fleet.owners.folder in {told.file}",
             ) from None
-        self.owner = Owner(told.name, life, told.voters, told.lease, chance)
-        self.log: Log | None = None
-        self.voter: Voter | None = None
+        self.owner = LeaseManager(told.name, life, told.voters, told.lease, chance)
+        self.log: AcceptorLog | None = None
+        self.voter: Acceptor | None = None
         if told.name in told.voters:
             self._open()
-        self.purse = Purse(told.most_bytes, told.most_datagrams, steady())
+        self.rate_limiter = RateLimiter(told.most_bytes, told.most_datagrams, monotonic_ticks())
         try:
             self.sock, peer = ground.datagrams(told.listen)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
@@ -125,7 +125,7 @@
         self.inbox: list[tuple[str, dict[str, int], Message]] = []
         self.own: list[tuple[str, int, Message]] = []  # what we say to ourselves
         self.syncing = False
-        self.meter = Unmetered()
+        self.meter = NullMeter()
         self.disk = ThreadPoolExecutor(1, "register")
         self.reads: dict[int, asyncio.Future[Value | None]] = {}
         self.puts: dict[tuple[str, int], asyncio.Future[bool]] = {}
@@ -137,13 +137,13 @@
 
     # What its process asks and wants.
 
-    def may_act(self, key: str) -> int:
+    def fencing_token(self, key: str) -> int:
         """The number for an effect that begins now, 0 where none may: asked just before each effect."""
-        return self.owner.may_act(key, steady())
+        return self.owner.fencing_token(key, monotonic_ticks())
 
     async def read(self, key: str) -> Value | None:
         """What the register holds, by a majority; None where there was none in time."""
-        ask = self.owner.read(key, steady())
+        ask = self.owner.read(key, monotonic_ticks())
         if not ask:
             return None
         done: asyncio.Future[Value | None] = self._events.create_future()
@@ -155,7 +155,7 @@
         """Changes the data of a key that we own. False: it was not taken,
         or nobody can say what came of it.
         """
-        revision = self.owner.put(key, data, steady())
+        revision = self.owner.put(key, data, monotonic_ticks())
         if not revision:
             return False
         done: asyncio.Future[bool] = self._events.create_future()
@@ -165,7 +165,7 @@
 
     def begin(self) -> None:
         self._events = asyncio.get_running_loop()
-        now = steady()
+        now = monotonic_ticks()
         for key, prefers in self.told.keys.items():
             self.owner.stand(key, now, prefers)
         self._events.add_reader(self.sock.fileno(), self._readable)
@@ -173,7 +173,7 @@
 
     def stop(self) -> None:
         """SIGTERM: all is given back, at once; it may be said again until `end`."""
-        self.owner.stop(steady())
+        self.owner.stop(monotonic_ticks())
         self._flush()
 
     def end(self) -> None:
@@ -193,16 +193,16 @@
 
     def _open(self) -> None:
         told = self.told
-        self.log = Log(told.folder, told.name, told.voters)
+        self.log = AcceptorLog(told.folder, told.name, told.voters)
         held = self.log.held
-        self.voter = Voter(
+        self.voter = Acceptor(
             told.name,
             told.voters,
             held.rows,
             held.starts,
-            life_of(held.start, self.chance),
+            next_incarnation(held.start, self.chance),
             held.whole,
-            steady(),
+            monotonic_ticks(),
         )
         self._shown = False
         if not held.whole:
@@ -215,7 +215,7 @@
             return
         try:
             inbox, self.inbox = self.inbox, []
-            now = steady()
+            now = monotonic_ticks()
             for sender, starts, message in inbox:
                 voter.learn(starts, now)
                 voter.heard(sender, message, now)
@@ -234,7 +234,7 @@
         self._tasks = [task for task in self._tasks if not task.done()]
         self._tasks.append(self._events.create_task(self._sync(voter, writes, out)))
 
-    async def _sync(self, voter: Voter, writes: list[Write], out: list[tuple[str, Message]]) -> None:
+    async def _sync(self, voter: Acceptor, writes: list[DiskWrite], out: list[tuple[str, Message]]) -> None:
         assert self.log is not None
         try:
             await self._events.run_in_executor(self.disk, self.log.append, writes)
@@ -248,7 +248,7 @@
         self.counters.add("ownership.syncs")
         self.meter.runs("owners", lambda: self._synced(voter, out))
 
-    def _synced(self, voter: Voter, out: list[tuple[str, Message]]) -> None:
+    def _synced(self, voter: Acceptor, out: list[tuple[str, Message]]) -> None:
         self._say(out, voter.start)
         self._show(voter)
         if self.inbox or voter.writes:
@@ -266,13 +266,13 @@
     def _mend(self) -> None:
         try:
             self._open()
-        except (OSError, OwnershipFault) as fault:
+        except (OSError, ConsensusError) as fault:
             logbook.voter_disk(why=fault)
             self._events.call_later(MEND / SECOND, self._mend)
             return
         self._wake()
 
-    def _show(self, voter: Voter) -> None:
+    def _show(self, voter: Acceptor) -> None:
         if voter.part != self._shown:
             self._shown = voter.part
             if voter.part:
@@ -292,11 +292,11 @@
         told = self.told
         try:
             for _ in range(AT_ONCE):
-                data, source = self.sock.recvfrom(MOST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 self.meter.came("owners", len(data))
                 try:
                     said = decode(data, told.key, told.fleet, self.group, told.name)
-                except Unread as why:
+                except DatagramRejectedError as why:
                     self.counters.add(f"ownership.refused.{why}")
                 else:
                     self._heard(said, source)
@@ -308,14 +308,14 @@
             logbook.fault_ownership(fault)
         self._wake()
 
-    def _heard(self, said: Said, source: Peer) -> None:
+    def _heard(self, said: Envelope, source: Peer) -> None:
         if said.name not in self.told.voters:
             if said.name not in self.peers and len(self.peers) >= PEERS:
                 return
             self.peers[said.name] = source
         starts = dict(zip(self.order, said.starts, strict=False))
         self.owner.learn(starts)
-        now = steady()
+        now = monotonic_ticks()
         for message in said.messages:
             if isinstance(message, TO_VOTERS):
                 if self.voter is not None and len(self.inbox) < INBOX:
@@ -330,15 +330,15 @@
         if self._alarm is not None:
             self._alarm.cancel()
             self._alarm = None
-        due = steady() + SECOND  # after a fault of ours it goes on a second later, never silently
+        due = monotonic_ticks() + SECOND  # after a fault of ours it goes on a second later, never silently
         try:
-            self.owner.wake(steady())
+            self.owner.wake(monotonic_ticks())
             self._turn()
             self._flush()
             due = min(self.owner.due(), self.voter.due() if self.voter is not None else 1 << 60, due)
         except Exception as fault:  # noqa: BLE001
             logbook.fault_ownership(fault)
-        self._alarm = self._events.call_later(max(1, due - steady()) / SECOND, self._wake)
+        self._alarm = self._events.call_later(max(1, due - monotonic_ticks()) / SECOND, self._wake)
 
     def _flush(self) -> None:
         """What happened is logged, then what is to be said is said;
@@ -361,7 +361,7 @@
                         if self.voter is not None and len(self.inbox) < INBOX:
                             self.inbox.append((name, {}, message))
                     else:
-                        owner.heard(name, start, message, steady())
+                        owner.heard(name, start, message, monotonic_ticks())
                 self._turn()
         finally:
             self._flushing = False
@@ -375,19 +375,19 @@
                 rows.setdefault(to, []).append(message)
         known = self.voter.starts if start and self.voter is not None else self.owner.known
         starts = [known.get(name, 0) for name in self.order]
-        now = steady()
+        now = monotonic_ticks()
         for to, messages in rows.items():
             peer = self.peers.get(to)
             if peer is None:
                 continue
-            said = Said(self.told.fleet, self.group, self.told.name, to, start, starts, [])
+            said = Envelope(self.told.fleet, self.group, self.told.name, to, start, starts, [])
             # A quarter of what a second may hold is kept from bids: they must not silence renewals and
             # answers.
             bids = [m for m in messages if isinstance(m, Prepare | Read)]
             rest = [m for m in messages if not isinstance(m, Prepare | Read)]
             for part, spare in ((rest, 0.0), (bids, 0.25)):
-                for data in packed(said, part, self.told.key):
-                    if not self.purse.pays(len(data), now, spare):
+                for data in pack_datagrams(said, part, self.told.key):
+                    if not self.rate_limiter.try_consume(len(data), now, spare):
                         self.counters.add("ownership.held")
                         continue
                     try:
@@ -419,12 +419,14 @@
 
     def view(self) -> dict[str, Any]:
         """What this process believes, for who asks it."""
-        now, voter = steady(), self.voter
+        now, voter = monotonic_ticks(), self.voter
         return {
             "name": self.told.name,
             "life": self.owner.life,
             "owns": {
-                key: there.bid.number for key, there in self.owner.standing.items() if there.bid.may_act(now)
+                key: there.bid.number
+                for key, there in self.owner.standing.items()
+                if there.bid.fencing_token(now)
             },
             "voter": None
             if voter is None
--- a/pathsaddle/control_metrics.py
+++ b/pathsaddle/control_metrics.py
@@ -50,7 +50,7 @@
 T = TypeVar("T")
 
 
-class Unmetered:
+class NullMeter:
     """What drivers have where nobody meters them; its calls are those of `ControlMeter`."""
 
     def runs(self, purpose: Purpose, call: Callable[[], T]) -> T:
@@ -63,7 +63,7 @@
         """So many bytes."""
 
 
-class Spent:
+class PurposeCost:
     """Of one purpose, since the meter began: calls, nanoseconds, bytes; and the most bytes of any whole second."""
 
     __slots__ = ("calls", "got", "last", "most_got", "most_ns", "most_said", "ns", "said", "second")
@@ -81,7 +81,7 @@
         self.last, self.second = self.second, [0, 0, 0]
 
 
-class ControlMeter(Unmetered):
+class ControlMeter(NullMeter):
     """Seconds are those of the clock handed in, from the meter's begin on: a most is of one such second, so that bytes
     which fall on both sides of its end may be twice a most within a second of their own.
 
@@ -94,8 +94,8 @@
         steady_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         self.thread_ns, self.steady_ns = thread_ns, steady_ns
-        self.spent: dict[Purpose, Spent] = {purpose: Spent() for purpose in PURPOSES}
-        self.all = Spent()  # of those that a budget binds
+        self.spent: dict[Purpose, PurposeCost] = {purpose: PurposeCost() for purpose in PURPOSES}
+        self.all = PurposeCost()  # of those that a budget binds
         self.begun = steady_ns()
         self.second = 0  # the running one
         self._inner: list[
@@ -159,7 +159,7 @@
         """Whether a call for that is out."""
         return purpose in self._outer
 
-    def bound(self) -> list[tuple[Purpose, Spent]]:
+    def bound(self) -> list[tuple[Purpose, PurposeCost]]:
         """Those that a budget binds."""
         return [(purpose, one) for purpose, one in self.spent.items() if purpose not in WITH_TXNS]
 
@@ -170,7 +170,7 @@
         self._adds("list", 0, 0, 0)  # a second that has ended counts
         seconds = max(1e-9, (self.steady_ns() - self.begun) / 1e9)
 
-        def told(one: Spent) -> dict[str, Any]:
+        def told(one: PurposeCost) -> dict[str, Any]:
             return {
                 "us": one.ns // 1000,
                 "core": round(one.ns / 1e9 / seconds, 7),
--- a/pathsaddle/emulator/federation/around.py
+++ b/pathsaddle/emulator/federation/around.py
@@ -7,14 +7,14 @@
 
 from pathsaddle.emulator.federation.ground import Ground
 from pathsaddle.emulator.federation.plans import Plan
-from pathsaddle.leased_versions import Have, Version
+from pathsaddle.leased_versions import AppliedAck, Version
 
 
 class KeeperMan(Protocol):
     @property
     def region(self) -> str: ...
 
-    def hears(self, have: Have) -> None: ...
+    def hears(self, have: AppliedAck) -> None: ...
 
 
 class World(Protocol):
--- a/pathsaddle/emulator/federation/keepers.py
+++ b/pathsaddle/emulator/federation/keepers.py
@@ -8,7 +8,7 @@
 from pathsaddle.emulator.federation.around import World
 from pathsaddle.emulator.federation.member import Member
 from pathsaddle.emulator.federation.plans import LEASE, REGIONS
-from pathsaddle.leased_versions import Ask, Commit, Have, Keeper, Version
+from pathsaddle.leased_versions import AppliedAck, CommitNotice, SyncRequest, Version, VersionServer
 from pathsaddle.trade import SECOND
 
 
@@ -20,7 +20,7 @@
         self.began()
 
     def began(self) -> None:
-        self.core = Keeper(LEASE, self.world.ground.now)
+        self.core = VersionServer(LEASE, self.world.ground.now)
         self.up = True
 
     def read(self, then: Callable[[], None] | None = None) -> None:
@@ -52,7 +52,7 @@
                 ground.after(late, at_register)
                 return
 
-    def asked(self, member: Member, ask: Ask, known: int) -> None:
+    def asked(self, member: Member, ask: SyncRequest, known: int) -> None:
         if not self.up:
             return
 
@@ -65,7 +65,7 @@
 
         self.read(then)
 
-    def hears(self, have: Have) -> None:
+    def hears(self, have: AppliedAck) -> None:
         if self.up:
             self.core = self.core.hears(have)
 
@@ -86,7 +86,7 @@
                         member.region,
                         member.gets,
                         member.told,
-                        Commit(version.number, version.digest),
+                        CommitNotice(version.number, version.digest),
                         self,
                     )
             if not late:
--- a/pathsaddle/emulator/federation/member.py
+++ b/pathsaddle/emulator/federation/member.py
@@ -10,10 +10,10 @@
 from pathsaddle.emulator.federation.ground import Clock
 from pathsaddle.emulator.federation.plans import EXPIRY, KINDS, LEASE, ON_TIME, REGIONS, WORK
 from pathsaddle.emulator.federation.pool import Piece
-from pathsaddle.federation.routing import SOON, Job, Place, Ways
-from pathsaddle.federation.spare_capacity import Lender, parts
-from pathsaddle.fleet.quota.leases import DRIFT, Lend, Want
-from pathsaddle.leased_versions import Commit, Holder, Renewed, Version, holder
+from pathsaddle.federation.routing import SOON, Candidate, RegionRouter, RoutedRequest
+from pathsaddle.federation.spare_capacity import SpareCapacityLender, parts
+from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaRequest
+from pathsaddle.leased_versions import CommitNotice, LeaseRenewal, Version, VersionSubscriber, new_subscriber
 from pathsaddle.trade import MILLISECOND, SECOND
 
 
@@ -28,12 +28,12 @@
     kind: str
     work: int
     expires: int  # true time
-    job: Job
+    job: RoutedRequest
     answer: Callable[..., None]
     home: str
     done: bool = False
     tries: dict[str, Post] = field(default_factory=dict)
-    reason: Place | None = None
+    reason: Candidate | None = None
     piece: Piece | None = None
 
 
@@ -55,7 +55,10 @@
         self.world, self.region, self.name = world, region, f"{region}-{number}"
         self.number = number
         chance = world.ground.chance
-        self.clock = Clock(chance.randrange(-36_000_000, 36_000_000), chance.uniform(-DRIFT / 2, DRIFT / 2))
+        self.clock = Clock(
+            chance.randrange(-36_000_000, 36_000_000),
+            chance.uniform(-MAX_CLOCK_DRIFT / 2, MAX_CLOCK_DRIFT / 2),
+        )
         self.disk = version
         self.life = 0
         self.up = False
@@ -67,12 +70,16 @@
         self.up = True
         world, now = self.world, self.now()
         world.log("member.began", who=self.name, life=self.life, region=self.region)
-        self.holder: Holder = holder(self.name, self.region, self.life, LEASE, self.disk)
-        self.ways = Ways(self.name, self.region, [region for region in REGIONS if region != self.region])
+        self.holder: VersionSubscriber = new_subscriber(self.name, self.region, self.life, LEASE, self.disk)
+        self.ways = RegionRouter(
+            self.name, self.region, [region for region in REGIONS if region != self.region]
+        )
         pool = world.pools[self.region]
         budget = int(self.disk.spec.regions[self.region].lend * pool.slots * SECOND / WORK)
         part = parts(budget, world.plan.members)[self.number]
-        self.lender = Lender(self.name, self.life, part, now - (9 * SECOND if self.life == 1 else 0))
+        self.lender = SpareCapacityLender(
+            self.name, self.life, part, now - (9 * SECOND if self.life == 1 else 0)
+        )
         self.born = now
         self.txns: dict[Txn, None] = {}
         self.waits: dict[Txn, None] = {}
@@ -139,13 +146,13 @@
                 self.world.log("spec.offered", who=self.name, version=version.number)
             self.keep()
 
-    def told(self, commit: Commit, keeper: KeeperMan) -> None:
+    def told(self, commit: CommitNotice, keeper: KeeperMan) -> None:
         self.holder, have = self.holder.told(commit)
         self.keep()
         if have is not None:
             self.world.ground.carries(self.region, keeper.region, keeper.hears, have)
 
-    def renewed(self, told: Renewed) -> None:
+    def renewed(self, told: LeaseRenewal) -> None:
         before = self.holder
         self.holder = before.renewed(told, self.now())
         if self.holder is not before:
@@ -216,13 +223,15 @@
     def word(self, fellow: str, word: dict[str, tuple[int, int]]) -> None:
         now = self.now()
         for region, (overdue, ago) in word.items():
-            self.ways.word(region, fellow, overdue, now - int(ago * (1 + 2 * DRIFT)) - MILLISECOND, now)
+            self.ways.word(
+                region, fellow, overdue, now - int(ago * (1 + 2 * MAX_CLOCK_DRIFT)) - MILLISECOND, now
+            )
 
     def says(self) -> None:
         out, self.lender.out = self.lender.out, []
         world = self.world
         for said in out:
-            if isinstance(said, Lend):
+            if isinstance(said, Grant):
                 other = world.members[said.taker]
                 self.tell_rights()  # a fall, before the units can be used elsewhere
                 world.ground.carries(self.region, self.region, other.gets, other.shares, said)
@@ -231,7 +240,7 @@
                 for other in world.ground.chance.sample(fellows, min(3, len(fellows))):
                     world.ground.carries(self.region, self.region, other.gets, other.shares, said)
 
-    def shares(self, said: Want | Lend) -> None:
+    def shares(self, said: QuotaRequest | Grant) -> None:
         self.lender.hears(said, self.now())
         self.says()
         self.tell_rights()
@@ -259,7 +268,16 @@
         expires = world.ground.now + EXPIRY
         left = self.clock.own(world.ground.now + ON_TIME) - 50 * MILLISECOND
         work = world.work[tag]
-        txn = Txn(tag, scheme, kind, work, expires, Job(tag, scheme, WORK, left, self.region), answer, home)
+        txn = Txn(
+            tag,
+            scheme,
+            kind,
+            work,
+            expires,
+            RoutedRequest(tag, scheme, WORK, left, self.region),
+            answer,
+            home,
+        )
         world.log(
             "txn.taken",
             who=self.name,
@@ -355,7 +373,7 @@
             if not own or now + pool.wait() + WORK > txn.job.left:
                 self.answers(txn, "declined")
                 return
-            self.run(txn, Place("run", "home", region=self.region))
+            self.run(txn, Candidate("run", "home", region=self.region))
             return
         self.ways.own_wait, self.ways.own_ages = pool.wait(), world.ages(self.region)
         base = self.holder.base
@@ -370,7 +388,7 @@
                     self.answers(txn, "declined")
                     return
                 txn.job.again[self.region] = now + SOON
-                place = Place(
+                place = Candidate(
                     "hold", why, until=now + SOON, key=place.key, line=place.line, version=place.version
                 )
             else:
@@ -390,7 +408,7 @@
         elif place.what == "decline":
             self.answers(txn, "declined")
 
-    def run(self, txn: Txn, place: Place) -> None:
+    def run(self, txn: Txn, place: Candidate) -> None:
         world = self.world
         post = (
             f"{txn.tag}/{self.name}/here" if txn.job.origin == self.region else f"{txn.tag}/{self.name}/lent"
@@ -443,7 +461,7 @@
         )
         world.pools[self.region].put(txn.piece)
 
-    def send(self, txn: Txn, place: Place) -> None:
+    def send(self, txn: Txn, place: Candidate) -> None:
         world, now, region = self.world, self.now(), place.region
         number = len(txn.tries)
         other = world.members[f"{region}-{world.ground.chance.randrange(world.plan.members)}"]
@@ -467,7 +485,7 @@
         )
         way = self.ways.ways[region]
         # Time left is told as a span, less half the way: no two clocks need be equal.
-        left = int((txn.job.left - now - (way.trip + way.off) / 2) / (1 + DRIFT)) - 10 * MILLISECOND
+        left = int((txn.job.left - now - (way.trip + way.off) / 2) / (1 + MAX_CLOCK_DRIFT)) - 10 * MILLISECOND
         world.ground.carries(self.region, region, other.gets, other.asked, self, post.post, txn, left)
         told = max(0, way.wait - (now - way.told))
         self.when(now + way.patience() + told + int(1.6 * WORK), self.silent, txn, post)
@@ -503,7 +521,7 @@
             txn.kind,
             txn.work,
             txn.expires,
-            Job(txn.tag, txn.scheme, WORK, now + left, origin),
+            RoutedRequest(txn.tag, txn.scheme, WORK, now + left, origin),
             answer,
             txn.home,
         )
@@ -572,7 +590,7 @@
         ground = self.world.ground
         if lent is None:
             self.lent[post] = "declined"  # if it comes after this word, it is not begun
-            age = int((self.now() - self.born) * (1 - DRIFT))
+            age = int((self.now() - self.born) * (1 - MAX_CLOCK_DRIFT))
             ground.carries(self.region, sender.region, sender.gets, sender.never, txn, post, age)
         elif isinstance(lent, str):
             pool = self.world.pools[self.region]
@@ -593,6 +611,10 @@
     def never(self, txn: Txn, post: str, age: int) -> None:
         """It was never heard of by a life that was there before it was sent: it never ran, and never will."""
         tried = txn.tries.get(post)
-        if tried is None or tried.state != "unknown" or age < (self.now() - tried.sent) * (1 + DRIFT):
+        if (
+            tried is None
+            or tried.state != "unknown"
+            or age < (self.now() - tried.sent) * (1 + MAX_CLOCK_DRIFT)
+        ):
             return
         self.end_of(txn, tried, "declined")
--- a/pathsaddle/emulator/federation/mutants.py
+++ b/pathsaddle/emulator/federation/mutants.py
@@ -13,11 +13,11 @@
 
 from pathsaddle.emulator.federation.plans import COURSES, Plan
 from pathsaddle.emulator.federation.pool import Piece, Pool
-from pathsaddle.federation.routing import Job, Place, Ways
-from pathsaddle.federation.spare_capacity import Free, Lender
+from pathsaddle.federation.routing import Candidate, RegionRouter, RoutedRequest
+from pathsaddle.federation.spare_capacity import ReleaseNotice, SpareCapacityLender
 from pathsaddle.federation.spec import Rule, Spec
-from pathsaddle.fleet.quota.leases import State
-from pathsaddle.leased_versions import Have, Holder, Keeper, Renewed, Version
+from pathsaddle.fleet.quota.leases import QuotaLedger
+from pathsaddle.leased_versions import AppliedAck, LeaseRenewal, Version, VersionServer, VersionSubscriber
 
 Patches = list[Any]
 
@@ -25,96 +25,105 @@
 def _loosened_on_arrival() -> Patches:
     """What is offered counts as if it were committed."""
 
-    def offered(self: Holder, version: Version) -> Holder:
+    def offered(self: VersionSubscriber, version: Version) -> VersionSubscriber:
         return (
             self
             if version.number <= self.known[0]
             else replace(self, base=version, known=(version.number, version.digest))
         )
 
-    return [mock.patch.object(Holder, "offered", offered)]
+    return [mock.patch.object(VersionSubscriber, "offered", offered)]
 
 
 def _force_early() -> Patches:
     """In force as soon as it is committed."""
-    return [mock.patch.object(Keeper, "waits_for", lambda self, now: ())]
+    return [mock.patch.object(VersionServer, "waits_for", lambda self, now: ())]
 
 
 def _force_by_offer() -> Patches:
     """A member's word of having the text counts, though it doesn't know of any commit."""
 
-    def has(self: Holder) -> Have | None:
+    def has(self: VersionSubscriber) -> AppliedAck | None:
         last = max((self.base, *self.offers), key=lambda one: one.number)
-        return Have(self.name, last.number, last.digest)
+        return AppliedAck(self.name, last.number, last.digest)
 
-    def hears(self: Keeper, have: Have) -> Keeper:
+    def hears(self: VersionServer, have: AppliedAck) -> VersionServer:
         rows = dict(self.rows)
         rows[have.name] = max(have.number, rows.get(have.name, 0))
         after = tuple(sorted(rows.items()))
         return self if after == self.rows else replace(self, rows=after)
 
-    return [mock.patch.object(Holder, "has", has), mock.patch.object(Keeper, "hears", hears)]
+    return [
+        mock.patch.object(VersionSubscriber, "has", has),
+        mock.patch.object(VersionServer, "hears", hears),
+    ]
 
 
 def _lease_by_arrival() -> Patches:
     """A lease counts from when the answer comes."""
 
-    def renewed(self: Holder, told: Renewed, now: int) -> Holder:
+    def renewed(self: VersionSubscriber, told: LeaseRenewal, now: int) -> VersionSubscriber:
         if (told.name, told.life) != (self.name, self.life) or told.number < self.known[0]:
             return self
         return replace(self.committed(told.number, told.digest), until=max(self.until, now + self.lease))
 
-    return [mock.patch.object(Holder, "renewed", renewed)]
+    return [mock.patch.object(VersionSubscriber, "renewed", renewed)]
 
 
 def _widest() -> Patches:
     """Who hears nothing goes by the widest that it knows."""
 
-    def rule(self: Holder, scheme: str, now: int) -> Rule:
+    def rule(self: VersionSubscriber, scheme: str, now: int) -> Rule:
         found = self.base.spec.rule(scheme, self.here)
         for offer in self.offers:
             found = replace(found, may=found.may | offer.spec.rule(scheme, self.here).may)
         return found
 
-    return [mock.patch.object(Holder, "rule", rule)]
+    return [mock.patch.object(VersionSubscriber, "rule", rule)]
 
 
 def _crosses_twice() -> Patches:
     """What another region sent is sent on, as if it were a client's."""
-    whole = Ways.choose
+    whole = RegionRouter.choose
 
-    def choose(self: Ways, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
+    def choose(
+        self: RegionRouter, job: RoutedRequest, rule: Rule, spec: Spec, version: int, now: int
+    ) -> Candidate:
         return whole(self, replace(job, origin=self.here), rule, spec, version, now)
 
-    return [mock.patch.object(Ways, "choose", choose)]
+    return [mock.patch.object(RegionRouter, "choose", choose)]
 
 
 def _foreigners_first() -> Patches:
     """Whoever comes from abroad is taken on and begun, whether own jobs wait or not."""
 
-    def asked(self: Lender, scheme: str, rule: Rule, here: str, free: Free, now: int) -> str:
+    def asked(
+        self: SpareCapacityLender, scheme: str, rule: Rule, here: str, free: ReleaseNotice, now: int
+    ) -> str:
         return "" if here in rule.may else "residency"
 
     def pop(self: Pool) -> Piece | None:
         queue = self.foreign or self.own
         return queue.popleft() if queue else None
 
-    return [mock.patch.object(Lender, "asked", asked), mock.patch.object(Pool, "next", pop)]
+    return [mock.patch.object(SpareCapacityLender, "asked", asked), mock.patch.object(Pool, "next", pop)]
 
 
 def _again_after_silence() -> Patches:
     """A once-only job whose posting abroad was silent is posted again."""
-    whole = Ways.choose
+    whole = RegionRouter.choose
 
-    def choose(self: Ways, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
+    def choose(
+        self: RegionRouter, job: RoutedRequest, rule: Rule, spec: Spec, version: int, now: int
+    ) -> Candidate:
         return whole(self, job, replace(rule, semantics="repeatable"), spec, version, now)
 
-    return [mock.patch.object(Ways, "choose", choose)]
+    return [mock.patch.object(RegionRouter, "choose", choose)]
 
 
 def _lends_twice() -> Patches:
     """What was lent goes on being used by its owner."""
-    return [mock.patch.object(State, "own", lambda self, now: self.part)]
+    return [mock.patch.object(QuotaLedger, "own", lambda self, now: self.part)]
 
 
 # name -> (patches, the finding by which the judge names it; "model": found by every order of events)
--- a/pathsaddle/emulator/federation/pool.py
+++ b/pathsaddle/emulator/federation/pool.py
@@ -8,7 +8,7 @@
 
 from pathsaddle.emulator.federation.around import World
 from pathsaddle.emulator.federation.plans import COLD, WORK
-from pathsaddle.federation.spare_capacity import Free
+from pathsaddle.federation.spare_capacity import ReleaseNotice
 
 
 @dataclass(eq=False)
@@ -46,8 +46,8 @@
     def slower(self) -> float:
         return 1.0 + 2.0 * max(0.0, 1 - self.warm / (COLD * self.slots))
 
-    def free(self) -> Free:
-        return Free(self.slots - self.running, len(self.own), sum(self.of.values()), self.of)
+    def free(self) -> ReleaseNotice:
+        return ReleaseNotice(self.slots - self.running, len(self.own), sum(self.of.values()), self.of)
 
     def spare(self) -> int:
         return 0 if self.own else self.slots - self.running
--- a/pathsaddle/emulator/federation/smoke.py
+++ b/pathsaddle/emulator/federation/smoke.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from pathsaddle.config.validation import Faulty, NotAmong, check, load
+from pathsaddle.config.validation import InvalidConfigError, NotAllowedValueError, load_toml, validate
 from pathsaddle.emulator.federation.judge import earned, judged, lent, turned
 from pathsaddle.emulator.federation.mutants import MUTANTS, mutant, shown_in
 from pathsaddle.emulator.federation.plans import COURSES, Plan, any_course
 from pathsaddle.emulator.federation.world import World
 from pathsaddle.emulator.steps import Steps
-from pathsaddle.federation.model_checker import Forbidden
+from pathsaddle.federation.model_checker import InvariantViolationError
 from pathsaddle.federation.model_checker import check as every_order
 from pathsaddle.trade import SECOND
 
@@ -205,7 +205,7 @@
             with counting(bounds, steps):
                 worlds = every_order(plan.depth, 3)
             says(f"versions: {worlds} worlds to depth {plan.depth}")
-        except Forbidden as fault:
+        except InvariantViolationError as fault:
             wrong.append(f"versions: {fault}")
     for name, (_, finding) in MUTANTS.items():
         caught = ""
@@ -233,7 +233,7 @@
         return 2
     try:
         plan = read(sys.argv[1])
-    except Faulty as fault:
+    except InvalidConfigError as fault:
         print(fault, file=sys.stderr)
         return 2
     return play(plan)
@@ -241,14 +241,14 @@
 
 def read(path: str) -> SmokeForm:
     """A plan, checked whole. Raises Faulty."""
-    plan = check(SmokeForm, load(path), path)
+    plan = validate(SmokeForm, load_toml(path), path)
     if unknown := [
-        NotAmong(path, key, shown=repr(name), may=f"some of {', '.join(known)}")
+        NotAllowedValueError(path, key, shown=repr(name), may=f"some of {', '.join(known)}")
         for key, told, known in (("courses", plan.courses, COURSES), ("hows", plan.hows, HOWS))
         for name in told
         if name not in known
     ]:
-        raise Faulty([*unknown])
+        raise InvalidConfigError([*unknown])
     return plan
 
 
--- a/pathsaddle/emulator/ground/links.py
+++ b/pathsaddle/emulator/ground/links.py
@@ -26,7 +26,7 @@
 from pathsaddle.net.wire.terms import Peer, peer_of
 
 if TYPE_CHECKING:
-    from pathsaddle.fleet.udp_driver import Fellows
+    from pathsaddle.fleet.udp_driver import MembershipDriver
     from pathsaddle.net.memory.counters import Counters
 
 BUFFER = 256 * 1024  # bytes under way in one direction before the sender waits
@@ -370,7 +370,7 @@
         host: Host,
         told: Callable[[], str] = lambda: "",
         service: Callable[..., TxnService] = TxnService,
-        fellows: Callable[[VirtualGround, Counters], Fellows | None] = lambda ground, counters: None,
+        fellows: Callable[[VirtualGround, Counters], MembershipDriver | None] = lambda ground, counters: None,
     ) -> None:
         loop = host.net.loop
         super().__init__(Clock(loop.wall, loop.time))
@@ -383,7 +383,7 @@
         assert self.host.net.datagram is not None
         return cast(socket.socket, self.host.net.datagram(self.host)), peer_of(address)
 
-    def fellows(self, counters: Counters) -> Fellows | None:
+    def fellows(self, counters: Counters) -> MembershipDriver | None:
         return self._fellows(self, counters)
 
     def stream(self, address: str) -> tuple[Tallied, Peer]:
--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -16,9 +16,9 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.quota.shared_state import SPARE, Shared
-from pathsaddle.fleet.rate_limiter import SECOND, Purse
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
+from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
 
 TOLD = 16  # budgets of which a member tells what it would lend
 
@@ -81,14 +81,14 @@
     budgets = [f"b{i:04d}" for i in range(point)]
     rate, lease = setting.part * setting.members, int(setting.lease * SECOND)
     cores = {
-        name: Shared(
+        name: SharedState(
             name,
             1,
             "scale",
             b"0123456789abcdef",
-            Purse(setting.bytes, 60, 0),
+            RateLimiter(setting.bytes, 60, 0),
             SECOND,
-            {budget: Dealt(rate, setting.part, lease) for budget in budgets},
+            {budget: QuotaConfig(rate, setting.part, lease) for budget in budgets},
             Random(f"{seed} {name}"),
             0,
         )
@@ -133,8 +133,8 @@
             for budget, who in uses:
                 for name in busy:
                     if name == who or turns % 20:  # the others use just what they have in a window
-                        cores[name].limiter.takes(budget, many, now)
-                cores[who].limiter.takes(budget, many, now)
+                        cores[name].limiter.try_acquire(budget, many, now)
+                cores[who].limiter.try_acquire(budget, many, now)
                 limiter = cores[who].limiter
                 if budget not in first and limiter.budgets[budget].state.usable(now) > setting.part:
                     first[budget] = now - rest
@@ -151,7 +151,7 @@
                 heapq.heappush(heap, (now + way, count, to, gram))
             core.out.clear()
             due[name] = core.due(now)
-            if (record := core.carry.mine.records.get(SPARE)) is not None:
+            if (record := core.carry.mine.records.get(SPARE_TOPIC)) is not None:
                 spare_bytes = max(spare_bytes, len(record.body))
         if now >= rest:
             spent += time.process_time() - before
--- a/pathsaddle/emulator/hollow/changes.py
+++ b/pathsaddle/emulator/hollow/changes.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from pathsaddle.emulator.hollow.serving import Client, Ground, Process
-from pathsaddle.fleet.gossip.gossip import Carry
-from pathsaddle.fleet.rate_limiter import SECOND, Purse
+from pathsaddle.fleet.gossip.gossip import Gossip
+from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
 
 DAY = 86_400.0
 KINDS = ("quota", "scheme", "budget", "limit")
@@ -287,12 +287,12 @@
     """
     names = [f"d{i:03d}" for i in range(setting.takers)]
     cores = {
-        name: Carry(
+        name: Gossip(
             name,
             1,
             "scale",
             b"0123456789abcdef",
-            Purse(setting.bytes, 60, 0),
+            RateLimiter(setting.bytes, 60, 0),
             SECOND,
             Random(f"{seed} {name}"),
             0,
--- a/pathsaddle/emulator/hollow/control.py
+++ b/pathsaddle/emulator/hollow/control.py
@@ -30,7 +30,7 @@
 from pathsaddle.emulator.hollow.sockets_members import LONGEST, Shard, spent_us
 from pathsaddle.emulator.stage import ends_with_us
 from pathsaddle.errors import FINDING, Error
-from pathsaddle.fleet.control_client import asked
+from pathsaddle.fleet.control_client import query_dispatcher
 
 CALLS = 20_000  # of an empty call through a meter, by which its own cost is reckoned
 MARK = 0.02  # seconds between two looks at what is waited for
@@ -220,7 +220,7 @@
             raise NoMeter(step=step, seconds=LONGEST, last=lines[-1] if lines else "it said nothing")
 
     async def _asked(self, word: str) -> dict[str, Any]:
-        return await asyncio.get_running_loop().run_in_executor(None, asked, self.control, word)
+        return await asyncio.get_running_loop().run_in_executor(None, query_dispatcher, self.control, word)
 
     async def _part(self, work: Any) -> tuple[dict[str, Any], dict[str, Any], float, float]:
         """(the meter before, after, the process's us meanwhile, seconds)."""
--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -1,6 +1,6 @@
 """A fleet of hollow members on the virtual ground: one process, no sockets, virtual time.
 
-Each member is the program's own driver (`fleet/driver.py`) with its cores for membership, carrying and shares, and
+Each member is the program's own driver (`fleet/udp_driver.py`) with its cores for membership, carrying and shares, and
 no txns. Ways are those of `places.py`. Bytes and datagrams are counted where they leave and arrive; processor time
 around the cores' calls alone.
 """
@@ -21,12 +21,12 @@
 from pathsaddle.emulator.ground.moments import Moments
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.served.members import Disk
-from pathsaddle.fleet.membership import Change, Ways
-from pathsaddle.fleet.messages import CARRIED, DEAD, Row
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.quota.shared_state import SPARE
+from pathsaddle.fleet.membership import MembershipChange, MembershipOptions
+from pathsaddle.fleet.messages import CARRIED, DEAD, MemberRecord
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC
 from pathsaddle.fleet.rate_limiter import SECOND
-from pathsaddle.fleet.udp_driver import Fellows, Told
+from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.wire.terms import Peer
 
@@ -133,10 +133,10 @@
     def __init__(self, place: Place) -> None:
         self.place, self.disk, self.lives = place, Disk(), 0
         self.host: Host | None = None
-        self.fellows: Fellows | None = None
+        self.fellows: MembershipDriver | None = None
 
 
-def introduced(some: list[Fellows], rows: list[Row], lease: float) -> None:
+def introduced(some: list[MembershipDriver], rows: list[MemberRecord], lease: float) -> None:
     """They know all of these, as if they had met long ago; nothing of that is news. What each would lend is told
     once, when the first lease has ended.
     """
@@ -176,7 +176,7 @@
         setting, place = self.setting, member.place
         member.lives += 1
         host = member.host = Host(self.net, place.name, place.zone)
-        ways = Ways(
+        ways = MembershipOptions(
             "hollow",
             KEY,
             int(setting.beat * SECOND),
@@ -185,14 +185,16 @@
         )
         count = len(self.members)
         dealt = {
-            f"budget-{n:03}": Dealt(10 * count, 10, int(setting.lease * SECOND))
+            f"budget-{n:03}": QuotaConfig(10 * count, 10, int(setting.lease * SECOND))
             for n in range(setting.budgets)
         }
         seeds = [one.place.address for one in self.members[:3]]
-        told = Told(place.name, place.zone, place.address, place.address, seeds, "", ways, budgets=dealt)
+        told = MembershipConfig(
+            place.name, place.zone, place.address, place.address, seeds, "", ways, budgets=dealt
+        )
 
-        def begun() -> Fellows:
-            fellows = Fellows(
+        def begun() -> MembershipDriver:
+            fellows = MembershipDriver(
                 told,
                 VirtualGround(host),
                 member.disk,
@@ -226,7 +228,7 @@
             self.begin(member)
         introduced(self.running(), [fellows.core.me for fellows in self.running()], self.setting.lease)
 
-    def _changed(self, change: Change) -> None:
+    def _changed(self, change: MembershipChange) -> None:
         about = self.by_name.get(change.name)
         if (
             self.blame
@@ -250,14 +252,14 @@
         member.host = member.fellows = None
 
     @staticmethod
-    def _held(fellows: Fellows) -> int:
+    def _held(fellows: MembershipDriver) -> int:
         shared = fellows.shared.carry.counts.get("held back", 0) if fellows.shared is not None else 0
         return fellows.core.counts.get("held back", 0) + shared
 
     def held_back(self) -> int:
         return self.held + sum(map(self._held, self.running()))
 
-    def running(self) -> list[Fellows]:
+    def running(self) -> list[MembershipDriver]:
         return [member.fellows for member in self.members if member.fellows is not None]
 
     # What all know.
@@ -302,7 +304,7 @@
             carry = fellows.shared.carry if fellows.shared is not None else None
             if fellows.core.gossip or carry is None or carry.news:
                 return False
-            if sum(SPARE in origin.records for origin in carry.origins.values()) != count:
+            if sum(SPARE_TOPIC in origin.records for origin in carry.origins.values()) != count:
                 return False
         return True
 
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from pathsaddle.jobs.state_machine import End, Kind, Record
+from pathsaddle.jobs.state_machine import End, JobRecord, Kind
 from pathsaddle.jobs.store import Accepted, DiskWriter, Forget, Store, Write
 from pathsaddle.trade import SECOND, Semantics
 
@@ -124,9 +124,9 @@
             )
         ]
         if ended:
-            rows.append(Record(Kind.INTENT, tag, at + 100, 1, f"worker-{i % 1900:04}"))
+            rows.append(JobRecord(Kind.INTENT, tag, at + 100, 1, f"worker-{i % 1900:04}"))
             rows.append(
-                Record(
+                JobRecord(
                     Kind.FINAL,
                     tag,
                     at + 41 * SECOND,
--- a/pathsaddle/emulator/hollow/members_load.py
+++ b/pathsaddle/emulator/hollow/members_load.py
@@ -3,7 +3,7 @@
 
 Records go out at the pace at which the overload gate's driver tells them (`fleet/overload/driver.py`): twice a second,
 rarer among many. All know all at the start. After a span of it one member is killed while the others tell on: what
-membership has to say shares a purse with all this.
+membership has to say shares a rate_limiter with all this.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     ),
     "held_back_s": (
         "1/s",
-        "datagrams that a member's purse refused while all tell, on the mean (hollow, emulated)",
+        "datagrams that a member's rate_limiter refused while all tell, on the mean (hollow, emulated)",
     ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran (hollow, emulated)"),
 } | peak_figures({"load": "each tells a load record at the pace of the overload gate's driver"})
--- a/pathsaddle/emulator/hollow/open_sockets.py
+++ b/pathsaddle/emulator/hollow/open_sockets.py
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from pathsaddle.config.loader import told
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check
+from pathsaddle.config.loader import platform_config
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import validate
 from pathsaddle.emulator.hollow.waits import percentile
 
 READY_WITHIN = 15.0  # seconds
@@ -178,8 +178,8 @@
             with socket.socket() as one:
                 one.bind(("127.0.0.1", 0))
                 port = one.getsockname()[1]
-            charter = check(
-                Charter,
+            charter = validate(
+                Configuration,
                 {
                     "listen": f"127.0.0.1:{port}",
                     "discovery": "127.0.0.1:9",
@@ -196,7 +196,8 @@
             )
             config = folder / "d.json"
             config.write_text(
-                json.dumps(told(charter, {"index": 1, "snapshot": True, "endpoints": rows})), encoding="utf-8"
+                json.dumps(platform_config(charter, {"index": 1, "snapshot": True, "endpoints": rows})),
+                encoding="utf-8",
             )
             with (folder / "log").open("wb") as log:
                 process = await asyncio.create_subprocess_exec(
--- a/pathsaddle/emulator/hollow/open_txns.py
+++ b/pathsaddle/emulator/hollow/open_txns.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from pathsaddle.config.loader import told
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check
+from pathsaddle.config.loader import platform_config
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import validate
 from pathsaddle.loop import Loop
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.wire.birth import Birth, birth
@@ -152,8 +152,8 @@
 
 
 def birth_of(seed: int, setting: Setting) -> Birth:
-    charter = check(
-        Charter,
+    charter = validate(
+        Configuration,
         {
             "listen": "127.0.0.1:1",
             "discovery": "127.0.0.1:1",
@@ -177,7 +177,7 @@
         }
         for i in range(setting.workers)
     ]
-    return birth(json.dumps(told(charter, {"index": 1, "snapshot": True, "endpoints": rows})))
+    return birth(json.dumps(platform_config(charter, {"index": 1, "snapshot": True, "endpoints": rows})))
 
 
 def needs(point: int, setting: Setting) -> tuple[int, float]:
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -3,7 +3,7 @@
 
 Voters stand in regions of their own, members as `places.py` deals them; ways are as long as theirs. All stand for all
 keys from one moment on; then, at rest, each asks at a stated rate who owns a key, and owners change their data at a
-stated rate. Datagrams are packed and weighed as the driver does (`ownership/driver.py`).
+stated rate. Datagrams are packed and weighed as the driver does (`consensus/udp_driver.py`).
 
 Counts, bytes and spans depend on the seed alone; only processor time depends on the machine.
 """
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pathsaddle.consensus.messages import Message, Said, group_of, packed
+from pathsaddle.consensus.messages import Envelope, Message, group_checksum, pack_datagrams
 from pathsaddle.emulator.hollow.fleet_ground import Spent, Tally, most
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.ownership.ground import Ground, Host, MemberHost, VoterHost
@@ -134,16 +134,16 @@
         for name, message in out:
             to.setdefault(name, []).append(message)
         for name, messages in to.items():
-            said = Said(
+            said = Envelope(
                 "hollow",
-                group_of(self.voters),
+                group_checksum(self.voters),
                 self.places[host.name].name,
                 self.places[name].name,
                 start,
                 [starts.get(voter, 0) for voter in self.voters],
                 [],
             )
-            for data in packed(said, messages, KEY):
+            for data in pack_datagrams(said, messages, KEY):
                 self._weigh(host.name, name, len(data))
         super().says(host, out)
 
@@ -172,7 +172,7 @@
         return [host for host in self.hosts.values() if isinstance(host, MemberHost)]
 
     def owner(self, key: str) -> MemberHost | None:
-        return next((host for host in self.members() if host.owner.may_act(key, host.now())), None)
+        return next((host for host in self.members() if host.owner.fencing_token(key, host.now())), None)
 
     def again(self, rate: float, does: Callable[[], None]) -> None:
         """At moments that chance draws, so many a second on the mean."""
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -20,9 +20,9 @@
 import msgspec
 
 from pathsaddle.beliefs import Book
-from pathsaddle.config.loader import told
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check
+from pathsaddle.config.loader import platform_config
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import validate
 from pathsaddle.loop import Loop
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
@@ -113,9 +113,9 @@
     return msgspec.json.encode({"index": index, "snapshot": whole, "endpoints": rows}) + b"\n"
 
 
-def charter(setting: Setting) -> Charter:
-    return check(
-        Charter,
+def charter(setting: Setting) -> Configuration:
+    return validate(
+        Configuration,
         {
             "listen": "127.0.0.1:0",
             "discovery": "127.0.0.1:9",
@@ -145,7 +145,7 @@
         self.workers = workers
         self.index = 1
         known = {"index": 1, "snapshot": True, "endpoints": []}
-        self.born = birth(json.dumps(told(charter(setting), known)))
+        self.born = birth(json.dumps(platform_config(charter(setting), known)))
         self.born.terms.beats = (
             False  # the list here speaks by lines alone: no beat tells that it is still there
         )
--- a/pathsaddle/emulator/hollow/served.py
+++ b/pathsaddle/emulator/hollow/served.py
@@ -18,7 +18,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.config.schema import Charter
+from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.trade import SECOND
@@ -314,7 +314,7 @@
     """All of them, in this process."""
 
     def __init__(
-        self, charter: Charter, count: int, slots: int, waiting: int, run: float, zones: list[str]
+        self, charter: Configuration, count: int, slots: int, waiting: int, run: float, zones: list[str]
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.charter = charter
--- a/pathsaddle/emulator/hollow/settings.py
+++ b/pathsaddle/emulator/hollow/settings.py
@@ -12,7 +12,7 @@
 
 from pathsaddle.emulator.settings.smoke import at, waits
 from pathsaddle.emulator.settings.world import SECOND, Plan, Process, World, worst
-from pathsaddle.settings.documents import encoded
+from pathsaddle.settings.documents import encode_document
 
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
@@ -130,7 +130,9 @@
                         last[revision] = max(last.get(revision, 0), event.at)
     own = [process for process in world.processes.values() if not process.keeper]
     keepers = [process for process in world.processes.values() if process.keeper]
-    sizes = [len(encoded(group)) for digest, group in world.groups.items() if group.author != "founder"]
+    sizes = [
+        len(encode_document(group)) for digest, group in world.groups.items() if group.author != "founder"
+    ]
     return {
         "in_force_p50_s": at(took, 0.5),
         "in_force_p99_s": at(took, 0.99),
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -27,12 +27,12 @@
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.hollow.fleet_ground import KEY, introduced
 from pathsaddle.emulator.hollow.places import places
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.membership import Ways
-from pathsaddle.fleet.messages import Row
-from pathsaddle.fleet.quota.quota_limiter import Dealt
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.membership import MembershipOptions
+from pathsaddle.fleet.messages import MemberRecord
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
 from pathsaddle.fleet.rate_limiter import SECOND
-from pathsaddle.fleet.udp_driver import Fellows, Told
+from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 
@@ -96,14 +96,16 @@
     before, counters, some = pss_kib("self"), Counters(), []
     addresses: list[str] = told["addresses"]
     count = len(addresses) + setting.real
-    dealt = {f"budget-{n:03}": Dealt(10 * count, 10, LEASE * SECOND) for n in range(setting.budgets)}
+    dealt = {f"budget-{n:03}": QuotaConfig(10 * count, 10, LEASE * SECOND) for n in range(setting.budgets)}
     for place in places(len(addresses))[told["first"] : told["first"] + setting.shard]:
         address = addresses[place.number]
-        ways = Ways("hollow", KEY)
-        fellows = Fellows(
-            Told(place.name, place.zone, address, address, addresses[:3], "", ways, budgets=dealt),
+        ways = MembershipOptions("hollow", KEY)
+        fellows = MembershipDriver(
+            MembershipConfig(
+                place.name, place.zone, address, address, addresses[:3], "", ways, budgets=dealt
+            ),
             Ground(),
-            Lives(None, place.name),
+            IncarnationStore(None, place.name),
             Random(f"{told['seed']}/{place.name}"),
             counters,
         )
@@ -120,7 +122,7 @@
     rows = await line()
     if not rows:  # nobody speaks to us any more
         return
-    introduced(some, msgspec.json.decode(rows, type=list[Row]), LEASE)
+    introduced(some, msgspec.json.decode(rows, type=list[MemberRecord]), LEASE)
     for fellows in some:
         fellows.begin()
     say("begun")
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -26,8 +26,8 @@
 
 from pathsaddle.beliefs import Account
 from pathsaddle.choice import HANDFUL
-from pathsaddle.config.loader import read, settings
-from pathsaddle.config.schema import Charter
+from pathsaddle.config.loader import platform_settings, read_configuration
+from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.hollow.serving import Ground, rss_mib
 from pathsaddle.loop import Loop
 from pathsaddle.trade import (
@@ -156,11 +156,11 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "teams.toml"
         file.write_text(text, encoding="utf-8")
-        charter = read(file)
+        charter = read_configuration(file)
         found = {
             "charter_bytes": float(len(text)),
-            "settings_bytes": float(len(json.dumps(settings(charter)))),
-            "check_ms": statistics.median(1e3 * spent(lambda: read(file)) for _ in range(5)),
+            "settings_bytes": float(len(json.dumps(platform_settings(charter)))),
+            "check_ms": statistics.median(1e3 * spent(lambda: read_configuration(file)) for _ in range(5)),
             "refused_budgets": float(refused_budgets(point, Path(folder))),
         }
         found |= asyncio.run(_real(Path(folder), charter))
@@ -208,7 +208,7 @@
         from pathsaddle.errors import Error
 
         try:
-            read(file)
+            read_configuration(file)
         except Error:
             return False
         return True
@@ -218,7 +218,7 @@
     return count - (bisect.bisect_left(range(count), True, key=lambda budgets: not taken(budgets)) - 1)
 
 
-async def _real(folder: Path, charter: Charter) -> dict[str, float]:
+async def _real(folder: Path, charter: Configuration) -> dict[str, float]:
     def table(number: int, listen: str, discovery: str) -> dict[str, Any]:
         return {
             "name": "d0",
--- a/pathsaddle/emulator/hollow/workers.py
+++ b/pathsaddle/emulator/hollow/workers.py
@@ -26,9 +26,9 @@
 import msgspec
 import uvloop
 
-from pathsaddle.config.loader import told
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check
+from pathsaddle.config.loader import platform_config
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import validate
 from pathsaddle.emulator.hollow.outside import cpu_seconds, descriptors, memory_mib
 from pathsaddle.emulator.hollow.served import Clients, HollowList, Workers, until
 from pathsaddle.emulator.stage import ends_with_us
@@ -143,10 +143,10 @@
     return 2, 160.0 + 0.06 * point
 
 
-def charter(setting: Setting, listen: str, discovery: str) -> Charter:
+def charter(setting: Setting, listen: str, discovery: str) -> Configuration:
     zones = [f"z{i:02}" for i in range(setting.zones)]
-    return check(
-        Charter,
+    return validate(
+        Configuration,
         {
             "listen": listen,
             "discovery": discovery,
@@ -221,7 +221,9 @@
         listen = "{}:{}".format(*self.workers.dispatcher)
         old = {"index": 1, "snapshot": True, "endpoints": self.workers.rows}
         file, log = self.space / "d.json", self.space / "d.log"
-        file.write_text(json.dumps(told(charter(self.setting, listen, discovery), old)), encoding="utf-8")
+        file.write_text(
+            json.dumps(platform_config(charter(self.setting, listen, discovery), old)), encoding="utf-8"
+        )
         loop = asyncio.get_running_loop()
         begun = loop.time()
         async with dispatcher(file, log) as process:
--- a/pathsaddle/emulator/judges/crossings.py
+++ b/pathsaddle/emulator/judges/crossings.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pathsaddle.config.schema import Charter
+from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import FAR, SECOND, Finding
 
@@ -31,7 +31,7 @@
 class Crossings:
     """Reads events in any order; `verdict` once."""
 
-    def __init__(self, charter: Charter, slack: int = 20) -> None:
+    def __init__(self, charter: Configuration, slack: int = 20) -> None:
         longest = max((scheme.expiry for scheme in charter.schemes), default=MOST_EXPIRY)
         self.ends_within = min(MOST_EXPIRY, longest) + ENDS_WITHIN + slack
         self.asked: dict[str, Event] = {}
@@ -128,7 +128,7 @@
         return sorted(self.findings, key=lambda finding: finding.at)
 
 
-def judge_crossings(charter: Charter, events: Iterable[Event], slack: int = 20) -> list[Finding]:
+def judge_crossings(charter: Configuration, events: Iterable[Event], slack: int = 20) -> list[Finding]:
     """`slack` as the judge's."""
     one = Crossings(charter, slack)
     one.read(events)
--- a/pathsaddle/emulator/judges/fleet_judge.py
+++ b/pathsaddle/emulator/judges/fleet_judge.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from math import log2, log10
 
-from pathsaddle.config.schema import Fleet
+from pathsaddle.config.schema import FleetTable
 from pathsaddle.emulator.events import Event
 
 FAR = 1 << 60
@@ -53,7 +53,7 @@
 
 
 class FleetJudge:
-    def __init__(self, told: Fleet, n: int, slack: int) -> None:
+    def __init__(self, told: FleetTable, n: int, slack: int) -> None:
         self.told, self.n, self.slack = told, n, slack
         self.beat = int(told.beat)
         self.bound = bound(n, self.beat) + slack
@@ -257,7 +257,7 @@
                     )
 
 
-def judge_fleet(told: Fleet, n: int, events: Iterable[Event], slack: int) -> FleetJudge:
+def judge_fleet(told: FleetTable, n: int, events: Iterable[Event], slack: int) -> FleetJudge:
     judge = FleetJudge(told, n, slack)
     judge.read(events)
     judge.verdict()
--- a/pathsaddle/emulator/judges/judge.py
+++ b/pathsaddle/emulator/judges/judge.py
@@ -37,7 +37,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from pathsaddle.config.schema import Charter, Scheme
+from pathsaddle.config.schema import Configuration, RequestClassTable
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges import fleet_judge
 
@@ -99,7 +99,7 @@
     tag: str
     job: int
     dispatcher: int
-    scheme: Scheme
+    scheme: RequestClassTable
     at: int
     expires: int
     answers: list[tuple[int, str, int, int]] = field(default_factory=list)  # (crossed, how, seen, come back)
@@ -181,7 +181,7 @@
 class Judge:
     """Reads events in any order; `verdict` once."""
 
-    def __init__(self, charter: Charter, slack: int = 20) -> None:
+    def __init__(self, charter: Configuration, slack: int = 20) -> None:
         self.charter = charter
         self.slack = slack
         # What binds by rule 3; where dropped workers stay open, a draining that was told does alone.
@@ -479,7 +479,7 @@
                 )
 
     @staticmethod
-    def _same_group(scheme: Scheme, one: Sent, other: Sent) -> bool:
+    def _same_group(scheme: RequestClassTable, one: Sent, other: Sent) -> bool:
         return scheme.group == "all" or (
             one.zone == other.zone and (scheme.group == "zone" or one.cell == other.cell)
         )
@@ -676,7 +676,7 @@
         )
 
 
-def judge(charter: Charter, events: Iterable[Event], slack: int = 20) -> Verdict:
+def judge(charter: Configuration, events: Iterable[Event], slack: int = 20) -> Verdict:
     """`slack`: ticks by which each limit is longer: 500 where sockets are real, little in virtual time."""
     one = Judge(charter, slack)
     events = list(events)
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -15,11 +15,11 @@
 from pathsaddle.choice import Choice
 from pathsaddle.fleet import membership
 from pathsaddle.fleet.membership import Membership
-from pathsaddle.fleet.messages import Row
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.messages import MemberRecord
+from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.jobs import job_service, state_machine
-from pathsaddle.jobs.job_service import DurableTxnService
-from pathsaddle.jobs.state_machine import Kind, Next, Record, Word, after_restart
+from pathsaddle.jobs.job_service import JobService
+from pathsaddle.jobs.state_machine import JobRecord, Kind, Next, Word, after_restart
 from pathsaddle.jobs.store import Accepted
 from pathsaddle.jobs.submitted_call import key_of
 from pathsaddle.net.service.txn_service import TxnService
@@ -179,22 +179,22 @@
 
 def _records_after_sending() -> Patches:
     """The intent is written while the posting is on its way already."""
-    put = DurableTxnService._surely
+    put = JobService._surely
 
-    async def later(self: DurableTxnService, until: int, *writes: Any) -> bool:
-        if isinstance(writes[0], Record) and writes[0].kind is Kind.INTENT:
+    async def later(self: JobService, until: int, *writes: Any) -> bool:
+        if isinstance(writes[0], JobRecord) and writes[0].kind is Kind.INTENT:
             self._events.call_later(1.0, lambda: self._start(put(self, FAR, *writes)))
             return True
         return await put(self, until, *writes)
 
-    return [mock.patch.object(DurableTxnService, "_surely", later)]
+    return [mock.patch.object(JobService, "_surely", later)]
 
 
 def _answers_before_recording() -> Patches:
     """The final answer is told, and written a second later."""
-    ending = DurableTxnService._ending
+    ending = JobService._ending
 
-    async def told_first(self: DurableTxnService, kept: Any, record: Any, pending: Any, tell: Any) -> None:
+    async def told_first(self: JobService, kept: Any, record: Any, pending: Any, tell: Any) -> None:
         kept.pending = None
         tell(True)
         self._changed(kept)
@@ -202,7 +202,7 @@
         await asyncio.sleep(1.0)
         await ending(self, kept, record, pending, lambda fine: None)
 
-    return [mock.patch.object(DurableTxnService, "_ending", told_first)]
+    return [mock.patch.object(JobService, "_ending", told_first)]
 
 
 def _checks_no_lease() -> Patches:
@@ -222,12 +222,12 @@
 
 def _loses_the_accepted() -> Patches:
     """The client is told that its job is taken on, and nothing of it is on disk."""
-    put = DurableTxnService._put
+    put = JobService._put
 
-    def nothing(self: DurableTxnService, *writes: Any) -> Any:
+    def nothing(self: JobService, *writes: Any) -> Any:
         return put(self, *(write for write in writes if not isinstance(write, Accepted)))
 
-    return [mock.patch.object(DurableTxnService, "_put", nothing)]
+    return [mock.patch.object(JobService, "_put", nothing)]
 
 
 def _forgets_the_others() -> Patches:
@@ -261,7 +261,7 @@
 
 def _ignores_lives() -> Patches:
     """Whatever is told last is believed, of whichever life."""
-    return [mock.patch.object(Row, "rank", property(lambda self: (0, 0, self.state)))]
+    return [mock.patch.object(MemberRecord, "rank", property(lambda self: (0, 0, self.state)))]
 
 
 def _blind_to_stalls() -> Patches:
@@ -273,7 +273,7 @@
     """A new life is taken to have been heard when the old one was."""
     learn = Membership.learn
 
-    def credited(self: Membership, row: Row, now: int, who: str, compared: bool = False) -> None:
+    def credited(self: Membership, row: MemberRecord, now: int, who: str, compared: bool = False) -> None:
         old = self.members.get(row.name)
         learn(self, row, now, who, compared)
         new = self.members.get(row.name)
@@ -286,7 +286,7 @@
 def _unbounded() -> Patches:
     """Nothing bounds what is sent, and pages are sent as fast as they come."""
     return [
-        mock.patch.object(Purse, "pays", lambda self, size, now, spare=0.0: True),
+        mock.patch.object(RateLimiter, "try_consume", lambda self, size, now, spare=0.0: True),
         mock.patch.object(membership, "ROWS_APART", 0.02),
         mock.patch.object(membership, "ROWS", 1e9),
     ]
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -16,11 +16,11 @@
 
 from pathsaddle.choice import Choice
 from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.admission_gate import Gate, Ways
-from pathsaddle.fleet.overload.load_summary import read
-from pathsaddle.fleet.overload.scheduler_gate import PLACES, Beside
-from pathsaddle.fleet.quota.leases import Back, Lend, Want
-from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
+from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
+from pathsaddle.fleet.overload.load_summary import decode_summary
+from pathsaddle.fleet.overload.scheduler_gate import MAX_QUEUED, SchedulerAdmissionGate
+from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
 from pathsaddle.trade import SECOND, Txn
 
 LATE = 3 * SECOND // 10
@@ -34,10 +34,10 @@
     members: dict[str, Told] = field(default_factory=dict)
 
 
-class Told(Beside):
+class Told(SchedulerAdmissionGate):
     """Beside a Choice, with its mail."""
 
-    def __init__(self, core: Gate, limiter: Limiter, mail: Mail) -> None:
+    def __init__(self, core: OverloadGate, limiter: QuotaLimiter, mail: Mail) -> None:
         super().__init__(core)
         self.limiter, self.mail = limiter, mail
         self.inbox: deque[tuple[int, str, int, int, bytes]] = deque()
@@ -47,7 +47,7 @@
         now = choice.now
         while self.inbox and self.inbox[0][0] + LATE <= now:
             at, name, life, version, body = self.inbox.popleft()
-            self.core.hears_read(name, life, version, read(body), at)
+            self.core.hears_read(name, life, version, decode_summary(body), at)
         super().turn(choice)
         if now >= self.tell_at:
             self.tell_at, self.version = now + TELLS, self.version + 1
@@ -71,12 +71,12 @@
             other = self.mail.members.get(name)
             if other is None:
                 continue
-            if isinstance(said, Want):
+            if isinstance(said, QuotaRequest):
                 other.limiter.asked(budget, said, now)
                 other.says(now)
-            elif isinstance(said, Lend):
+            elif isinstance(said, Grant):
                 other.limiter.lent(budget, said, now)
-            elif isinstance(said, Back):
+            elif isinstance(said, Release):
                 other.limiter.returned(budget, said, now)
 
 
@@ -96,22 +96,22 @@
             retry_budgets.LOOK: 6 * rate,
         }
         wholes |= {
-            f"{kind}.w{place}": 2 * whole / PLACES
+            f"{kind}.w{place}": 2 * whole / MAX_QUEUED
             for kind, whole in wholes.items()
-            for place in range(PLACES)
+            for place in range(MAX_QUEUED)
         }
         dealt = {}
         for budget, whole in wholes.items():
             units = max(2, int(whole))
-            dealt[budget] = Dealt(
+            dealt[budget] = QuotaConfig(
                 units, units // terms.dispatchers + (terms.number < units % terms.dispatchers), 4 * SECOND
             )
         # A process that starts anew is another life: its earlier one's loans may still be out.
         life = now
-        limiter = Limiter(name, life, dealt, Random(f"{seed} limiter"), now)
+        limiter = QuotaLimiter(name, life, dealt, Random(f"{seed} limiter"), now)
         sla = sum(scheme.sla_time for scheme in terms.schemes) / len(terms.schemes)
         value = sum(scheme.value for scheme in terms.schemes) / len(terms.schemes)
-        ways = Ways(
+        ways = GateOptions(
             b"one plan's key",
             terms.dispatchers,
             value / sla,
@@ -124,7 +124,7 @@
             SECOND // 2,
             max(SECOND, terms.come_back_most),
         )
-        core = Gate(ways, name, terms.number, limiter, now)
+        core = OverloadGate(ways, name, terms.number, limiter, now)
         self.gate = mail.members[name] = Told(core, limiter, mail)
 
     keeps = Choice.housekeeping
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -1,6 +1,6 @@
 """Members, workers and clients on a ground of their own, small enough for two hundred members in seconds.
 
-The decisions under test are the program's (`pathsaddle.fleet.overload`, `fleet.state.shares`); where a txn
+The decisions under test are the program's (`pathsaddle.fleet.overload`, `fleet.quota.leases`); where a txn
 goes is plain here: the room that is believed, with looks, holding the dearest first, as `Choice` does in more
 words. Everything that peers see is an event; the judge reads nothing else. One seeded generator for each
 part, so that the same clients come whatever the policy.
@@ -20,8 +20,8 @@
 from pathsaddle.emulator.overload.plan import Plan, Trouble
 from pathsaddle.emulator.overload.policies import Decided, Policy, fleet, policy, ways_of
 from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.shed_rank import Ask
-from pathsaddle.fleet.quota.leases import Back, Lend, Want
+from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
+from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.trade import MILLISECOND, SECOND
 
 VALUES = (1.0, 2.0, 4.0, 12.0)  # by scheme
@@ -59,7 +59,7 @@
     member: Member
     at: int
     name: str
-    ask: Ask
+    ask: AdmissionRequest
     postings: int = 0
     closed: bool = False
     held: bool = False
@@ -348,7 +348,7 @@
         member = self.running[min(len(self.sums) - 1, bisect_left(self.sums, at * self.sums[-1]))]
         job.tries += 1
         left = job.first + SLA - self.now
-        ask = Ask(
+        ask = AdmissionRequest(
             job.customer,
             job.key,
             f"s{job.scheme}",
@@ -625,7 +625,7 @@
 
         self.after(after, arrives)
 
-    def asks(self, one: Member, other: int, budget: str, said: Want | Lend | Back) -> None:
+    def asks(self, one: Member, other: int, budget: str, said: QuotaRequest | Grant | Release) -> None:
         """A datagram to one member, of the limiter's."""
         self.bytes += 60
         if one.number in self.cut or other in self.cut or self.chance.random() < self.lossy:
--- a/pathsaddle/emulator/overload/leases.py
+++ b/pathsaddle/emulator/overload/leases.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from pathsaddle.emulator.overload.around import Member
-from pathsaddle.fleet.quota.leases import Back, Lend, Want
-from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
+from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
 from pathsaddle.trade import SECOND
 
 LEASE = 4 * SECOND
@@ -24,16 +24,16 @@
         for budget, whole in units.items():
             # What doesn't come out even goes to the next members for each budget, the same by everyone's
             # reckoning: where a worker's budget holds less than one for each, all hold some at some workers.
-            dealt[budget] = Dealt(
+            dealt[budget] = QuotaConfig(
                 whole, whole // members + ((member.number - first) % members < whole % members), LEASE
             )
             first = (first + whole % members) % members
         # All have been there for long: what a life before may have lent is no longer out.
-        self.core = Limiter(member.name, LIFE, dealt, chance, -4 * LEASE)
+        self.core = QuotaLimiter(member.name, LIFE, dealt, chance, -4 * LEASE)
         self.core.there = [f"d{number}" for number in range(members)]
 
-    def takes(self, budget: str, units: int, now: int) -> bool:
-        taken = self.core.takes(budget, units, now)
+    def try_acquire(self, budget: str, units: int, now: int) -> bool:
+        taken = self.core.try_acquire(budget, units, now)
         if taken:
             self.spent(budget, units)
         self.says()
@@ -53,12 +53,12 @@
         for name, budget, said in out:
             self.member.ground.asks(self.member, int(name[1:]), budget, said)
 
-    def heard(self, budget: str, said: Want | Lend | Back, now: int) -> None:
+    def heard(self, budget: str, said: QuotaRequest | Grant | Release, now: int) -> None:
         core = self.core
         core.heard_at = now
-        if isinstance(said, Want):
+        if isinstance(said, QuotaRequest):
             core.asked(budget, said, now)
-        elif isinstance(said, Lend):
+        elif isinstance(said, Grant):
             core.lent(budget, said, now)
         else:
             core.returned(budget, said, now)
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -19,14 +19,14 @@
 import msgspec
 
 from pathsaddle.emulator.events import Event
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.membership import Ways as FleetWays
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.membership import MembershipOptions as FleetWays
 from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.admission_gate import Gate, Ways
-from pathsaddle.fleet.overload.driver import Levels
-from pathsaddle.fleet.overload.shed_rank import Ask
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.udp_driver import Fellows, Told
+from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
+from pathsaddle.fleet.overload.driver import ShedLevelDriver
+from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.trade import SECOND
@@ -44,22 +44,24 @@
         self.chance = Random(f"{told['seed']} {self.name}")
         number, members = told["number"], told["members"]
         dealt = {
-            budget: Dealt(whole, whole // members + (number < whole % members), told["lease"])
+            budget: QuotaConfig(whole, whole // members + (number < whole % members), told["lease"])
             for budget, whole in told["budgets"].items()
         }
         ways = FleetWays("overload", b"sixteen bytes or more", SECOND // 5, SECOND * 6 // 100, 48_000, 200)
-        self.fellows = Fellows(
-            Told(self.name, "east", told["listen"], told["address"], told["seeds"], "", ways, budgets=dealt),
+        self.fellows = MembershipDriver(
+            MembershipConfig(
+                self.name, "east", told["listen"], told["address"], told["seeds"], "", ways, budgets=dealt
+            ),
             Ground(),
-            Lives(None, self.name),
+            IncarnationStore(None, self.name),
             Random(f"{self.name} fellows"),
             Counters(),
         )
         self.fellows.quiet = True
         assert self.fellows.shared is not None
         now = self.fellows.clock.now()
-        self.gate = Gate(
-            Ways(
+        self.gate = OverloadGate(
+            GateOptions(
                 b"the same for all",
                 members,
                 4.75 / RUN,
@@ -73,7 +75,7 @@
             self.fellows.shared.limiter,
             now,
         )
-        self.levels = Levels(self.fellows, self.gate, self.before, self.after)
+        self.levels = ShedLevelDriver(self.fellows, self.gate, self.before, self.after)
         self.count = 0
 
     def log(self, at: int, what: str, **more: Any) -> None:
@@ -95,7 +97,7 @@
         )
         # Some identities come to several members: each must be shed alike everywhere.
         key = f"k{chance.randrange(400)}"
-        ask = Ask(
+        ask = AdmissionRequest(
             f"c{chance.randrange(4)}", key, f"s{scheme}", VALUES[scheme], 0.3, float(run), 2 * SECOND, run
         )
         woken = self.gate.now
--- a/pathsaddle/emulator/overload/plan.py
+++ b/pathsaddle/emulator/overload/plan.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.overload.errors import BadPlan
+from pathsaddle.fleet.overload.errors import InvalidPlanError
 
 POLICIES = ("alone", "fleet", "whole", "dagor", "breakwater", "throttle", "finagle", "envoy", "doorman")
 MUTANTS = ("jumpy", "dice", "arrival", "unspread")
@@ -71,34 +71,34 @@
     try:
         smoke = msgspec.toml.decode(path.read_bytes(), type=Smoke)
     except OSError as fault:
-        raise BadPlan(f"{path}: can't be read: {why(fault)}", access(fault, path)) from None
+        raise InvalidPlanError(f"{path}: can't be read: {why(fault)}", access(fault, path)) from None
     except msgspec.ValidationError as fault:
         text, _, at = str(fault).partition(" - at ")
         at = at.strip("`").removeprefix("$.") or "its top"
-        raise BadPlan(
+        raise InvalidPlanError(
             f"{path}: {at}: {why(ValueError(text))}",
             f"write what {at} may hold, as experiments/overload-smoke.toml shows, in {path}",
         ) from None
     except UnicodeDecodeError as fault:
-        raise BadPlan(f"{path}: byte {fault.start} is no UTF-8", access(fault, path)) from None
+        raise InvalidPlanError(f"{path}: byte {fault.start} is no UTF-8", access(fault, path)) from None
     except msgspec.DecodeError as fault:
-        raise BadPlan(f"{path}: is not TOML: {why(fault)}", f"mend that place of {path}") from None
+        raise InvalidPlanError(f"{path}: is not TOML: {why(fault)}", f"mend that place of {path}") from None
     for plan in smoke.plans:
         for key, told, known in (("policy", plan.policy, POLICIES), ("mutant", plan.mutant, ("", *MUTANTS))):
             if told not in known:
-                raise BadPlan(
+                raise InvalidPlanError(
                     f"{path}: plans: {plan.name}: no {key} is called {told!r}",
                     f"write one of {', '.join(filter(None, known))} at {key} of {plan.name} in {path}",
                 )
     names = [plan.name for plan in smoke.plans]
     for mutant, (_, on) in smoke.mutants.items():
         if mutant not in MUTANTS or on not in names:
-            raise BadPlan(
+            raise InvalidPlanError(
                 f"{path}: mutants.{mutant}: there is no such mutant, or no plan is called {on!r}",
                 f"write one of {', '.join(MUTANTS)} there, and one of {', '.join(names)} as its plan",
             )
     if not smoke.seeds or not smoke.plans:
-        raise BadPlan(
+        raise InvalidPlanError(
             f"{path}: seeds, plans: nothing is to be played", f"write a seed and a plan at least in {path}"
         )
     return smoke
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -28,9 +28,9 @@
 from pathsaddle.emulator.overload.leases import Leases
 from pathsaddle.emulator.overload.plan import Plan
 from pathsaddle.fleet.overload import load_summary, retry_budgets
-from pathsaddle.fleet.overload.admission_gate import Gate, Verdict, Ways
-from pathsaddle.fleet.overload.shed_level import Level
-from pathsaddle.fleet.overload.shed_rank import BANDS, Ask, band, drawn
+from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, GateOptions, OverloadGate
+from pathsaddle.fleet.overload.shed_level import ShedLevel
+from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest, rank_band, rank_hash
 from pathsaddle.trade import MILLISECOND, SECOND
 
 SECRET = b"an emulated fleet's key"
@@ -60,10 +60,10 @@
         self.chance = Random(f"{member.ground.seed} {number} policy")
         self.tells = 1.0
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         return LET
 
-    def gives_up(self, ask: Ask, now: int) -> Decided:
+    def gives_up(self, ask: AdmissionRequest, now: int) -> Decided:
         return Decided(False)
 
     def goes_out(self, kind: str, worker: str, now: int) -> bool:
@@ -77,10 +77,10 @@
     def tick(self, now: int) -> None: ...
 
 
-def ways_of(plan: Plan) -> Ways:
+def ways_of(plan: Plan) -> GateOptions:
     slots = plan.workers * plan.slots
     share = slots / plan.customers
-    return Ways(
+    return GateOptions(
         SECRET,
         plan.members,
         MEAN_VALUE / RUN,
@@ -121,7 +121,7 @@
         self.leases = Leases(member, units, plan.members, self.chance)
         for budget, whole in units.items() if number == 0 else ():
             ground.events.add(0, "share.budget", who=member.name, budget=budget, units=whole)
-        self.gate = Gate(ways_of(plan), member.name, number, self.leases, 0)
+        self.gate = OverloadGate(ways_of(plan), member.name, number, self.leases, 0)
         self.version = 0
         self.counted: deque[tuple[int, str]] = deque()  # of the mutant that counts by arrival
         # Two hundred tell once a second, few twice: bytes stay what they are.
@@ -131,7 +131,7 @@
         if plan.mutant == "jumpy":
             self.gate.level = Jumpy(0)
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         given = self.gate.lets_in(ask, now)
         if self.plan.mutant == "dice":
             given.stands = int(given.stands) + self.chance.random()
@@ -140,7 +140,7 @@
             given.come_back = COME_BACK
         return of(given)
 
-    def gives_up(self, ask: Ask, now: int) -> Decided:
+    def gives_up(self, ask: AdmissionRequest, now: int) -> Decided:
         return Decided(False, come_back=self.gate.advises(ask, now))
 
     def goes_out(self, kind: str, worker: str, now: int) -> bool:
@@ -173,13 +173,13 @@
                 told.offered = [part * self.tells for part in told.offered]
                 told.could *= self.tells
                 told.steady *= self.tells
-            body = load_summary.packed(told)
-            read = load_summary.read(body)
+            body = load_summary.encode_summary(told)
+            read = load_summary.decode_summary(body)
             name = member.name
             ground.tells(member, lambda other: fleet(other).hears(name, version, read, now), len(body))
         self.leases.tick(now)
 
-    def hears(self, name: str, version: int, told: load_summary.Word, at: int) -> None:
+    def hears(self, name: str, version: int, told: load_summary.LoadSummary, at: int) -> None:
         self.gate.hears_read(name, 1, version, told, at)
 
 
@@ -188,7 +188,7 @@
     return member.policy
 
 
-class Jumpy(Level):
+class Jumpy(ShedLevel):
     """The mutant: it stands wherever the sums say, at once."""
 
     def moves(self, target: float, heard: float, now: int) -> float:
@@ -196,7 +196,7 @@
         return target
 
 
-def of(given: Verdict) -> Decided:
+def of(given: AdmissionVerdict) -> Decided:
     return Decided(given.let, given.stands, given.level, given.come_back, given.why, given.over, given.period)
 
 
@@ -205,12 +205,12 @@
         super().__init__(plan, member, number)
         self.level = 0.0
         self.waits: list[int] = []
-        self.counts = [0] * (BANDS * 16)
+        self.counts = [0] * (RANK_BANDS * 16)
         self.begun = 0
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         # Business priority first, then the user's, by a hash that turns over each hour.
-        place = band(ask, MEAN_VALUE / RUN, False) + drawn(SECRET, ask, now)[0]
+        place = rank_band(ask, MEAN_VALUE / RUN, False) + rank_hash(SECRET, ask, now)[0]
         self.counts[int(place * 16)] += 1
         if place >= self.level:
             return LET
@@ -243,7 +243,7 @@
         self.pool = plan.workers * plan.slots / plan.members
         self.out, self.worst = 0, 0
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         return LET if self.out < max(1.0, self.pool) else Decided(False)
 
     def posts(self, now: int) -> bool:
@@ -271,7 +271,7 @@
         self.requests: deque[int] = deque()
         self.accepts: deque[int] = deque()
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         for row in (self.requests, self.accepts):
             while row and row[0] < now - 30 * SECOND:
                 row.popleft()
@@ -290,7 +290,7 @@
         self.calls: deque[int] = deque()
         self.again: deque[int] = deque()
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         self.calls.append(now)
         return LET
 
@@ -332,7 +332,7 @@
         self.rate = plan.workers * plan.slots * SECOND / RUN / plan.members
         self.purse, self.at, self.came, self.refreshed = 2.0, 0, 0, 0
 
-    def asks(self, ask: Ask, now: int) -> Decided:
+    def asks(self, ask: AdmissionRequest, now: int) -> Decided:
         self.came += 1
         self.purse = min(max(2.0, self.rate), self.purse + self.rate * (now - self.at) / SECOND)
         self.at = now
--- a/pathsaddle/emulator/overload/smoke.py
+++ b/pathsaddle/emulator/overload/smoke.py
@@ -22,7 +22,7 @@
 from pathsaddle.emulator.overload.ground import Ground
 from pathsaddle.emulator.overload.judge import Judge, cut_off
 from pathsaddle.emulator.overload.plan import POLICIES, Plan, Smoke, of
-from pathsaddle.fleet.overload.errors import BadPlan
+from pathsaddle.fleet.overload.errors import InvalidPlanError
 
 AT_ONCE = min(8, os.cpu_count() or 4)
 
@@ -63,13 +63,13 @@
     options = [word for word in words if word.startswith("--")]
     names = [word for word in words if not word.startswith("--")]
     if not names:
-        raise BadPlan(
+        raise InvalidPlanError(
             "no plan is named", "name its file after the command, such as experiments/overload-smoke.toml"
         )
     smoke = of(Path(names[0]))
     policy = names[1] if "--policy" in options and len(names) > 1 else ""
     if policy and policy not in POLICIES:
-        raise BadPlan(
+        raise InvalidPlanError(
             f"--policy: no policy is called {policy!r}", f"write after --policy one of {', '.join(POLICIES)}"
         )
     return run(smoke, policy, "--json" in options)
@@ -140,6 +140,6 @@
 if __name__ == "__main__":
     try:
         sys.exit(main(sys.argv[1:]))
-    except BadPlan as fault:
+    except InvalidPlanError as fault:
         print(fault, file=sys.stderr)
         sys.exit(fault.code)
--- a/pathsaddle/emulator/ownership/ground.py
+++ b/pathsaddle/emulator/ownership/ground.py
@@ -15,9 +15,9 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.consensus.acceptor import Voter, Write
+from pathsaddle.consensus.acceptor import Acceptor, DiskWrite
 from pathsaddle.consensus.fencing import Fence
-from pathsaddle.consensus.lease_manager import Owner
+from pathsaddle.consensus.lease_manager import LeaseManager
 from pathsaddle.consensus.messages import Ballot, Message, Value, size_of
 from pathsaddle.emulator.events import Events
 from pathsaddle.trade import MILLISECOND, SECOND
@@ -34,7 +34,7 @@
     delay: int = 5  # ticks that a sync takes
     full: bool = False
 
-    def write(self, writes: list[Write], name: str) -> None:
+    def write(self, writes: list[DiskWrite], name: str) -> None:
         for one in writes:
             if one.kept is not None:
                 self.rows[one.key] = one.kept
@@ -85,7 +85,7 @@
         super().__init__(ground, name, rate)
         self.disk = Disk()
         self.inbox: list[tuple[str, int, dict[str, int], Message]] = []
-        self.syncing: tuple[list[Write], list[tuple[str, Message]]] | None = None
+        self.syncing: tuple[list[DiskWrite], list[tuple[str, Message]]] | None = None
         self.begin()
 
     def begin(self) -> None:
@@ -93,7 +93,7 @@
         self.inbox, self.syncing = [], None
         disk = self.disk
         start = max(disk.start + 1, self.ground.at)
-        self.voter = Voter(
+        self.voter = Acceptor(
             self.name, self.ground.voters, disk.rows, disk.starts, start, disk.whole, self.now()
         )
         self.tick()
@@ -178,7 +178,9 @@
         self.up, self.lives = True, self.lives + 1
         self.alarm = 0
         ground = self.ground
-        self.owner = Owner(self.name, ground.at * 64 + self.lives, ground.voters, ground.lease, ground.chance)
+        self.owner = LeaseManager(
+            self.name, ground.at * 64 + self.lives, ground.voters, ground.lease, ground.chance
+        )
         self.owner.histories = True
         for key in ground.keys:
             self.owner.stand(key, self.now(), self.prefers)
@@ -216,7 +218,7 @@
     def work(self) -> None:
         ground = self.ground
         for key in ground.keys:
-            number = self.owner.may_act(key, self.now())
+            number = self.owner.fencing_token(key, self.now())
             if number:
                 ground.log("act", self.name, key=key, number=number)
                 # What lies between the look and the byte: little, or as long as it is stopped.
--- a/pathsaddle/emulator/ownership/mutants.py
+++ b/pathsaddle/emulator/ownership/mutants.py
@@ -15,29 +15,29 @@
 
 from pathsaddle.consensus.acceptor import Row
 from pathsaddle.consensus.messages import Accept, Message
-from pathsaddle.consensus.proposer import Bid, Out
+from pathsaddle.consensus.proposer import Outbox, Proposer
 from pathsaddle.emulator.ownership.ground import Disk, Ground
 
 
-class ByArrival(Bid):
+class ByArrival(Proposer):
     """Reckons a lease from the answer's arrival."""
 
     __slots__ = ()
 
     def heard(
         self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
-    ) -> tuple[Bid, Out]:
+    ) -> tuple[Proposer, Outbox]:
         late = replace(self, asks=tuple((one, now) for one, _ in self.asks))
-        return Bid.heard(late, voter, start, known, message, ask, now)
+        return Proposer.heard(late, voter, start, known, message, ask, now)
 
 
-class Reuses(Bid):
+class Reuses(Proposer):
     """Goes on with the number that its name had before it began anew."""
 
     __slots__ = ()
 
-    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Bid, Out]:
-        bid, out = Bid._promised(self, known, ask, now)
+    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Proposer, Outbox]:
+        bid, out = Proposer._promised(self, known, ask, now)
         before = max((row for row in self.promises), key=lambda row: row[2], default=None)
         if not out or bid.number or before is None or before[3].owner != self.name:
             return bid, out
@@ -80,9 +80,9 @@
 
     patches: list[Any] = [mock.patch.object(Ground, "__init__", wrong)]
     if name == "lease-from-answer":
-        patches.append(mock.patch("pathsaddle.ownership.owner.Bid", ByArrival))
+        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", ByArrival))
     elif name == "number-reused":
-        patches.append(mock.patch("pathsaddle.ownership.owner.Bid", Reuses))
+        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", Reuses))
     elif name == "holds-forgotten":
         patches.append(mock.patch.object(Row, "begun", Forgets.begun))
     elif name == "lost-disk-trusted":
