--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
-from pathsaddle.config.loader import read
-from pathsaddle.consensus.fleet_member import told
+from pathsaddle.config.loader import read_configuration
+from pathsaddle.consensus.fleet_member import register_config
 from pathsaddle.consensus.lease_manager import Happened
-from pathsaddle.consensus.udp_driver import Register, steady
+from pathsaddle.consensus.udp_driver import RegisterDriver, monotonic_ticks
 from pathsaddle.emulator.events import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
@@ -33,7 +33,7 @@
 
 
 class Worked:
-    def __init__(self, register: Register, events: Path, stores: list[str]) -> None:
+    def __init__(self, register: RegisterDriver, events: Path, stores: list[str]) -> None:
         self.register, self.name = register, register.told.name
         self.file = events.open("ab", buffering=0)
         self.stores = [peer_of(store) for store in stores]
@@ -44,13 +44,15 @@
         register.hear.append(self.hear)
 
     def log(self, what: str, at: int = 0, **more: Any) -> None:
-        self.file.write(msgspec.json.encode(Event(at or steady(), what, {"who": self.name, **more})) + b"\n")
+        self.file.write(
+            msgspec.json.encode(Event(at or monotonic_ticks(), what, {"who": self.name, **more})) + b"\n"
+        )
 
     def hear(self, one: Happened) -> None:
         more: dict[str, Any] = {"key": one.key, "number": one.number}
         life = self.register.owner.life
         if one.what in ("owner", "held"):
-            self.log("lease", **more, life=life, until=one.until, **{"from": steady()})
+            self.log("lease", **more, life=life, until=one.until, **{"from": monotonic_ticks()})
         elif one.what in ("lost", "given"):
             self.log("lease.end", **more, life=life, why=one.why)
         elif one.what == "call":
@@ -74,8 +76,8 @@
     async def work(self) -> None:
         while True:
             for key in self.register.told.keys:
-                now = steady()  # whatever stops us after the look, the look was then
-                number = self.register.owner.may_act(key, now)
+                now = monotonic_ticks()  # whatever stops us after the look, the look was then
+                number = self.register.owner.fencing_token(key, now)
                 if not number:
                     continue
                 self.count += 1
@@ -93,7 +95,7 @@
         asked = 0
         while True:
             for key in self.register.told.keys:
-                if self.register.may_act(key):
+                if self.register.fencing_token(key):
                     await self.register.put(key, b"%s/%d" % (self.name.encode(), self.count))
                     continue
                 asked += 1
@@ -118,9 +120,9 @@
 async def main(charter: str, events: str, *stores: str) -> None:
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    told_by = read(Path(charter))
+    told_by = read_configuration(Path(charter))
     logbook.open_log(told_by.log.level, told_by.log.form)
-    register = Register(told(told_by), Ground(), SystemRandom(), Counters())
+    register = RegisterDriver(register_config(told_by), Ground(), SystemRandom(), Counters())
     worked = Worked(register, Path(events), list(stores))
     worked.log("member.began", life=register.owner.life)
     register.begin()
--- a/pathsaddle/emulator/ownership/smoke.py
+++ b/pathsaddle/emulator/ownership/smoke.py
@@ -15,9 +15,9 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.config.schema import Count, Form
+from pathsaddle.config.schema import ConfigTable, Count
 from pathsaddle.config.units import Duration
-from pathsaddle.config.validation import Faulty, NotAmong, check, load
+from pathsaddle.config.validation import InvalidConfigError, NotAllowedValueError, load_toml, validate
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.faults import troubled
 from pathsaddle.emulator.ownership.ground import Ground, MemberHost
@@ -45,7 +45,7 @@
         ]
         for key in ground.keys:
             if not any(
-                isinstance(host, MemberHost) and host.owner.may_act(key, host.now())
+                isinstance(host, MemberHost) and host.owner.fencing_token(key, host.now())
                 for host in ground.hosts.values()
             ):
                 wrong.append(f"seed {seed}: {key} has no owner after the calm")
@@ -73,7 +73,7 @@
                 if isinstance(host, MemberHost)
                 and host.up
                 and ground.at >= host.stood
-                and host.owner.may_act("k0", host.now())
+                and host.owner.fencing_token("k0", host.now())
             ),
             "",
         )
@@ -114,7 +114,7 @@
     }
 
 
-class Plan(Form):
+class Plan(ConfigTable):
     """A plan of owners.
 
     ground: owners.
@@ -151,13 +151,13 @@
 
 def read(path: str) -> Plan:
     """A plan, checked whole. Raises Faulty."""
-    plan = check(Plan, load(path), path)
+    plan = validate(Plan, load_toml(path), path)
     if unknown := [
-        NotAmong(path, f"mutants.{name}", shown=repr(name), may=f"one of {', '.join(FOUND)}")
+        NotAllowedValueError(path, f"mutants.{name}", shown=repr(name), may=f"one of {', '.join(FOUND)}")
         for name in plan.mutants
         if name not in FOUND
     ]:
-        raise Faulty([*unknown])
+        raise InvalidConfigError([*unknown])
     return plan
 
 
@@ -174,7 +174,7 @@
     said = parser.parse_args(words)
     try:
         plan = read(said.plan)
-    except Faulty as fault:
+    except InvalidConfigError as fault:
         print(fault, file=sys.stderr)
         return 2
     return play(
--- a/pathsaddle/emulator/placement/judge.py
+++ b/pathsaddle/emulator/placement/judge.py
@@ -4,7 +4,7 @@
 reservation under a number lower than one that came before, none on what is no longer so, none ended by a
 lease that may still run. No step before those it waits for; at each step the widest job of each kind fits as
 the target says, whichever island is lost, or as wide as the step said beforehand, with its reason. Words:
-docs/histories.md and `placement.story`.
+docs/histories.md and `placement.audit_events`.
 """
 
 from __future__ import annotations
--- a/pathsaddle/emulator/placement/smoke.py
+++ b/pathsaddle/emulator/placement/smoke.py
@@ -20,7 +20,7 @@
 from pathsaddle.emulator.placement.policies import POLICIES
 from pathsaddle.emulator.placement.world import Site, Trouble, World
 from pathsaddle.errors import why
-from pathsaddle.placement.errors import Key, PlacementFault
+from pathsaddle.placement.errors import Key, PlacementError
 from pathsaddle.placement.files import table
 
 KEYS = ("ground", "name", "about", "seeds", "policies", "mutants", "site", "trouble", "bounds")
@@ -153,7 +153,7 @@
         return 2
     try:
         told = read(Path(words[0]))
-    except PlacementFault as fault:
+    except PlacementError as fault:
         print(fault, file=sys.stderr)
         return fault.code
     return play(told)
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -16,13 +16,13 @@
 
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.placement.policies import Choose
-from pathsaddle.placement.errors import Refused
+from pathsaddle.placement.errors import PlanRejectedError
 from pathsaddle.placement.inventory import Count, Inventory, Island, Kind, State, Target, Unit, demand
 from pathsaddle.placement.ledger import Memory
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import plan_of
 from pathsaddle.placement.problem import figures, problem_of
-from pathsaddle.placement.rollout import Walk
+from pathsaddle.placement.rollout import Rollout
 from pathsaddle.trade import SECOND
 
 CLAIM = 5 * SECOND  # a planner's lease on being the planner
@@ -188,8 +188,8 @@
 
     def lived(self) -> Life:
         world = self.world
-        walk: Walk | None = None
-        book: Book | None = None
+        walk: Rollout | None = None
+        book: PlacementState | None = None
         while True:
             claim = yield Ask("register", (self.number_of_life,))
             if claim is None and walk is not None and book is not None:
@@ -202,7 +202,7 @@
                 continue
             if walk is None or walk.number != claim:
                 told = yield Ask("keeper", ("take", claim))
-                if not isinstance(told, Book):
+                if not isinstance(told, PlacementState):
                     # Unknown, or made already while its answer was lost: nobody else has this number.
                     told = yield Ask("keeper", ("read",))
                     if told is None or told.number != claim:
@@ -242,7 +242,7 @@
                     words = (order.does, walk.number, order.unit)
                 asked = self.clock()
                 told = yield Ask("keeper", words)
-                if isinstance(told, Refused):
+                if isinstance(told, PlanRejectedError):
                     if told.why in ("number", "base", "plan"):
                         break
                 elif told is not None:
@@ -272,8 +272,8 @@
         seed: int,
         choose: Choose,
         *,
-        book: type[Book] = Book,
-        walk: type[Walk] = Walk,
+        book: type[PlacementState] = PlacementState,
+        walk: type[Rollout] = Rollout,
         start: Inventory | None = None,
     ) -> None:
         self.site, self.choose, self.walk = site, choose, walk
@@ -363,7 +363,7 @@
             return self.keeper.read()
         try:
             return self.keeper.do(*ask.words)
-        except Refused as why:
+        except PlanRejectedError as why:
             return why
 
     def word(self, does: str, *words: Any) -> None:
--- a/pathsaddle/emulator/plan.py
+++ b/pathsaddle/emulator/plan.py
@@ -11,9 +11,9 @@
 from msgspec import Meta, Struct, field
 from msgspec.structs import fields
 
-from pathsaddle.config.schema import Charter, Form
+from pathsaddle.config.schema import ConfigTable, Configuration
 from pathsaddle.config.units import Duration
-from pathsaddle.config.validation import Fault, Faulty, check, load
+from pathsaddle.config.validation import ConfigKeyError, InvalidConfigError, load_toml, validate
 from pathsaddle.errors import access, why
 
 MS, S = 10, 10_000
@@ -22,7 +22,7 @@
 Times = Annotated[list[Duration], Meta(min_length=2, max_length=2)]
 
 
-class Machines(Form):
+class Machines(ConfigTable):
     """Workers of one kind.
 
     count: how many; they are named kind-0, kind-1 ... and spread over the zones in turn.
@@ -47,7 +47,7 @@
     zones: list[str] = field(default_factory=list)
 
 
-class Network(Form):
+class Network(ConfigTable):
     """What lies between.
 
     near: one way within a zone.
@@ -60,7 +60,7 @@
     spread: Annotated[float, Meta(ge=0)] = 0.3
 
 
-class Fleet(Form):
+class Fleet(ConfigTable):
     """Who serves.
 
     dispatchers: how many; they stand in the charter's zones in turn.
@@ -94,7 +94,7 @@
     old_list: Literal["start", "death"] = "start"
 
 
-class Kind(Form):
+class Kind(ConfigTable):
     """How jobs of a scheme look.
 
     part: of all jobs.
@@ -115,7 +115,7 @@
     body: Annotated[int, Meta(ge=0, le=60_000)] = 0
 
 
-class Load(Form):
+class Load(ConfigTable):
     """What clients do.
 
     rate: jobs a second, all together; arrivals do not wait for answers.
@@ -204,7 +204,7 @@
 }
 
 
-class Trouble(Form):
+class Trouble(ConfigTable):
     """One fault, or one that comes again.
 
     kind: what goes wrong; docs/emulator.md lists them.
@@ -260,7 +260,7 @@
             )
 
 
-class Bounds(Form):
+class Bounds(ConfigTable):
     """What a run must show, besides every rule kept.
 
     value: the least part of all value that is answered in time.
@@ -280,7 +280,7 @@
     lines: Annotated[int, Meta(gt=0)] | None = None
 
 
-class Variant(Form):
+class Variant(ConfigTable):
     """Another way of the same plan.
 
     name: how it is called in reports.
@@ -297,7 +297,7 @@
     commit: str = ""
 
 
-class Throughput(Form):
+class Throughput(ConfigTable):
     """As many jobs as one dispatcher takes: real processes, jobs of no length, closed loop.
 
     workers: with how many workers, one measurement each.
@@ -314,7 +314,7 @@
     recovery: list[Annotated[int, Meta(ge=1)]] = field(default_factory=list)
 
 
-class Plan(Form):
+class Plan(ConfigTable):
     """An experiment.
 
     name: how it is called.
@@ -370,16 +370,16 @@
 FILLED = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1"}
 
 
-def charter_of(plan: Plan, file: str = "plan", **more: Any) -> Charter:
+def charter_of(plan: Plan, file: str = "plan", **more: Any) -> Configuration:
     """The charter that a plan's table stands for, with the keys that the emulator fills in."""
     table = {**FILLED, **plan.charter, "dispatchers": plan.fleet.dispatchers, **more}
     if isinstance(table.get("fleet"), dict):
         table["fleet"] = {"name": "emulated", "key": SECRET, "listen": "127.0.0.1:1", **table["fleet"]}
         table.setdefault("name", "d0")
-    return check(Charter, table, f"{file}: charter")
+    return validate(Configuration, table, f"{file}: charter")
 
 
-def named(plan: Plan, charter: Charter, who: str) -> list[str]:
+def named(plan: Plan, charter: Configuration, who: str) -> list[str]:
     """The dispatchers that a pattern, a zone or a part stands for."""
     names = [f"d{d}" for d in range(plan.fleet.dispatchers)]
     if who in plan.fleet.parts:
@@ -391,22 +391,22 @@
 
 def read(path: str | Path) -> Plan:
     """The plan in a file; raises Faulty with all that is wrong in it."""
-    return of(load(path), str(path))
+    return of(load_toml(path), str(path))
 
 
 def of(table: dict[str, Any], file: str) -> Plan:
     """The plan that a table stands for."""
-    plan = check(Plan, table, file)
+    plan = validate(Plan, table, file)
     faults = []
     try:
         charter = charter_of(plan, file)
-    except Faulty as fault:
-        raise Faulty(fault.faults) from None
+    except InvalidConfigError as fault:
+        raise InvalidConfigError(fault.faults) from None
     schemes = [scheme.name for scheme in charter.schemes]
     for name in plan.load.jobs:
         if name not in schemes:
             faults.append(
-                Fault(
+                ConfigKeyError(
                     file,
                     f"load.jobs.{name}",
                     "no such scheme",
@@ -421,7 +421,7 @@
         for zone in machines.zones:
             if zone not in charter.zones:
                 faults.append(
-                    Fault(
+                    ConfigKeyError(
                         file,
                         f"fleet.workers[{i}].zones",
                         f'"{zone}" stands there; one of {", ".join(charter.zones)} may',
@@ -431,7 +431,7 @@
     for i, trouble in enumerate(plan.faults):
         if trouble.after and trouble.after not in [other.kind for other in plan.faults if not other.after]:
             faults.append(
-                Fault(
+                ConfigKeyError(
                     file,
                     f"faults[{i}].after",
                     f'"{trouble.after}" stands there; the kind of another '
@@ -442,7 +442,7 @@
         if FAULTS[trouble.kind] == "link":
             if charter.fleet is None:
                 faults.append(
-                    Fault(
+                    ConfigKeyError(
                         file,
                         f"faults[{i}].kind",
                         f"{trouble.kind} strikes what dispatchers tell one "
@@ -453,7 +453,7 @@
             for key, who in (("of", trouble.of), ("among", trouble.among)):
                 if who and not named(plan, charter, who):
                     faults.append(
-                        Fault(
+                        ConfigKeyError(
                             file,
                             f"faults[{i}].{key}",
                             f'"{who}" stands there, and no dispatcher, zone or part is called so',
@@ -463,7 +463,7 @@
                     )
         if trouble.of and names is not None and not fnmatch.filter(names, trouble.of):
             faults.append(
-                Fault(
+                ConfigKeyError(
                     file,
                     f"faults[{i}].of",
                     f'"{trouble.of}" stands there, and no {FAULTS[trouble.kind]} is called so',
@@ -472,7 +472,7 @@
             )
         if trouble.scheme and trouble.scheme not in schemes:
             faults.append(
-                Fault(
+                ConfigKeyError(
                     file,
                     f"faults[{i}].scheme",
                     f'"{trouble.scheme}" stands there; one of {", ".join(schemes)} may',
@@ -480,7 +480,7 @@
             )
     if plan.only == "fleet" and (charter.fleet is None or plan.ground != "virtual"):
         faults.append(
-            Fault(
+            ConfigKeyError(
                 file,
                 "only",
                 "charter.fleet and the virtual ground are needed for it",
@@ -489,7 +489,7 @@
         )
     if plan.only != "fleet" and plan.fleet.dispatchers > 250:
         faults.append(
-            Fault(
+            ConfigKeyError(
                 file,
                 "fleet.dispatchers",
                 f'{plan.fleet.dispatchers} stands there; at most 250 may, or only = "fleet"',
@@ -498,19 +498,19 @@
     for i, variant in enumerate(plan.variants):
         try:
             varied(plan, variant)
-        except Faulty as fault:
-            faults += [Fault(file, f"variants[{i}]: {one.path}", one.text) for one in fault.faults]
+        except InvalidConfigError as fault:
+            faults += [ConfigKeyError(file, f"variants[{i}]: {one.path}", one.text) for one in fault.faults]
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigError(faults)
     return plan
 
 
-def traced(plan: Plan, file: str, schemes: list[str]) -> list[Fault]:
+def traced(plan: Plan, file: str, schemes: list[str]) -> list[ConfigKeyError]:
     """What is wrong with the trace: that it can't be read, or its first bad line."""
     path = plan.load.trace
     if not path:
         return [
-            Fault(
+            ConfigKeyError(
                 file,
                 "load.trace",
                 "no file stands there, and shape is a trace",
@@ -526,7 +526,7 @@
                 or not all(map(NUMBER.fullmatch, (parts[0], parts[2])))
             ):
                 return [
-                    Fault(
+                    ConfigKeyError(
                         file,
                         "load.trace",
                         f"{path}, line {number}: {line[:60]!r} stands there",
@@ -535,7 +535,9 @@
                     )
                 ]
     except (OSError, UnicodeDecodeError) as fault:
-        return [Fault(file, "load.trace", f"{path} can't be read: {why(fault)}", access(fault, path))]
+        return [
+            ConfigKeyError(file, "load.trace", f"{path} can't be read: {why(fault)}", access(fault, path))
+        ]
     return []
 
 
--- a/pathsaddle/emulator/served/clients.py
+++ b/pathsaddle/emulator/served/clients.py
@@ -13,7 +13,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.config.schema import Customer, Scheme
+from pathsaddle.config.schema import RequestClassTable, TenantTable
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.emulator.plan import Kind
@@ -31,9 +31,9 @@
     """One job as its client wants it; its tries share the time that the first began."""
 
     number: int
-    scheme: Scheme
+    scheme: RequestClassTable
     kind: Kind
-    customer: Customer | None
+    customer: TenantTable | None
     work: int
     hint: int | None
     zone: str
@@ -136,7 +136,10 @@
     # What is wanted.
 
     def wish(
-        self, scheme: Scheme | None = None, work: int | None = None, customer: Customer | None = None
+        self,
+        scheme: RequestClassTable | None = None,
+        work: int | None = None,
+        customer: TenantTable | None = None,
     ) -> Wish:
         chance = self.chance
         if scheme is None:
--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -9,17 +9,17 @@
 from pathsaddle.emulator.ground.links import Host, Net, VirtualGround
 from pathsaddle.emulator.plan import charter_of
 from pathsaddle.emulator.served.world import World
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.membership import Change
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.membership import MembershipChange
 from pathsaddle.fleet.messages import STATES
-from pathsaddle.fleet.udp_driver import Fellows
+from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 
 SAMPLE = 1.0  # seconds between looks at what members claim to have heard; a quarter of it among few
 FEW, MANY = 10, 40  # members; of more than many only some are looked at
 
 
-class Disk(Lives):
+class Disk(IncarnationStore):
     """A folder's last life: kept at once, since the file is synced before anything is told."""
 
     def __init__(self) -> None:
@@ -46,15 +46,17 @@
         self.world, self.net, self.air = world, net, air
         net.datagram = Datagrams(net.loop, air).socket
         self.disks: dict[int, Disk] = {}
-        self.now: dict[int, Fellows] = {}  # who runs
+        self.now: dict[int, MembershipDriver] = {}  # who runs
         self.begun: dict[int, int] = {}
         self.hosts: dict[int, Host] = {}
 
     def address(self, dispatcher: int) -> str:
         return f"10.3.{dispatcher >> 8}.{dispatcher & 255}:7100"
 
-    def fellows(self, dispatcher: int, ground: VirtualGround, counters: Counters, zone: str) -> Fellows:
-        from pathsaddle.config.fleet import told as fellow
+    def fellows(
+        self, dispatcher: int, ground: VirtualGround, counters: Counters, zone: str
+    ) -> MembershipDriver:
+        from pathsaddle.config.fleet import membership_config as fellow
 
         plan = self.world.plan
         charter = charter_of(plan, name=f"d{dispatcher}", zone=zone)
@@ -66,13 +68,13 @@
         count = self.begun[dispatcher] = self.begun.get(dispatcher, 0) + 1
         chance = self.world.chance(f"member {dispatcher} {count}")
         disk = self.disks.setdefault(dispatcher, Disk())
-        made = Fellows(fellow(charter), ground, disk, chance, counters)
+        made = MembershipDriver(fellow(charter), ground, disk, chance, counters)
         made.quiet = True
         made.on_change.append(lambda change: self._tell(dispatcher, change))
         self.now[dispatcher], self.hosts[dispatcher] = made, ground.host
         return made
 
-    def _tell(self, dispatcher: int, change: Change) -> None:
+    def _tell(self, dispatcher: int, change: MembershipChange) -> None:
         self.world.add(
             "view",
             who=f"d{dispatcher}",
--- a/pathsaddle/emulator/served/workers.py
+++ b/pathsaddle/emulator/served/workers.py
@@ -11,7 +11,7 @@
 import httptools
 import msgspec
 
-from pathsaddle.config.schema import Scheme
+from pathsaddle.config.schema import RequestClassTable
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.emulator.plan import Machines
@@ -26,7 +26,7 @@
 @dataclass(slots=True, eq=False)
 class Job:
     tag: str
-    scheme: Scheme
+    scheme: RequestClassTable
     work: int
     slots: float
     memory: float
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         self.shared: dict[tuple[str, str, int], Shared] = {}
 
-    def of(self, scheme: Scheme, zone: str, cell: int) -> Shared:
+    def of(self, scheme: RequestClassTable, zone: str, cell: int) -> Shared:
         key = (scheme.name, "" if scheme.group == "all" else zone, cell if scheme.group == "cell" else 0)
         return self.shared.setdefault(key, Shared())
 
--- a/pathsaddle/emulator/served/world.py
+++ b/pathsaddle/emulator/served/world.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.config.schema import Charter
+from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.ground.links import Host, Net
 from pathsaddle.emulator.ground.speech import Hearing, Said
@@ -27,7 +27,9 @@
 class World:
     """One run: its plan, its seed, and what has happened."""
 
-    def __init__(self, plan: Plan, charter: Charter, seed: int, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, plan: Plan, charter: Configuration, seed: int, loop: asyncio.AbstractEventLoop
+    ) -> None:
         self.plan = plan
         self.charter = charter
         self.seed = seed
--- a/pathsaddle/emulator/settings/judge.py
+++ b/pathsaddle/emulator/settings/judge.py
@@ -3,7 +3,7 @@
 
 unborn: a member acts on what was never committed, or by more than its revision allows. back: on an older revision than
 before, in one life or from its disk. in-force: after a revision was told in force, leased on an older one, or by what it
-forbids and no later one allowed. whole: by a part of a group. bytes: over its purse in a second. stuck: after the quiet a
+forbids and no later one allowed. whole: by a part of a group. bytes: over its rate_limiter in a second. stuck: after the quiet a
 member that is there lacks the last revision or its lease, or the last revision isn't in force. verdict: a change is committed
 twice, or by another revision than it was told, or though it was told that it isn't, or though it can't be (it removes what isn't
 there), or behind another revision than it expected; or it was told committed and isn't.
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pathsaddle.emulator.events import Event
-from pathsaddle.settings.active_terms import allows
+from pathsaddle.settings.active_terms import permits
 
 
 @dataclass(frozen=True)
@@ -97,7 +97,7 @@
             highest[name] = max(highest.get(name, 0), revision)
             key = more["key"]
             used = None if more["value"] is None else more["value"].encode()
-            if not allows(key, used, value_at(key, revision)):
+            if not permits(key, used, value_at(key, revision)):
                 finds("unborn", event.at, f"{who}: {key} {used!r} is more than it allows")
             if more["whole"] and more["whole"] != committed[revision][1]:
                 finds("whole", event.at, f"{who}: its rows are not those of the revision")
@@ -111,9 +111,9 @@
                 later = [
                     one for number, when, one in values.get(key, ()) if number > force and when <= event.at
                 ]
-                if not any(allows(key, used, one) for one in (value_at(key, force), *later)):
+                if not any(permits(key, used, one) for one in (value_at(key, force), *later)):
                     finds("in-force", event.at, f"{who}: {key} {used!r}, which {force}, in force, forbids")
-        elif event.what == "purse":
+        elif event.what == "rate_limiter":
             if more["worst"] > more["most"]:
                 finds(
                     "bytes",
--- a/pathsaddle/emulator/settings/mutants.py
+++ b/pathsaddle/emulator/settings/mutants.py
@@ -11,32 +11,32 @@
 from pathsaddle import leased_versions
 from pathsaddle.emulator.settings import world
 from pathsaddle.emulator.settings.world import Plan, Process
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.active_terms import Terms
-from pathsaddle.settings.documents import Group
+from pathsaddle.settings.active_terms import ActiveTerms
+from pathsaddle.settings.documents import ChangeSet
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import Keeper, Member
+from pathsaddle.settings.sync import ConfigServer, ConfigSubscriber
 
 
 def _force_early() -> Any:
     def judged(self: Any, now: int, memo: Any) -> Any:
         return replace(self, force=self.history[-1].number) if self.history else self
 
-    return mock.patch.object(leased_versions.Keeper, "judged_each", judged)
+    return mock.patch.object(leased_versions.VersionServer, "judged_each", judged)
 
 
 def _halves() -> Any:
-    whole = Terms.after
+    whole = ActiveTerms.after
 
-    def half(self: Terms, group: Group) -> Terms:
+    def half(self: ActiveTerms, group: ChangeSet) -> ActiveTerms:
         return whole(self, replace_puts(group) if group.revision and len(group.puts) < 32 else group)
 
-    return mock.patch.object(Terms, "after", half)
+    return mock.patch.object(ActiveTerms, "after", half)
 
 
-def replace_puts(group: Group) -> Group:
-    return Group(group.revision, group.before, group.author, group.reason, group.at, group.puts[:1])
+def replace_puts(group: ChangeSet) -> ChangeSet:
+    return ChangeSet(group.revision, group.before, group.author, group.reason, group.at, group.puts[:1])
 
 
 def _word_before_disk() -> Any:
@@ -63,15 +63,15 @@
 
 
 def _offer_widens() -> Any:
-    def wide(self: Member, now: int) -> Any:
+    def wide(self: ConfigSubscriber, now: int) -> Any:
         offers = self.holder.offers
         return (offers[-1] if offers else self.holder.base).spec.rows()
 
-    return mock.patch.object(Member, "rows", wide)
+    return mock.patch.object(ConfigSubscriber, "rows", wide)
 
 
 def _lease_from_answer() -> Any:
-    renewed = leased_versions.Holder.renewed
+    renewed = leased_versions.VersionSubscriber.renewed
 
     def late(self: Any, told: Any, now: int) -> Any:
         after = renewed(self, told, now)
@@ -81,31 +81,31 @@
             else after
         )
 
-    return mock.patch.object(leased_versions.Holder, "renewed", late)
+    return mock.patch.object(leased_versions.VersionSubscriber, "renewed", late)
 
 
 def _unpaid() -> Any:
-    return mock.patch.object(Purse, "pays", lambda self, size, now, spare=0.0: True)
+    return mock.patch.object(RateLimiter, "try_consume", lambda self, size, now, spare=0.0: True)
 
 
 def _lost_disk_trusted() -> Any:
-    begins = Member.__init__
+    begins = ConfigSubscriber.__init__
 
-    def trusting(self: Member, *args: Any, **more: Any) -> None:
+    def trusting(self: ConfigSubscriber, *args: Any, **more: Any) -> None:
         begins(self, *args, **more)
         self.proven = True
 
-    return mock.patch.object(Member, "__init__", trusting)
+    return mock.patch.object(ConfigSubscriber, "__init__", trusting)
 
 
 def _half_a_batch() -> Any:
     """Of what is to be committed together a keeper keeps, and serves, the first half, and says that it has all."""
-    keeps = Keeper._keeps
+    keeps = ConfigServer._keeps
 
-    def half(self: Keeper, groups: Sequence[Group], now: int) -> bool:
+    def half(self: ConfigServer, groups: Sequence[ChangeSet], now: int) -> bool:
         return keeps(self, groups[: (len(groups) + 1) // 2], now)
 
-    return mock.patch.object(Keeper, "_keeps", half)
+    return mock.patch.object(ConfigServer, "_keeps", half)
 
 
 def _refused_counts() -> Any:
--- a/pathsaddle/emulator/settings/smoke.py
+++ b/pathsaddle/emulator/settings/smoke.py
@@ -8,7 +8,13 @@
 
 import msgspec
 
-from pathsaddle.config.validation import Faulty, NotAmong, WrongKind, load, shown
+from pathsaddle.config.validation import (
+    InvalidConfigError,
+    NotAllowedValueError,
+    WrongTypeError,
+    display_value,
+    load_toml,
+)
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.emulator.settings.mutants import MUTANTS, planted
 from pathsaddle.emulator.settings.world import SECOND, Plan, World
@@ -37,12 +43,12 @@
 def read(path: str | Path) -> Told:
     """Raises Faulty."""
     try:
-        told = msgspec.convert(load(path), Told)
+        told = msgspec.convert(load_toml(path), Told)
     except msgspec.ValidationError as fault:
         text, _, at = str(fault).partition(" - at ")
-        raise Faulty(
+        raise InvalidConfigError(
             [
-                WrongKind(
+                WrongTypeError(
                     str(path),
                     at.strip("`").removeprefix("$.") or "plan",
                     shown="a value",
@@ -52,7 +58,13 @@
         ) from None
     for name in told.mutants:
         if name not in MUTANTS:
-            raise Faulty([NotAmong(str(path), "mutants", shown=shown(name), may=f"of {', '.join(MUTANTS)}")])
+            raise InvalidConfigError(
+                [
+                    NotAllowedValueError(
+                        str(path), "mutants", shown=display_value(name), may=f"of {', '.join(MUTANTS)}"
+                    )
+                ]
+            )
     return told
 
 
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -1,7 +1,7 @@
 """One run: keepers and members of shared settings, the program's own machines (`settings/sync.py`), in virtual time.
 
 The register is one cell that a keeper reads and changes where its region reaches most voters' regions. Each
-process has a disk that keeps what was synced, a clock of its own that runs off by up to 2%, and a purse; each message
+process has a disk that keeps what was synced, a clock of its own that runs off by up to 2%, and a rate_limiter; each message
 takes the way's time, may be lost, doubled or overtaken. Faults come from the ground alone. What happened is logged in
 true time and judged from the log (`judge.py`): what was committed, by which rows each member acted when, what was
 told in force, each datagram's size.
@@ -18,12 +18,27 @@
 import msgspec
 
 from pathsaddle.emulator.events import Events
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.commit_round import MADE, Change
-from pathsaddle.settings.documents import Group, Put, Snapshot, Wrong, canonical, digest_of, hashed
+from pathsaddle.settings.commit_round import ALREADY_COMMITTED, PendingChange
+from pathsaddle.settings.documents import (
+    Change,
+    ChangeSet,
+    InvalidDocumentError,
+    Snapshot,
+    canonical,
+    content_hash,
+    digest_of,
+)
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import Keeper, Member, Said, Write, nearest, size_of
+from pathsaddle.settings.sync import (
+    ConfigServer,
+    ConfigSubscriber,
+    DiskWrite,
+    Message,
+    nearest_servers,
+    size_of,
+)
 
 SECOND = 10_000
 NEAR = SECOND // 1000  # one way, within a region
@@ -36,7 +51,7 @@
     """regions, members (in all), keepers (one a region, of the first). seconds: of changes and faults. quiet: afterwards,
     in which nothing fails. changes: a minute. customers: at the start. loss, doubled: of each message. way: milliseconds
     one way between two regions. faults: mean seconds between two; 0: none. bytes, keeper_bytes, datagrams: each process's
-    purse. lease: seconds. acts: whether members act. drift: by which clocks run off. founded: whether members' disks have the founding groups. log:
+    rate_limiter. lease: seconds. acts: whether members act. drift: by which clocks run off. founded: whether members' disks have the founding groups. log:
     groups that a store keeps. astray: of the changes, what part is no good (a row is to be removed that isn't there) or
     goes by a revision of a moment ago (`--expect`).
     """
@@ -66,10 +81,10 @@
 @dataclass
 class Disk:
     snapshot: Snapshot | None = None
-    log: list[Group] = field(default_factory=list)
-    offers: list[Group] = field(default_factory=list)
+    log: list[ChangeSet] = field(default_factory=list)
+    offers: list[ChangeSet] = field(default_factory=list)
 
-    def write(self, one: Write) -> None:
+    def write(self, one: DiskWrite) -> None:
         if one.snapshot is not None:
             self.snapshot, self.log = one.snapshot, []
         elif one.group is not None and one.committed:
@@ -82,16 +97,16 @@
 
 
 class Process:
-    """A machine, its disk, its clock, its purse."""
+    """A machine, its disk, its clock, its rate_limiter."""
 
     def __init__(self, world: World, name: str, region: str, keeper: bool) -> None:
         self.world, self.name, self.region, self.keeper = world, name, region, keeper
         self.disk, self.life, self.up, self.held_until = Disk(), 0, False, 0
         self.rate = 1.0 + world.plan.drift * (2 * world.chance.random() - 1)
         self.skew = world.chance.randrange(100 * SECOND)
-        self.machine: Member | Keeper
+        self.machine: ConfigSubscriber | ConfigServer
         self.waking = -1
-        self.inbox: list[Said] = []
+        self.inbox: list[Message] = []
         self.sent: list[tuple[int, int]] = []
 
     def now(self) -> int:
@@ -101,27 +116,27 @@
         plan, world = self.world.plan, self.world
         self.life, self.up, self.inbox = self.life + 1, True, []
         most = plan.keeper_bytes if self.keeper else plan.bytes
-        purse = Purse(most, plan.datagrams * (5 if self.keeper else 1), self.now())
+        rate_limiter = RateLimiter(most, plan.datagrams * (5 if self.keeper else 1), self.now())
         store, lease = self.disk.store(plan.log), int(plan.lease * SECOND)
         chance = Random(world.chance.getrandbits(64))
         if self.keeper:
             peers = [name for name in world.keepers if name != self.name]
-            self.machine = Keeper(
+            self.machine = ConfigServer(
                 self.name,
                 self.region,
                 self.life,
                 store,
                 peers,
                 chance,
-                purse,
+                rate_limiter,
                 self.now(),
                 lease,
                 offers=self.disk.offers,
             )
         else:
-            near = nearest(world.keepers, self.name, self.region)
-            self.machine = Member(
-                self.name, self.region, self.life, store, near, chance, purse, self.now(), lease
+            near = nearest_servers(world.keepers, self.name, self.region)
+            self.machine = ConfigSubscriber(
+                self.name, self.region, self.life, store, near, chance, rate_limiter, self.now(), lease
             )
         world.log("begins", name=self.name, life=self.life, revision=store.revision, keeper=self.keeper)
         self.turn(lambda now: now)
@@ -137,7 +152,7 @@
         does(self.now())
         due = self.machine.wake(self.now())
         self.effects()
-        if isinstance(self.machine, Keeper) and self.machine.wants_reading:
+        if isinstance(self.machine, ConfigServer) and self.machine.wants_reading:
             self.world.reads(self)
         self.wakes(due)
 
@@ -174,7 +189,7 @@
                 return
             self.turn(lambda now: now)
 
-    def heard(self, said: Said) -> None:
+    def heard(self, said: Message) -> None:
         if not self.up:
             return
         if self.world.now < self.held_until:  # stopped: it lies in the socket
@@ -196,14 +211,14 @@
 
     def acts(self) -> None:
         """By some row, as a dispatcher does with each txn."""
-        if self.up and self.world.now >= self.held_until and isinstance(self.machine, Member):
+        if self.up and self.world.now >= self.held_until and isinstance(self.machine, ConfigSubscriber):
             now = self.now()
             member, rows = self.machine, self.machine.rows(now)
             base, leased = member.holder.base, member.leased(now)
             if base.number and member.proven:
                 key = self.world.chance.choice(self.world.keys)
                 told = rows.get(key)
-                whole = "" if member.holder.offers else hashed(repr(sorted(rows.items())).encode())
+                whole = "" if member.holder.offers else content_hash(repr(sorted(rows.items())).encode())
                 last = self.world.groups.get(base.digest)
                 seen = {
                     put.key: None if (row := rows.get(put.key)) is None else row.decode()
@@ -239,7 +254,9 @@
         self.loss = plan.loss
         self.cell: tuple[int, str] = (0, "")
         self.committer, self.proposed_at = "", 0
-        self.proposing: tuple[tuple[Change, Group], ...] = ()  # one round, of those that are wanted
+        self.proposing: tuple[
+            tuple[PendingChange, ChangeSet], ...
+        ] = ()  # one round, of those that are wanted
         self.keys = [f"customers.c{i}" for i in range(plan.customers)]
         self.rows: dict[str, bytes] = {}
         self.keepers: dict[str, str] = {f"k{i}": self.regions[i % plan.regions] for i in range(plan.keepers)}
@@ -249,7 +266,7 @@
         for i in range(plan.members):
             self.processes[f"m{i}"] = Process(self, f"m{i}", self.regions[i % plan.regions], False)
         self.names = list(self.processes)
-        self.wanted: list[Change] = []
+        self.wanted: list[PendingChange] = []
         self.asked: list[int] = []  # when, by number - 1, which is each change's `at`
         self.aside = Random(f"{seed} astray")
         self.changed_at: dict[int, int] = {}
@@ -263,7 +280,7 @@
 
     # The ways
 
-    def sends(self, process: Process, to: str, said: Said) -> None:
+    def sends(self, process: Process, to: str, said: Message) -> None:
         process.sent.append((self.now, size_of(said)))
         other = self.processes[to]
         if (process.region, other.region) in self.cut:
@@ -284,7 +301,7 @@
 
     def reads(self, keeper: Process) -> None:
         machine, life = keeper.machine, keeper.life
-        assert isinstance(machine, Keeper)
+        assert isinstance(machine, ConfigServer)
         number = machine.begins(keeper.now())
 
         def proves() -> None:
@@ -310,7 +327,7 @@
         def changes() -> None:
             if self.committer != keeper.name or not self.reaches(keeper.region) or self.cell != before:
                 return
-            groups = commit_round.way(digest, before[1], self.groups.get)
+            groups = commit_round.changesets_between(digest, before[1], self.groups.get)
             if not groups or groups[0].revision != before[0] + 1:
                 return
             self.cell = (revision, digest)
@@ -328,7 +345,7 @@
                     id=group.at,
                     born=self.asked[group.at - 1],
                     puts=[(put.key, None if put.value is None else put.value.decode()) for put in group.puts],
-                    whole=hashed(repr(sorted(self.rows.items())).encode()),
+                    whole=content_hash(repr(sorted(self.rows.items())).encode()),
                 )
 
             def told() -> None:
@@ -348,10 +365,10 @@
             if self.proposing and self.cell[0] >= self.proposing[0][1].revision:
                 if self.cell == self.proposed():
                     for change, group in self.proposing:
-                        self.tells(change, MADE, group.revision, digest_of(group))
+                        self.tells(change, ALREADY_COMMITTED, group.revision, digest_of(group))
                 self.proposing = ()
             elif self.proposing and self.now >= self.proposed_at + HOLD:
-                if last is not None and isinstance(last.machine, Keeper) and last.up:
+                if last is not None and isinstance(last.machine, ConfigServer) and last.up:
                     last.machine.withdraw(last.now())
                 self.committer, self.proposing = "", ()
             if self.wanted and not self.proposing:
@@ -362,7 +379,7 @@
     def proposed(self) -> tuple[int, str]:
         return self.proposing[-1][1].revision, digest_of(self.proposing[-1][1])
 
-    def tells(self, change: Change, what: str, revision: int, digest: str) -> None:
+    def tells(self, change: PendingChange, what: str, revision: int, digest: str) -> None:
         self.wanted.remove(change)
         self.log("verdict", id=change.at, verdict=what, revision=revision, digest=digest)
 
@@ -384,8 +401,8 @@
         self.committer = self.committer if self.committer in ready else self.chance.choice(ready)
         process = self.processes[self.committer]
         machine = process.machine
-        assert isinstance(machine, Keeper)
-        found = commit_round.together(machine.store, self.wanted, lambda terms: None, machine.joins)
+        assert isinstance(machine, ConfigServer)
+        found = commit_round.plan_round(machine.store, self.wanted, lambda terms: None, machine.joins)
         for told in found.told:
             self.tells(told.change, told.what, told.revision, told.digest)
         if not found.taken:
@@ -398,10 +415,10 @@
         groups = found.groups
         try:
             process.turn(lambda now: machine.propose(groups[0], now, groups[1:]))
-        except Wrong:
+        except InvalidDocumentError:
             self.proposing = ()
 
-    groups: dict[str, Group]
+    groups: dict[str, ChangeSet]
 
     def change(self) -> None:
         """One to four rows: quotas up and down, a customer gone and back."""
@@ -419,16 +436,16 @@
                 drawn[key] = None
             else:
                 drawn[key] = canonical({"allowance": self.chance.randrange(1, 100)})
-        puts = tuple(Put(key, value) for key, value in drawn.items() if value is not None or key in there)
+        puts = tuple(Change(key, value) for key, value in drawn.items() if value is not None or key in there)
         if puts:
             expect = None
             if self.aside.random() < self.plan.astray:
                 if self.aside.random() < 0.5:
                     expect = self.cell[0]
                 else:
-                    puts = (*puts, Put("customers.nobody", None))
+                    puts = (*puts, Change("customers.nobody", None))
             self.asked.append(self.now)
-            self.wanted.append(Change(puts, "author", "drawn", len(self.asked), expect))
+            self.wanted.append(PendingChange(puts, "author", "drawn", len(self.asked), expect))
             self.log("asked", id=len(self.asked), expect=expect)
 
     def changes(self) -> None:
@@ -481,15 +498,15 @@
     def run(self) -> World:
         self.groups = {}
         first = [
-            Put(f"members.{name}", canonical({"region": process.region}))
+            Change(f"members.{name}", canonical({"region": process.region}))
             for name, process in self.processes.items()
             if not process.keeper
         ]
-        rows = [Put(key, canonical({"allowance": 50})) for key in self.keys]
+        rows = [Change(key, canonical({"allowance": 50})) for key in self.keys]
         puts = first + rows
         # The first groups stand at all keepers from the founding on, as one snapshot of each would.
         for start in range(0, len(puts), 32):
-            group = Group(
+            group = ChangeSet(
                 self.cell[0] + 1, self.cell[1], "founder", "founding", 0, tuple(puts[start : start + 32])
             )
             self.cell = (group.revision, digest_of(group))
@@ -505,7 +522,7 @@
                 revision=group.revision,
                 digest=self.cell[1],
                 puts=[(put.key, (put.value or b"").decode()) for put in group.puts],
-                whole=hashed(repr(sorted(self.rows.items())).encode()),
+                whole=content_hash(repr(sorted(self.rows.items())).encode()),
             )
         for process in self.processes.values():
             self.at(self.chance.randrange(SECOND), process.begins)
@@ -523,7 +540,7 @@
         for name, process in self.processes.items():
             if not process.keeper:
                 member = process.machine
-                assert isinstance(member, Member)
+                assert isinstance(member, ConfigSubscriber)
                 self.log(
                     "ends", name=name, revision=member.holder.base.number, leased=member.leased(process.now())
                 )
@@ -533,13 +550,13 @@
             force=max(
                 process.machine.core.force
                 for process in self.processes.values()
-                if isinstance(process.machine, Keeper)
+                if isinstance(process.machine, ConfigServer)
             ),
             wanted=len(self.wanted),
         )
         for name, process in self.processes.items():
             self.log(
-                "purse",
+                "rate_limiter",
                 name=name,
                 most=self.plan.keeper_bytes if process.keeper else self.plan.bytes,
                 worst=worst(process.sent),
--- a/pathsaddle/emulator/stage.py
+++ b/pathsaddle/emulator/stage.py
@@ -15,7 +15,7 @@
 
 from loguru import logger
 
-from pathsaddle.config.loader import told
+from pathsaddle.config.loader import platform_config
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.faults.faults import ServedFaults
 from pathsaddle.emulator.ground.air import Air
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:  # earlier commits of ours, over which this is laid, have no jobs
     from pathsaddle.emulator.membership.stage import MembersStage
     from pathsaddle.emulator.served.members import Fleet
-    from pathsaddle.fleet.udp_driver import Fellows
+    from pathsaddle.fleet.udp_driver import MembershipDriver
     from pathsaddle.jobs.store import DiskWriter, Store
     from pathsaddle.net.memory.counters import Counters
 
@@ -125,7 +125,7 @@
                 zone=self.sites.zone_of(d),
                 seed=f"{seeds.getrandbits(64):016x}",
             )
-            self.told[d] = told(mine, self.discovery.known(d))
+            self.told[d] = platform_config(mine, self.discovery.known(d))
         self.front = FrontLayer(self.world, self.sites)
         self.clients = Clients(self.world, self.sites, self.front)
         self.faults = ServedFaults(
@@ -240,7 +240,7 @@
             self.world.add("died", dispatcher=dispatcher, why=repr(fault))
             raise
 
-    def _fellows(self, dispatcher: int, ground: VirtualGround, counters: Counters) -> Fellows | None:
+    def _fellows(self, dispatcher: int, ground: VirtualGround, counters: Counters) -> MembershipDriver | None:
         if self.fleet is None:
             return None
         return self.fleet.fellows(dispatcher, ground, counters, self.sites.zone_of(dispatcher))
@@ -249,7 +249,7 @@
         jobs = self.world.charter.jobs
         if jobs is None:
             return TxnService(*told)
-        from pathsaddle.jobs.job_service import DurableTxnService, Ways
+        from pathsaddle.jobs.job_service import JobService, JobServiceOptions
         from pathsaddle.jobs.store import DiskWriter, Store
 
         self.lives += 1
@@ -258,11 +258,13 @@
         store = self.stores[dispatcher] = Store(
             Path(self.folder.name) / f"d{dispatcher}.db", disk, lock=False, sync="OFF"
         )
-        return DurableTxnService(
+        return JobService(
             *told,
             store=store,
             chance=chance,
-            ways=Ways(jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin),
+            ways=JobServiceOptions(
+                jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin
+            ),
         )
 
     def _pull_the_plug(self, dispatcher: int) -> None:
@@ -453,15 +455,15 @@
 
     async def _sample(self, dispatcher: int) -> None:
         """Asks a member now and then what it claims to have heard, as its operator would."""
-        from pathsaddle.fleet.control_client import Unasked, ask
+        from pathsaddle.fleet.control_client import ControlUnreachableError, query
 
         address = self.sites.address("control", dispatcher, 0)
         while True:
             await asyncio.sleep(1.0)
             begun = self.world.now()
             try:
-                told = await ask(address, "members", 1.0)
-            except Unasked:
+                told = await query(address, "members", 1.0)
+            except ControlUnreachableError:
                 continue
             of = [
                 (m["name"], m["life"], min(ages) * 10)
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from pathsaddle.emulator.events import Events
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.quota.shared_state import SPARE, Shared
-from pathsaddle.fleet.rate_limiter import SECOND, Purse
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
+from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
 
 BUDGET = "uses"
 KEY = b"the ground's own secret"
@@ -99,7 +99,7 @@
         self.ground, self.number, self.name = ground, number, f"d{number}"
         self.rate = 1 + plan.drift * (2 * chance.random() - 1)
         self.off = chance.randrange(10**9)
-        self.shared: Shared | None = None
+        self.shared: SharedState | None = None
         self.life = 0
         self.stopped = False
         self.waiting: list[tuple[Any, ...]] = []  # what came while it was stopped
@@ -164,14 +164,14 @@
         now = place.clock()
         rate = plan.others.get(place.number, plan.rate)
         chance = Random(f"{plan.seed} {place.name} {self.lives}")
-        place.shared = Shared(
+        place.shared = SharedState(
             place.name,
             place.life,
             "f",
             KEY,
-            Purse(plan.bytes, 60, now),
+            RateLimiter(plan.bytes, 60, now),
             int(plan.beat * SECOND),
-            {BUDGET: Dealt(rate, self.part(place.number), int(plan.lease * SECOND))},
+            {BUDGET: QuotaConfig(rate, self.part(place.number), int(plan.lease * SECOND))},
             chance,
             now,
         )
@@ -209,7 +209,7 @@
             return
         self.lives += 1
         place.life = self.lives * 1000
-        place.shared.claimed(place.life, place.clock())
+        place.shared.on_new_incarnation(place.life, place.clock())
         self.log("member.began", who=place.name, life=place.life, claimed=True)
         for other in self.places:
             if other is not place:
@@ -244,9 +244,9 @@
             return
         place.view[other.name] = life, there
         if there:
-            place.shared.joined(other.name, life, other.name)
+            place.shared.on_member_joined(other.name, life, other.name)
         else:
-            place.shared.ended(other.name, life)
+            place.shared.on_member_left(other.name, life)
         self.log("state.view", who=place.name, member=other.name, life=life, there=there)
         for name, over in place.shared.carry.over:
             self.log("state.over", who=place.name, member=name, life=over)
@@ -279,7 +279,7 @@
                 place.waiting.append((self.hear, place, data))
             return
         begun = time.process_time()
-        place.shared.heard(data, place.clock())
+        place.shared.on_datagram(data, place.clock())
         place.cpu += time.process_time() - begun
         self.rest(place)
 
@@ -291,7 +291,7 @@
             return
         self.step(place)  # what it may use from this very moment on is written before the use
         units = 1 if self.chance.random() < 0.9 else 3
-        if place.shared.limiter.takes(BUDGET, units, place.clock()):
+        if place.shared.limiter.try_acquire(BUDGET, units, place.clock()):
             self.log("share.spend", who=place.name, budget=BUDGET, units=units)
         else:
             self.log("share.refused", who=place.name, budget=BUDGET, units=units)
@@ -334,7 +334,7 @@
             place.rights = usable
             self.log("share.rights", who=place.name, budget=BUDGET, units=usable)
         changes = [loan.until for loan in state.lent] + [row[3].until for row in state.held]
-        changes.append(state.born + state._surely())
+        changes.append(state.started_at + state._surely())
         later = [until for until in changes if until > now]
         if later:
             when = place.moment(min(later))
@@ -472,7 +472,7 @@
         for place in self.chance.sample(self.places, min(5, len(self.places))):
             if place.shared is None or place.stopped:
                 continue
-            for shown in place.shared.carry.records(SPARE, place.clock()):
+            for shown in place.shared.carry.records(SPARE_TOPIC, place.clock()):
                 if shown.member != place.name:
                     self.log(
                         "state.shown",
--- a/pathsaddle/emulator/state/mutants.py
+++ b/pathsaddle/emulator/state/mutants.py
@@ -9,65 +9,65 @@
 
 from pathsaddle.emulator.state.ground import Ground, varied
 from pathsaddle.emulator.state.judge import judge
-from pathsaddle.fleet.gossip.gossip import Carry
+from pathsaddle.fleet.gossip.gossip import Gossip
 from pathsaddle.fleet.quota import leases, quota_limiter
-from pathsaddle.fleet.quota.leases import Back, Lend, Loan, State
-from pathsaddle.fleet.quota.quota_limiter import Budget, Limiter
+from pathsaddle.fleet.quota.leases import Grant, Lease, QuotaLedger, Release
+from pathsaddle.fleet.quota.quota_limiter import QuotaBudget, QuotaLimiter
 from pathsaddle.fleet.rate_limiter import SECOND
 
 _lent_by, _own, _asked, _fallback, _take, _life, _claimed, _row, _returns, _fall, _ended = (
-    State.lent_by,
-    State.own,
-    Limiter.asked,
-    Limiter._fallback,
-    Carry._take,
-    Carry._life,
-    Carry.claimed,
-    Carry._row,
-    State.returns,
-    Limiter._fallback,
-    Carry.ended,
+    QuotaLedger.lent_by,
+    QuotaLedger.own,
+    QuotaLimiter.asked,
+    QuotaLimiter._fallback,
+    Gossip._take,
+    Gossip._life,
+    Gossip.claimed,
+    Gossip._row,
+    QuotaLedger.returns,
+    QuotaLimiter._fallback,
+    Gossip.ended,
 )
 
 
-def _by_arrival(self: State, lend: Lend, now: int) -> State:
+def _by_arrival(self: QuotaLedger, lend: Grant, now: int) -> QuotaLedger:
     after = _lent_by(self, lend, now)
     return replace(
         after,
         held=tuple(
-            (*row[:3], Loan(row[3].units, now + self.lease)) if row not in self.held else row
+            (*row[:3], Lease(row[3].units, now + self.lease)) if row not in self.held else row
             for row in after.held
         ),
     )
 
 
-def _twice(self: State, lend: Lend, now: int) -> State:
+def _twice(self: QuotaLedger, lend: Grant, now: int) -> QuotaLedger:
     """The asking stays open, and what it brought is not looked for."""
     after = _lent_by(self, lend, now)
     return replace(after, open=self.open)
 
 
-def _new_life_forgets(self: State, now: int) -> int:
+def _new_life_forgets(self: QuotaLedger, now: int) -> int:
     return self.part - sum(loan.units for loan in self.lent if now < loan.until)
 
 
-def _forgets(self: Limiter, one: Budget, now: int) -> None:
+def _forgets(self: QuotaLimiter, one: QuotaBudget, now: int) -> None:
     """Takes silence for the end of what it lent."""
     _fallback(self, one, now)
     if now - self.heard_at > one.dealt.lease // 4:
         one.state = replace(one.state, lent=())
 
 
-def _all_lives(self: Carry, name: str, life: int) -> None:
+def _all_lives(self: Gossip, name: str, life: int) -> None:
     """What an older life put is let stand."""
     self.lives[name] = max(life, self.lives.get(name, 0))
 
 
-def _no_end(self: Carry, name: str, life: int) -> None:
+def _no_end(self: Gossip, name: str, life: int) -> None:
     self.peers.pop(name, None)
 
 
-def _used_before(self: Limiter, budget: str, want: Any, now: int) -> None:
+def _used_before(self: QuotaLimiter, budget: str, want: Any, now: int) -> None:
     """Lends also what it used within the last window."""
     one = self.budgets[budget]
     kept, one.sum, one.need = one.sum, 0, 0
@@ -75,7 +75,7 @@
     one.sum = kept
 
 
-def _by_the_border(self: Limiter, one: Budget, now: int) -> None:
+def _by_the_border(self: QuotaLimiter, one: QuotaBudget, now: int) -> None:
     """Counts from the last whole second, not from a second ago."""
     while one.spent and one.spent[0][0] < now // SECOND * SECOND:
         one.sum -= one.spent.popleft()[1]
@@ -83,12 +83,12 @@
         one.wants.popleft()
 
 
-def _goes_on(self: State, number: int, now: int) -> tuple[State, Back]:
+def _goes_on(self: QuotaLedger, number: int, now: int) -> tuple[QuotaLedger, Release]:
     """Gives back what it goes on using."""
-    return self.at(now), Back(self.name, self.life, number)
+    return self.at(now), Release(self.name, self.life, number)
 
 
-def _sure_by_arrival(self: Carry, name: str, origin: Any, now: int) -> Any:
+def _sure_by_arrival(self: Gossip, name: str, origin: Any, now: int) -> Any:
     """Tells others that all it has was the last just now."""
     row = _row(self, name, origin, now)
     return row if origin is self.mine else type(row)(row.name, row.life, row.seen, 0)
@@ -126,21 +126,24 @@
     },
 }
 MUTANTS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
-    "lease by the taker's arrival": ("rights-over-budget", [(State, "lent_by", _by_arrival)]),
-    "transfer credited twice": ("rights-over-budget", [(State, "lent_by", _twice)]),
-    "new life forgets what was lent": ("rights-over-budget", [(State, "own", _new_life_forgets)]),
-    "fallback forgets what was lent": ("rights-over-budget", [(Limiter, "_fallback", _forgets)]),
-    "owner's lease too short": ("rights-over-budget", [(State, "_surely", lambda self: self.lease // 2)]),
-    "given back and used on": ("rights-over-budget", [(State, "returns", _goes_on)]),
+    "lease by the taker's arrival": ("rights-over-budget", [(QuotaLedger, "lent_by", _by_arrival)]),
+    "transfer credited twice": ("rights-over-budget", [(QuotaLedger, "lent_by", _twice)]),
+    "new life forgets what was lent": ("rights-over-budget", [(QuotaLedger, "own", _new_life_forgets)]),
+    "fallback forgets what was lent": ("rights-over-budget", [(QuotaLimiter, "_fallback", _forgets)]),
+    "owner's lease too short": (
+        "rights-over-budget",
+        [(QuotaLedger, "_surely", lambda self: self.lease // 2)],
+    ),
+    "given back and used on": ("rights-over-budget", [(QuotaLedger, "returns", _goes_on)]),
     "no rest after a lease": (
         "spent-over-budget",
-        [(quota_limiter, "born", lambda *told: leases.born(*told[:5]))],
+        [(quota_limiter, "new_ledger", lambda *told: leases.new_ledger(*told[:5]))],
     ),
-    "lent though just used": ("spent-over-budget", [(Limiter, "asked", _used_before)]),
-    "counted by the second's border": ("spent-over-budget", [(Limiter, "_clear", _by_the_border)]),
-    "an old life's records live on": ("old-life", [(Carry, "_life", _all_lives)]),
-    "a dead member's records stay": ("old-life", [(Carry, "ended", _no_end)]),
-    "sure by arrival": ("sure-outside", [(Carry, "_row", _sure_by_arrival)]),
+    "lent though just used": ("spent-over-budget", [(QuotaLimiter, "asked", _used_before)]),
+    "counted by the second's border": ("spent-over-budget", [(QuotaLimiter, "_clear", _by_the_border)]),
+    "an old life's records live on": ("old-life", [(Gossip, "_life", _all_lives)]),
+    "a dead member's records stay": ("old-life", [(Gossip, "ended", _no_end)]),
+    "sure by arrival": ("sure-outside", [(Gossip, "_row", _sure_by_arrival)]),
 }
 
 
--- a/pathsaddle/emulator/state/smoke.py
+++ b/pathsaddle/emulator/state/smoke.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from pathsaddle.config.schema import Count, Form, Part
-from pathsaddle.config.validation import Faulty, NotAmong, check, load
+from pathsaddle.config.schema import ConfigTable, Count, Part
+from pathsaddle.config.validation import InvalidConfigError, NotAllowedValueError, load_toml, validate
 from pathsaddle.emulator.state import mutants
 from pathsaddle.emulator.state.ground import Ground, Place, Plan, varied
 from pathsaddle.emulator.state.judge import judge
@@ -26,7 +26,7 @@
 PART = 10  # units of each member where it is measured
 
 
-class Seeds(Form):
+class Seeds(ConfigTable):
     """Random faults of all kinds: from which seed, how many."""
 
     members: Count
@@ -34,7 +34,7 @@
     count: Count
 
 
-class Measured(Form):
+class Measured(ConfigTable):
     """A fleet without faults but loss."""
 
     members: Count
@@ -42,7 +42,7 @@
     wants: Count = 6
 
 
-class Smoke(Form):
+class Smoke(ConfigTable):
     """ground: shared. name, about: of the plan. mutants: by name, each of which must be found."""
 
     name: str
@@ -189,7 +189,7 @@
     told = words.parse_args()
     try:
         plan = read(told.plan)
-    except Faulty as faulty:
+    except InvalidConfigError as faulty:
         print(faulty, file=sys.stderr)
         return 2
     if told.seeds:
@@ -199,11 +199,13 @@
 
 def read(path: str) -> Smoke:
     """A plan, checked whole. Raises Faulty."""
-    plan = check(Smoke, load(path), path)
+    plan = validate(Smoke, load_toml(path), path)
     if unknown := [name for name in plan.mutants if name not in mutants.MUTANTS]:
-        raise Faulty(
+        raise InvalidConfigError(
             [
-                NotAmong(path, "mutants", shown=repr(name), may=f"some of {', '.join(mutants.MUTANTS)}")
+                NotAllowedValueError(
+                    path, "mutants", shown=repr(name), may=f"some of {', '.join(mutants.MUTANTS)}"
+                )
                 for name in unknown
             ]
         )
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from pathsaddle.config.fleet import told as fellow
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import check
+from pathsaddle.config.fleet import membership_config as fellow
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import validate
 from pathsaddle.emulator.events import Event
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.quota.shared_state import SPARE, Shared
-from pathsaddle.fleet.udp_driver import Fellows
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
+from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.trade import SECOND
@@ -32,16 +32,16 @@
 
 class User:
     def __init__(self, told: dict[str, Any]) -> None:
-        self.charter = check(Charter, told["charter"], "argument")
+        self.charter = validate(Configuration, told["charter"], "argument")
         assert self.charter.fleet is not None
         self.told, self.chance = told, Random(f"{told['seed']} {self.charter.name} {os.getpid()}")
         self.log = os.open(told["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         ground = Ground()
         folder = self.charter.fleet.folder
-        self.fellows = Fellows(
+        self.fellows = MembershipDriver(
             fellow(self.charter),
             ground,
-            Lives(Path(folder) if folder else None, self.charter.name),
+            IncarnationStore(Path(folder) if folder else None, self.charter.name),
             self.chance,
             Counters(),
         )
@@ -51,7 +51,7 @@
         self.base = int((told["start"] + ground.clock._offset) * SECOND)
         self.rights: dict[str, tuple[int, list[tuple[int, int]]]] = {}
         assert self.fellows.shared is not None
-        self.shared: Shared = self.fellows.shared
+        self.shared: SharedState = self.fellows.shared
         say, shared = self.shared.say, self.shared
 
         def told_first(now: int) -> None:
@@ -104,7 +104,7 @@
                 continue
             now = self.clock.now()
             self.tell(now)
-            if self.shared.limiter.takes(budget, 1, now):
+            if self.shared.limiter.try_acquire(budget, 1, now):
                 self.write(now, "share.spend", budget=budget, units=1)
             await asyncio.sleep(self.chance.expovariate(wants))
 
@@ -112,7 +112,7 @@
         while True:
             await asyncio.sleep(0.5)
             now = self.clock.now()
-            for shown in self.shared.carry.records(SPARE, now):
+            for shown in self.shared.carry.records(SPARE_TOPIC, now):
                 self.write(
                     now,
                     "record",
--- a/pathsaddle/experiment/capacity.py
+++ b/pathsaddle/experiment/capacity.py
@@ -17,18 +17,18 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.config.schema import Form
+from pathsaddle.config.schema import ConfigTable
 from pathsaddle.config.validation import (
-    Amiss,
-    Fault,
-    Faulty,
-    Missing,
-    NotAmong,
-    Twice,
-    WrongKind,
-    check,
-    load,
-    shown,
+    ConfigKeyError,
+    DuplicateError,
+    InvalidConfigError,
+    InvalidValueError,
+    MissingKeyError,
+    NotAllowedValueError,
+    WrongTypeError,
+    display_value,
+    load_toml,
+    validate,
 )
 from pathsaddle.errors import Error, access, why
 from pathsaddle.experiment import scale
@@ -59,7 +59,7 @@
     what = "{page}: the page can't be read: {why}"
 
 
-class Numbers(Form):
+class Numbers(ConfigTable):
     """How large, in the operators' numbers.
 
     workers: machines that run tasks.
@@ -102,7 +102,7 @@
     replaced_per_day: Above
 
 
-class Assumption(Form):
+class Assumption(ConfigTable):
     """What the numbers do not say.
 
     what: in words.
@@ -118,12 +118,14 @@
     if_twice: Text
     key: str = ""
 
-    def amiss(self) -> Iterator[Amiss]:
+    def amiss(self) -> Iterator[InvalidValueError]:
         if self.key and not isinstance(self.value, float | int):
-            yield Amiss("value", WrongKind, shown=shown(self.value), may="a number, as it has a key,")
+            yield InvalidValueError(
+                "value", WrongTypeError, shown=display_value(self.value), may="a number, as it has a key,"
+            )
 
 
-class Row(Form):
+class Row(ConfigTable):
     """One figure against one limit; or what nothing carries.
 
     role: whose: dispatcher, list, voter, keeper, planner, store, worker, client, operator.
@@ -167,15 +169,20 @@
     hurts_at: str = ""
     note: str = ""
 
-    def amiss(self) -> Iterator[Amiss]:
-        def missing(key: str, may: str) -> Amiss:
-            return Amiss(key, Missing, may=may)
+    def amiss(self) -> Iterator[InvalidValueError]:
+        def missing(key: str, may: str) -> InvalidValueError:
+            return InvalidValueError(key, MissingKeyError, may=may)
 
         if self.figure and self.value is not None:
-            yield Amiss("value", Fault, "a value stands there beside a figure", "take one of them out")
+            yield InvalidValueError(
+                "value", ConfigKeyError, "a value stands there beside a figure", "take one of them out"
+            )
         if self.figure and (len(self.figure.split(".")) != 2 or "/" in self.figure):
-            yield Amiss(
-                "figure", WrongKind, shown=shown(self.figure), may="PLAN.FIGURE, such as tally.bytes,"
+            yield InvalidValueError(
+                "figure",
+                WrongTypeError,
+                shown=display_value(self.figure),
+                may="PLAN.FIGURE, such as tally.bytes,",
             )
         if self.figure and self.at == "":
             yield missing("at", "a key of numbers, or a number")
@@ -199,7 +206,7 @@
             yield missing("mechanism", "the module that carries it")
 
 
-class Target(Form):
+class Target(ConfigTable):
     """A size to plan for.
 
     name: how it is called.
@@ -219,12 +226,12 @@
 def read(path: str | Path) -> Target:
     """The target in a file; raises Faulty with all that is wrong in it."""
     file = str(path)
-    target = check(Target, load(path), file)
-    faults: list[Fault] = []
+    target = validate(Target, load_toml(path), file)
+    faults: list[ConfigKeyError] = []
     known = list(msgspec.structs.asdict(target.numbers))
     for i, one in enumerate(target.assumptions):
         if one.key in known:
-            faults.append(Twice(file, f"assumptions[{i}].key", shown=shown(one.key)))
+            faults.append(DuplicateError(file, f"assumptions[{i}].key", shown=display_value(one.key)))
         elif one.key:
             known.append(one.key)
     for i, row in enumerate(target.rows):
@@ -235,14 +242,17 @@
             *((f"per[{j}]", key) for j, key in enumerate(row.per)),
         ]
         faults += [
-            NotAmong(
-                file, f"rows[{i}].{key}", shown=shown(value), may=f"one of {', '.join(known)}, or a number"
+            NotAllowedValueError(
+                file,
+                f"rows[{i}].{key}",
+                shown=display_value(value),
+                may=f"one of {', '.join(known)}, or a number",
             )
             for key, value in keys
             if isinstance(value, str) and value and value not in known
         ]
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigError(faults)
     return target
 
 
@@ -309,7 +319,7 @@
             raise none(f"there is no plan {name}.toml", f"write {self.plans / name}.toml")
         try:
             plays = self.plays(name)
-        except Faulty as fault:
+        except InvalidConfigError as fault:
             raise none(
                 f"its plan can't be used: {fault.faults[0].text}",
                 f"mend what `pathsaddle check --plan {self.plans / name}.toml` says",
--- a/pathsaddle/experiment/grounds.py
+++ b/pathsaddle/experiment/grounds.py
@@ -14,7 +14,13 @@
 from pathlib import Path
 from typing import Any
 
-from pathsaddle.config.validation import Faulty, NotAmong, WrongKind, load, shown
+from pathsaddle.config.validation import (
+    InvalidConfigError,
+    NotAllowedValueError,
+    WrongTypeError,
+    display_value,
+    load_toml,
+)
 
 
 @dataclass(frozen=True)
@@ -88,12 +94,20 @@
 
 def told(path: str | Path) -> tuple[dict[str, Any], str]:
     """A plan's table and its ground; none stands for virtual. Raises Faulty."""
-    table = load(path)
+    table = load_toml(path)
     ground = table.get("ground", EMULATED[0])
     if not isinstance(ground, str):
-        raise Faulty([WrongKind(str(path), "ground", shown=shown(ground), may="a text")])
+        raise InvalidConfigError(
+            [WrongTypeError(str(path), "ground", shown=display_value(ground), may="a text")]
+        )
     if ground not in OPTIONS:
-        raise Faulty([NotAmong(str(path), "ground", shown=shown(ground), may=f"one of {', '.join(OPTIONS)}")])
+        raise InvalidConfigError(
+            [
+                NotAllowedValueError(
+                    str(path), "ground", shown=display_value(ground), may=f"one of {', '.join(OPTIONS)}"
+                )
+            ]
+        )
     return table, ground
 
 
@@ -116,7 +130,7 @@
 
 def is_target(path: str | Path) -> bool:
     """Whether a file is no plan but a size to plan for, which has numbers and rows and no ground."""
-    table = load(path)
+    table = load_toml(path)
     return "ground" not in table and "numbers" in table
 
 
--- a/pathsaddle/experiment/scale.py
+++ b/pathsaddle/experiment/scale.py
@@ -35,8 +35,15 @@
 import msgspec
 from msgspec import Meta
 
-from pathsaddle.config.schema import Count, Form
-from pathsaddle.config.validation import Fault, Faulty, NotAmong, check, load, shown
+from pathsaddle.config.schema import ConfigTable, Count
+from pathsaddle.config.validation import (
+    ConfigKeyError,
+    InvalidConfigError,
+    NotAllowedValueError,
+    display_value,
+    load_toml,
+    validate,
+)
 from pathsaddle.errors import Error, access, why
 from pathsaddle.experiment.keep import ROOT, Unkept, commit_of, machine
 from pathsaddle.experiment.slope import Slope, fit, judged, number, told
@@ -53,19 +60,19 @@
 KEPT = "experiments/scale/kept"
 
 
-class NeedsMore(Fault):
+class NeedsMore(ConfigKeyError):
     name = "experiment.needs-more"
     what = "{point} needs {amount:g} {unit} by measure {measure}, and {allowed:g} are allowed by {by}"
     do = "take {point} out at {path}, or {raised}"
 
 
-class NoMeasure(Fault):
+class NoMeasure(ConfigKeyError):
     name = "experiment.no-measure"
     what = "{shown} stands there, and {why}"
     do = "write at {path} the name of a module of {package} that has {parts}"
 
 
-class NotCounted(Fault):
+class NotCounted(ConfigKeyError):
     name = "experiment.not-counted"
     what = "a bound stands there, and {figure} depends on the machine's speed"
     do = "take {path} out, or bound one of {counted}"
@@ -80,7 +87,7 @@
 Law = Literal["constant", "n", "nlogn", "n2"]  # LAWS of slope.py
 
 
-class Bound(Form):
+class Bound(ConfigTable):
     """What a figure must show at one point, in every play.
 
     point: one of the plan's points.
@@ -93,7 +100,7 @@
     least: float | None = None
 
 
-class Grows(Form):
+class Grows(ConfigTable):
     """A figure that gets a law.
 
     figure: one of the measure's.
@@ -106,7 +113,7 @@
     bound: Bound | None = None
 
 
-class Plan(Form):
+class Plan(ConfigTable):
     """A plan of the scale rig.
 
     ground: scale.
@@ -177,34 +184,36 @@
     """The plan in a file and its measure; raises Faulty with all that is wrong, also with what its plays
     need.
     """
-    return of(load(path), str(path), package)
+    return of(load_toml(path), str(path), package)
 
 
 def of(table: dict[str, Any], file: str, package: str = PACKAGE) -> Scale:
-    plan = check(Plan, table, file)
-    faults: list[Fault] = []
+    plan = validate(Plan, table, file)
+    faults: list[ConfigKeyError] = []
     if plan.name != Path(file).stem:
         faults.append(
-            Fault(
+            ConfigKeyError(
                 file,
                 "name",
-                f"{shown(plan.name)} stands there, and the file is called {Path(file).name}",
+                f"{display_value(plan.name)} stands there, and the file is called {Path(file).name}",
                 f'write name = "{Path(file).stem}", or rename the file',
             )
         )
     for i, point in enumerate(plan.short):
         if point not in plan.points:
             faults.append(
-                NotAmong(file, f"short[{i}]", shown=str(point), may=f"some of {listed(plan.points)}")
+                NotAllowedValueError(
+                    file, f"short[{i}]", shown=str(point), may=f"some of {listed(plan.points)}"
+                )
             )
     try:
         module = measure_of(plan.measure, file, package)
-    except Faulty as fault:
-        raise Faulty([*faults, *fault.faults]) from None
+    except InvalidConfigError as fault:
+        raise InvalidConfigError([*faults, *fault.faults]) from None
     setting: Any = None
     try:
-        setting = check(module.Setting, plan.setting, file)
-    except Faulty as fault:
+        setting = validate(module.Setting, plan.setting, file)
+    except InvalidConfigError as fault:
         faults += [
             type(one)(file, f"setting.{one.path}" if one.path != "-" else "setting", one.what, one.do)
             for one in fault.faults
@@ -221,7 +230,7 @@
             for fault in too_much(plan, point, i, module, setting, file)
         ]
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigError(faults)
     spec = importlib.util.find_spec(module.__name__)
     source = Path(spec.origin).read_bytes() if spec is not None and spec.origin else b""
     return Scale(plan, module, setting, hashlib.blake2b(source, digest_size=8).hexdigest(), package)
@@ -229,31 +238,42 @@
 
 def measure_of(name: str, file: str, package: str) -> ModuleType:
     """The module that a measure's name stands for; raises Faulty."""
-    told = {"shown": shown(name), "package": package.replace(".", "/") + "/", "parts": ", ".join(PARTS)}
+    told = {
+        "shown": display_value(name),
+        "package": package.replace(".", "/") + "/",
+        "parts": ", ".join(PARTS),
+    }
     if not name.isidentifier() or importlib.util.find_spec(f"{package}.{name}") is None:
-        raise Faulty([NoMeasure(file, "measure", why="no such module is there", **told)])
+        raise InvalidConfigError([NoMeasure(file, "measure", why="no such module is there", **told)])
     try:
         module = importlib.import_module(f"{package}.{name}")
     except Exception as fault:  # whatever it is: the plan can't be played
-        raise Faulty([NoMeasure(file, "measure", why=f"it can't be loaded: {why(fault)}", **told)]) from fault
+        raise InvalidConfigError(
+            [NoMeasure(file, "measure", why=f"it can't be loaded: {why(fault)}", **told)]
+        ) from fault
     if missing := [part for part in PARTS if not hasattr(module, part)]:
-        raise Faulty([NoMeasure(file, "measure", why=f"the module has no {', '.join(missing)}", **told)])
+        raise InvalidConfigError(
+            [NoMeasure(file, "measure", why=f"the module has no {', '.join(missing)}", **told)]
+        )
     return module
 
 
-def unfit(plan: Plan, grows: Grows, path: str, module: Any, file: str) -> list[Fault]:
+def unfit(plan: Plan, grows: Grows, path: str, module: Any, file: str) -> list[ConfigKeyError]:
     """What is wrong with a slope of the plan."""
-    faults: list[Fault] = []
+    faults: list[ConfigKeyError] = []
     if grows.figure not in module.FIGURES:
         faults.append(
-            NotAmong(
-                file, f"{path}.figure", shown=shown(grows.figure), may=f"one of {listed(module.FIGURES)}"
+            NotAllowedValueError(
+                file,
+                f"{path}.figure",
+                shown=display_value(grows.figure),
+                may=f"one of {listed(module.FIGURES)}",
             )
         )
     if grows.bound is not None:
         if grows.bound.point not in plan.points:
             faults.append(
-                NotAmong(
+                NotAllowedValueError(
                     file,
                     f"{path}.bound.point",
                     shown=str(grows.bound.point),
@@ -262,7 +282,7 @@
             )
         if grows.bound.most is None and grows.bound.least is None:
             faults.append(
-                Fault(
+                ConfigKeyError(
                     file,
                     f"{path}.bound",
                     "neither most nor least stands there",
@@ -276,9 +296,9 @@
     return faults
 
 
-def too_much(plan: Plan, point: int, i: int, module: Any, setting: Any, file: str) -> list[Fault]:
+def too_much(plan: Plan, point: int, i: int, module: Any, setting: Any, file: str) -> list[ConfigKeyError]:
     """What a play needs beyond what the plan, or the rig, allows."""
-    faults: list[Fault] = []
+    faults: list[ConfigKeyError] = []
     for amount, unit, key, allowed, most in zip(
         module.needs(point, setting),
         ("processes", "MiB"),
--- a/pathsaddle/experiment/throughput.py
+++ b/pathsaddle/experiment/throughput.py
@@ -26,7 +26,7 @@
 import click
 from hdrh.histogram import HdrHistogram
 
-from pathsaddle.config.loader import told
+from pathsaddle.config.loader import platform_config
 from pathsaddle.emulator.plan import Plan, charter_of, varied
 from pathsaddle.errors import FINDING, Error
 from pathsaddle.experiment.keep import ROOT, commit_of, machine
@@ -274,7 +274,7 @@
         }
         folder = Path(space)
         config, command = folder / "d.json", [sys.executable, "-m", "pathsaddle"]
-        config.write_text(json.dumps(told(mine, known)), encoding="utf-8")
+        config.write_text(json.dumps(platform_config(mine, known)), encoding="utf-8")
         if charter.jobs is not None:
             discovery, address = _discovery(known, context)
             peers.append((discovery, peers[0][1]))
--- a/pathsaddle/federation/__main__.py
+++ b/pathsaddle/federation/__main__.py
@@ -10,7 +10,7 @@
 
 from pathsaddle.errors import Error
 from pathsaddle.federation.spec import load
-from pathsaddle.leased_versions import compared
+from pathsaddle.leased_versions import compare_versions
 
 
 @click.group()
@@ -31,7 +31,7 @@
 @click.argument("new", type=click.Path(path_type=Path))
 def compare_command(old: Path, new: Path) -> None:
     """What the new one takes away and gives."""
-    for row in compared(load(old), load(new)):
+    for row in compare_versions(load(old), load(new)):
         click.echo(
             f"{'tightens' if row.tightens else 'loosens'}: {row.scheme}.{row.key} {row.region}".rstrip()
         )
--- a/pathsaddle/federation/datagrams.py
+++ b/pathsaddle/federation/datagrams.py
@@ -1,6 +1,6 @@
 """The form of what members and keepers of a spec send one another: one datagram, at most 1,200 bytes, signed.
 
-As `fleet.wire`: a byte that names the form, then msgpack (one array), then the first 16 bytes of HMAC-SHA256
+As `fleet.messages`: a byte that names the form, then msgpack (one array), then the first 16 bytes of HMAC-SHA256
 over all before. What can't be used is refused by its reason. Knows no socket. What comes twice, late or never
 is the cores' matter.
 """
--- a/pathsaddle/federation/errors.py
+++ b/pathsaddle/federation/errors.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from pathsaddle.config.validation import Fault
+from pathsaddle.config.validation import ConfigKeyError
 from pathsaddle.errors import FINDING, Error
 
 
@@ -14,7 +14,7 @@
     """Any of the federation's."""
 
 
-class Contradiction(Fault):
+class Contradiction(ConfigKeyError):
     """two keys of a spec can't both be meant, or one names what nobody has"""
 
     name = "federation.contradiction"
@@ -22,20 +22,20 @@
     do = ""
 
 
-class TooBig(Fault):
+class TooBig(ConfigKeyError):
     name = "federation.spec-size"
     what = "{count} bytes stand there"
     do = "split {file}: {most} bytes at most may stand in one"
 
 
-class SpecFaulty(FederationFault):
+class InvalidSpecError(FederationFault):
     """A file can't be used; holds all that is wrong in it, and prints as one line each."""
 
     name = "federation.spec-faulty"
     what = "{count} things are wrong in {file}: {all}"
     do = "mend them all in {file}, then `python -m pathsaddle.federation check {file}`"
 
-    def __init__(self, file: str, faults: Sequence[Fault]) -> None:
+    def __init__(self, file: str, faults: Sequence[ConfigKeyError]) -> None:
         super().__init__(count=len(faults), file=file, all=" / ".join(map(str, faults[:3])))
         self.faults = faults
         self.args = (file, faults)
@@ -48,7 +48,7 @@
         return "\n".join(self.lines)
 
 
-class GroundFaulty(SpecFaulty):
+class GroundFaulty(InvalidSpecError):
     """As that, of the file of members and keepers."""
 
     name = "federation.ground-faulty"
--- a/pathsaddle/federation/model_checker.py
+++ b/pathsaddle/federation/model_checker.py
@@ -15,21 +15,21 @@
 
 from pathsaddle.federation.spec import parse
 from pathsaddle.leased_versions import (
-    Ask,
-    Commit,
-    Have,
-    Holder,
-    Keeper,
+    AppliedAck,
+    CommitNotice,
+    LeaseRenewal,
     Offer,
-    Renewed,
+    SyncRequest,
     Version,
-    holder,
+    VersionServer,
+    VersionSubscriber,
+    new_subscriber,
 )
 
 LEASE = 300
 MOMENT = 160
 SLOW = 50  # of so many ticks one is lost by a slow clock
-Message = Offer | Commit | Have | Ask | Renewed
+Message = Offer | CommitNotice | AppliedAck | SyncRequest | LeaseRenewal
 
 
 @cache
@@ -37,7 +37,7 @@
     return repr(message)
 
 
-class Forbidden(AssertionError):
+class InvariantViolationError(AssertionError):
     """The bound does not hold; its text is how that came about."""
 
 
@@ -61,9 +61,9 @@
 
 @dataclass(frozen=True)
 class World:
-    members: tuple[Holder, ...]
+    members: tuple[VersionSubscriber, ...]
     clocks: tuple[int, ...]  # each member's own, and the keeper's at the end
-    keeper: Keeper
+    keeper: VersionServer
     air: frozenset[Message]
     register: int = 1
     forced: bool = False
@@ -74,11 +74,11 @@
     """Everybody took a lease on version 1 in this moment; version 2 is offered."""
     held = []
     for i in range(members):
-        state, _ = holder(f"m{i}", "north", 1, LEASE, one).asks(0)
-        held.append(state.renewed(Renewed(state.name, 1, 1, 1, one.digest), 0))
+        state, _ = new_subscriber(f"m{i}", "north", 1, LEASE, one).asks(0)
+        held.append(state.renewed(LeaseRenewal(state.name, 1, 1, 1, one.digest), 0))
     # The others of the spec have said that they have it, as soon as it is committed.
     others = (("s", 2), ("w", 2))
-    keeper = Keeper(LEASE, 0, (1, one.digest), (one,), 0, others)
+    keeper = VersionServer(LEASE, 0, (1, one.digest), (one,), 0, others)
     return World(tuple(held), (0,) * (members + 1), keeper, frozenset((Offer(two),)))
 
 
@@ -88,14 +88,14 @@
     now = world.clocks[-1]
     committed = two if world.register == 2 else one
 
-    def member(i: int, state: Holder, *more: Message) -> World:
+    def member(i: int, state: VersionSubscriber, *more: Message) -> World:
         return replace(
             world,
             members=(*world.members[:i], state, *world.members[i + 1 :]),
             air=world.air.union(more) if more else world.air,
         )
 
-    def read(keeper: Keeper) -> Keeper:
+    def read(keeper: VersionServer) -> VersionServer:
         return keeper.reads(committed.number, committed.digest, committed, now)
 
     if world.register == 1:
@@ -105,7 +105,9 @@
         found.append(
             (
                 "the keeper reads",
-                replace(world, keeper=after, air=world.air | {Commit(committed.number, committed.digest)}),
+                replace(
+                    world, keeper=after, air=world.air | {CommitNotice(committed.number, committed.digest)}
+                ),
             )
         )
     if world.lives < lives:
@@ -115,7 +117,7 @@
                 replace(
                     world,
                     lives=world.lives + 1,
-                    keeper=read(Keeper(LEASE, now, history=(one,), rows=(("s", 2), ("w", 2)))),
+                    keeper=read(VersionServer(LEASE, now, history=(one,), rows=(("s", 2), ("w", 2)))),
                 ),
             )
         )
@@ -128,7 +130,7 @@
             asking, ask = state.asks(clock)
             found.append((f"{state.name} asks", member(i, asking, ask)))
         if world.lives < lives:
-            anew = holder(state.name, state.here, state.life + 1, LEASE, one)
+            anew = new_subscriber(state.name, state.here, state.life + 1, LEASE, one)
             found.append((f"{state.name} begins anew", replace(member(i, anew), lives=world.lives + 1)))
         for message in order:
             if isinstance(message, Offer):
@@ -141,7 +143,7 @@
                             member(i, took, *((have,) if have and have.number > 1 else ())),
                         )
                     )
-            elif isinstance(message, Commit):
+            elif isinstance(message, CommitNotice):
                 took, have = state.told(message)
                 if took is not state or (have is not None and have not in world.air):
                     found.append(
@@ -150,12 +152,12 @@
                             member(i, took, *((have,) if have else ())),
                         )
                     )
-            elif isinstance(message, Renewed) and message.name == state.name:
+            elif isinstance(message, LeaseRenewal) and message.name == state.name:
                 took = state.renewed(message, clock)
                 if took != state:
                     found.append((f"{state.name} renewed with {message.number}", member(i, took)))
     for message in order:
-        if isinstance(message, Ask):
+        if isinstance(message, SyncRequest):
             answer = after.answers(message)
             if answer not in world.air:
                 found.append(
@@ -164,7 +166,7 @@
                         replace(world, keeper=after, air=world.air | {answer}),
                     )
                 )
-        elif isinstance(message, Have):
+        elif isinstance(message, AppliedAck):
             heard = world.keeper.hears(message)
             if heard is not world.keeper:
                 found.append((f"the keeper hears {message.name}", replace(world, keeper=heard)))
@@ -222,7 +224,7 @@
                 trail[after] = (at, name)
                 wrong = breach(after) if moved == "north" else _moved(after)
                 if wrong:
-                    raise Forbidden(f"{wrong}: " + ", ".join(_path(trail, after)))
+                    raise InvariantViolationError(f"{wrong}: " + ", ".join(_path(trail, after)))
                 following.append((after, None))
         edge = following
     return len(seen)
@@ -245,7 +247,7 @@
         path.append(name)
         wrong = breach(world)
         if wrong:
-            raise Forbidden(f"{wrong}: " + ", ".join(path))
+            raise InvariantViolationError(f"{wrong}: " + ", ".join(path))
     return len(path)
 
 
--- a/pathsaddle/federation/remote_region.py
+++ b/pathsaddle/federation/remote_region.py
@@ -18,11 +18,11 @@
 import msgspec
 
 from pathsaddle.federation.datagrams import ANSWER, JOB, LOOK, NEVER, PING, PONG, SHARE, WORD, Said
-from pathsaddle.federation.routing import SOON, Job, Ways
-from pathsaddle.federation.spare_capacity import Free, Lender, parts
+from pathsaddle.federation.routing import SOON, RegionRouter, RoutedRequest
+from pathsaddle.federation.spare_capacity import ReleaseNotice, SpareCapacityLender, parts
 from pathsaddle.federation.spec import Rule
-from pathsaddle.fleet.quota.leases import DRIFT, Lend, Want
-from pathsaddle.leased_versions import Holder
+from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaRequest
+from pathsaddle.leased_versions import VersionSubscriber
 from pathsaddle.trade import MILLISECOND, SECOND
 
 WORK = 10 * MILLISECOND  # what a drill's job is taken to need
@@ -36,7 +36,7 @@
     name: str
     region: str
     life: int
-    holder: Holder
+    holder: VersionSubscriber
     chance: Any
 
     def now(self) -> int: ...
@@ -48,7 +48,7 @@
 
 @dataclass(eq=False)
 class Txn:
-    job: Job
+    job: RoutedRequest
     home: str
     kind: str
     done: bool = False
@@ -74,14 +74,14 @@
     def __init__(self, process: Process, regions: dict[str, list[str]], capacity: float) -> None:
         self.process, self.regions = process, regions
         here = process.region
-        self.ways = Ways(process.name, here, [region for region in sorted(regions) if region != here])
+        self.ways = RegionRouter(process.name, here, [region for region in sorted(regions) if region != here])
         fellows = sorted(regions[here])
         form = process.holder.base.spec.regions.get(here)
         budget = int((form.lend if form is not None else 0.0) * capacity)
         self.capacity = int(capacity)
         self.born = process.now()
-        self.free: Callable[[], Free] = lambda: Free(self.capacity, 0, 0, {})
-        self.lender = Lender(
+        self.free: Callable[[], ReleaseNotice] = lambda: ReleaseNotice(self.capacity, 0, 0, {})
+        self.lender = SpareCapacityLender(
             process.name, process.life, parts(budget, len(fellows))[fellows.index(process.name)], self.born
         )
         self.budget = budget
@@ -129,7 +129,7 @@
         out, self.lender.out = self.lender.out, []
         process = self.process
         for said in out:
-            if isinstance(said, Lend):
+            if isinstance(said, Grant):
                 self.tell()  # a fall, before the units can be used elsewhere
                 process.say(said.taker, SHARE, data=msgspec.msgpack.encode(("lend", said)))
             else:
@@ -157,7 +157,9 @@
         for scheme, form in sorted(spec.schemes.items()):
             now = process.now()
             tag = f"{process.name}/{process.life}/{self.count}/{scheme}"
-            txn = Txn(Job(tag, scheme, WORK, now + PATIENCE, process.region), form.home, form.semantics)
+            txn = Txn(
+                RoutedRequest(tag, scheme, WORK, now + PATIENCE, process.region), form.home, form.semantics
+            )
             self.txns[tag] = txn
             process.log(
                 "txn.taken", now, txn=tag, scheme=scheme, kind=txn.kind, expiry=now + PATIENCE + SECOND
@@ -233,7 +235,7 @@
         )
         return True
 
-    def lent_to(self, scheme: str, rule: Rule, free: Free, now: int) -> str:
+    def lent_to(self, scheme: str, rule: Rule, free: ReleaseNotice, now: int) -> str:
         """An empty text where a foreign job is let in now, and counted; else why not."""
         why = self.lender.asked(scheme, rule, self.process.region, free, now)
         if not why:
@@ -305,12 +307,12 @@
             word = msgspec.msgpack.decode(said.data, type=dict[str, tuple[int, int]])
             for region, (overdue, ago) in word.items():
                 if region in self.ways.ways:
-                    heard = now - int(max(0, ago) * (1 + 2 * DRIFT)) - MILLISECOND
+                    heard = now - int(max(0, ago) * (1 + 2 * MAX_CLOCK_DRIFT)) - MILLISECOND
                     self.ways.word(region, said.name, overdue, heard, now)
         elif said.kind == SHARE:
             what, told = msgspec.msgpack.decode(said.data, type=tuple[str, dict[str, Any]])
-            share: Want | Lend = (
-                msgspec.convert(told, Lend) if what == "lend" else msgspec.convert(told, Want)
+            share: QuotaRequest | Grant = (
+                msgspec.convert(told, Grant) if what == "lend" else msgspec.convert(told, QuotaRequest)
             )
             self.lender.hears(share, now)
             self.flush()
@@ -325,13 +327,16 @@
             else:
                 self.remember(post, "declined")  # if it comes after this word, it is not begun
                 process.say(
-                    said.name, NEVER, data=said.data, size=min(8 << 20, int((now - self.born) * (1 - DRIFT)))
+                    said.name,
+                    NEVER,
+                    data=said.data,
+                    size=min(8 << 20, int((now - self.born) * (1 - MAX_CLOCK_DRIFT))),
                 )
         elif said.kind == NEVER:
             post = said.data.decode()
             txn = self.txns.get(post.rpartition("/")[0])
             sent = txn.posts.get(post) if txn is not None else None
-            if sent is not None and said.size > (now - sent.at) * (1 + DRIFT):
+            if sent is not None and said.size > (now - sent.at) * (1 + MAX_CLOCK_DRIFT):
                 self.ended(post, "declined")
 
     def asked(self, said: Said, now: int) -> None:
@@ -340,7 +345,7 @@
         if post not in self.lent:
             tag = post.rpartition("/")[0]
             holder = self.process.holder
-            job = Job(tag, said.scheme, WORK, now + PATIENCE, said.region)
+            job = RoutedRequest(tag, said.scheme, WORK, now + PATIENCE, said.region)
             place = self.ways.choose(
                 job, holder.rule(said.scheme, now), holder.base.spec, holder.base.number, now
             )
--- a/pathsaddle/federation/request_handler.py
+++ b/pathsaddle/federation/request_handler.py
@@ -19,9 +19,9 @@
 from typing import Any
 
 from pathsaddle.errors import Error
-from pathsaddle.federation.errors import Contradiction, SpecFaulty
-from pathsaddle.federation.routing import Job, Place
-from pathsaddle.federation.spare_capacity import Free
+from pathsaddle.federation.errors import Contradiction, InvalidSpecError
+from pathsaddle.federation.routing import Candidate, RoutedRequest
+from pathsaddle.federation.spare_capacity import ReleaseNotice
 from pathsaddle.federation.spec import Rule
 from pathsaddle.federation.udp_driver import MemberProcess
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Sending
@@ -60,7 +60,7 @@
         return self.sending is not None and self.sending.whole
 
 
-class FederatedTxnService(TxnService):
+class FederatedRequestHandler(TxnService):
     """doors: region -> where its dispatchers take calls. room: how many txns may be open here before nothing
     is lent; a region's members' rooms together are what it can do at once.
     """
@@ -76,7 +76,7 @@
         for name, scheme in sorted(self.words.schemes.items()):
             told_here = scheme.semantics.name.lower().replace("_", "-")
             if name in spec.schemes and spec.schemes[name].semantics != told_here:
-                raise SpecFaulty(
+                raise InvalidSpecError(
                     member.ground.spec,
                     [
                         Contradiction(
@@ -101,7 +101,7 @@
         await super().finish()
         self.member.end()
 
-    def free(self) -> Free:
+    def free(self) -> ReleaseNotice:
         """Of this dispatcher's room. Own ones wait: they are taken and nowhere posted."""
         waiting = sum(
             not entry.txn.postings for entry in self.ledger.unanswered() if entry.txn.tag not in self.foreign
@@ -109,7 +109,7 @@
         of: dict[str, int] = {}
         for scheme in self.foreign.values():
             of[scheme] = of.get(scheme, 0) + 1
-        return Free(self.room - len(self.ledger.unanswered()), waiting, len(self.foreign), of)
+        return ReleaseNotice(self.room - len(self.ledger.unanswered()), waiting, len(self.foreign), of)
 
     # From abroad.
 
@@ -195,11 +195,11 @@
                 super().decline(txn, 0, True)
             self.loop.hang_up(txn)
 
-    def _choose(self, txn: Txn, unknown: list[str], again: dict[str, int], own_wait: int) -> Place:
+    def _choose(self, txn: Txn, unknown: list[str], again: dict[str, int], own_wait: int) -> Candidate:
         member, now = self.member, self.member.now()
         holder, name = member.holder, self.names[txn.scheme.index]
         left = now + txn.expires - self.clock.now() - LAST
-        job = Job(txn.tag, name, txn.scheme.sla_time, left, member.region, unknown, again)
+        job = RoutedRequest(txn.tag, name, txn.scheme.sla_time, left, member.region, unknown, again)
         member.abroad.ways.own_wait = own_wait
         place = member.abroad.ways.choose(
             job, holder.rule(name, now), holder.base.spec, holder.base.number, now
@@ -228,7 +228,7 @@
     def _sets_out(
         self,
         entry: Entry,
-        place: Place,
+        place: Candidate,
         come_back: int,
         before: Crossing | None = None,
         unknown: list[str] | None = None,
@@ -273,7 +273,7 @@
         return True
 
     async def _cross(
-        self, crossing: Crossing, call: Message, place: Place, doors: list[str], come_back: int
+        self, crossing: Crossing, call: Message, place: Candidate, doors: list[str], come_back: int
     ) -> None:
         door = self.member.chance.choice(doors)
         name = f"door:{door}"
--- a/pathsaddle/federation/routing.py
+++ b/pathsaddle/federation/routing.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Job:
+class RoutedRequest:
     """A txn as the choice sees it. left: until when an answer counts. work: expected, ticks. origin: whose
     client's. unknown: regions where it may have run. tried: declined there and not asked again before
     `again`.
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Candidate:
     """What becomes of a txn now. what: `run` (in this region), `send` (to `region`), `hold` (until `until`),
     `decline`, `wait-out` (it may have run: neither again nor declined). code: the reason; key, line, version:
     of the spec.
@@ -109,10 +109,10 @@
     version: int = 0
 
 
-Placer = Callable[..., Place]
+Placer = Callable[..., Candidate]
 
 
-class Ways:
+class RegionRouter:
     """Bound: see the rules above; each is asked in `choose` and nowhere else.
 
     here, members: this region, and how many dispatchers it has. others: all further ones.
@@ -204,9 +204,9 @@
 
     # The choice.
 
-    def choose(self, job: Job, rule: Rule, spec: Spec, version: int, now: int) -> Place:
-        def place(what: str, code: str, key: str, **more: object) -> Place:
-            return Place(
+    def choose(self, job: RoutedRequest, rule: Rule, spec: Spec, version: int, now: int) -> Candidate:
+        def place(what: str, code: str, key: str, **more: object) -> Candidate:
+            return Candidate(
                 what,
                 code,
                 key=f"schemes.{job.scheme}.{key}",
@@ -265,7 +265,9 @@
             "may" if why == "residency" else "fail_over",
         )
 
-    def _here(self, job: Job, rule: Rule, spec: Spec, place: Placer, now: int, code: str) -> Place:
+    def _here(
+        self, job: RoutedRequest, rule: Rule, spec: Spec, place: Placer, now: int, code: str
+    ) -> Candidate:
         """In this region, if its data may be had."""
         if rule.data is not None:
             age = self._age(spec, rule.data, self.here, now)
@@ -280,7 +282,7 @@
                 return place("run", code, "data", region=self.here, fetch=True)
         return place("run", code, "home" if code == "home" else "fail_over", region=self.here)
 
-    def _abroad(self, job: Job, rule: Rule, spec: Spec, now: int) -> tuple[str, bool] | None:
+    def _abroad(self, job: RoutedRequest, rule: Rule, spec: Spec, now: int) -> tuple[str, bool] | None:
         """The first in the spec's order that can do it in time; one that has a fresh copy before one that
         must fetch.
         """
@@ -313,12 +315,12 @@
             after = after or (region, True)
         return after
 
-    def _again(self, job: Job, rule: Rule, now: int) -> int:
+    def _again(self, job: RoutedRequest, rule: Rule, now: int) -> int:
         """Until when it is held, if there is time to be held: one that declined may have room again."""
         soon = now + SOON
         return soon if soon + job.work + 2 * AHEAD <= job.left and rule.order else 0
 
-    def _cost(self, way: Way, job: Job, now: int) -> int:
+    def _cost(self, way: Way, job: RoutedRequest, now: int) -> int:
         told = max(0, way.wait - max(0, now - way.told))
         return int(way.trip + way.off) + told + job.work + AHEAD
 
@@ -334,7 +336,7 @@
             return form.copies[region]
         return max(form.copies[region], way.ages[data] + now - way.told)
 
-    def _group(self, job: Job, rule: Rule, spec: Spec, region: str) -> bool:
+    def _group(self, job: RoutedRequest, rule: Rule, spec: Spec, region: str) -> bool:
         """Whether posting there can't double an effect."""
         if not job.unknown or rule.semantics == "repeatable":
             return True
--- a/pathsaddle/federation/spare_capacity.py
+++ b/pathsaddle/federation/spare_capacity.py
@@ -1,7 +1,7 @@
 """What a region lends to foreigners: only what is free, its own jobs first, by shares on lease.
 
 Bound: at no instant may all members of a region together take on more foreign jobs in a second than its
-budget (`lend` of its capacity), whatever is lost, doubled or late (`fleet.state.shares`); none is taken on
+budget (`lend` of its capacity), whatever is lost, doubled or late (`fleet.quota.leases`); none is taken on
 while own ones wait for room.
 
 Each member has its part of the budget, and lends what it doesn't want to its fellows. A second is counted as
@@ -16,14 +16,14 @@
 from dataclasses import dataclass
 
 from pathsaddle.federation.spec import Rule
-from pathsaddle.fleet.quota.leases import DRIFT, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaLedger, QuotaRequest, new_ledger
 from pathsaddle.trade import SECOND
 
 LEASE = 4 * SECOND  # of a loan among members
 
 
 @dataclass(frozen=True)
-class Free:
+class ReleaseNotice:
     """The region's own workers as this member last had it. foreign: how many jobs of others they run; of: by
     scheme.
     """
@@ -34,16 +34,16 @@
     of: dict[str, int]
 
 
-class Lender:
+class SpareCapacityLender:
     """One member's part in it. No I/O; `out` is what it says to its fellows."""
 
     def __init__(self, name: str, life: int, part: int, now: int) -> None:
-        self.shares: State = born(name, life, part, LEASE, now)
+        self.shares: QuotaLedger = new_ledger(name, life, part, LEASE, now)
         # What an earlier life took on in the second before is not known here: none until that is past.
-        self.opens = now + int(SECOND * (1 + DRIFT)) + 1
+        self.opens = now + int(SECOND * (1 + MAX_CLOCK_DRIFT)) + 1
         self.used: deque[int] = deque()
         self.wanted = 0  # declined for want of a share since the last asking
-        self.out: list[Want | Lend] = []
+        self.out: list[QuotaRequest | Grant] = []
 
     def _spent(self, now: int) -> int:
         while self.used and self.used[0] <= now - SECOND:
@@ -62,7 +62,7 @@
         ends = [row[3].until - SECOND for row in self.shares.held if now + SECOND < row[3].until]
         return (min(ends) if ends else 1 << 60), self.shares.own(now)
 
-    def asked(self, scheme: str, rule: Rule, here: str, free: Free, now: int) -> str:
+    def asked(self, scheme: str, rule: Rule, here: str, free: ReleaseNotice, now: int) -> str:
         """Whether a foreign job is taken on now: an empty text, or why not."""
         if here not in rule.may:
             return "residency"
@@ -83,8 +83,8 @@
             self.wanted = 0
             self.out.append(want)
 
-    def hears(self, said: Want | Lend, now: int) -> None:
-        if isinstance(said, Lend):
+    def hears(self, said: QuotaRequest | Grant, now: int) -> None:
+        if isinstance(said, Grant):
             self.shares = self.shares.lent_by(said, now)
             return
         spare = self.shares.own(now) - self._spent(now) - self.wanted
--- a/pathsaddle/federation/spec.py
+++ b/pathsaddle/federation/spec.py
@@ -1,6 +1,6 @@
 """What developers declare: where a scheme's jobs may run, where to when home fails, how old its data may be.
 
-Checked whole: the form by `charter.check`, then what contradicts itself, a line a fault, each of which says
+Checked whole: the form by `config.validation`, then what contradicts itself, a line a fault, each of which says
 what to change. The text as written is what is carried and what the digest stands for, so that a reason can
 name its line.
 """
@@ -21,9 +21,15 @@
 from msgspec import Meta, Struct, field
 
 from pathsaddle.config.units import Duration
-from pathsaddle.config.validation import Faulty, NoForm, NoText, Unreadable, check
+from pathsaddle.config.validation import (
+    InvalidConfigError,
+    NotUtf8Error,
+    TomlSyntaxError,
+    UnreadableFileError,
+    validate,
+)
 from pathsaddle.errors import access, why
-from pathsaddle.federation.errors import Contradiction, SpecFaulty, TooBig
+from pathsaddle.federation.errors import Contradiction, InvalidSpecError, TooBig
 
 Part = Annotated[float, Meta(gt=0, le=1)]
 Added = Annotated[float, Meta(ge=0)]
@@ -222,27 +228,27 @@
     try:
         raw = Path(path).read_bytes()
         if len(raw) > MOST:
-            raise SpecFaulty(str(path), [TooBig(str(path), "-", count=len(raw), most=MOST)])
+            raise InvalidSpecError(str(path), [TooBig(str(path), "-", count=len(raw), most=MOST)])
         return parse(raw.decode("utf-8"), str(path))
     except UnicodeDecodeError as fault:
-        raise SpecFaulty(str(path), [NoText(str(path), "-", at=fault.start)]) from None
+        raise InvalidSpecError(str(path), [NotUtf8Error(str(path), "-", at=fault.start)]) from None
     except OSError as fault:
-        raise SpecFaulty(
-            str(path), [Unreadable(str(path), "-", "", access(fault, path), why=why(fault))]
+        raise InvalidSpecError(
+            str(path), [UnreadableFileError(str(path), "-", "", access(fault, path), why=why(fault))]
         ) from None
 
 
 def parse(text: str, file: str = "spec") -> Spec:
     """Raises SpecFaulty with a line for each fault."""
     try:
-        form = check(SpecForm, tomllib.loads(text), file)
+        form = validate(SpecForm, tomllib.loads(text), file)
     except tomllib.TOMLDecodeError as fault:
-        raise SpecFaulty(file, [NoForm(file, "-", form="TOML", why=why(fault))]) from None
-    except Faulty as fault:
-        raise SpecFaulty(file, fault.faults) from None
+        raise InvalidSpecError(file, [TomlSyntaxError(file, "-", form="TOML", why=why(fault))]) from None
+    except InvalidConfigError as fault:
+        raise InvalidSpecError(file, fault.faults) from None
     found = contradictions(form, file)
     if found:
-        raise SpecFaulty(file, found)
+        raise InvalidSpecError(file, found)
     digest = hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
     return Spec(text, digest, form.regions, form.data, form.schemes)
 
--- a/pathsaddle/federation/spec_register.py
+++ b/pathsaddle/federation/spec_register.py
@@ -1,4 +1,4 @@
-"""The register of specs kept by voters (`pathsaddle.ownership`): a key whose value says what is committed, by number and digest.
+"""The register of specs kept by voters (`pathsaddle.consensus`): a key whose value says what is committed, by number and digest.
 
 Texts are not in it: who has one serves it, and its digest proves it. A commit is a change of the value by who owns the key,
 under the number that it owns it with: between its look and its change nobody else's can have come, or its own is refused.
@@ -22,7 +22,7 @@
 
 from pathsaddle.config.units import Duration
 from pathsaddle.consensus.lease_manager import Happened
-from pathsaddle.consensus.udp_driver import Register, Told, steady
+from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver, monotonic_ticks
 from pathsaddle.errors import access, why
 from pathsaddle.federation.disk import synced, version_at
 from pathsaddle.federation.errors import FederationFault, NoAddress, NoWay, Outrun
@@ -116,7 +116,7 @@
         """name: nobody else's in this moment, among at most some thousands ever. Raises what
         ownership's Register does.
         """
-        told = Told(
+        told = RegisterConfig(
             name,
             form.fleet,
             form.key.encode(),
@@ -127,7 +127,7 @@
             {KEY: True} if commits else {},
         )
         self.tell, self.name, self.asked = tell, name, 0
-        self.register = Register(told, Ground(), chance, Counters())
+        self.register = RegisterDriver(told, Ground(), chance, Counters())
         self.register.owner.histories = True
         self.register.hear.append(self._hear)
 
@@ -179,7 +179,7 @@
         """Raises Outrun where the number is taken, NoWay where nobody can be asked in time."""
         tried = False
         while time.monotonic() < until:
-            number = self.register.may_act(KEY)
+            number = self.register.fencing_token(KEY)
             found = await self.read() if number else None
             if found is None or found[0] != number:
                 await asyncio.sleep(0.02)
@@ -192,7 +192,7 @@
                     f"another spec was committed as {entry.number} ({line[-1].number if line else 0} is the highest)",
                     "compare yours with what is committed now and commit again",
                 )
-            if self.register.may_act(KEY) != number:
+            if self.register.fencing_token(KEY) != number:
                 continue  # owned anew since the reading: what was read may be no longer so
             # From here on the number guards it: voters take the change only while this very owning is the last.
             tried = True
@@ -212,7 +212,9 @@
         if one.what in ("owner", "held"):
             # The log's clock and the register's are not the same one where a machine sleeps.
             now = int(time.monotonic() * SECOND)
-            self.tell("lease", now, **more, life=life, until=one.until - steady() + now, **{"from": now})
+            self.tell(
+                "lease", now, **more, life=life, until=one.until - monotonic_ticks() + now, **{"from": now}
+            )
         elif one.what in ("lost", "given"):
             self.tell("lease.end", **more, life=life, why=one.why)
         elif one.what == "call":
--- a/pathsaddle/federation/udp_driver.py
+++ b/pathsaddle/federation/udp_driver.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from pathsaddle.config.units import Duration
-from pathsaddle.config.validation import Faulty, check, load
-from pathsaddle.control_metrics import Unmetered
+from pathsaddle.config.validation import InvalidConfigError, load_toml, validate
+from pathsaddle.control_metrics import NullMeter
 from pathsaddle.federation.datagrams import (
     ASK,
     COMMIT,
@@ -42,8 +42,16 @@
 from pathsaddle.federation.spec import load as load_spec
 from pathsaddle.federation.spec import parse
 from pathsaddle.federation.spec_register import Entry, Texts, Voted, VotersForm, checked
-from pathsaddle.fleet.rate_limiter import Purse
-from pathsaddle.leased_versions import Ask, Commit, Have, Keeper, Renewed, Version, holder
+from pathsaddle.fleet.rate_limiter import RateLimiter
+from pathsaddle.leased_versions import (
+    AppliedAck,
+    CommitNotice,
+    LeaseRenewal,
+    SyncRequest,
+    Version,
+    VersionServer,
+    new_subscriber,
+)
 from pathsaddle.net.service.place import unhad
 from pathsaddle.net.wire.terms import peer_of
 from pathsaddle.trade import SECOND
@@ -120,8 +128,8 @@
 def ground_of(path: str) -> Ground:
     """Raises GroundFaulty, BadKey, NoAddress or NoWay."""
     try:
-        form = check(GroundForm, load(path), path)
-    except Faulty as fault:
+        form = validate(GroundForm, load_toml(path), path)
+    except InvalidConfigError as fault:
         raise GroundFaulty(path, fault.faults) from None
     ground = Ground(file=path, **{key: getattr(form, key) for key in form.__struct_fields__})
     if len(ground.key) < 16:
@@ -160,11 +168,11 @@
         self.key = ground.key.encode()
         self.chance = chance or SystemRandom()
         self.life = time.time_ns() // 1_000_000
-        self.purse = Purse(BYTES, 2000, self.now())
+        self.rate_limiter = RateLimiter(BYTES, 2000, self.now())
         self.refused, self.refused_at = 0, self.now() - SECOND
         self.texts: dict[tuple[int, str], bytes] = {}
         self.transport: asyncio.DatagramTransport | None = None
-        self.meter = Unmetered()
+        self.meter = NullMeter()
         folder = Path(ground.log)
         had(folder, "log", ground.file)
         self._log = (folder / f"{name}.jsonl").open("ab", buffering=0)
@@ -229,7 +237,7 @@
             return
         data = encode(Said(self.name, self.life, kind, **more), self.key)
         assert len(data) <= MOST
-        if self.purse.pays(len(data), self.now()):
+        if self.rate_limiter.try_consume(len(data), self.now()):
             self.transport.sendto(data, peer)
             self.meter.went("spec", len(data))
 
@@ -282,7 +290,7 @@
             spec = load_spec(ground.spec)
             version = Version(1, spec.digest, spec)
             self.disk.keep(version)
-        self.holder = holder(name, form.region, self.life, int(ground.lease), version)
+        self.holder = new_subscriber(name, form.region, self.life, int(ground.lease), version)
         self.pieces = Pieces()
         self.wanted: dict[tuple[int, str], int] = {}
         self.count = 0
@@ -329,10 +337,12 @@
     def heard(self, said: Said) -> None:
         before, now = self.holder, self.now()
         if said.kind == RENEWED and said.to == self.name:
-            after = before.renewed(Renewed(self.name, said.first, said.echo, said.number, said.digest), now)
+            after = before.renewed(
+                LeaseRenewal(self.name, said.first, said.echo, said.number, said.digest), now
+            )
             self.goes_by(after)
         elif said.kind == COMMIT:
-            after, _ = before.told(Commit(said.number, said.digest))
+            after, _ = before.told(CommitNotice(said.number, said.digest))
             self.goes_by(after)
             have = self.holder.has()
             if have is not None:
@@ -447,8 +457,8 @@
             form.listen or form.address,
             f"keepers.{name}.{'listen' if form.listen else 'address'}",
         )
-        self.core = Keeper(int(ground.lease), self.now(), gone=tuple(ground.gone))
-        self.waiting: dict[str, Ask] = {}  # the last of each member that no reading answers yet
+        self.core = VersionServer(int(ground.lease), self.now(), gone=tuple(ground.gone))
+        self.waiting: dict[str, SyncRequest] = {}  # the last of each member that no reading answers yet
         self.wanted: dict[tuple[int, str], int] = {}
         self.pieces = Pieces()
         self.due = asyncio.Event()
@@ -535,7 +545,7 @@
             if name != self.name:
                 self.say(name, WANT, number=number, digest=digest, first=first)
 
-    def answer(self, ask: Ask) -> None:
+    def answer(self, ask: SyncRequest) -> None:
         told = self.core.answers(ask)
         self.say(
             ask.name,
@@ -568,14 +578,14 @@
     def heard(self, said: Said) -> None:
         if said.kind == ASK and self.register is None:
             if said.name in self.ground.members:
-                self.waiting[said.name] = Ask(said.name, said.life, said.echo)
+                self.waiting[said.name] = SyncRequest(said.name, said.life, said.echo)
                 self.due.set()
         elif said.kind == ASK:
             self.read()  # after the asking came
             if self.core.known[0]:
-                self.answer(Ask(said.name, said.life, said.echo))
+                self.answer(SyncRequest(said.name, said.life, said.echo))
         elif said.kind == HAVE:
-            self.core = self.core.hears(Have(said.name, said.number, said.digest))
+            self.core = self.core.hears(AppliedAck(said.name, said.number, said.digest))
         elif said.kind == WANT:
             self.serve(said)
         elif said.kind == OFFER and self.register is None:
--- a/pathsaddle/fleet/control_client.py
+++ b/pathsaddle/fleet/control_client.py
@@ -13,25 +13,25 @@
 MOST = 4 << 20
 
 
-class Unasked(Error):
+class ControlUnreachableError(Error):
     """Of all that can stand between us and an answer."""
 
     code = FINDING
 
 
-class NoAddress(Unasked):
+class MissingControlAddressError(ControlUnreachableError):
     name = "control.no-address"
     what = "{address!r} is no address"
     do = "say host:port as it stands at fleet.control in its charter, or the charter's path"
 
 
-class NoHost(Unasked):
+class NoHost(ControlUnreachableError):
     name = "control.no-host"
     what = "{address}: no host is known by that name"
     do = "say an IP address, as it stands at fleet.control in its charter"
 
 
-class Unreached(Unasked):
+class Unreached(ControlUnreachableError):
     name = "control.unreached"
     what = "{address}: nobody takes connections there ({why})"
     do = (
@@ -40,66 +40,66 @@
     )
 
 
-class Silent(Unasked):
+class Silent(ControlUnreachableError):
     name = "control.silent"
     what = "{address}: no answer to {word!r} in {within:g} s"
     do = "look in the log of the dispatcher there for `late` lines, or whether it is stopped, and ask again"
 
 
-class Closed(Unasked):
+class Closed(ControlUnreachableError):
     name = "control.closed"
     what = "{address}: it closed without an answer to {word!r}"
     do = "ask again: it answers eight at a time, and is ending if its log says `stopping`"
 
 
-class Garbled(Unasked):
+class Garbled(ControlUnreachableError):
     name = "control.garbled"
     what = "{address}: what answers there speaks another language ({why})"
     do = "see that {address} is what stands at fleet.control, not at listen, in its charter"
 
 
-class NoSuchWord(Unasked):
+class NoSuchWord(ControlUnreachableError):
     name = "control.no-such-word"
     what = "{address}: {why}"
     do = "let the dispatcher at {address} run the same release as this command"
 
 
-class NoBudgets(Unasked):
+class NoBudgets(ControlUnreachableError):
     name = "control.no-budgets"
     what = "{address}: {why}"
     do = "write the budgets that all members share in [fleet.budgets] of its charter, alike at all, and restart it"
 
 
-class NotMetered(Unasked):
+class NotMetered(ControlUnreachableError):
     name = "control.unmetered"
     what = "{address}: {why}"
     do = "write `meter = true` in [control] of its charter, or take the key out, and restart it"
 
 
-class Ended(Unasked):
+class Ended(ControlUnreachableError):
     name = "control.ended"
     what = "{address}: {why}"
     do = "report the trace at `fault-member` in the log of the dispatcher at {address}, and restart it"
 
 
-class Faulted(Unasked):
+class Faulted(ControlUnreachableError):
     name = "control.fault"
     what = "{address}: {why}"
     do = "report the trace at `fault-control` in the log of the dispatcher at {address}"
 
 
-TOLD: dict[str, type[Unasked]] = {
+TOLD: dict[str, type[ControlUnreachableError]] = {
     kind.name: kind for kind in (NoSuchWord, NoBudgets, NotMetered, Ended, Faulted)
 }
 
 
-async def ask(address: str, word: str, within: float) -> dict[str, Any]:
+async def query(address: str, word: str, within: float) -> dict[str, Any]:
     """What it answers; raises an Unasked that says why it does not."""
     loop = asyncio.get_running_loop()
     try:
         sock, peer = pump.stream(address)
     except ValueError:
-        raise NoAddress(address=address) from None
+        raise MissingControlAddressError(address=address) from None
     told = b""
     try:
         async with asyncio.timeout(within):
@@ -144,6 +144,6 @@
     return answer
 
 
-def asked(address: str, word: str, within: float = 2.0) -> dict[str, Any]:
+def query_dispatcher(address: str, word: str, within: float = 2.0) -> dict[str, Any]:
     """The same, for who has no event loop."""
-    return asyncio.run(ask(address, word, within))
+    return asyncio.run(query(address, word, within))
--- a/pathsaddle/fleet/gossip/gossip.py
+++ b/pathsaddle/fleet/gossip/gossip.py
@@ -7,7 +7,7 @@
 comparing only mends what was lost. Ours: what goes is paid from the purse that membership pays from, behind
 it; and every age is an interval that no other clock can make untrue.
 
-Bounds. Bytes and datagrams a second: the purse's, with all else that the member sends; a partition's end adds
+Bounds. Bytes and datagrams a second: the rate_limiter's, with all else that the member sends; a partition's end adds
 nothing to it. Kept: MOST_TOPICS records of at most BODY bytes for each member that is taken to be there,
 MOST_DOCUMENTS documents of LARGEST. Lives: of a member's records only those of the highest life heard of are
 ever told, none once that life is over; its end is told once (`ended`). Ages: a record was put no less than
@@ -28,40 +28,42 @@
 from random import Random
 
 from pathsaddle.fleet.gossip.messages import (
-    BODY,
+    MAX_RECORD_BYTES,
     PIECE,
     ROOM,
     Ask,
-    Compare,
-    Compared,
     Delta,
+    Digest,
+    DigestReply,
+    GossipMessage,
     News,
     Packet,
     Piece,
     Row,
-    Saying,
     Told,
     decode,
     encode,
     size_of,
 )
-from pathsaddle.fleet.messages import Refused
-from pathsaddle.fleet.quota.leases import DRIFT
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.messages import DatagramRejectedError
+from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT
+from pathsaddle.fleet.rate_limiter import RateLimiter
 
 NEVER = -(1 << 60)
-LONGER = 1 + 2.1 * DRIFT  # by how much more our clock may run while another's tells a span; (1 + d) / (1 - d)
-SHORTER = 1 - 2.1 * DRIFT
+LONGER = (
+    1 + 2.1 * MAX_CLOCK_DRIFT
+)  # by how much more our clock may run while another's tells a span; (1 + d) / (1 - d)
+SHORTER = 1 - 2.1 * MAX_CLOCK_DRIFT
 SPREAD = 3  # each news is passed on so many times the logarithm of the fleet's size
 FANOUT = 2  # to so many at a time
-ROWS = 24  # of a comparison
+MAX_DIGEST_ROWS = 24  # of a comparison
 MOST_TOPICS = 32
 MOST_MEMBERS = 4096
-LARGEST = 256 << 10  # bytes of a document
+MAX_DOCUMENT_BYTES = 256 << 10  # bytes of a document
 MOST_DOCUMENTS = 8
 WINDOW = 8  # pieces asked for at once
-MOST_GIVING = 16  # pieces asked of us that wait for the purse
-# What is left of the purse to others: probes, answers and shares first, then all else of membership's, then
+MOST_GIVING = 16  # pieces asked of us that wait for the rate_limiter
+# What is left of the rate_limiter to others: probes, answers and shares first, then all else of membership's, then
 # comparisons, news, bulk. Down to what it may leave, carrying spends it all while many tell of much: as long as that
 # was less than membership's news needs, no accusation went round and each suspicion lasted its longest.
 SHARES, COMPARISONS, NEWS, BULK = 0.1, 0.45, 0.5, 0.6
@@ -98,7 +100,7 @@
 
 
 @dataclass(frozen=True)
-class Shown:
+class GossipRecord:
     """A record as its users see it, ages in ticks. sure: how long ago at most its owner had nothing later
     than we have; None: that is not known.
     """
@@ -130,16 +132,24 @@
         return max(1, -(-self.size // PIECE))
 
 
-class Carry:
+class Gossip:
     def __init__(
-        self, name: str, life: int, fleet: str, key: bytes, purse: Purse, beat: int, chance: Random, now: int
+        self,
+        name: str,
+        life: int,
+        fleet: str,
+        key: bytes,
+        rate_limiter: RateLimiter,
+        beat: int,
+        chance: Random,
+        now: int,
     ) -> None:
         """`beat`: between two comparisons."""
-        self.name, self.fleet, self.key, self.purse, self.beat, self.chance = (
+        self.name, self.fleet, self.key, self.rate_limiter, self.beat, self.chance = (
             name,
             fleet,
             key,
-            purse,
+            rate_limiter,
             beat,
             chance,
         )
@@ -168,8 +178,10 @@
 
     def put(self, topic: str, body: bytes, now: int) -> int:
         """Our record of that topic from now on; its version. ValueError: too long, or one topic too many."""
-        if len(body) > BODY or len(topic) > 64:
-            raise ValueError(f"{topic}: {len(body)} bytes; at most {BODY} may, a document carries more")
+        if len(body) > MAX_RECORD_BYTES or len(topic) > 64:
+            raise ValueError(
+                f"{topic}: {len(body)} bytes; at most {MAX_RECORD_BYTES} may, a document carries more"
+            )
         mine = self.mine
         old = mine.records.get(topic)
         if old is not None and old.body == body:
@@ -182,7 +194,7 @@
         self.news_due = min(self.news_due, now)
         return mine.seen
 
-    def records(self, topic: str, now: int) -> list[Shown]:
+    def records(self, topic: str, now: int) -> list[GossipRecord]:
         """Of all whose life is not over, by name."""
         found = []
         for name in sorted(self.origins):
@@ -196,13 +208,13 @@
                 sure = (
                     now - origin.stood_at if origin.seen >= origin.stood and origin.stood_at > NEVER else None
                 )
-            found.append(Shown(name, origin.life, record.version, record.body, *record.age(now), sure))
+            found.append(GossipRecord(name, origin.life, record.version, record.body, *record.age(now), sure))
         return found
 
     def keep(self, document: bytes) -> bytes:
         """A document of our own: its digest, by which records may name it. ValueError: too large."""
-        if len(document) > LARGEST:
-            raise ValueError(f"a document of {len(document)} bytes; at most {LARGEST} may")
+        if len(document) > MAX_DOCUMENT_BYTES:
+            raise ValueError(f"a document of {len(document)} bytes; at most {MAX_DOCUMENT_BYTES} may")
         digest = hashlib.sha256(document).digest()
         self._kept(digest, document)
         return digest
@@ -310,13 +322,13 @@
 
     # Sending.
 
-    def send(self, to: str, said: list[Saying], now: int, spare: float) -> bool:
+    def send(self, to: str, said: list[GossipMessage], now: int, spare: float) -> bool:
         """False: nobody of that name is there, or nothing is left for it in this second."""
         peer = self.peers.get(to)
         if peer is None:
             return False
         data = encode(Packet(self.fleet, self.name, self.mine.life, to, said), self.key)
-        if len(data) > ROOM + 17 or not self.purse.pays(len(data), now, spare):
+        if len(data) > ROOM + 17 or not self.rate_limiter.try_consume(len(data), now, spare):
             self._count("held back")
             return False
         self.out.append((peer.address, data))
@@ -399,7 +411,7 @@
             # names was compared once in N, and a record of its that was not passed on was lacked for as long.
             names = sorted(self.origins)
             if self.compared is None:  # a drawn begin alone, so that not all compare the same at once
-                start = self.chance.randrange(len(names)) if len(names) > ROWS else 0
+                start = self.chance.randrange(len(names)) if len(names) > MAX_DIGEST_ROWS else 0
                 self.compared = names[start - 1] if start else ""
             first = self.compared if self.compared < names[-1] else ""
         rows: list[Row] = []
@@ -407,7 +419,7 @@
         for name in self._between(first, ""):
             row = self._row(name, self.origins[name], now)
             room -= size_of(row)
-            if room < 0 or len(rows) >= ROWS:
+            if room < 0 or len(rows) >= MAX_DIGEST_ROWS:
                 last = rows[-1].name
                 break
             rows.append(row)
@@ -416,7 +428,7 @@
             [next(iter(self.asked))] if len(self.asked) >= 64 else []
         ):
             del self.asked[old]
-        if self.send(to, [Compare(echo, first, last, rows)], now, COMPARISONS):
+        if self.send(to, [Digest(echo, first, last, rows)], now, COMPARISONS):
             self.asked[echo] = now, to
             if turn:
                 self.compared = last
@@ -430,10 +442,10 @@
         try:
             packet = decode(data, self.key, self.fleet)
             if packet.to != self.name or packet.name == self.name:
-                raise Refused("misdirected")
+                raise DatagramRejectedError("misdirected")
             if packet.life < self.lives.get(packet.name, 0):
-                raise Refused("older")
-        except Refused as fault:
+                raise DatagramRejectedError("older")
+        except DatagramRejectedError as fault:
             self._count(f"refused {fault}")
             return None
         peer = self.peers.get(packet.name)
@@ -447,9 +459,9 @@
             if isinstance(said, News):
                 for delta in said.deltas:
                     self._take(delta, now, None)
-            elif isinstance(said, Compare):
+            elif isinstance(said, Digest):
                 self._answer(packet.name, said, now)
-            elif isinstance(said, Compared):
+            elif isinstance(said, DigestReply):
                 self._answered(packet.name, said, now)
             elif isinstance(said, Ask):
                 self._give(packet.name, said, now)
@@ -469,7 +481,7 @@
             origin = self.origins[name] = Origin(delta.life)
         for told in delta.records:
             old = origin.records.get(told.topic)
-            if len(told.body) > BODY or told.least < 0:
+            if len(told.body) > MAX_RECORD_BYTES or told.least < 0:
                 continue
             if old is None and len(origin.records) >= MOST_TOPICS:
                 self._count("no room")
@@ -488,7 +500,7 @@
         if delta.since <= origin.seen < delta.upto:
             origin.seen = delta.upto
 
-    def _answer(self, to: str, said: Compare, now: int) -> None:
+    def _answer(self, to: str, said: Digest, now: int) -> None:
         theirs = {row.name: row for row in said.rows}
         rows: list[Row] = []
         deltas: list[Delta] = []
@@ -523,9 +535,9 @@
                     deltas.append(delta)
                     room -= size_of(delta) + 3
                 more = more or not whole
-        self.send(to, [Compared(said.echo, rows, deltas, more)], now, COMPARISONS)
+        self.send(to, [DigestReply(said.echo, rows, deltas, more)], now, COMPARISONS)
 
-    def _answered(self, who: str, said: Compared, now: int) -> None:
+    def _answered(self, who: str, said: DigestReply, now: int) -> None:
         asked = self.asked.get(said.echo)
         if asked is None or asked[1] != who:
             self._count("no question")
@@ -597,7 +609,7 @@
             numbers = sorted(partial.pieces)
         else:
             return
-        lacks = int.from_bytes(said.lacks[: LARGEST // PIECE], "little")
+        lacks = int.from_bytes(said.lacks[: MAX_DOCUMENT_BYTES // PIECE], "little")
         numbers = [
             n for n in numbers if (not lacks or lacks >> n & 1) and (to, said.digest, n) not in self.giving
         ]
@@ -609,7 +621,7 @@
         self._give_on(now)
 
     def _give_on(self, now: int) -> None:
-        """As the purse allows: what it refuses goes a little later, without being asked for again."""
+        """As the rate_limiter allows: what it refuses goes a little later, without being asked for again."""
         for to, digest, number in list(self.giving):
             whole, partial = self.documents.get(digest), self.partial.get(digest)
             if whole is not None:
@@ -619,14 +631,14 @@
             else:
                 del self.giving[to, digest, number]
                 continue
-            if to in self.peers and not self.purse.could(ROOM, now, BULK):
+            if to in self.peers and not self.rate_limiter.can_consume(ROOM, now, BULK):
                 return
             del self.giving[to, digest, number]
             self.send(to, [piece], now, BULK)
 
     def _piece(self, who: str, said: Piece, now: int) -> None:
         partial = self.partial.get(said.digest)
-        if partial is None or not 0 <= said.size <= LARGEST or partial.only not in ("", who):
+        if partial is None or not 0 <= said.size <= MAX_DOCUMENT_BYTES or partial.only not in ("", who):
             return
         partial.under_way = max(0, partial.under_way - 1)
         if partial.size < 0:
--- a/pathsaddle/fleet/gossip/messages.py
+++ b/pathsaddle/fleet/gossip/messages.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Struct
 
-from pathsaddle.fleet.messages import CARRIED, MOST, SUM, Refused, opened, sealed
+from pathsaddle.fleet.messages import CARRIED, MAX_DATAGRAM_BYTES, SUM, DatagramRejectedError, opened, sealed
 
-BODY = 400  # bytes of a record at most
+MAX_RECORD_BYTES = 400  # bytes of a record at most
 PIECE = 900  # bytes of a document in one datagram
 DIGEST = 32
 
@@ -52,7 +52,7 @@
     deltas: list[Delta]
 
 
-class Compare(Struct, array_like=True, tag=1, frozen=True):
+class Digest(Struct, array_like=True, tag=1, frozen=True):
     """The rows are all that its sender has of names after `first` up to `last`;
     an empty `last`: to the end.
     """
@@ -63,7 +63,7 @@
     rows: list[Row]
 
 
-class Compared(Struct, array_like=True, tag=2, frozen=True):
+class DigestReply(Struct, array_like=True, tag=2, frozen=True):
     """What the answering one has better, and its rows of whom it has heard later or lacks something."""
 
     echo: int
@@ -91,7 +91,7 @@
     data: bytes
 
 
-class Wanted(Struct, array_like=True, tag=5, frozen=True):
+class QuotaRequestMessage(Struct, array_like=True, tag=5, frozen=True):
     """A `shares.Want` of the packet's sender."""
 
     budget: str
@@ -100,7 +100,7 @@
     renews: int = 0
 
 
-class Lent(Struct, array_like=True, tag=6, frozen=True):
+class GrantMessage(Struct, array_like=True, tag=6, frozen=True):
     """A `shares.Lend` of the packet's sender to its taker."""
 
     budget: str
@@ -110,14 +110,16 @@
     lease: int
 
 
-class Returned(Struct, array_like=True, tag=7, frozen=True):
+class ReleaseMessage(Struct, array_like=True, tag=7, frozen=True):
     """A `shares.Back` of the packet's sender."""
 
     budget: str
     number: int
 
 
-Saying = News | Compare | Compared | Ask | Piece | Wanted | Lent | Returned
+GossipMessage = (
+    News | Digest | DigestReply | Ask | Piece | QuotaRequestMessage | GrantMessage | ReleaseMessage
+)
 
 
 class Packet(Struct, array_like=True, frozen=True):
@@ -125,12 +127,12 @@
     name: str
     life: int
     to: str
-    said: list[Saying]
+    said: list[GossipMessage]
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Packet).decode
-ROOM = MOST - SUM - 1
+ROOM = MAX_DATAGRAM_BYTES - SUM - 1
 
 
 def size_of(saying: Struct) -> int:
@@ -145,13 +147,13 @@
     """Raises Refused."""
     form, told = opened(data, key)
     if form != CARRIED:
-        raise Refused("newer")
+        raise DatagramRejectedError("newer")
     try:
         packet = _decode(told)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise Refused("cut") from None
+        raise DatagramRejectedError("cut") from None
     if packet.fleet != fleet:
-        raise Refused("fleet")
+        raise DatagramRejectedError("fleet")
     if not packet.name or not 0 <= packet.life < 1 << 62:
-        raise Refused("cut")
+        raise DatagramRejectedError("cut")
     return packet
--- a/pathsaddle/fleet/gossip/model_checker.py
+++ b/pathsaddle/fleet/gossip/model_checker.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pathsaddle.fleet.gossip.gossip import Carry
-from pathsaddle.fleet.quota.model_checker import Exceeded
+from pathsaddle.fleet.gossip.gossip import Gossip
+from pathsaddle.fleet.quota.model_checker import InvariantViolationError
 
 NAMES = ("a", "b", "c")  # "a" writes
 
@@ -39,22 +39,22 @@
 
 
 class _Purse:
-    def could(self, size: int, now: int, spare: float = 0.0) -> bool:
+    def can_consume(self, size: int, now: int, spare: float = 0.0) -> bool:
         return True
 
-    def pays(self, size: int, now: int, spare: float = 0.0) -> bool:
+    def try_consume(self, size: int, now: int, spare: float = 0.0) -> bool:
         return True
 
 
 @dataclass
 class World:
-    members: dict[str, Carry]
+    members: dict[str, Gossip]
     air: dict[tuple[str, bytes], None]  # (to, what)
     written: dict[int, list[str]]  # life -> the topics of its versions, in order
     told: dict[str, int]  # the highest life of the writer that each was told of
 
     def key(self) -> Any:
-        def of(one: Carry) -> Any:
+        def of(one: Gossip) -> Any:
             return (
                 tuple(
                     (name, o.life, o.seen, tuple(sorted((t, r.version) for t, r in o.records.items())))
@@ -97,8 +97,8 @@
         return ""
 
 
-def _carry(name: str, life: int) -> Carry:
-    one = Carry(name, life, "f", b"k" * 16, _Purse(), 10, _Chance(), 0)  # type: ignore[arg-type]
+def _carry(name: str, life: int) -> Gossip:
+    one = Gossip(name, life, "f", b"k" * 16, _Purse(), 10, _Chance(), 0)  # type: ignore[arg-type]
     for other in NAMES:
         one.joined(other, 1, other)
     return one
@@ -170,7 +170,7 @@
                 seen.add(key)
                 fault = after.broken()
                 if fault:
-                    raise Exceeded(f"{fault}: " + ", ".join((*path, name)))
+                    raise InvariantViolationError(f"{fault}: " + ", ".join((*path, name)))
                 following.append((after, (*path, name)))
         edge = following  # type: ignore[assignment]  # paths of any length
     return len(seen)
--- a/pathsaddle/fleet/incarnation_store.py
+++ b/pathsaddle/fleet/incarnation_store.py
@@ -8,12 +8,12 @@
 from pathsaddle.errors import Error
 
 
-class NoFolder(Error):
+class IncarnationStoreError(Error):
     name = "fleet.no-folder"
     what = "{file}: fleet.folder: the number of our life can't be kept in {folder}: {why}"
 
 
-class Lives:
+class IncarnationStore:
     """A folder of the operator's; none: lives go by the clock alone, and one that is stale is refuted by others."""
 
     def __init__(self, folder: Path | None, name: str) -> None:
--- a/pathsaddle/fleet/membership.py
+++ b/pathsaddle/fleet/membership.py
@@ -26,8 +26,8 @@
     ASK,
     DEAD,
     LEFT,
+    MAX_DATAGRAM_BYTES,
     MISSED,
-    MOST,
     OVERHEAD,
     PAGE,
     PAGED,
@@ -35,14 +35,14 @@
     RELAYED,
     STATES,
     SUSPECT,
-    Refused,
-    Row,
-    Said,
+    DatagramRejectedError,
+    MemberRecord,
+    Message,
     decode,
     encode,
     size_of,
 )
-from pathsaddle.fleet.rate_limiter import SECOND, Purse
+from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
 
 FAR = 1 << 60
 NEVER = -FAR
@@ -57,16 +57,16 @@
 APART = 5  # beats between tries to reach those who are taken for dead
 ROWS_APART = 8  # beats between comparisons that nothing calls for, in a fleet whose rows fill a page
 ROWS = 32  # about how many that is
-MOST_MEMBERS = 4096  # names that are kept
+MAX_MEMBERS = 4096  # names that are kept
 DRIFT = 0.01  # by so much may another's clock run faster or slower than ours
-# What is left of the purse to others: probes and answers first, then news on their back, pages that answer, pages that
-# ask. All of it stands before carrying (state/carry.py), which spends whatever it may as long as many tell of much.
+# What is left of the rate_limiter to others: probes and answers first, then news on their back, pages that answer, pages that
+# ask. All of it stands before carrying (gossip/gossip.py), which spends whatever it may as long as many tell of much.
 NEWS, PAGES, ASKED = 0.25, 0.25, 0.35
 OVER = 1 << 10  # lives are moments in ms times this, and chance below it
 
 
 @dataclass
-class Ways:
+class MembershipOptions:
     """What the charter says.
 
     fleet, key: its name, its secret.
@@ -91,7 +91,7 @@
 class Member:
     """Another one, as seen from here."""
 
-    row: Row
+    row: MemberRecord
     since: int  # when it was first seen in this state
     heard: int = NEVER  # it answered us after this moment
     heard_by: int = NEVER  # it answered somebody else after this moment
@@ -138,14 +138,14 @@
 class IndirectProbe:
     """Another's question that we carry: SWIM's indirect probe."""
 
-    asker: Row
+    asker: MemberRecord
     echo: int  # of the asker's question
     about: str
     until: int
 
 
 @dataclass(frozen=True)
-class Change:
+class MembershipChange:
     """Something that this member now believes, and why; its own row where `name` is its own."""
 
     at: int
@@ -163,14 +163,16 @@
     dead are at most `most_dead`; how long a dead one is not noticed, and a live one wrongly, in docs/membership.md.
     """
 
-    def __init__(self, me: Row, ways: Ways, seeds: Iterable[str], chance: Random, now: int) -> None:
+    def __init__(
+        self, me: MemberRecord, ways: MembershipOptions, seeds: Iterable[str], chance: Random, now: int
+    ) -> None:
         self.me, self.ways, self.chance = me, ways, chance
         self.seeds = [seed for seed in seeds if seed != me.address]
         self.members: dict[str, Member] = {}
         self.out: list[tuple[str, bytes]] = []  # (address, datagram), to be sent now
-        self.changes: list[Change] = [Change(now, me.name, me.life, ALIVE, "began")]
+        self.changes: list[MembershipChange] = [MembershipChange(now, me.name, me.life, ALIVE, "began")]
         self.counts: dict[str, int] = {}
-        self.purse = Purse(ways.most_bytes, ways.most_datagrams, now)
+        self.rate_limiter = RateLimiter(ways.most_bytes, ways.most_datagrams, now)
         self.number = 0
         self.health = 0  # Lifeguard's: 0 is well
         self.gossip: dict[str, int] = {}  # whose row is still to be told, and how often it was
@@ -273,7 +275,7 @@
             member.begun += late + self.ways.beat
         self._health(1)
         self.changes.append(
-            Change(now, self.me.name, self.me.life, ALIVE, f"stood still for {late // 10} ms")
+            MembershipChange(now, self.me.name, self.me.life, ALIVE, f"stood still for {late // 10} ms")
         )
 
     def _health(self, step: int) -> None:
@@ -338,11 +340,13 @@
         elif not self.alone():
             self._witness(member, self.me.name, now)
 
-    def _said_of(self, member: Member, state: int) -> Row:
+    def _said_of(self, member: Member, state: int) -> MemberRecord:
         row = member.row
-        return Row(row.name, row.life, row.count, state, row.address, row.zone, row.form, self.me.name)
+        return MemberRecord(
+            row.name, row.life, row.count, state, row.address, row.zone, row.form, self.me.name
+        )
 
-    def _suspect(self, member: Member, now: int, why: str, row: Row | None = None) -> None:
+    def _suspect(self, member: Member, now: int, why: str, row: MemberRecord | None = None) -> None:
         local = row is None and self.alone()
         self._believe(
             member,
@@ -378,7 +382,9 @@
         # What is told on is a testimony of its own, ours before another's: with the first accuser's name on it, it was
         # nobody's second, and each suspicion lasted its longest.
         by, row = self.me.name if self.me.name in member.witnesses else who, member.row
-        member.row = Row(row.name, row.life, row.count, row.state, row.address, row.zone, row.form, by)
+        member.row = MemberRecord(
+            row.name, row.life, row.count, row.state, row.address, row.zone, row.form, by
+        )
         self._spread(member.row.name)
 
     def _answered(self, member: Member, asked: int, now: int) -> None:
@@ -395,18 +401,18 @@
 
     def _back(self, member: Member, now: int, why: str) -> None:
         row = member.row
-        alive = Row(row.name, row.life, row.count, ALIVE, row.address, row.zone, row.form)
+        alive = MemberRecord(row.name, row.life, row.count, ALIVE, row.address, row.zone, row.form)
         member.local, member.until, self.stirred = False, FAR, True
         member.row, member.since = alive, now
         self.accused.pop(row.name, None)
-        self.changes.append(Change(now, row.name, row.life, ALIVE, why))
+        self.changes.append(MembershipChange(now, row.name, row.life, ALIVE, why))
 
     # News.
 
-    def _believe(self, member: Member, row: Row, now: int, why: str) -> None:
+    def _believe(self, member: Member, row: MemberRecord, now: int, why: str) -> None:
         if row.state != member.row.state or row.life != member.row.life:
             member.since = now
-            self.changes.append(Change(now, row.name, row.life, row.state, why))
+            self.changes.append(MembershipChange(now, row.name, row.life, row.state, why))
         member.row, member.until, member.local, self.stirred = row, FAR, False, True
         member.witnesses = {}
         self.accused.pop(row.name, None)
@@ -416,21 +422,21 @@
     def _spread(self, name: str) -> None:
         self.gossip[name] = 0
 
-    def learn(self, row: Row, now: int, who: str, compared: bool = False) -> None:
+    def learn(self, row: MemberRecord, now: int, who: str, compared: bool = False) -> None:
         """What somebody told of a member. `compared`: in a comparison, where old judgements are told too."""
         if row.name == self.me.name:
             self._told_of_me(row, now)
             return
         member = self.members.get(row.name)
         if member is None:
-            if len(self.members) >= MOST_MEMBERS or (
+            if len(self.members) >= MAX_MEMBERS or (
                 row.state >= DEAD and self._dead() >= self.ways.most_dead
             ):
                 self._count("no room")
                 return
             member, self.stirred = Member(row, now), True
             self.members[row.name] = member
-            self.changes.append(Change(now, row.name, row.life, row.state, f"{who} says so"))
+            self.changes.append(MembershipChange(now, row.name, row.life, row.state, f"{who} says so"))
             if row.state == SUSPECT:
                 self._accuse(member, now)
             if row.state < DEAD:
@@ -461,7 +467,9 @@
             if old.state == SUSPECT:
                 self._witness(member, row.by, now)
                 return
-            row = Row(row.name, row.life, row.count, SUSPECT, row.address, row.zone, row.form, row.by)
+            row = MemberRecord(
+                row.name, row.life, row.count, SUSPECT, row.address, row.zone, row.form, row.by
+            )
         if row.state == SUSPECT:
             self._suspect(member, now, "does not answer", row)
             return
@@ -470,7 +478,7 @@
         self._believe(member, row, now, f"{who} says so")
         self._spread(row.name)
 
-    def _told_of_me(self, row: Row, now: int) -> None:
+    def _told_of_me(self, row: MemberRecord, now: int) -> None:
         me = self.me
         if row.life == me.life:
             if row.state != ALIVE and row.count >= me.count:
@@ -478,7 +486,9 @@
                 self._health(1)
                 self._claim(me.life, row.count + 1)
                 self.changes.append(
-                    Change(now, me.name, me.life, ALIVE, f"refuted: {row.by} says {STATES[row.state]}")
+                    MembershipChange(
+                        now, me.name, me.life, ALIVE, f"refuted: {row.by} says {STATES[row.state]}"
+                    )
                 )
         elif row.life > me.life:
             # An old life of ours, from a clock that was ahead; or another process under our name. Ours: whoever
@@ -488,17 +498,17 @@
                 if len(self.foreign) == 2 and self.foreign[0] > now - 60 * self.ways.beat:
                     self.silent = True
                     self.changes.append(
-                        Change(now, me.name, me.life, LEFT, f"{row.address} has our name too")
+                        MembershipChange(now, me.name, me.life, LEFT, f"{row.address} has our name too")
                     )
                     return
             self._claim((row.life // OVER + 1) * OVER + self.chance.randrange(OVER), 0)
             self.changes.append(
-                Change(now, me.name, self.me.life, ALIVE, "a higher life of our name was told")
+                MembershipChange(now, me.name, self.me.life, ALIVE, "a higher life of our name was told")
             )
 
     def _claim(self, life: int, count: int) -> None:
         me = self.me
-        self.me = Row(me.name, life, count, ALIVE, me.address, me.zone, me.form)
+        self.me = MemberRecord(me.name, life, count, ALIVE, me.address, me.zone, me.form)
 
     def _dead(self) -> int:
         return sum(not member.here for member in self.members.values())
@@ -568,19 +578,19 @@
         if walk.tries >= TRIES:
             self.walk = None
             return
-        if not self.purse.could(MOST, now, ASKED):
+        if not self.rate_limiter.can_consume(MAX_DATAGRAM_BYTES, now, ASKED):
             return
         walk.echo = self.chance.getrandbits(53)
-        rows, last = self._page(walk.first, MOST - 220)
+        rows, last = self._page(walk.first, MAX_DATAGRAM_BYTES - 220)
         if self._send(
             now, walk.address, walk.name, PAGE, walk.echo, first=walk.first, last=last, page=rows, spare=ASKED
         ):
             walk.tries += 1
             walk.sent = now
 
-    def _page(self, first: str, room: int) -> tuple[list[Row], str]:
+    def _page(self, first: str, room: int) -> tuple[list[MemberRecord], str]:
         """Rows after `first`, in the names' order, as many as there is room for; the last name that they cover."""
-        rows: list[Row] = []
+        rows: list[MemberRecord] = []
         names = sorted(name for name, member in self.members.items() if name > first and not member.local)
         for name in names:
             row = self.members[name].row
@@ -590,13 +600,13 @@
             rows.append(row)
         return rows, ""
 
-    def _paged(self, said: Said, now: int) -> None:
+    def _paged(self, said: Message, now: int) -> None:
         """Answers a page with all that we know better in its range, as far as there is room."""
-        if not self.purse.could(MOST, now, PAGES):
+        if not self.rate_limiter.can_consume(MAX_DATAGRAM_BYTES, now, PAGES):
             self._count("held back")
             return
         theirs = {row.name: row for row in said.rows}
-        room, rows, last = MOST - 220, [], said.last
+        room, rows, last = MAX_DATAGRAM_BYTES - 220, [], said.last
         names = sorted(
             name
             for name, member in self.members.items()
@@ -636,7 +646,7 @@
         about: str = "",
         first: str = "",
         last: str = "",
-        page: list[Row] | None = None,
+        page: list[MemberRecord] | None = None,
         spare: float = 0.0,
         heard: list[tuple[str, int, int]] | None = None,
     ) -> bool:
@@ -649,17 +659,19 @@
             rows.append(other.row)  # the accused is told first
         if heard is None:
             heard = self._heard_lately(now) if kind in (ACK, PAGED) else []
-        room = MOST - OVERHEAD - 150 - size_of(self.me) - len(first) - len(last) - 40 * len(heard)
+        room = (
+            MAX_DATAGRAM_BYTES - OVERHEAD - 150 - size_of(self.me) - len(first) - len(last) - 40 * len(heard)
+        )
         room -= sum(map(size_of, rows))
         # Probes and answers before news: two hundred that began at once had nothing left to answer with.
-        if self.purse.could(MOST, now, NEWS):
+        if self.rate_limiter.can_consume(MAX_DATAGRAM_BYTES, now, NEWS):
             rows += self._news(to, room, {row.name for row in rows})
         self.number += 1
         data = encode(
-            Said(self.ways.fleet, self.me, self.number, to, kind, echo, about, first, last, heard, rows),
+            Message(self.ways.fleet, self.me, self.number, to, kind, echo, about, first, last, heard, rows),
             self.ways.key,
         )
-        if len(data) > MOST or not self.purse.pays(len(data), now, spare):
+        if len(data) > MAX_DATAGRAM_BYTES or not self.rate_limiter.try_consume(len(data), now, spare):
             self._count("held back")
             return False
         for row in rows:
@@ -668,12 +680,12 @@
         self.out.append((address, data))
         return True
 
-    def _say(self, now: int, row: Row, kind: int, echo: int, about: str = "") -> None:
+    def _say(self, now: int, row: MemberRecord, kind: int, echo: int, about: str = "") -> None:
         self._send(now, row.address, row.name, kind, echo, about)
 
-    def _news(self, to: str, room: int, told: set[str]) -> list[Row]:
+    def _news(self, to: str, room: int, told: set[str]) -> list[MemberRecord]:
         """What was told least often so far, of others; our own row stands in each datagram."""
-        rows: list[Row] = []
+        rows: list[MemberRecord] = []
         for name in sorted(self.gossip, key=self.gossip.__getitem__):
             member = self.members.get(name)
             if member is None or member.local or name in told or name == to:
@@ -705,9 +717,9 @@
             if said.to not in (self.me.name, "") or (
                 said.me.name == self.me.name and said.me.life == self.me.life
             ):
-                raise Refused("misdirected")
+                raise DatagramRejectedError("misdirected")
             self._new(said)
-        except Refused as fault:
+        except DatagramRejectedError as fault:
             self._count(f"refused {fault}")
             return
         known = self.members.get(said.me.name)
@@ -725,7 +737,7 @@
             return
         self._act(said, now)
 
-    def _new(self, said: Said) -> None:
+    def _new(self, said: Message) -> None:
         """Against datagrams that come twice or late: each number of a life is taken once, and none far back."""
         member = self.members.get(said.me.name)
         if member is None or said.me.life != member.row.life:
@@ -735,11 +747,11 @@
             member.come = (member.come << min(-behind, 64) | 1) & (1 << 64) - 1
             member.number = said.number
         elif behind >= 64 or member.come >> behind & 1:
-            raise Refused("repeated")
+            raise DatagramRejectedError("repeated")
         else:
             member.come |= 1 << behind
 
-    def _act(self, said: Said, now: int) -> None:
+    def _act(self, said: Message, now: int) -> None:
         kind, sender = said.kind, self.members.get(said.me.name)
         if sender is None:
             return
@@ -800,7 +812,7 @@
             walk.name, walk.first, walk.tries, walk.sent = said.me.name, said.last, 0, NEVER
             self._walk_on(now)
 
-    def _heard_of(self, said: Said, asked: int) -> None:
+    def _heard_of(self, said: Message, asked: int) -> None:
         """An answer was made after we asked: what it says was heard so long ago was there after `asked` less that."""
         for name, life, ago in said.heard:
             member = self.members.get(name)
@@ -815,19 +827,19 @@
         if self.gone or self.silent:
             return
         me = self.me
-        self.me = Row(me.name, me.life, me.count, LEFT, me.address, me.zone, me.form, me.name)
+        self.me = MemberRecord(me.name, me.life, me.count, LEFT, me.address, me.zone, me.form, me.name)
         there = [m for m in self.members.values() if m.here]
         self.chance.shuffle(there)
         for member in there[:8]:
             for _ in range(2):
                 self._say(now, member.row, MISSED, echo=0)
         self.gone = True
-        self.changes.append(Change(now, me.name, me.life, LEFT, "told to end"))
+        self.changes.append(MembershipChange(now, me.name, me.life, LEFT, "told to end"))
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
 
-def life_of(wall_ms: int, last: int, chance: Random) -> int:
+def next_incarnation(wall_ms: int, last: int, chance: Random) -> int:
     """The number of a life that begins now: above the last that the disk knows, and by the clock."""
     return max(wall_ms, last // OVER + 1) * OVER + chance.randrange(OVER)
--- a/pathsaddle/fleet/messages.py
+++ b/pathsaddle/fleet/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 FORM = 1  # of this text; a datagram of a higher one is not read
-MOST = 1200  # bytes: under what passes a usual link in one piece
+MAX_DATAGRAM_BYTES = 1200  # bytes: under what passes a usual link in one piece
 SUM = 16
 CARRIED = (
     2  # what is not membership's (fleet/state): not read by members that tell a lower form of themselves
@@ -23,7 +23,7 @@
 PING, ACK, ASK, RELAYED, MISSED, PAGE, PAGED = range(7)
 
 
-class Row(Struct, array_like=True, frozen=True):
+class MemberRecord(Struct, array_like=True, frozen=True):
     """What is told of one member. Of two rows for a name the one with the higher (life, count, state) holds.
 
     life: the number of one run of its process; a restart under the same name has a higher one.
@@ -46,7 +46,7 @@
         return self.life, self.count, self.state
 
 
-class Said(Struct, array_like=True, frozen=True):
+class Message(Struct, array_like=True, frozen=True):
     """One datagram.
 
     me: its sender's own row.
@@ -60,7 +60,7 @@
     """
 
     fleet: str
-    me: Row
+    me: MemberRecord
     number: int
     to: str
     kind: int
@@ -69,20 +69,20 @@
     first: str = ""
     last: str = ""
     heard: list[tuple[str, int, int]] = []
-    rows: list[Row] = []
+    rows: list[MemberRecord] = []
 
 
-class Refused(ValueError):
+class DatagramRejectedError(ValueError):
     """A datagram that is not read; its text is the reason, one of REASONS."""
 
 
 REASONS = ("cut", "newer", "stranger", "fleet", "repeated", "misdirected")
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Said).decode
+_decode = msgspec.msgpack.Decoder(Message).decode
 OVERHEAD = 1 + SUM
 
 
-def size_of(row: Row) -> int:
+def size_of(row: MemberRecord) -> int:
     return len(_encode(row))
 
 
@@ -93,30 +93,30 @@
 
 def opened(data: bytes, key: bytes) -> tuple[int, bytes]:
     """Its form and what it holds; raises Refused."""
-    if len(data) <= OVERHEAD or len(data) > MOST:
-        raise Refused("cut")
+    if len(data) <= OVERHEAD or len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramRejectedError("cut")
     body, told = data[:-SUM], data[-SUM:]
     if not hmac.compare_digest(hmac.digest(key, body, "sha256")[:SUM], told):
         # One of another form can't be told from noise without its sum; one whose sum is right is a fellow's.
-        raise Refused("stranger")
+        raise DatagramRejectedError("stranger")
     return body[0], body[1:]
 
 
-def encode(said: Said, key: bytes) -> bytes:
+def encode(said: Message, key: bytes) -> bytes:
     return sealed(FORM, _encode(said), key)
 
 
-def decode(data: bytes, key: bytes, fleet: str) -> Said:
+def decode(data: bytes, key: bytes, fleet: str) -> Message:
     """Raises Refused."""
     form, told = opened(data, key)
     if form > FORM:
-        raise Refused("newer")
+        raise DatagramRejectedError("newer")
     try:
         said = _decode(told)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise Refused("cut") from None
+        raise DatagramRejectedError("cut") from None
     if said.fleet != fleet:
-        raise Refused("fleet")
+        raise DatagramRejectedError("fleet")
     if any(
         row.state not in range(4)
         or not 0 <= row.life < 1 << 62
@@ -124,5 +124,5 @@
         or not row.name
         for row in (said.me, *said.rows)
     ):
-        raise Refused("cut")
+        raise DatagramRejectedError("cut")
     return said
--- a/pathsaddle/fleet/overload/admission_gate.py
+++ b/pathsaddle/fleet/overload/admission_gate.py
@@ -17,12 +17,18 @@
 from math import exp
 
 from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.errors import BadWord
-from pathsaddle.fleet.overload.load_summary import TELLS, Word, packed, read, short
-from pathsaddle.fleet.overload.retry_advice import Returns
+from pathsaddle.fleet.overload.errors import InvalidSummaryError
+from pathsaddle.fleet.overload.load_summary import (
+    PUBLISH_INTERVAL,
+    LoadSummary,
+    decode_summary,
+    encode_summary,
+    rounded_figure,
+)
+from pathsaddle.fleet.overload.retry_advice import RetryAdvice
 from pathsaddle.fleet.overload.retry_budgets import Budgets, Limiter
-from pathsaddle.fleet.overload.shed_level import STALE, Level, Sums, middle
-from pathsaddle.fleet.overload.shed_rank import BANDS, Ask, band, drawn
+from pathsaddle.fleet.overload.shed_level import STALE, LoadTotals, ShedLevel, middle
+from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest, rank_band, rank_hash
 from pathsaddle.trade import SECOND
 
 # name, life, version, body, age at the least, at most
@@ -42,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Ways:
+class GateOptions:
     """What the charter says, alike at every member.
 
     secret: keys the draw. unit: value for a slot-tick in the middle of the scale. allowances: slots that each
@@ -60,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class AdmissionVerdict:
     let: bool
     stands: float  # the txn's standing
     level: float
@@ -86,29 +92,29 @@
         return self.sum * exp((self.at - now) / self.over) / self.over
 
 
-class Gate:
+class OverloadGate:
     """name: its own, as the records' rows name it. number: its place among the members by the charter,
     from 0.
     """
 
-    def __init__(self, ways: Ways, name: str, number: int, limiter: Limiter, now: int) -> None:
+    def __init__(self, ways: GateOptions, name: str, number: int, limiter: Limiter, now: int) -> None:
         self.ways, self.name, self.now = ways, name, now
         self.part = 1.0 / ways.members
         self.budgets = Budgets(limiter)
-        self.returns = Returns(ways.returns, self.part, number / ways.members, ways.longest)
-        self.level = Level(now)
-        self.offered = [Fading(now) for _ in range(BANDS)]
+        self.returns = RetryAdvice(ways.returns, self.part, number / ways.members, ways.longest)
+        self.level = ShedLevel(now)
+        self.offered = [Fading(now) for _ in range(RANK_BANDS)]
         self.steady = Fading(now, STEADY)
         self.customers: dict[str, Fading] = {}
-        self.shorts_of = {who: short(who) for who in ways.allowances}
+        self.shorts_of = {who: rounded_figure(who) for who in ways.allowances}
         self.could = 0.0
         self.trim = 1.0
         # of the slots seen lately: free, and jobs waiting for each of our part
         self.idle, self.line = 0.0, 0.0
         self.turned = 0.0  # of the last postings, how many were turned away
         # (life, version, word, told at, the latest by our clock)
-        self.heard: dict[str, tuple[int, int, Word, int]] = {}
-        self.sums = Sums([self.own(now)], self.part)
+        self.heard: dict[str, tuple[int, int, LoadSummary, int]] = {}
+        self.sums = LoadTotals([self.own(now)], self.part)
         self.overs: dict[str, float] = {}  # by customer: what part is beyond its share
         self.known: dict[tuple[str, str, str], int] = {}  # declined with advice: not before
         # Two hundred records each tenth of a second would be a fortieth of a core;
@@ -139,11 +145,16 @@
             if name == self.name or (held is not None and (life, version) <= held[:2]):
                 continue
             try:
-                self.heard[name] = (life, version, read(body), now - (youngest if oldest is None else oldest))
-            except BadWord:
+                self.heard[name] = (
+                    life,
+                    version,
+                    decode_summary(body),
+                    now - (youngest if oldest is None else oldest),
+                )
+            except InvalidSummaryError:
                 continue
 
-    def hears_read(self, name: str, life: int, version: int, word: Word, told: int) -> None:
+    def hears_read(self, name: str, life: int, version: int, word: LoadSummary, told: int) -> None:
         """The same, of one record that is read."""
         held = self.heard.get(name)
         if held is None or (life, version) > held[:2]:
@@ -151,36 +162,39 @@
 
     # What it tells.
 
-    def own(self, now: int) -> Word:
+    def own(self, now: int) -> LoadSummary:
         rates = {who: rate for who, fading in self.customers.items() if (rate := fading.rate(now)) > 0.0}
-        if len(rates) > TELLS:
-            rates = {who: rates[who] for who in sorted(rates, key=lambda who: (-rates[who], who))[:TELLS]}
-        return Word(
+        if len(rates) > PUBLISH_INTERVAL:
+            rates = {
+                who: rates[who]
+                for who in sorted(rates, key=lambda who: (-rates[who], who))[:PUBLISH_INTERVAL]
+            }
+        return LoadSummary(
             self.could,
             self.trim,
             self.idle,
             self.line,
             self.steady.rate(now),
             [fading.rate(now) for fading in self.offered],
-            {short(who): rate for who, rate in rates.items()},
+            {rounded_figure(who): rate for who, rate in rates.items()},
         )
 
     def word(self, now: int) -> bytes:
-        return packed(self.own(now))
+        return encode_summary(self.own(now))
 
     def wake(self, now: int) -> int:
         """Works out the level anew; when it wants to be called again."""
         self.now = now
         words = [self.own(now)]
         words += [word for _, _, word, told in self.heard.values() if now - told < STALE]
-        self.sums = sums = Sums(words, self.part)
+        self.sums = sums = LoadTotals(words, self.part)
         self.learns(sums)
         self.level.moves(sums.target(), sums.heard, now)
         self.shares(sums)
         self.returns.passes(now)
         return now + self.every
 
-    def shares(self, sums: Sums) -> None:
+    def shares(self, sums: LoadTotals) -> None:
         """What part of each customer's txns is beyond its share. Where the middle customer is over its own,
         all shares grow by as much: a surge of everybody's is for the level to judge by value, and a flood of
         one does not move the middle. Heard in part, a customer has that part of its share,
@@ -194,7 +208,7 @@
         most = MORE * scale
         self.overs = {who: 1.0 - most / ratio for who, ratio in ratios.items() if ratio > most}
 
-    def learns(self, sums: Sums) -> None:
+    def learns(self, sums: LoadTotals) -> None:
         """The trim: what its own postings meet, against what the sums said. It moves by steps, and up only
         while it is what binds: a trim that grew in quiet times would let all in when trouble comes.
         """
@@ -212,17 +226,17 @@
 
     # The question, and its answer.
 
-    def lets_in(self, ask: Ask, now: int) -> Verdict:
+    def lets_in(self, ask: AdmissionRequest, now: int) -> AdmissionVerdict:
         """Asked once for each try, before its first posting. Who stood still goes by what it knows now, not
         by what it worked out before: words have aged meanwhile.
         """
         if now - self.now > 5 * self.every:
             self.wake(now)
-        place, period = drawn(self.ways.secret, ask, now)
+        place, period = rank_hash(self.ways.secret, ask, now)
         over = False
         if ask.customer in self.overs:
-            over = drawn(self.ways.secret, ask, now, b"over")[0] < self.overs[ask.customer]
-        in_band = band(ask, self.ways.unit, over)
+            over = rank_hash(self.ways.secret, ask, now, b"over")[0] < self.overs[ask.customer]
+        in_band = rank_band(ask, self.ways.unit, over)
         stands, level = in_band + place, self.level.stands
         # Offered is what comes for the first time, or when it was told to: not what comes again at once.
         mark = (ask.customer, ask.key, ask.scheme)
@@ -242,17 +256,17 @@
             and not (early and level > 0.0)
         ):
             self.known.pop(mark, None)
-            return Verdict(True, stands, level, over, period=period)
+            return AdmissionVerdict(True, stands, level, over, period=period)
         why = "level" if stands < level else "early" if early else "late"
         if early:
-            return Verdict(False, stands, level, over, self.known[mark] - now, why, period)
+            return AdmissionVerdict(False, stands, level, over, self.known[mark] - now, why, period)
         wait = self.advises(ask, now)
-        return Verdict(False, stands, level, over, wait, why, period)
+        return AdmissionVerdict(False, stands, level, over, wait, why, period)
 
-    def advises(self, ask: Ask, now: int) -> int:
+    def advises(self, ask: AdmissionRequest, now: int) -> int:
         """What the client of a txn that is declined now, whyever, is told: ticks to wait, 0: nothing."""
         free = self.sums.free() / max(1e-9, self.sums.could)
-        wait = self.returns.advise(drawn(self.ways.secret, ask, now)[0], free, self.ways.soonest, now)
+        wait = self.returns.advise(rank_hash(self.ways.secret, ask, now)[0], free, self.ways.soonest, now)
         if wait:
             self.known[ask.customer, ask.key, ask.scheme] = now + wait
             if len(self.known) > KNOWN:
@@ -261,7 +275,7 @@
 
     def goes_out(self, kind: str, worker: str | None, now: int) -> bool:
         """Whether a posting beyond the first, a trial, a look, a list call, a new connection may go."""
-        return self.budgets.takes(kind, worker, now)
+        return self.budgets.try_acquire(kind, worker, now)
 
 
 def kind_of(again: bool, suspect: bool) -> str:
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from pathsaddle.fleet.overload.admission_gate import Gate
-from pathsaddle.fleet.udp_driver import Fellows
+from pathsaddle.fleet.overload.admission_gate import OverloadGate
+from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.trade import SECOND
@@ -15,13 +15,17 @@
 TELLS = SECOND // 2  # rarer among many, so that what all tell stays the same
 
 
-class Levels:
+class ShedLevelDriver:
     """One process's gate in its fleet. `before`: called before each of its moments, to tell it what was seen;
     `after` it, with the level as it stands.
     """
 
     def __init__(
-        self, fellows: Fellows, gate: Gate, before: Callable[[], None], after: Callable[[], None]
+        self,
+        fellows: MembershipDriver,
+        gate: OverloadGate,
+        before: Callable[[], None],
+        after: Callable[[], None],
     ) -> None:
         assert fellows.shared is not None, "a charter with [fleet.budgets] has shared state"
         self.fellows, self.shared, self.gate = fellows, fellows.shared, gate
--- a/pathsaddle/fleet/overload/load_summary.py
+++ b/pathsaddle/fleet/overload/load_summary.py
@@ -12,19 +12,19 @@
 from hashlib import blake2b
 from math import isfinite
 
-from pathsaddle.fleet.overload.errors import BadWord
-from pathsaddle.fleet.overload.shed_rank import BANDS
+from pathsaddle.fleet.overload.errors import InvalidSummaryError
+from pathsaddle.fleet.overload.shed_rank import RANK_BANDS
 
 FORM = 1  # grows with the form
-MOST = 200
-TELLS = 32  # customers
-HEAD = struct.Struct(f"!BBfffff{BANDS}e")
+MAX_SUMMARY_BYTES = 200
+PUBLISH_INTERVAL = 32  # customers
+HEAD = struct.Struct(f"!BBfffff{RANK_BANDS}e")
 CUSTOMER = struct.Struct("!He")
 HIGHEST = 60_000.0  # what a half float holds
 
 
 @dataclass(slots=True)
-class Word:
+class LoadSummary:
     could: float  # slots of the whole fleet that it believes can be kept busy
     trim: float  # by how much its own experience corrects that
     free: float  # share of the slots it saw lately that stood idle
@@ -38,12 +38,12 @@
         return sum(self.offered)
 
 
-def short(customer: str) -> int:
+def rounded_figure(customer: str) -> int:
     return int.from_bytes(blake2b(customer.encode(), digest_size=2).digest())
 
 
-def packed(word: Word) -> bytes:
-    rows = sorted(word.customers.items(), key=lambda row: (-row[1], row[0]))[:TELLS]
+def encode_summary(word: LoadSummary) -> bytes:
+    rows = sorted(word.customers.items(), key=lambda row: (-row[1], row[0]))[:PUBLISH_INTERVAL]
     head = HEAD.pack(
         FORM,
         len(rows),
@@ -57,14 +57,18 @@
     return head + b"".join(CUSTOMER.pack(who, min(HIGHEST, rate)) for who, rate in rows)
 
 
-def read(body: bytes) -> Word:
+def decode_summary(body: bytes) -> LoadSummary:
     """Raises BadWord."""
     try:
         form, count, could, trim, free, line, steady, *offered = HEAD.unpack_from(body)
         rows = [CUSTOMER.unpack_from(body, HEAD.size + CUSTOMER.size * i) for i in range(count)]
     except struct.error as fault:
-        raise BadWord(f"{len(body)} bytes are no record ({fault})") from None
+        raise InvalidSummaryError(f"{len(body)} bytes are no record ({fault})") from None
     figures = [could, trim, free, line, steady, *offered, *(rate for _, rate in rows)]
-    if form != FORM or len(body) > MOST or not all(isfinite(part) and part >= 0.0 for part in figures):
-        raise BadWord(f"a record of form {form} with figures that are none")
-    return Word(could, trim, free, line, steady, list(offered), dict(rows))
+    if (
+        form != FORM
+        or len(body) > MAX_SUMMARY_BYTES
+        or not all(isfinite(part) and part >= 0.0 for part in figures)
+    ):
+        raise InvalidSummaryError(f"a record of form {form} with figures that are none")
+    return LoadSummary(could, trim, free, line, steady, list(offered), dict(rows))
--- a/pathsaddle/fleet/overload/retry_advice.py
+++ b/pathsaddle/fleet/overload/retry_advice.py
@@ -14,7 +14,7 @@
 from pathsaddle.trade import SECOND
 
 
-class Returns:
+class RetryAdvice:
     """most: returns in any second that all may advise; part: ours of them. phase: 0 to 1, spread evenly over
     the members. longest: the longest advice, ticks.
     """
--- a/pathsaddle/fleet/overload/retry_budgets.py
+++ b/pathsaddle/fleet/overload/retry_budgets.py
@@ -15,7 +15,7 @@
 
 
 class Limiter(Protocol):
-    def takes(self, budget: str, units: int, now: int) -> bool:
+    def try_acquire(self, budget: str, units: int, now: int) -> bool:
         """Whether so many units may be used now; they are, if so."""
         ...
 
@@ -29,15 +29,17 @@
         self.limiter = limiter
         self.refused: dict[str, int] = dict.fromkeys(KINDS, 0)
 
-    def takes(self, kind: str, worker: str | None, now: int) -> bool:
+    def try_acquire(self, kind: str, worker: str | None, now: int) -> bool:
         """The worker's first, which is the narrower: a unit of the fleet's is rarely taken for nothing."""
-        if (worker is not None and not self._takes(f"{kind}.{worker}", now)) or not self._takes(kind, now):
+        if (worker is not None and not self._try_acquire(f"{kind}.{worker}", now)) or not self._try_acquire(
+            kind, now
+        ):
             self.refused[kind] += 1
             return False
         return True
 
-    def _takes(self, budget: str, now: int) -> bool:
+    def _try_acquire(self, budget: str, now: int) -> bool:
         try:
-            return self.limiter.takes(budget, 1, now)
+            return self.limiter.try_acquire(budget, 1, now)
         except KeyError:
             return True
--- a/pathsaddle/fleet/overload/scheduler_gate.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -11,38 +11,40 @@
 from typing import TYPE_CHECKING
 
 from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.admission_gate import Gate, Verdict, kind_of
-from pathsaddle.fleet.overload.shed_rank import Ask
+from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, OverloadGate, kind_of
+from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.trade import SECOND, Standing, Txn, Worker
 
 if TYPE_CHECKING:
     from pathsaddle.choice import Choice
 
 VERDICTS = 4096  # of txns that are open
-PLACES = 4  # budgets that workers have of each kind: a charter deals them by name before it knows any worker
+MAX_QUEUED = (
+    4  # budgets that workers have of each kind: a charter deals them by name before it knows any worker
+)
 
 
 def place(worker: Worker) -> str:
     """Whose budget it is, alike at all members; workers that share one are together bound by what bounds
     each.
     """
-    return f"w{worker.lot % PLACES}"
+    return f"w{worker.lot % MAX_QUEUED}"
 
 
-class Beside:
+class SchedulerAdmissionGate:
     """Implements trade.Gate. `core`: this member's; whoever carries records feeds and asks it directly."""
 
-    def __init__(self, core: Gate) -> None:
+    def __init__(self, core: OverloadGate) -> None:
         self.core = core
         self.due = 0
-        self.verdicts: dict[Txn, Verdict] = {}
+        self.verdicts: dict[Txn, AdmissionVerdict] = {}
 
-    def ask_of(self, txn: Txn, choice: Choice) -> Ask:
+    def ask_of(self, txn: Txn, choice: Choice) -> AdmissionRequest:
         run = choice.run_of(txn)
         key = txn.key if txn.key is not None else f"{txn.hint} {txn.slots} {txn.memory}"
         customer = str(txn.customer.index) if txn.customer is not None else ""
         spent = sum(run * txn.slots * 0.5 for posting in txn.postings if posting.may_have_run)
-        return Ask(
+        return AdmissionRequest(
             customer,
             key,
             str(txn.scheme.index),
--- a/pathsaddle/fleet/overload/shed_level.py
+++ b/pathsaddle/fleet/overload/shed_level.py
@@ -20,12 +20,12 @@
 
 from collections.abc import Iterable, Sequence
 
-from pathsaddle.fleet.overload.load_summary import Word
-from pathsaddle.fleet.overload.shed_rank import BANDS
+from pathsaddle.fleet.overload.load_summary import LoadSummary
+from pathsaddle.fleet.overload.shed_rank import RANK_BANDS
 from pathsaddle.trade import SECOND
 
-RISES = 12.0  # bands a second: harm comes quickly
-FALLS = 4.0  # and trust slowly: the whole scale in four seconds
+TIGHTEN_INTERVAL = 12.0  # bands a second: harm comes quickly
+RELAX_INTERVAL = 4.0  # and trust slowly: the whole scale in four seconds
 DEAD = 0.1  # bands
 TWICE = 2.0
 LONG = 8.0  # the longest line that one may tell of
@@ -37,13 +37,13 @@
     return (rows[(len(rows) - 1) // 2] + rows[len(rows) // 2]) / 2 if rows else 0.0
 
 
-class Sums:
+class LoadTotals:
     """What the words add up to, for one member at one moment.
 
     words: those that are heard, its own included. part: of each member, by the charter.
     """
 
-    def __init__(self, words: Sequence[Word], part: float) -> None:
+    def __init__(self, words: Sequence[LoadSummary], part: float) -> None:
         self.heard = min(1.0, part * len(words))
         mid = middle(word.could for word in words)
         coulds = [min(2.0 * mid, max(0.5 * mid, word.could)) for word in words]
@@ -64,7 +64,7 @@
                 [one * scale for one in word.offered] if scale < 1.0 else word.offered
                 for word, scale in zip(words, scales)
             ]
-        self.offered = [sum(column) for column in zip(*rows)] if rows else [0.0] * BANDS
+        self.offered = [sum(column) for column in zip(*rows)] if rows else [0.0] * RANK_BANDS
         # A burst of a second is not overload: lines take it up. A second that is quieter than those before it
         # counts at once. The lesser of both is taken of the sum: of each member's own few txns it would be
         # far under the truth.
@@ -85,7 +85,7 @@
     def target(self) -> float:
         """The least level above which what is offered fits; 0: all of it does."""
         left = self.supply
-        for place in reversed(range(BANDS)):
+        for place in reversed(range(RANK_BANDS)):
             offered = self.offered[place]
             if offered > left:
                 return place + 1.0 - max(0.0, left) / offered
@@ -97,7 +97,7 @@
         return max(0.0, self.supply - sum(self.offered))
 
 
-class Level:
+class ShedLevel:
     def __init__(self, now: int) -> None:
         self.stands = 0.0
         self.at = now
@@ -112,5 +112,5 @@
         off = target - self.stands
         if abs(off) > DEAD / max(0.001, heard) ** 0.5 or target == 0.0:
             spent *= max(0.25, heard**0.5)
-            self.stands += min(RISES * spent, max(-FALLS * spent, off))
+            self.stands += min(TIGHTEN_INTERVAL * spent, max(-RELAX_INTERVAL * spent, off))
         return self.stands
--- a/pathsaddle/fleet/overload/shed_rank.py
+++ b/pathsaddle/fleet/overload/shed_rank.py
@@ -15,14 +15,14 @@
 
 from pathsaddle.trade import SECOND
 
-BANDS = 16  # half octaves: 256 to 1 from the least to the dearest that are told apart
+RANK_BANDS = 16  # half octaves: 256 to 1 from the least to the dearest that are told apart
 MIDDLE = 8
 OVER = 6.0  # bands that what is beyond its customer's share falls by: an eighth of the value
-PERIOD = 10 * SECOND
+RANK_PERIOD = 10 * SECOND
 
 
 @dataclass(slots=True)
-class Ask:
+class AdmissionRequest:
     """What a txn says of itself to the gate. Times in ticks."""
 
     customer: str
@@ -37,19 +37,19 @@
     back: bool = False  # its client has asked before
 
 
-def drawn(secret: bytes, ask: Ask, now: int, what: bytes = b"") -> tuple[float, int]:
+def rank_hash(secret: bytes, ask: AdmissionRequest, now: int, what: bytes = b"") -> tuple[float, int]:
     """A number from 0 to 1, and its period, that are the same at every member for as long as the period
     lasts. `now` by Unix time: clocks that differ by d disagree for d of each period,
     which changes the choice but no bound.
     """
     name = b"\0".join(part.encode() for part in (ask.customer, ask.key, ask.scheme))
-    shift = int.from_bytes(blake2b(name, digest_size=4, key=secret).digest()) % PERIOD
-    period = (now + shift) // PERIOD
+    shift = int.from_bytes(blake2b(name, digest_size=4, key=secret).digest()) % RANK_PERIOD
+    period = (now + shift) // RANK_PERIOD
     digest = blake2b(b"%b\0%d\0%b" % (name, period, what), digest_size=6, key=secret).digest()
     return int.from_bytes(digest) / (1 << 48), period
 
 
-def band(ask: Ask, unit: float, over: bool) -> int:
+def rank_band(ask: AdmissionRequest, unit: float, over: bool) -> int:
     """0 to BANDS - 1. unit: value for a slot-tick that stands in the middle, alike at all."""
     earns = ask.value if ask.left >= ask.run else ask.value * ask.late
     # Work already done is no cost any more: what is nearly finished stands above what has yet to begin.
@@ -57,4 +57,4 @@
     if earns <= 0.0:
         return 0
     place = MIDDLE + 2 * log2(earns / (cost * unit)) - (OVER if over else 0.0)
-    return min(BANDS - 1, max(0, floor(place)))
+    return min(RANK_BANDS - 1, max(0, floor(place)))
--- a/pathsaddle/fleet/quota/leases.py
+++ b/pathsaddle/fleet/quota/leases.py
@@ -26,11 +26,11 @@
 
 from dataclasses import dataclass, replace
 
-DRIFT = 0.02  # by how much a clock may run faster or slower than it should
+MAX_CLOCK_DRIFT = 0.02  # by how much a clock may run faster or slower than it should
 
 
 @dataclass(frozen=True)
-class Want:
+class QuotaRequest:
     """Asks for so many units. number: grows with each asking of a life; an answer names it. renews: the
     number of a loan that is to go on; 0: none.
     """
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Lend:
+class Grant:
     """Units of `owner` for the asking that `number` names, for `lease` ticks from then."""
 
     owner: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class Back:
+class Release:
     """Units that the taker no longer uses, of the loan with that number."""
 
     taker: str
@@ -65,26 +65,26 @@
 
 
 @dataclass(frozen=True)
-class Loan:
+class Lease:
     units: int
     until: int  # of one's own clock
     key: tuple[str, int, int] = ("", 0, 0)  # (taker, its life, number) at its owner
 
 
 @dataclass(frozen=True)
-class State:
+class QuotaLedger:
     """All that a member knows of one budget; never changed, only replaced."""
 
     name: str
     life: int
     part: int  # its units by the charter
     lease: int
-    born: int
+    started_at: int
     asked: int = 0  # the number of its last asking
     # (number, when asked, renews) of those that may still be answered
     open: tuple[tuple[int, int, int], ...] = ()
-    lent: tuple[Loan, ...] = ()
-    held: tuple[tuple[str, int, int, Loan], ...] = ()  # (owner, its life, number, what)
+    lent: tuple[Lease, ...] = ()
+    held: tuple[tuple[str, int, int, Lease], ...] = ()  # (owner, its life, number, what)
 
     # ticks that a unit rests at its owner after a lease: so long ago it was last used elsewhere
     guard: int = 0
@@ -98,13 +98,13 @@
         """A lease's length by a clock that may be fast: over by then for certain,
         and what was done in it rested.
         """
-        return -int(-(self.lease + self.guard) * (1 + DRIFT) // 1) + 1
+        return -int(-(self.lease + self.guard) * (1 + MAX_CLOCK_DRIFT) // 1) + 1
 
     def _maybe(self) -> int:
         """And by one that may be slow: not over until then for certain."""
-        return int(self.lease * (1 - 2 * DRIFT)) - 1
+        return int(self.lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
-    def at(self, now: int) -> State:
+    def at(self, now: int) -> QuotaLedger:
         """What has ended is let go."""
         lent = tuple(loan for loan in self.lent if now < loan.until)
         held = tuple(row for row in self.held if now < row[3].until)
@@ -116,7 +116,7 @@
     def own(self, now: int) -> int:
         """Of its own part what it may use now."""
         lent = sum(loan.units for loan in self.lent if now < loan.until)
-        if now < self.born + self._surely():
+        if now < self.started_at + self._surely():
             # An earlier life may have lent as much as may be lent.
             return self.part - max(lent, self.lendable)
         return self.part - lent
@@ -125,15 +125,15 @@
         """What it may use at this moment. Asked for just before each use, never remembered."""
         return self.own(now) + sum(row[3].units for row in self.held if now < row[3].until)
 
-    def want(self, units: int, now: int, renews: int = 0) -> tuple[State, Want]:
+    def want(self, units: int, now: int, renews: int = 0) -> tuple[QuotaLedger, QuotaRequest]:
         state = self.at(now)
         number = state.asked + 1
         return (
             replace(state, asked=number, open=(*state.open, (number, now, renews))[-16:]),
-            Want(state.name, state.life, number, units, renews),
+            QuotaRequest(state.name, state.life, number, units, renews),
         )
 
-    def asked_by(self, want: Want, spare: int, now: int) -> tuple[State, Lend | None]:
+    def asked_by(self, want: QuotaRequest, spare: int, now: int) -> tuple[QuotaLedger, Grant | None]:
         """Another asks; `spare`: how many of its units this one does not want itself; under 0, so many it
         lacks. One asking is answered once: what comes twice, or again while its loan runs, gets nothing.
         """
@@ -141,7 +141,7 @@
         key = (want.name, want.life, want.number)
         if (
             want.name == self.name
-            or now < state.born + state._surely()
+            or now < state.started_at + state._surely()
             or any(loan.key == key for loan in state.lent)
         ):
             return state, None
@@ -152,13 +152,13 @@
         if units <= 0:
             return state, None
         return (
-            replace(state, lent=(*state.lent, Loan(units, now + state._surely(), key))),
+            replace(state, lent=(*state.lent, Lease(units, now + state._surely(), key))),
             state._lend(key, units),
         )
 
     def _renewed(
-        self, want: Want, key: tuple[str, int, int], spare: int, now: int
-    ) -> tuple[State, Lend | None]:
+        self, want: QuotaRequest, key: tuple[str, int, int], spare: int, now: int
+    ) -> tuple[QuotaLedger, Grant | None]:
         old = next((loan for loan in self.lent if loan.key == (want.name, want.life, want.renews)), None)
         units = min(want.units, old.units, old.units + spare) if old is not None else 0
         if old is None or units <= 0:
@@ -166,12 +166,12 @@
         rest = [loan for loan in self.lent if loan is not old]
         if units < old.units:  # until the taker has heard of it, it may use them all
             rest.append(replace(old, units=old.units - units, key=("", 0, 0)))
-        return replace(self, lent=(*rest, Loan(units, now + self._surely(), key))), self._lend(key, units)
+        return replace(self, lent=(*rest, Lease(units, now + self._surely(), key))), self._lend(key, units)
 
-    def _lend(self, key: tuple[str, int, int], units: int) -> Lend:
-        return Lend(self.name, self.life, *key, units, self.lease)
+    def _lend(self, key: tuple[str, int, int], units: int) -> Grant:
+        return Grant(self.name, self.life, *key, units, self.lease)
 
-    def lent_by(self, lend: Lend, now: int) -> State:
+    def lent_by(self, lend: Grant, now: int) -> QuotaLedger:
         """An answer: taken once, by the life that asked, while its lease surely runs."""
         state = self.at(now)
         asked = next((row for row in state.open if row[0] == lend.number), None)
@@ -183,14 +183,14 @@
             return state
         # Whatever life its owner has by now: it still counts the loan once.
         held = tuple(row for row in state.held if not asked[2] or (row[0], row[2]) != (lend.owner, asked[2]))
-        loan = Loan(lend.units, asked[1] + state._maybe())
+        loan = Lease(lend.units, asked[1] + state._maybe())
         return replace(
             state,
             held=(*held, (lend.owner, lend.life, lend.number, loan)),
             open=tuple(row for row in state.open if row is not asked),
         ).at(now)
 
-    def returns(self, number: int, now: int) -> tuple[State, Back]:
+    def returns(self, number: int, now: int) -> tuple[QuotaLedger, Release]:
         """What the taker gives back before its time; what would renew it is not taken any more."""
         state = self.at(now)
         return (
@@ -199,13 +199,13 @@
                 held=tuple(row for row in state.held if row[2] != number),
                 open=tuple(row for row in state.open if row[2] != number),
             ),
-            Back(state.name, state.life, number),
+            Release(state.name, state.life, number),
         )
 
-    def returned(self, back: Back, now: int) -> State:
+    def returned(self, back: Release, now: int) -> QuotaLedger:
         """Its owner has it again when what was done with it has rested."""
         state = self.at(now)
-        rested = now + int(self.guard * (1 + DRIFT)) + 1
+        rested = now + int(self.guard * (1 + MAX_CLOCK_DRIFT)) + 1
         return replace(
             state,
             lent=tuple(
@@ -217,6 +217,6 @@
         )
 
 
-def born(name: str, life: int, part: int, lease: int, now: int, guard: int = 0) -> State:
+def new_ledger(name: str, life: int, part: int, lease: int, now: int, guard: int = 0) -> QuotaLedger:
     """A member's life begins; it has no state but what the charter says."""
-    return State(name, life, part, lease, now, guard=guard)
+    return QuotaLedger(name, life, part, lease, now, guard=guard)
