--- a/pathsaddle/fleet/quota/model_checker.py
+++ b/pathsaddle/fleet/quota/model_checker.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, replace
 
-from pathsaddle.fleet.quota.leases import Back, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import Grant, QuotaLedger, QuotaRequest, Release, new_ledger
 
 MOMENT = 100  # ticks
 LEASE = 300
@@ -19,16 +19,16 @@
 WINDOW = 100  # of uses, by a member's clock
 SECOND = 98  # of uses, by the true one
 
-Message = Want | Lend | Back
+Message = QuotaRequest | Grant | Release
 
 
-class Exceeded(AssertionError):
+class InvariantViolationError(AssertionError):
     """The bound does not hold; its text is how that came about."""
 
 
 @dataclass(frozen=True)
 class World:
-    members: tuple[State, ...]
+    members: tuple[QuotaLedger, ...]
     clocks: tuple[int, ...]  # each member's own
     air: frozenset[Message]
     budget: int
@@ -51,7 +51,7 @@
 def start(parts: tuple[int, ...], guard: int = 0) -> World:
     """All were born long ago."""
     return World(
-        tuple(born(f"m{i}", 1, part, LEASE, -10 * LEASE, guard) for i, part in enumerate(parts)),
+        tuple(new_ledger(f"m{i}", 1, part, LEASE, -10 * LEASE, guard) for i, part in enumerate(parts)),
         (0,) * len(parts),
         frozenset(),
         sum(parts),
@@ -62,7 +62,7 @@
     """Every next world, and what led to it."""
     found = []
 
-    def member(i: int, state: State, air: frozenset[Message] | None = None) -> World:
+    def member(i: int, state: QuotaLedger, air: frozenset[Message] | None = None) -> World:
         return replace(
             world,
             members=(*world.members[:i], state, *world.members[i + 1 :]),
@@ -85,10 +85,10 @@
             found.append(
                 (
                     f"{name} begins anew",
-                    member(i, born(name, state.life + 1, state.part, LEASE, clock, state.guard)),
+                    member(i, new_ledger(name, state.life + 1, state.part, LEASE, clock, state.guard)),
                 )
             )
-        if uses and using < state.usable(clock) and clock >= state.born + WINDOW:
+        if uses and using < state.usable(clock) and clock >= state.started_at + WINDOW:
             found.append(
                 (
                     f"{name} uses one",
@@ -103,17 +103,21 @@
             )
         spare = min(state.part, state.usable(clock) - using)
         for message in sorted(world.air, key=repr):
-            if isinstance(message, Want) and message.name != name and clock >= state.born + state.guard:
+            if (
+                isinstance(message, QuotaRequest)
+                and message.name != name
+                and clock >= state.started_at + state.guard
+            ):
                 after, lend = state.asked_by(message, spare, clock)
                 if lend is not None:
                     found.append(
                         (f"{name} lends {lend.units} to {message.name}", member(i, after, world.air | {lend}))
                     )
-            elif isinstance(message, Lend) and message.taker == name:
+            elif isinstance(message, Grant) and message.taker == name:
                 after = state.lent_by(message, clock)
                 if after != state:
                     found.append((f"{name} takes {message.units} of {message.owner}", member(i, after)))
-            elif isinstance(message, Back) and message.taker != name:
+            elif isinstance(message, Release) and message.taker != name:
                 after = state.returned(message, clock)
                 if after != state:
                     found.append((f"{name} has back from {message.taker}", member(i, after)))
@@ -155,9 +159,11 @@
                     continue
                 seen.add(after)
                 if after.usable() > after.budget:
-                    raise Exceeded(f"{after.usable()} units of {after.budget}: " + ", ".join((*path, name)))
+                    raise InvariantViolationError(
+                        f"{after.usable()} units of {after.budget}: " + ", ".join((*path, name))
+                    )
                 if after.used() > after.budget:
-                    raise Exceeded(
+                    raise InvariantViolationError(
                         f"{after.used()} uses of {after.budget} in a second: " + ", ".join((*path, name))
                     )
                 following.append((after, (*path, name)))
--- a/pathsaddle/fleet/quota/quota_limiter.py
+++ b/pathsaddle/fleet/quota/quota_limiter.py
@@ -1,5 +1,5 @@
 """Rates that all members together must not exceed, as one member asks for them: just before each use,
-`takes`.
+`try_acquire`.
 
 Bound: in any second the units taken by all members together are no more than the budget, whatever is lost,
 doubled or late, whoever stops, restarts or is cut off, as long as no clock runs off by more than DRIFT and
@@ -12,16 +12,16 @@
 WINDOW (`guard`) before its owner has it again; a new life uses nothing for its first one. So no border of
 seconds lets a burst through: a second may begin anywhere.
 
-A process that stands still between `takes` and the use itself moves that one use: n members that stood still
+A process that stands still between `try_acquire` and the use itself moves that one use: n members that stood still
 may bring n uses, one each, into a second that is not theirs. Nothing that asks beforehand can prevent that;
-`takes` asked after the stall is refused what has ended in it.
+`try_acquire` asked after the stall is refused what has ended in it.
 
 Changed in service (`retune`) the bound is the greatest rate by which any member goes, and for one that was lowered or taken
 out the old rate until the last loan made under it is surely over: no more than a lease and two WINDOWs after the last
 member has heard. Raised or new it is used at once: who raises it has said that all may. Why. Equal parts of a lower rate
 are each no greater, and what a lower part has lent beyond itself is what the old one had; so at each instant owners' parts
 and loans are no more than the old parts. A loan that the new part doesn't cover is not renewed. A budget taken out leaves
-its loans to run out; put in again it begins as in a new life (`shares.born`), with numbers beyond the old ones.
+its loans to run out; put in again it begins as in a new life (`new_ledger`), with numbers beyond the old ones.
 
 Floor: who hears nothing has its part less what it lent, all of it a lease later. No I/O;
 all chance comes from one Random.
@@ -34,10 +34,17 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from pathsaddle.fleet.quota.leases import DRIFT, Back, Lend, State, Want, born
+from pathsaddle.fleet.quota.leases import (
+    MAX_CLOCK_DRIFT,
+    Grant,
+    QuotaLedger,
+    QuotaRequest,
+    Release,
+    new_ledger,
+)
 from pathsaddle.fleet.rate_limiter import SECOND
 
-WINDOW = int(SECOND * (1 + DRIFT)) + 1
+WINDOW = int(SECOND * (1 + MAX_CLOCK_DRIFT)) + 1
 PAUSE = SECOND // 10  # between askings for one budget at least; twice as long after each that brought nothing
 LONGEST = 16 * PAUSE
 ASKED = 3  # others at a time
@@ -47,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Dealt:
+class QuotaConfig:
     """What the charter says of one budget: its rate in units a second, our part of it, its lease in ticks."""
 
     rate: int
@@ -66,10 +73,10 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class QuotaBudget:
     name: str
-    dealt: Dealt
-    state: State
+    dealt: QuotaConfig
+    state: QuotaLedger
     spent: deque[tuple[int, int]] = field(default_factory=deque)  # (when, units) of the last WINDOW
     sum: int = 0
     wants: deque[tuple[int, int]] = field(default_factory=deque)  # (when, units) of those refused
@@ -84,23 +91,29 @@
     alone: bool = False
 
 
-class Limiter:
+class QuotaLimiter:
     """Several budgets. `out`: (member, budget, what), to be sent; `notes`: to be logged."""
 
     def __init__(
-        self, name: str, life: int, dealt: dict[str, Dealt], chance: Random, now: int, window: int = WINDOW
+        self,
+        name: str,
+        life: int,
+        dealt: dict[str, QuotaConfig],
+        chance: Random,
+        now: int,
+        window: int = WINDOW,
     ) -> None:
-        self.name, self.life, self.chance, self.born, self.window = name, life, chance, now, window
+        self.name, self.life, self.chance, self.started_at, self.window = name, life, chance, now, window
         self.closed = self.leaving = False
         # called when there is something to send before the next `wake`
         self.stir: Callable[[], None] = lambda: None
         self.due = now  # when it wants to be woken
         self.budgets = {
-            budget: Budget(budget, told, born(name, life, told.part, told.lease, now, window))
+            budget: QuotaBudget(budget, told, new_ledger(name, life, told.part, told.lease, now, window))
             for budget, told in dealt.items()
         }
         self.numbered = 0  # the highest number of an asking for a budget that was taken out
-        self.out: list[tuple[str, str, Want | Lend | Back]] = []
+        self.out: list[tuple[str, str, QuotaRequest | Grant | Release]] = []
         self.notes: list[Note] = []
         # what others last told to have left
         self.spares: dict[str, dict[str, int]] = {budget: {} for budget in dealt}
@@ -109,7 +122,7 @@
 
     # Using.
 
-    def takes(self, budget: str, units: int, now: int) -> bool:
+    def try_acquire(self, budget: str, units: int, now: int) -> bool:
         """Whether so many uses may be made now; asked just before them, it counts them as made.
         KeyError: no such budget.
         """
@@ -132,10 +145,12 @@
         return False
 
     def free(self, budget: str, now: int) -> int:
-        """How many `takes` would grant now."""
+        """How many `try_acquire` would grant now."""
         one = self.budgets[budget]
         self._clear(one, now)
-        if self.closed or now < self.born + self.window:  # what an earlier life used just before it ended
+        if (
+            self.closed or now < self.started_at + self.window
+        ):  # what an earlier life used just before it ended
             return 0
         return max(0, one.state.usable(now) - one.sum)
 
@@ -144,7 +159,7 @@
         self.closed = self.leaving = True
         self.there = []
 
-    def retune(self, dealt: dict[str, Dealt], now: int) -> None:
+    def retune(self, dealt: dict[str, QuotaConfig], now: int) -> None:
         """These budgets from now on, with these rates and parts; see the module's head for the bound meanwhile."""
         for name in [name for name in self.budgets if name not in dealt]:
             gone = self.budgets.pop(name)
@@ -154,15 +169,15 @@
         for name, told in dealt.items():
             one = self.budgets.get(name)
             if one is None:
-                state = born(self.name, self.life, told.part, told.lease, now, self.window)
-                self.budgets[name] = Budget(name, told, replace(state, asked=self.numbered))
+                state = new_ledger(self.name, self.life, told.part, told.lease, now, self.window)
+                self.budgets[name] = QuotaBudget(name, told, replace(state, asked=self.numbered))
                 self.spares[name] = {}
             elif one.dealt != told:
                 one.dealt, one.state = told, replace(one.state, part=told.part)
                 one.need = min(one.need, told.rate)
         self.due = now
 
-    def _returns_all(self, one: Budget, now: int) -> None:
+    def _returns_all(self, one: QuotaBudget, now: int) -> None:
         for owner, _, number, _ in one.state.held:
             one.state, back = one.state.returns(number, now)
             self.out.append((owner, one.name, back))
@@ -175,13 +190,13 @@
         for one in self.budgets.values():
             self._returns_all(one, now)
 
-    def _clear(self, one: Budget, now: int) -> None:
+    def _clear(self, one: QuotaBudget, now: int) -> None:
         while one.spent and one.spent[0][0] <= now - self.window:
             one.sum -= one.spent.popleft()[1]
         while one.wants and one.wants[0][0] <= now - self.window:
             one.wants.popleft()
 
-    def _wish(self, one: Budget, units: int, now: int) -> None:
+    def _wish(self, one: QuotaBudget, units: int, now: int) -> None:
         """The most wanted at a time, of the last QUIET or two."""
         if units:
             one.wants.append((now, units))
@@ -191,7 +206,7 @@
         if need >= one.need or now - one.need_at > QUIET:
             one.need, one.need_at = min(need, one.dealt.rate), now
 
-    def _needed(self, one: Budget, now: int) -> int:
+    def _needed(self, one: QuotaBudget, now: int) -> int:
         """Wanted of late; nothing where nobody asked for QUIET."""
         return one.need if now - one.need_at <= 2 * QUIET else one.sum
 
@@ -211,10 +226,10 @@
                 self.due = min(self.due, one.ask_due)
         return self.due
 
-    def _lack(self, one: Budget, now: int) -> int:
+    def _lack(self, one: QuotaBudget, now: int) -> int:
         return self._needed(one, now) - one.state.usable(now)
 
-    def _give_back(self, one: Budget, now: int) -> None:
+    def _give_back(self, one: QuotaBudget, now: int) -> None:
         """What is not wanted any more goes back before its time; what is and ends soon is asked to go on."""
         soon = now + int(AHEAD * one.dealt.lease)
         left = one.state.usable(now) - max(one.sum, self._needed(one, now))
@@ -227,7 +242,7 @@
                 one.state, want = one.state.want(loan.units, now, number)
                 self.out.append((owner, one.name, want))
 
-    def _ask(self, one: Budget, now: int) -> None:
+    def _ask(self, one: QuotaBudget, now: int) -> None:
         """Those who told to have the most left, then whom chance names: what was told may be long past."""
         lack = self._lack(one, now)
         if lack <= 0:
@@ -251,10 +266,10 @@
             one.state, want = one.state.want(min(lack, units), now)
             self.out.append((name, one.name, want))
 
-    def asked(self, budget: str, want: Want, now: int) -> None:
+    def asked(self, budget: str, want: QuotaRequest, now: int) -> None:
         """Another asks. What we did not use in the last window and have not wanted of late may go."""
         one = self.budgets.get(budget)
-        if one is None or self.leaving or want.units <= 0 or now < self.born + self.window:
+        if one is None or self.leaving or want.units <= 0 or now < self.started_at + self.window:
             return
         life, number = one.answered.get(want.name, (0, 0))
         if (want.life, want.number) <= (life, number):  # twice, or late
@@ -271,7 +286,7 @@
             one.answered[want.name] = want.life, want.number
             self.out.append((want.name, budget, lend))
 
-    def lent(self, budget: str, lend: Lend, now: int) -> None:
+    def lent(self, budget: str, lend: Grant, now: int) -> None:
         """An answer to our asking."""
         one = self.budgets.get(budget)
         if one is None or not 0 < lend.units <= one.dealt.rate:
@@ -281,7 +296,7 @@
         if one.state.usable(now) > before:
             one.pause, one.ask_due = PAUSE, min(one.ask_due, now + PAUSE)
 
-    def returned(self, budget: str, back: Back, now: int) -> None:
+    def returned(self, budget: str, back: Release, now: int) -> None:
         one = self.budgets.get(budget)
         if one is not None:
             one.state = one.state.returned(back, now)
@@ -291,7 +306,7 @@
         one = self.budgets[budget]
         self._clear(one, now)
         state = one.state.at(now)
-        if now < self.born + state._surely():
+        if now < self.started_at + state._surely():
             return 0
         free = state.lendable - sum(loan.units for loan in state.lent)
         return max(0, min(free, state.own(now), state.usable(now) - max(one.sum, self._needed(one, now))))
@@ -304,7 +319,7 @@
         for one in self.budgets.values():
             one.state = replace(one.state, life=life, open=())
 
-    def _fallback(self, one: Budget, now: int) -> None:
+    def _fallback(self, one: QuotaBudget, now: int) -> None:
         """Nobody was heard for a lease while there are others: we go by our own part."""
         alone = bool(self.there) and now - self.heard_at > one.dealt.lease
         if alone != one.alone:
--- a/pathsaddle/fleet/quota/shared_state.py
+++ b/pathsaddle/fleet/quota/shared_state.py
@@ -9,19 +9,26 @@
 
 import msgspec
 
-from pathsaddle.control_metrics import Unmetered
-from pathsaddle.fleet.gossip.gossip import SHARES, Carry
-from pathsaddle.fleet.gossip.messages import BODY, Lent, Packet, Returned, Saying, Wanted
-from pathsaddle.fleet.quota.leases import Back, Lend, Want
-from pathsaddle.fleet.quota.quota_limiter import Dealt, Limiter
-from pathsaddle.fleet.rate_limiter import Purse
-
-SPARE = "spare"  # the topic under which each tells what it would lend
+from pathsaddle.control_metrics import NullMeter
+from pathsaddle.fleet.gossip.gossip import SHARES, Gossip
+from pathsaddle.fleet.gossip.messages import (
+    MAX_RECORD_BYTES,
+    GossipMessage,
+    GrantMessage,
+    Packet,
+    QuotaRequestMessage,
+    ReleaseMessage,
+)
+from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
+from pathsaddle.fleet.rate_limiter import RateLimiter
+
+SPARE_TOPIC = "spare"  # the topic under which each tells what it would lend
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(dict[str, int]).decode
 
 
-class Shared:
+class SharedState:
     """Fed datagrams, moments and who is there; `out` is to be sent, `notes` of the limiter to be logged."""
 
     def __init__(
@@ -30,24 +37,24 @@
         life: int,
         fleet: str,
         key: bytes,
-        purse: Purse,
+        rate_limiter: RateLimiter,
         beat: int,
-        dealt: dict[str, Dealt],
+        dealt: dict[str, QuotaConfig],
         chance: Random,
         now: int,
     ) -> None:
-        self.carry = Carry(name, life, fleet, key, purse, beat, chance, now)
-        self.limiter = Limiter(name, life, dealt, chance, now)
+        self.carry = Gossip(name, life, fleet, key, rate_limiter, beat, chance, now)
+        self.limiter = QuotaLimiter(name, life, dealt, chance, now)
         self.beat = beat
         self.told_due = now
         self.out = self.carry.out
-        self.meter = Unmetered()
+        self.meter = NullMeter()
 
-    def joined(self, name: str, life: int, address: str) -> None:
+    def on_member_joined(self, name: str, life: int, address: str) -> None:
         self.carry.joined(name, life, address)
         self._there()
 
-    def ended(self, name: str, life: int) -> None:
+    def on_member_left(self, name: str, life: int) -> None:
         self.carry.ended(name, life)
         self._there()
 
@@ -57,7 +64,7 @@
             for name in [name for name in spares if name not in self.carry.peers]:
                 del spares[name]
 
-    def claimed(self, life: int, now: int) -> None:
+    def on_new_incarnation(self, life: int, now: int) -> None:
         self.carry.claimed(life, now)
         self.limiter.claimed(life)
 
@@ -66,7 +73,7 @@
         self.limiter.leave(now)
         self.say(now)
 
-    def heard(self, data: bytes, now: int) -> None:
+    def on_datagram(self, data: bytes, now: int) -> None:
         packet = self.carry.heard(data, now)
         if packet is None:
             return
@@ -78,16 +85,18 @@
     def _hears(self, packet: Packet, now: int) -> None:
         limiter = self.limiter
         for said in packet.said:
-            if isinstance(said, Wanted):
+            if isinstance(said, QuotaRequestMessage):
                 limiter.asked(
-                    said.budget, Want(packet.name, packet.life, said.number, said.units, said.renews), now
+                    said.budget,
+                    QuotaRequest(packet.name, packet.life, said.number, said.units, said.renews),
+                    now,
                 )
-            elif isinstance(said, Returned):
-                limiter.returned(said.budget, Back(packet.name, packet.life, said.number), now)
-            elif isinstance(said, Lent):
+            elif isinstance(said, ReleaseMessage):
+                limiter.returned(said.budget, Release(packet.name, packet.life, said.number), now)
+            elif isinstance(said, GrantMessage):
                 limiter.lent(
                     said.budget,
-                    Lend(
+                    Grant(
                         packet.name,
                         packet.life,
                         packet.to,
@@ -111,10 +120,10 @@
         if now >= self.told_due and limiter.budgets:
             # Rarer among many, so that what all tell together stays the same.
             self.told_due = now + self.beat * (1 + len(self.carry.peers) // 10)
-            self.carry.put(SPARE, self._spare(now), now)
+            self.carry.put(SPARE_TOPIC, self._spare(now), now)
             for name in limiter.spares:
                 limiter.spares[name].clear()
-            for shown in self.carry.records(SPARE, now):
+            for shown in self.carry.records(SPARE_TOPIC, now):
                 try:
                     told = _decode(shown.body)
                 except msgspec.MsgspecError:
@@ -131,11 +140,11 @@
         """
         spares = {name: self.limiter.spare(name, now) for name in list(self.limiter.budgets)[:16]}
         body = _encode(spares)
-        if len(body) <= BODY:
+        if len(body) <= MAX_RECORD_BYTES:
             return body
         told: dict[str, int] = {}
         for name in sorted(spares, key=lambda name: -spares[name]):
-            if len(_encode({**told, name: spares[name]})) <= BODY:
+            if len(_encode({**told, name: spares[name]})) <= MAX_RECORD_BYTES:
                 told[name] = spares[name]
         self.carry.counts["spare untold"] = self.carry.counts.get("spare untold", 0) + len(spares) - len(told)
         return _encode(told)
@@ -145,16 +154,16 @@
         return max(now + 1, min(due, self.told_due) if self.limiter.budgets else due)
 
     def say(self, now: int) -> None:
-        """Askings and loans go at once; what the purse refuses is lost like any datagram."""
+        """Askings and loans go at once; what the rate_limiter refuses is lost like any datagram."""
         out, self.limiter.out = self.limiter.out, []
-        to: dict[str, list[Saying]] = {}
+        to: dict[str, list[GossipMessage]] = {}
         for name, budget, said in out:
             to.setdefault(name, []).append(
-                Wanted(budget, said.number, said.units, said.renews)
-                if isinstance(said, Want)
-                else Returned(budget, said.number)
-                if isinstance(said, Back)
-                else Lent(budget, said.taker_life, said.number, said.units, said.lease)
+                QuotaRequestMessage(budget, said.number, said.units, said.renews)
+                if isinstance(said, QuotaRequest)
+                else ReleaseMessage(budget, said.number)
+                if isinstance(said, Release)
+                else GrantMessage(budget, said.taker_life, said.number, said.units, said.lease)
             )
         for name, sayings in to.items():
             self.carry.send(name, sayings, now, SHARES)
@@ -187,7 +196,7 @@
                 }
             )
         others = []
-        for shown in self.carry.records(SPARE, now):
+        for shown in self.carry.records(SPARE_TOPIC, now):
             try:
                 told = _decode(shown.body)
             except msgspec.MsgspecError:
--- a/pathsaddle/fleet/rate_limiter.py
+++ b/pathsaddle/fleet/rate_limiter.py
@@ -5,11 +5,11 @@
 SECOND = 10_000
 
 
-class Purse:
+class RateLimiter:
     """Bound: in any span of a second no more than `most_bytes` and `most_datagrams` are paid for, whoever asks.
 
     Half of each stands ready at once and half comes back over a second: what any second holds can't be more than
-    both. `paying` with `spare` leaves that part of what stands ready to others: bulk must not silence answers.
+    both. `try_consume` with `spare` leaves that part of what stands ready to others: bulk must not silence answers.
     """
 
     def __init__(self, most_bytes: int, most_datagrams: int, now: int) -> None:
@@ -17,15 +17,15 @@
         self.left = [most_bytes / 2, most_datagrams / 2]
         self.at = now
 
-    def could(self, size: int, now: int, spare: float = 0.0) -> bool:
+    def can_consume(self, size: int, now: int, spare: float = 0.0) -> bool:
         """Whether it would pay."""
         for i, rate in enumerate(self.rates):
             self.left[i] = min(rate, self.left[i] + rate * max(0, now - self.at) / SECOND)
         self.at = max(self.at, now)
         return self.left[0] - size >= spare * self.rates[0] and self.left[1] - 1 >= spare * self.rates[1]
 
-    def pays(self, size: int, now: int, spare: float = 0.0) -> bool:
-        if not self.could(size, now, spare):
+    def try_consume(self, size: int, now: int, spare: float = 0.0) -> bool:
+        if not self.can_consume(size, now, spare):
             return False
         self.left[0] -= size
         self.left[1] -= 1
--- a/pathsaddle/fleet/udp_driver.py
+++ b/pathsaddle/fleet/udp_driver.py
@@ -18,13 +18,22 @@
 from random import Random
 from typing import Any, Protocol
 
-from pathsaddle.control_metrics import Purpose, Unmetered
+from pathsaddle.control_metrics import NullMeter, Purpose
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.incarnation_store import Lives, NoFolder
-from pathsaddle.fleet.membership import Change, Membership, Ways, life_of
-from pathsaddle.fleet.messages import ALIVE, CARRIED, DEAD, FORM, LEFT, MOST, STATES, Row
-from pathsaddle.fleet.quota.quota_limiter import Dealt
-from pathsaddle.fleet.quota.shared_state import Shared
+from pathsaddle.fleet.incarnation_store import IncarnationStore, IncarnationStoreError
+from pathsaddle.fleet.membership import Membership, MembershipChange, MembershipOptions, next_incarnation
+from pathsaddle.fleet.messages import (
+    ALIVE,
+    CARRIED,
+    DEAD,
+    FORM,
+    LEFT,
+    MAX_DATAGRAM_BYTES,
+    STATES,
+    MemberRecord,
+)
+from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
+from pathsaddle.fleet.quota.shared_state import SharedState
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
@@ -34,7 +43,7 @@
 AT_ONCE = 64  # datagrams read in one go before others have their turn
 TALK = 2 * SECOND  # for one who asks at the control address
 ASKERS = 8  # of them at a time
-WAKES = 8  # failures of the core's timer in a row by which the membership ends
+MAX_TIMER_FAILURES = 8  # failures of the core's timer in a row by which the membership ends
 DOUBT = SECOND  # between two log lines of faults: what comes in between is counted
 WORDS = ("members", "budgets", "control")  # that may be asked at the control address
 
@@ -43,7 +52,7 @@
     return f"{type(fault).__name__}: {fault}" if str(fault) else type(fault).__name__
 
 
-class Ground(Protocol):
+class Environment(Protocol):
     """What it takes from the machine."""
 
     clock: Clock
@@ -54,7 +63,7 @@
 
 
 @dataclass
-class Told:
+class MembershipConfig:
     """A member as its operator wants it.
 
     listen: where it takes datagrams. address: where others send them, as they reach it. control: where
@@ -68,49 +77,56 @@
     address: str
     seeds: list[str]
     control: str
-    ways: Ways
+    ways: MembershipOptions
     file: str = "the charter"
-    budgets: dict[str, Dealt] | None = None
+    budgets: dict[str, QuotaConfig] | None = None
 
 
-class Fellows:
+class MembershipDriver:
     """One process's membership. `on_change` hears of each change after it was logged."""
 
-    def __init__(self, told: Told, ground: Ground, lives: Lives, chance: Random, counters: Counters) -> None:
+    def __init__(
+        self,
+        told: MembershipConfig,
+        ground: Environment,
+        lives: IncarnationStore,
+        chance: Random,
+        counters: Counters,
+    ) -> None:
         self.told, self.ground, self.lives, self.counters = told, ground, lives, counters
         self.clock = ground.clock
-        self.on_change: list[Callable[[Change], None]] = []
+        self.on_change: list[Callable[[MembershipChange], None]] = []
         self.quiet = False  # no log line for each change, where a thousand of them share one machine
-        self.meter = Unmetered()
+        self.meter = NullMeter()
         self.control: Callable[[], dict[str, Any]] | None = (
             None  # what is told of control's cost, where it is metered
         )
         now = self.clock.now()
-        life = life_of(now // MILLISECOND, lives.last(), chance)
+        life = next_incarnation(now // MILLISECOND, lives.last(), chance)
         try:
             lives.keep(life)
         except OSError as fault:
             folder = getattr(getattr(lives, "path", None), "parent", "")  # a stand-in's disk has no path
-            raise NoFolder(
+            raise IncarnationStoreError(
                 "",
                 access(fault, folder, folder) + f", at fleet.folder in {told.file}",
                 file=told.file,
                 folder=folder,
                 why=why(fault),
             ) from None
-        me = Row(
+        me = MemberRecord(
             told.name, life, 0, ALIVE, told.address, told.zone, FORM if told.budgets is None else CARRIED
         )
         self.life = life
         self.core = Membership(me, told.ways, told.seeds, chance, now)
-        self.shared: Shared | None = None
+        self.shared: SharedState | None = None
         if told.budgets is not None:
-            self.shared = Shared(
+            self.shared = SharedState(
                 told.name,
                 life,
                 told.ways.fleet,
                 told.ways.key,
-                self.core.purse,
+                self.core.rate_limiter,
                 told.ways.beat,
                 told.budgets,
                 chance,
@@ -157,13 +173,13 @@
             self._tasks.append(self._events.create_task(self._listen(self._control)))
         self._wake()
 
-    def metered(self, meter: Unmetered, control: Callable[[], dict[str, Any]]) -> None:
+    def metered(self, meter: NullMeter, control: Callable[[], dict[str, Any]]) -> None:
         """Before `begin`: what membership and carrying cost is metered, and told at the control address."""
         self.meter, self.control = meter, control
         if self.shared is not None:
             self.shared.meter = meter
 
-    def retune(self, budgets: dict[str, Dealt]) -> None:
+    def retune(self, budgets: dict[str, QuotaConfig]) -> None:
         """Other budgets from now on (`Limiter.retune`); where none was told at the start nothing is shared."""
         if self.shared is not None and not self.ended:
             self.shared.limiter.retune(budgets, self.clock.now())
@@ -195,7 +211,7 @@
     async def _read(self) -> None:
         while not self.ended:
             try:
-                data = await self._events.sock_recv(self.sock, MOST + 1)
+                data = await self._events.sock_recv(self.sock, MAX_DATAGRAM_BYTES + 1)
             except OSError as fault:  # such as a peer's port that nobody has: told to the next call
                 if self.ended:
                     return
@@ -208,7 +224,7 @@
                 if left == 1:  # what is not heard in this turn stays with the kernel
                     break
                 try:
-                    data = self.sock.recv(MOST + 1)
+                    data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break
             try:
@@ -245,11 +261,13 @@
             self._flush()
         except Exception as fault:  # noqa: BLE001  # a defect of ours, whatever it is
             self._failed += 1
-            if self._failed >= WAKES:
+            if self._failed >= MAX_TIMER_FAILURES:
                 self._give_up(fault)
                 return
             self._fault(
-                "its timer", fault, f"it is tried again after a beat, {WAKES - self._failed} more times"
+                "its timer",
+                fault,
+                f"it is tried again after a beat, {MAX_TIMER_FAILURES - self._failed} more times",
             )
             due = self._not_before = self.clock.now() + self.told.ways.beat
         else:
@@ -299,7 +317,7 @@
                 # Told all the same: a later life that is lower is refuted by whoever remembers this one.
                 logbook.fleet_disk(why=why(fault))
             if self.shared is not None:
-                self.shared.claimed(self.life, self.clock.now())
+                self.shared.on_new_incarnation(self.life, self.clock.now())
         for change in changes:
             self._log(change)
             if self.shared is not None:
@@ -334,13 +352,13 @@
     def _stir(self) -> None:
         self._events.call_soon(self._flush)
 
-    def _there(self, shared: Shared, change: Change) -> None:
+    def _there(self, shared: SharedState, change: MembershipChange) -> None:
         """Who shares: members that are taken to be there and read this form of datagrams."""
         member = self.core.members.get(change.name)
         if change.state >= DEAD or member is None or not member.here:
-            shared.ended(change.name, change.life)
+            shared.on_member_left(change.name, change.life)
         elif member.row.form >= CARRIED:
-            shared.joined(change.name, member.row.life, member.row.address)
+            shared.on_member_joined(change.name, member.row.life, member.row.address)
 
     def _shared(self) -> list[tuple[str, bytes]]:
         """What the shared state has to say; notes are logged."""
@@ -368,7 +386,7 @@
                 self._peers[address] = None
         return self._peers[address]
 
-    def _log(self, change: Change) -> None:
+    def _log(self, change: MembershipChange) -> None:
         if self.quiet:
             return
         more: dict[str, Any] = {"member": change.name, "life": change.life, "why": change.why}
--- a/pathsaddle/jobs/job_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 from pathsaddle.jobs import state_machine
-from pathsaddle.jobs.state_machine import End, Job, Kind, Lease, Next, Record, Word
-from pathsaddle.jobs.store import Accepted, Fenced, Forget, Store, tell_done
+from pathsaddle.jobs.state_machine import End, JobRecord, JobStateMachine, Kind, Lease, Next, Word
+from pathsaddle.jobs.store import Accepted, Forget, Store, StoreFencedError, tell_done
 from pathsaddle.jobs.submitted_call import PATH, as_txn, digest, key_of, pack, unpack
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Whole
 from pathsaddle.net.service import logbook
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ways:
+class JobServiceOptions:
     """What the charter says of jobs, in ticks. ended: bytes that the ended ones may take of our memory; the others'
     are read from disk when they are asked for. open: bytes that the open ones may take, beyond which new ones are
     declined; what was accepted before stays, also over a restart.
@@ -68,7 +68,7 @@
 class Kept:
     """A job and what this process has of it."""
 
-    job: Job
+    job: JobStateMachine
     told: Accepted
     words: Words | None = None  # by which it was accepted, until it stands before the decisions
     entry: Entry | None = None
@@ -87,10 +87,10 @@
         return self.job.changes - (self.pending is not None)
 
 
-class DurableTxnService(TxnService):
-    def __init__(self, *told: Any, store: Store, ways: Ways, chance: Random) -> None:
+class JobService(TxnService):
+    def __init__(self, *told: Any, store: Store, ways: JobServiceOptions, chance: Random) -> None:
         # First of all: where the store can't be had nothing has been asked of the event loop yet.
-        self.born_with: list[tuple[Accepted, Job]] = store.open(ended=False)
+        self.born_with: list[tuple[Accepted, JobStateMachine]] = store.open(ended=False)
         super().__init__(*told)
         self.store = store
         self.ways = ways
@@ -127,12 +127,12 @@
         self.behind.remove(begun)
         self.counters.most("jobs.commit_ms_most", (self.clock.now() - begun) / MILLISECOND)
         if not done.cancelled() and (fault := done.exception()) is not None:
-            if not isinstance(fault, Fenced) and self.clock.now() >= self.ill_until:
+            if not isinstance(fault, StoreFencedError) and self.clock.now() >= self.ill_until:
                 logbook.store_ill(why=fault)
-            elif isinstance(fault, Fenced) and not self.ill_until >= 1 << 60:
+            elif isinstance(fault, StoreFencedError) and not self.ill_until >= 1 << 60:
                 logbook.store_lost(why=fault)
             self.counters.add("jobs.commit_failed")
-            self.ill_until = 1 << 60 if isinstance(fault, Fenced) else self.clock.now() + ILL
+            self.ill_until = 1 << 60 if isinstance(fault, StoreFencedError) else self.clock.now() + ILL
 
     async def _surely(self, until: int, *writes: Any) -> bool:
         """Until it is on disk, or the store is another's, or the time is up."""
@@ -140,7 +140,7 @@
             try:
                 await asyncio.shield(self._put(*writes))
                 return True
-            except Fenced:
+            except StoreFencedError:
                 return False
             except FAULTS:
                 if self.clock.now() + AGAIN >= until:
@@ -310,7 +310,7 @@
             self.counters.add("withdrawal.unanswered")
 
     @staticmethod
-    def _may_not_again(job: Job) -> bool:
+    def _may_not_again(job: JobStateMachine) -> bool:
         return job.semantics is not Semantics.REPEATABLE and bool(job.in_doubt())
 
     async def _wait_for_word(self, kept: Kept) -> None:
@@ -328,7 +328,7 @@
         if job.open:
             self._end_job(kept, End.REVERSED, 500, b"")
 
-    async def _ask(self, job: Job, lease: Lease) -> tuple[Word, bytes]:
+    async def _ask(self, job: JobStateMachine, lease: Lease) -> tuple[Word, bytes]:
         """The worker's own word on a lease; those that know none of this say 404 without a fence, or nothing."""
         try:
             async with asyncio.timeout(seconds(self.workers.connect_within)):
@@ -409,7 +409,9 @@
             txn.expires,
             pack(call),
         )
-        kept = Kept(Job(txn.tag, txn.scheme.semantics, txn.arrived, txn.expires), told, running=True)
+        kept = Kept(
+            JobStateMachine(txn.tag, txn.scheme.semantics, txn.arrived, txn.expires), told, running=True
+        )
         self._opened(kept)
         # In order before its first intent, which is waited for: it needs no wait of its own.
         self._put(told)
@@ -446,7 +448,7 @@
         inner = as_txn(call, tag)
         txn = self.words.txn(inner, self.clock.now())
         told = Accepted(tag, owner, key, what, txn.scheme.semantics, txn.arrived, txn.expires, pack(inner))
-        kept = Kept(Job(tag, txn.scheme.semantics, txn.arrived, txn.expires), told, self.words)
+        kept = Kept(JobStateMachine(tag, txn.scheme.semantics, txn.arrived, txn.expires), told, self.words)
         self.by_key[owner, key] = kept
         self._opened(kept)
         self.counters.add("jobs.submitted")
@@ -457,7 +459,7 @@
     async def _accept(self, kept: Kept, accepting: asyncio.Future[None], answer: Answer) -> None:
         try:
             await asyncio.shield(accepting)
-        except (*FAULTS, Fenced) as fault:
+        except (*FAULTS, StoreFencedError) as fault:
             # Whether it is on disk is not known for a fault in the sync: under its key it may come again.
             if self.jobs.pop(kept.job.tag, None) is not None:
                 self._no_more_open(kept)
@@ -553,11 +555,13 @@
         ran all the same is told by its last lease.
         """
         job = kept.job
-        if not await self._surely(self.clock.now() + SECOND, Record(Kind.CANCEL, job.tag, self.clock.now())):
+        if not await self._surely(
+            self.clock.now() + SECOND, JobRecord(Kind.CANCEL, job.tag, self.clock.now())
+        ):
             self._say(answer, 503, {"why": "the store can't be written"}, come_back=SECOND)
             return
         if job.open:
-            job.apply(Record(Kind.CANCEL, job.tag, self.clock.now()))
+            job.apply(JobRecord(Kind.CANCEL, job.tag, self.clock.now()))
             entry = kept.entry
             if entry is not None and not entry.txn.closed:
                 for exchange in entry.exchanges:
@@ -597,7 +601,7 @@
         self.counters.add("jobs.read_back")
         try:
             found = self.store.ended(tag)
-        except state_machine.Impossible as fault:
+        except state_machine.InvalidTransitionError as fault:
             logbook.job_set_aside(what=str(fault))
             return None
         except FAULTS as fault:
@@ -656,7 +660,7 @@
             self._end(exchange, Outcome.MOOT)
             return
         job = kept.job
-        record = Record(Kind.INTENT, job.tag, self.clock.now(), job.next_number, posting.worker.tag)
+        record = JobRecord(Kind.INTENT, job.tag, self.clock.now(), job.next_number, posting.worker.tag)
         job.apply(record)
         lease = job.leases[-1]
         if not await self._surely(posting.sent + exchange.within - MILLISECOND, record):
@@ -687,8 +691,8 @@
                 self._clear(kept.job, lease)
         super()._end(exchange, outcome, report, result)
 
-    def _clear(self, job: Job, lease: Lease) -> None:
-        record = Record(Kind.CLEAR, job.tag, number=lease.number)
+    def _clear(self, job: JobStateMachine, lease: Lease) -> None:
+        record = JobRecord(Kind.CLEAR, job.tag, number=lease.number)
         job.apply(record)
         self._put(record)
 
@@ -813,7 +817,7 @@
         job = kept.job
         if not job.open:
             return None
-        record = Record(Kind.FINAL, job.tag, self.clock.now(), end=end, status=status, result=body)
+        record = JobRecord(Kind.FINAL, job.tag, self.clock.now(), end=end, status=status, result=body)
         job.apply(record)
         kept.pending = self.commit = self._events.create_future()
         if kept.running:
@@ -828,7 +832,7 @@
         return kept.pending
 
     async def _ending(
-        self, kept: Kept, record: Record, pending: asyncio.Future[None], tell: Callable[[bool], None]
+        self, kept: Kept, record: JobRecord, pending: asyncio.Future[None], tell: Callable[[bool], None]
     ) -> None:
         """A caller that waits is told that nothing is known where its expiry comes before the disk is done."""
         told = False
@@ -844,7 +848,7 @@
             try:
                 await put
                 break
-            except Fenced as fault:
+            except StoreFencedError as fault:
                 if not told:
                     tell(False)
                 tell_done(pending, fault)
--- a/pathsaddle/jobs/model_checker.py
+++ b/pathsaddle/jobs/model_checker.py
@@ -20,7 +20,15 @@
 from typing import NamedTuple
 
 from pathsaddle.jobs import state_machine
-from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Next, Record, Word
+from pathsaddle.jobs.state_machine import (
+    End,
+    InvalidTransitionError,
+    JobRecord,
+    JobStateMachine,
+    Kind,
+    Next,
+    Word,
+)
 from pathsaddle.trade import Semantics
 
 LEASES = 2  # a job at the most
@@ -89,16 +97,16 @@
             crashes,
         )
 
-    def job(self, records: tuple[Rec, ...], number: int) -> Job | None:
+    def job(self, records: tuple[Rec, ...], number: int) -> JobStateMachine | None:
         """The job as its records tell it, by `life`'s own steps; none: not accepted."""
-        made: Job | None = None
+        made: JobStateMachine | None = None
         for rec in records:
             if rec.job != number:
                 continue
             if rec.kind is Kind.ACCEPT:
-                made = Job(str(number), self.kinds[number], 0, EXPIRES)
+                made = JobStateMachine(str(number), self.kinds[number], 0, EXPIRES)
             elif made is not None:
-                made.apply(Record(rec.kind, made.tag, 0, rec.number, str(rec.worker), rec.end))
+                made.apply(JobRecord(rec.kind, made.tag, 0, rec.number, str(rec.worker), rec.end))
         return made
 
     def next(self, state: State) -> Iterator[tuple[str, State]]:
@@ -148,7 +156,7 @@
                     rec = Rec(Kind.INTENT, number, job.next_number, worker)
                     try:  # the program asks `life` before it writes
                         self.job((*all_records, rec), number)
-                    except Impossible:
+                    except InvalidTransitionError:
                         continue
                     yield f"intent {number} at {worker}", self._write(state, rec)
             for rec in state.disk:  # on disk first, then the bytes
@@ -283,7 +291,7 @@
                     known[other] = (state, name)
                     try:
                         self.check(other)
-                    except (Broken, Impossible) as fault:
+                    except (Broken, InvalidTransitionError) as fault:
                         raise Broken(f"{fault}\n" + "\n".join(self._steps(known, other))) from None
                     following.append(other)
             edge = following
--- a/pathsaddle/jobs/state_machine.py
+++ b/pathsaddle/jobs/state_machine.py
@@ -40,7 +40,7 @@
     CANCELLED = "cancelled"
 
 
-class Impossible(ValueError):
+class InvalidTransitionError(ValueError):
     """A record that can't follow the ones before it."""
 
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class JobRecord:
     """One step as it stands on disk."""
 
     kind: Kind
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class JobStateMachine:
     """A job as its records tell it."""
 
     tag: str
@@ -90,7 +90,7 @@
         """The leases that may have run, the last first."""
         return [lease for lease in reversed(self.leases) if not lease.never_ran]
 
-    def apply(self, record: Record) -> None:
+    def apply(self, record: JobRecord) -> None:
         """Raises Impossible where the record can't follow; replaying a store and living use the same."""
         if record.kind is Kind.CLEAR:
             for lease in self.leases:
@@ -98,13 +98,17 @@
                     lease.never_ran = True
             return
         if not self.open:
-            raise Impossible(f"{self.tag}: {record.kind.value} after its end")
+            raise InvalidTransitionError(f"{self.tag}: {record.kind.value} after its end")
         if record.kind is Kind.INTENT:
             # They only grow; one whose intent the disk refused was never sent, and leaves a gap.
             if record.number < self.next_number:
-                raise Impossible(f"{self.tag}: lease {record.number} where {self.next_number} is next")
+                raise InvalidTransitionError(
+                    f"{self.tag}: lease {record.number} where {self.next_number} is next"
+                )
             if self.semantics is Semantics.ONCE_ONLY and self.in_doubt():
-                raise Impossible(f"{self.tag}: once-only, and lease {self.in_doubt()[0].number} may have run")
+                raise InvalidTransitionError(
+                    f"{self.tag}: once-only, and lease {self.in_doubt()[0].number} may have run"
+                )
             self.leases.append(Lease(record.number, record.worker, record.at))
         elif record.kind is Kind.CANCEL:
             self.cancel = True
--- a/pathsaddle/jobs/store.py
+++ b/pathsaddle/jobs/store.py
@@ -23,7 +23,7 @@
 from typing import IO, Any, Protocol
 
 from pathsaddle.errors import Error, access, why
-from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Record
+from pathsaddle.jobs.state_machine import End, InvalidTransitionError, JobRecord, JobStateMachine, Kind
 from pathsaddle.trade import Semantics
 
 VERSION = 2
@@ -47,65 +47,67 @@
 }
 
 
-class Fenced(Exception):
+class StoreFencedError(Exception):
     """Another process has the store now: nothing of ours is written any more."""
 
 
-class Unusable(Error):
+class StoreUnusableError(Error):
     """The store can't be opened. `path`: its file."""
 
     name = "store.unusable"
     what = "{path}: can't be used: {why}"
 
 
-class InUse(Unusable):
+class InUse(StoreUnusableError):
     name = "store.in-use"
     what = "{path}: another process has it open"
     do = "end that process (`fuser {path}.lock` names it), or give each dispatcher a file of its own at jobs.path"
 
 
-class NoFile(Unusable):
+class NoFile(StoreUnusableError):
     name = "store.no-file"
     what = "{path}: no such file"
     do = "say the file that stands at jobs.path in the dispatcher's charter instead of {path}"
 
 
-class NoDatabase(Unusable):
+class NoDatabase(StoreUnusableError):
     name = "store.no-database"
     what = "{path}: is no store of jobs: {why}"
     do = "say another file, or put a backup in its place with `pathsaddle jobs restore COPY {path}`"
 
 
-class Newer(Unusable):
+class Newer(StoreUnusableError):
     name = "store.newer"
     what = "{path}: its schema {version} is newer than this program's, {known}"
     do = "run the release that wrote {path}, or one after it"
 
 
-class NoJob(Unusable):
+class JobNotFoundError(StoreUnusableError):
     name = "store.no-job"
     what = "{path}: holds no job {job}"
     do = "look at `pathsaddle jobs list {path}`: an ended job is let go after jobs.retention"
 
 
-def unusable(path: Path, fault: Exception) -> Unusable:
+def unusable(path: Path, fault: Exception) -> StoreUnusableError:
     """What the kernel's or SQLite's word means for who owns the file."""
-    if isinstance(fault, Unusable):
+    if isinstance(fault, StoreUnusableError):
         return fault
     if isinstance(fault, OSError):
-        return Unusable("", access(fault, path, path.parent), path=path, why=why(fault))
+        return StoreUnusableError("", access(fault, path, path.parent), path=path, why=why(fault))
     code = getattr(fault, "sqlite_errorname", "") or ""
     if code.startswith(("SQLITE_NOTADB", "SQLITE_CORRUPT")) or "no such table" in str(fault):
         return NoDatabase(path=path, why=why(fault))
     if path.is_dir():
-        return Unusable("", f"name a file instead of the folder {path}", path=path, why="it is a folder")
+        return StoreUnusableError(
+            "", f"name a file instead of the folder {path}", path=path, why="it is a folder"
+        )
     if code.startswith(("SQLITE_BUSY", "SQLITE_LOCKED")):
         return InUse(path=path)
     if code.startswith("SQLITE_READONLY"):
-        return Unusable(
+        return StoreUnusableError(
             "", f"let the user who runs this write {path} and in {path.parent}", path=path, why=why(fault)
         )
-    return Unusable(
+    return StoreUnusableError(
         "",
         f"see that {path.parent} is there, has room, and can be written by the user who runs this",
         path=path,
@@ -142,10 +144,10 @@
     before: int
 
 
-Write = Accepted | Record | Forget
+Write = Accepted | JobRecord | Forget
 
 
-def final_sum(record: Record) -> int:
+def final_sum(record: JobRecord) -> int:
     assert record.end is not None
     return zlib.crc32(
         record.result, zlib.crc32(f"{record.job}\0{record.end.value}\0{record.status}".encode())
@@ -185,7 +187,7 @@
         if len(group) == 1:
             return [fault]
         return [commit_all(commit, [one])[0] for one in group]
-    except (sqlite3.Error, OSError, Fenced) as fault:
+    except (sqlite3.Error, OSError, StoreFencedError) as fault:
         return [fault] * len(group)
 
 
@@ -300,7 +302,7 @@
         self._db: sqlite3.Connection | None = None
         self._reader: sqlite3.Connection | None = None  # its reads wait for no commit
 
-    def open(self, ended: bool = True) -> list[tuple[Accepted, Job]]:
+    def open(self, ended: bool = True) -> list[tuple[Accepted, JobStateMachine]]:
         """Takes the store over and reads the jobs in it, those that have ended only if `ended`; raises Unusable."""
         try:
             if self.lock:
@@ -333,7 +335,7 @@
         """Done once they are on disk; fails with sqlite3.Error, OSError, or Fenced for good."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.fenced:
-            tell_done(done, Fenced(str(self.path)))
+            tell_done(done, StoreFencedError(str(self.path)))
         else:
             self.writer.put(list(writes), done)
         return done
@@ -345,7 +347,7 @@
             db.execute("BEGIN IMMEDIATE")
             if db.execute("SELECT value FROM meta WHERE key = 'epoch'").fetchone()[0] != self.epoch:
                 self.fenced = True
-                raise Fenced(f"{self.path}: another process has taken it over")
+                raise StoreFencedError(f"{self.path}: another process has taken it over")
             for write in writes:
                 _write(db, write)
             db.execute("COMMIT")
@@ -359,7 +361,7 @@
     # One job at a time, from the thread that `open` was called in: some page reads, no wait for a commit. What is not
     # committed yet is not seen. All raise sqlite3.Error where the file can't be read.
 
-    def ended(self, job: str) -> tuple[Accepted, Job] | None:
+    def ended(self, job: str) -> tuple[Accepted, JobStateMachine] | None:
         """A job whose end is on disk. Raises Impossible where its rows are not what was written."""
         db = self._reader
         assert db is not None
@@ -374,7 +376,7 @@
         try:
             return None if row is None or final is None else made(row, leases, cancel, final[1:])
         except (KeyError, ValueError, TypeError) as fault:
-            raise Impossible(f"{job}: {fault}") from None
+            raise InvalidTransitionError(f"{job}: {fault}") from None
 
     def under(self, owner: str, key: str) -> str | None:
         """The job that was handed in so."""
@@ -463,31 +465,35 @@
 Rows = tuple[Any, ...]
 
 
-def made(row: Rows, leases: Iterable[Rows], cancel: Rows | None, final: Rows | None) -> tuple[Accepted, Job]:
+def made(
+    row: Rows, leases: Iterable[Rows], cancel: Rows | None, final: Rows | None
+) -> tuple[Accepted, JobStateMachine]:
     """A job as its rows tell; raises Impossible, KeyError, ValueError, TypeError where they can't be what was
     written.
     """
     tag = str(row[0])
     told = Accepted(tag, row[1], row[2], row[3], Semantics[row[4]], row[5], row[6], row[7])
     if told.sum != row[8]:
-        raise Impossible("its sum is off")
-    job = Job(tag, told.semantics, told.accepted, told.expires)
+        raise InvalidTransitionError("its sum is off")
+    job = JobStateMachine(tag, told.semantics, told.accepted, told.expires)
     job.changes = int(told.key is not None)  # its client was told that it is taken on
     for _, number, worker, at, never_ran in leases:
-        job.apply(Record(Kind.INTENT, tag, at, number, worker))
+        job.apply(JobRecord(Kind.INTENT, tag, at, number, worker))
         job.leases[-1].never_ran = bool(never_ran)
     if cancel is not None:
-        job.apply(Record(Kind.CANCEL, tag, cancel[0]))
+        job.apply(JobRecord(Kind.CANCEL, tag, cancel[0]))
     if final is not None:
         kind, status, at, result, sum_ = final
-        record = Record(Kind.FINAL, tag, at, end=End(kind), status=status, result=result)
+        record = JobRecord(Kind.FINAL, tag, at, end=End(kind), status=status, result=result)
         if final_sum(record) != sum_:
-            raise Impossible("its final answer's sum is off")
+            raise InvalidTransitionError("its final answer's sum is off")
         job.apply(record)
     return told, job
 
 
-def load(db: sqlite3.Connection, ended: bool = True) -> tuple[list[tuple[Accepted, Job]], list[str]]:
+def load(
+    db: sqlite3.Connection, ended: bool = True
+) -> tuple[list[tuple[Accepted, JobStateMachine]], list[str]]:
     """All jobs as their records tell, those that have ended only if `ended`, and those whose rows are not what was
     written or contradict each other.
     """
@@ -502,7 +508,7 @@
         tag = str(row[0])
         try:
             found.append(made(row, leases.get(tag, ()), cancels.get(tag), finals.get(tag)))
-        except (Impossible, KeyError, ValueError, TypeError) as fault:
+        except (InvalidTransitionError, KeyError, ValueError, TypeError) as fault:
             bad.append(f"{tag}: {fault}")
     return found, bad
 
@@ -552,7 +558,7 @@
         raise unusable(to if isinstance(fault, OSError) else path, fault) from None
 
 
-def rows(path: Path) -> Iterable[tuple[Accepted, Job]]:
+def rows(path: Path) -> Iterable[tuple[Accepted, JobStateMachine]]:
     """What a store holds, read only."""
     if not path.exists():
         raise NoFile(path=path)
--- a/pathsaddle/leased_versions.py
+++ b/pathsaddle/leased_versions.py
@@ -19,7 +19,7 @@
 by the end of leases: each member of that region has to say so, and keeps what it said on disk, synced before.
 
 A spec is whatever says what `Text` does: the federation's (`federation/spec.py`), where alone means home alone,
-and the rows of `settings/terms.py`, where it means all that they allow. No I/O; ticks of a monotonic clock of
+and the rows of `settings/active_terms.py`, where it means all that they allow. No I/O; ticks of a monotonic clock of
 each.
 """
 
@@ -31,21 +31,21 @@
 from typing import TYPE_CHECKING, Any, Generic, Protocol, Self
 
 from pathsaddle.federation.spec import Rule, Spec
-from pathsaddle.fleet.quota.leases import DRIFT
+from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT
 
 LEASE = 100_000  # ticks
 NEVER = -1 << 60
 MOST_OPEN = 8  # askings that may still be answered
 
 
-def surely(lease: int) -> int:
+def certain_lease_end(lease: int) -> int:
     """A lease's length by a clock that may be fast: over by then for certain."""
-    return -int(-lease * (1 + DRIFT) // 1) + 1
+    return -int(-lease * (1 + MAX_CLOCK_DRIFT) // 1) + 1
 
 
 def maybe(lease: int) -> int:
     """And by one that may be slow: not over until then for certain."""
-    return int(lease * (1 - 2 * DRIFT)) - 1
+    return int(lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
 
 class Text(Protocol):
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Commit:
+class CommitNotice:
     """The register has this number with this digest, or a higher one."""
 
     number: int
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True)
-class Have:
+class AppliedAck:
     """`name` goes by this number, and knows that it is committed."""
 
     name: str
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class SyncRequest:
     """Asks what is committed. echo: grows with each asking of a life."""
 
     name: str
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class Renewed:
+class LeaseRenewal:
     """What the register had after that asking came."""
 
     name: str
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True)
-class Holder(Generic[T]):
+class VersionSubscriber(Generic[T]):
     """What one member knows; never changed, only replaced.
 
     base: the highest committed version whose text it has. known: (number, digest) of the highest committed.
@@ -147,13 +147,13 @@
     echo: int = 0
     open: tuple[tuple[int, int], ...] = ()
 
-    def asks(self, now: int) -> tuple[Holder[T], Ask]:
+    def asks(self, now: int) -> tuple[VersionSubscriber[T], SyncRequest]:
         echo = self.echo + 1
-        return replace(self, echo=echo, open=(*self.open, (echo, now))[-MOST_OPEN:]), Ask(
+        return replace(self, echo=echo, open=(*self.open, (echo, now))[-MOST_OPEN:]), SyncRequest(
             self.name, self.life, echo
         )
 
-    def offered(self, version: Version[T]) -> Holder[T]:
+    def offered(self, version: Version[T]) -> VersionSubscriber[T]:
         """Binds at once as far as it narrows; is kept until a commit settles its number."""
         if (version.number, version.digest) == self.known:  # settled already: it is the one committed
             return self if version == self.base else replace(self, base=version)
@@ -161,7 +161,7 @@
             return self
         return replace(self, offers=(*self.offers, version))
 
-    def committed(self, number: int, digest: str) -> Holder[T]:
+    def committed(self, number: int, digest: str) -> VersionSubscriber[T]:
         # The same number with another digest: what this member was started with is not what was committed.
         if number < self.known[0] or (number, digest) == self.known:
             return self
@@ -173,7 +173,7 @@
             offers=tuple(one for one in self.offers if one.number > number),
         )
 
-    def caught_up(self, version: Version[T]) -> Holder[T]:
+    def caught_up(self, version: Version[T]) -> VersionSubscriber[T]:
         """A version that is surely committed, perhaps below the highest known: on the way to that one. Keep it on disk,
         synced, before any word of it.
         """
@@ -183,17 +183,17 @@
             return self.offered(version).committed(version.number, version.digest)
         return replace(self, base=version)
 
-    def told(self, commit: Commit) -> tuple[Holder[T], Have | None]:
+    def told(self, commit: CommitNotice) -> tuple[VersionSubscriber[T], AppliedAck | None]:
         """Keep what it returns on disk, synced, before the word is sent."""
         after = self.committed(commit.number, commit.digest)
         return after, after.has()
 
-    def has(self) -> Have | None:
+    def has(self) -> AppliedAck | None:
         if (self.base.number, self.base.digest) != self.known:
             return None
-        return Have(self.name, *self.known)
+        return AppliedAck(self.name, *self.known)
 
-    def renewed(self, told: Renewed, now: int) -> Holder[T]:
+    def renewed(self, told: LeaseRenewal, now: int) -> VersionSubscriber[T]:
         asked = dict(self.open).get(told.echo)
         if asked is None or (told.name, told.life) != (self.name, self.life) or told.number < self.known[0]:
             return self
@@ -226,19 +226,19 @@
             found = found.narrowed(right(offer.spec))
         return found
 
-    def rule(self: Holder[Spec], scheme: str, now: int) -> Rule:
+    def rule(self: VersionSubscriber[Spec], scheme: str, now: int) -> Rule:
         """The narrowest of what is known; home alone without a lease."""
         rule = self.narrowest(lambda spec: spec.rule(scheme, self.here))
         return rule if self.leased(now) else rule.alone()
 
 
-def holder(name: str, here: str, life: int, lease: int, version: Version[T]) -> Holder[T]:
+def new_subscriber(name: str, here: str, life: int, lease: int, version: Version[T]) -> VersionSubscriber[T]:
     """A life begins with the version that its disk has: any committed one."""
-    return Holder(name, here, life, lease, version, (version.number, version.digest))
+    return VersionSubscriber(name, here, life, lease, version, (version.number, version.digest))
 
 
 @dataclass(frozen=True)
-class Keeper(Generic[T]):
+class VersionServer(Generic[T]):
     """Reads the register for others and tells what is in force; holds no right that another keeper lacks.
 
     history: the texts of committed versions that it knows. since: when it learnt of the highest. rows:
@@ -260,7 +260,7 @@
     cleared: int = 0
     learnt: tuple[tuple[int, int], ...] = field(default=(), compare=False)  # `judged_each` alone goes by it
 
-    def reads(self, number: int, digest: str, version: Version[T] | None, now: int) -> Keeper[T]:
+    def reads(self, number: int, digest: str, version: Version[T] | None, now: int) -> VersionServer[T]:
         """What the register has now, with the text where it is at hand."""
         history = self.history
         if (
@@ -275,11 +275,11 @@
             )
         return replace(self, history=history) if history is not self.history else self
 
-    def answers(self, ask: Ask) -> Renewed:
+    def answers(self, ask: SyncRequest) -> LeaseRenewal:
         """After a reading of the register that began after the asking came."""
-        return Renewed(ask.name, ask.life, ask.echo, *self.known)
+        return LeaseRenewal(ask.name, ask.life, ask.echo, *self.known)
 
-    def hears(self, have: Have) -> Keeper[T]:
+    def hears(self, have: AppliedAck) -> VersionServer[T]:
         if (have.number, have.digest) != self.known and not any(
             (one.number, one.digest) == (have.number, have.digest) for one in self.history
         ):
@@ -298,7 +298,7 @@
         if not self.history or (self.history[-1].number, self.history[-1].digest) != self.known:
             return ("?",)
         whole = [one.number for one in self.history] == list(range(self.begins, number + 1))
-        over = now >= self.since + surely(self.lease)
+        over = now >= self.since + certain_lease_end(self.lease)
         if not whole:
             return ("?",)
         told = dict(self.rows)
@@ -316,12 +316,12 @@
                 late.append(name)
         return tuple(late)
 
-    def judged(self, now: int) -> Keeper[T]:
+    def judged(self, now: int) -> VersionServer[T]:
         if self.force < self.known[0] and not self.waits_for(now):
             return replace(self, force=self.known[0])
         return self
 
-    def judged_each(self, now: int, memo: dict[tuple[int, str], int]) -> Keeper[T]:
+    def judged_each(self, now: int, memo: dict[tuple[int, str], int]) -> VersionServer[T]:
         """As `judged`, but of every version: where commits follow one another closely the highest is never had by all.
         What makes the highest in force makes any: its number was committed before `learnt`, and who has a higher one goes
         by what was committed later. memo: kept by the caller for one line of versions, where a number's text and all
@@ -330,7 +330,9 @@
         if not self.history or self.history[-1].number - self.begins + 1 != len(self.history):
             return self
         top, told = self.history[-1].number, dict(self.rows)
-        over = max((number for number, at in self.learnt if now >= at + surely(self.lease)), default=0)
+        over = max(
+            (number for number, at in self.learnt if now >= at + certain_lease_end(self.lease)), default=0
+        )
         first: dict[str, tuple[int, str]] = {}
         last: object = None
         for one in self.history:
@@ -362,7 +364,7 @@
                 return replace(self, force=self.history[i].number)
         return self
 
-    def cut(self, most: int) -> Keeper[T]:
+    def cut(self, most: int) -> VersionServer[T]:
         """Without what is below the version in force, and of the rest the latest `most`.
 
         Sound only where `withdrawn` is the complement of an order, so transitive (the federation's is not: home alone
@@ -396,7 +398,7 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class VersionChange:
     """region: which is allowed no more, or newly; empty where another right of the scheme differs. key:
     which.
     """
@@ -407,7 +409,7 @@
     tightens: bool
 
 
-def compared(old: Spec, new: Spec) -> list[Change]:
+def compare_versions(old: Spec, new: Spec) -> list[VersionChange]:
     """All that `new` takes away or gives, in the order of schemes and regions. Order of failing over,
     home and copies are no
     rights: they change with the commit, like a loosening.
@@ -418,23 +420,28 @@
             # Outside a spec it stays where it was taken: with it each region but its own is given or taken.
             inside = (new if name in new.schemes else old).rule(name, "")
             found += [
-                Change(name, region, "scheme", name not in new.schemes) for region in sorted(inside.may)
+                VersionChange(name, region, "scheme", name not in new.schemes)
+                for region in sorted(inside.may)
             ]
             found += [
-                Change(name, region, "scheme", name in new.schemes)
+                VersionChange(name, region, "scheme", name in new.schemes)
                 for region in sorted(new.regions)
                 if region not in inside.may
             ]
             continue
         one, two = old.rule(name, ""), new.rule(name, "")
-        found += [Change(name, region, "may", region in one.may) for region in sorted(one.may ^ two.may)]
-        found += [Change(name, "", f"when.{word}", word in one.when) for word in sorted(one.when ^ two.when)]
+        found += [
+            VersionChange(name, region, "may", region in one.may) for region in sorted(one.may ^ two.may)
+        ]
+        found += [
+            VersionChange(name, "", f"when.{word}", word in one.when) for word in sorted(one.when ^ two.when)
+        ]
         if one.at_most != two.at_most:
-            found.append(Change(name, "", "at_most", two.at_most < one.at_most))
+            found.append(VersionChange(name, "", "at_most", two.at_most < one.at_most))
         if one.staleness != two.staleness:
             far = 1 << 60
             found.append(
-                Change(
+                VersionChange(
                     name,
                     "",
                     "staleness",
@@ -444,7 +451,7 @@
             )
     for name in sorted({**old.data, **new.data}):
         found += [
-            Change(f"data.{name}", region, "may", region in old.readable(name))
+            VersionChange(f"data.{name}", region, "may", region in old.readable(name))
             for region in sorted(old.readable(name) ^ new.readable(name))
         ]
     return found
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -201,7 +201,7 @@
 
     def retune(self, terms: Terms, words: Words) -> None:
         """Other terms from the next call on, between two events; no txn that is open is touched. Raises nothing: what
-        could be amiss was found before (`charter/service.py`).
+        could be amiss was found before (`config/reload.py`).
         """
         self._at()
         self.words, self.dropped_stay_open = words, terms.dropped_stay_open
--- a/pathsaddle/placement/__main__.py
+++ b/pathsaddle/placement/__main__.py
@@ -21,14 +21,14 @@
 
 from pathsaddle.emulator.events import Event
 from pathsaddle.errors import Error
-from pathsaddle.placement.errors import Refused, Unusable
+from pathsaddle.placement.errors import PlanRejectedError, Unusable
 from pathsaddle.placement.files import read
 from pathsaddle.placement.inventory import State, Unit
 from pathsaddle.placement.ledger import File, Memory, made
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import Plan, plan_of
 from pathsaddle.placement.problem import Counts, Problem
-from pathsaddle.placement.rollout import Order, Walk
+from pathsaddle.placement.rollout import Rollout, RolloutStep
 from pathsaddle.trade import SECOND
 
 LOOK = 0.1  # seconds between looks at the ledger
@@ -100,7 +100,7 @@
 def plan(file: Path, seconds: float, as_json: bool, ledger: Path | None) -> None:
     """The plan for the inventory in FILE (also without the word `plan`)."""
     inventory = read(file)
-    kept = made(ledger, inventory, ticks) if ledger is not None else Memory(Book(inventory))
+    kept = made(ledger, inventory, ticks) if ledger is not None else Memory(PlacementState(inventory))
     book = kept.do("take", kept.read().number + 1)
     found = plan_of(book.inventory, book.number, book.plan, lambda problem: chosen(problem, seconds))
     kept.do("replaced", found)
@@ -193,9 +193,9 @@
     """Under one number, to the end. may: asked just before each change. Raises Ended, Lost."""
     try:
         book = kept.do("take", number)
-    except Refused as why:
+    except PlanRejectedError as why:
         raise Ended(str(why)) from None
-    walker = Walk(number, int(lease * SECOND))
+    walker = Rollout(number, int(lease * SECOND))
     tell("planner", number=number)
     ordered: dict[tuple[str, str, str], int] = {}
     while not ended.is_set():
@@ -222,7 +222,7 @@
     """The voters' lease on the key is over: nothing more under this number. Steers `walk` alone."""
 
 
-def said(order: Order, walker: Walk, tell: Tell, ordered: dict[tuple[str, str, str], int]) -> None:
+def said(order: RolloutStep, walker: Rollout, tell: Tell, ordered: dict[tuple[str, str, str], int]) -> None:
     """To those who install: again each AGAIN seconds until it is done, and harmless then."""
     key, now = (order.does, order.unit, order.bay), steady()
     if key not in ordered or now >= ordered[key] + AGAIN * SECOND:
@@ -232,12 +232,12 @@
 
 def round_(
     kept: File,
-    walker: Walk,
+    walker: Rollout,
     tell: Tell,
     ordered: dict[tuple[str, str, str], int],
     seconds: float,
     may: Callable[[], bool],
-) -> list[Order]:
+) -> list[RolloutStep]:
     """One look, and all that is due by it. Raises Ended, Lost, Unusable."""
     book = kept.read()
     orders = walker.due(book, steady())
@@ -270,7 +270,7 @@
             raise Lost
         try:
             after = kept.do(*words)
-        except Refused as why:
+        except PlanRejectedError as why:
             if why.why != "budget":
                 tell("refused", does=order.does, why=why.why, unit=order.unit, number=walker.number)
             if why.why == "number":
--- a/pathsaddle/placement/audit_events.py
+++ b/pathsaddle/placement/audit_events.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from typing import Any
 
-from pathsaddle.placement.errors import Refused
+from pathsaddle.placement.errors import PlanRejectedError
 from pathsaddle.placement.inventory import Island, State, Unit
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import PLACE, done
 
 Row = tuple[str, dict[str, Any]]
@@ -31,7 +31,7 @@
     }
 
 
-def opening(book: Book) -> list[Row]:
+def opening(book: PlacementState) -> list[Row]:
     """All that stands there at first."""
     rows = [limits(island) for island in book.inventory.islands]
     rows += [("cold.budget", {"units": book.inventory.cold})]
@@ -50,7 +50,7 @@
     return Unit(unit.name, unit.kind, State.HERE)
 
 
-def _needs(book: Book, unit: Unit) -> Row:
+def _needs(book: PlacementState, unit: Unit) -> Row:
     kind = book.inventory.kind[unit.kind]
     return "unit.needs", {
         "unit": unit.name,
@@ -62,7 +62,7 @@
     }
 
 
-def _moved(book: Book, was: Unit, unit: Unit, **more: Any) -> list[Row]:
+def _moved(book: PlacementState, was: Unit, unit: Unit, **more: Any) -> list[Row]:
     """The rows of one unit's change."""
     rows: list[Row] = []
     named = {"unit": unit.name}
@@ -104,7 +104,7 @@
     return rows
 
 
-def told(does: str, words: tuple[Any, ...], before: Book, after: Book) -> list[Row]:
+def told(does: str, words: tuple[Any, ...], before: PlacementState, after: PlacementState) -> list[Row]:
     """From before a change to after it."""
     rows: list[Row] = []
     if does == "take":
@@ -193,7 +193,7 @@
     return rows
 
 
-def refused(does: str, words: tuple[Any, ...], before: Book, why: Refused) -> list[Row]:
+def refused(does: str, words: tuple[Any, ...], before: PlacementState, why: PlanRejectedError) -> list[Row]:
     """What a planner asked for and did not get: nothing was changed."""
     rows: list[Row] = [("refused", {"does": does, "why": why.why, "more": str(why)})]
     if (
--- a/pathsaddle/placement/errors.py
+++ b/pathsaddle/placement/errors.py
@@ -5,40 +5,40 @@
 from pathsaddle.errors import Error
 
 
-class PlacementFault(Error):
+class PlacementError(Error):
     """Any of placement's."""
 
 
-class Unreadable(PlacementFault):
+class Unreadable(PlacementError):
     name = "placement.unreadable"
     what = "{file}: can't be read: {why}"
 
 
-class NoToml(PlacementFault):
+class NoToml(PlacementError):
     name = "placement.no-toml"
     what = "{file}: is not TOML: {why}"
     do = "mend that place of {file}; docs/placement.md shows the form"
 
 
-class Key(PlacementFault):
+class Key(PlacementError):
     """a key of an inventory, or of a plan to emulate, is none or has a value of another kind"""
 
     name = "placement.key"
 
 
-class Untrue(PlacementFault):
+class Untrue(PlacementError):
     """the inventory contradicts itself, or breaks a rule that never breaks"""
 
     name = "placement.untrue"
 
 
-class Unusable(PlacementFault):
+class Unusable(PlacementError):
     """a ledger is not there, or can't be used: held by another, another program's, on a full disk"""
 
     name = "placement.ledger"
 
 
-class Refused(Exception):
+class PlanRejectedError(Exception):
     """A change that the ledger did not make; nothing was changed. It steers our own code and never leaves it.
 
     why: `number` (a later planner has begun), `base` (what the change was reckoned on is no longer so),
--- a/pathsaddle/placement/files.py
+++ b/pathsaddle/placement/files.py
@@ -13,7 +13,7 @@
 
 from pathsaddle.errors import access, why
 from pathsaddle.placement.errors import Key, NoToml, Unreadable, Untrue
-from pathsaddle.placement.invariants import broken
+from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, State, Target, Unit
 
 
@@ -212,6 +212,6 @@
         tuple(Target(row.kind, row.width) for row in file.targets),
         cold=file.cold,
     )
-    for name, what in broken(inventory):
+    for name, what in violations(inventory):
         raise Untrue(f"{where}: {name}: {what}", MENDS[name].format(where))
     return inventory
--- a/pathsaddle/placement/invariants.py
+++ b/pathsaddle/placement/invariants.py
@@ -10,7 +10,7 @@
 from pathsaddle.placement.inventory import HOLDS, Inventory, State
 
 
-def broken(inventory: Inventory) -> list[tuple[str, str]]:
+def violations(inventory: Inventory) -> list[tuple[str, str]]:
     """(name of the rule, what breaks it); none: all hold."""
     found = []
     held: dict[str, str] = {}
--- a/pathsaddle/placement/ledger.py
+++ b/pathsaddle/placement/ledger.py
@@ -17,11 +17,11 @@
 
 from pathsaddle.errors import why
 from pathsaddle.placement.audit_events import KEEPER, opening, refused, told
-from pathsaddle.placement.errors import Refused, Untrue, Unusable
+from pathsaddle.placement.errors import PlanRejectedError, Untrue, Unusable
 from pathsaddle.placement.files import MENDS
-from pathsaddle.placement.invariants import broken
+from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, Target, Unit
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import Plan
 
 VERSION = 1
@@ -45,10 +45,10 @@
 class Ledger(Protocol):
     """Where the book is kept. All that a walk needs of it."""
 
-    def read(self) -> Book:
+    def read(self) -> PlacementState:
         """As it stands, surely committed."""
 
-    def do(self, does: str, *words: Any) -> Book:
+    def do(self, does: str, *words: Any) -> PlacementState:
         """A change by its name in Book. Returns what came of it; raises Refused, with nothing changed."""
 
 
@@ -56,21 +56,21 @@
     """A book that lives no longer than its process: for planning alone, and for the virtual ground."""
 
     def __init__(
-        self, book: Book, tell: Callable[[str, dict[str, Any]], None] = lambda what, more: None
+        self, book: PlacementState, tell: Callable[[str, dict[str, Any]], None] = lambda what, more: None
     ) -> None:
         self.book = book
         self.tell = tell
         for what, more in opening(book):
             tell(what, more)
 
-    def read(self) -> Book:
+    def read(self) -> PlacementState:
         return self.book
 
-    def do(self, does: str, *words: Any) -> Book:
+    def do(self, does: str, *words: Any) -> PlacementState:
         before = self.book
         try:
             self.book = getattr(before, does)(*words)
-        except Refused as why:
+        except PlanRejectedError as why:
             for what, more in refused(does, words, before, why):
                 self.tell(what, more)
             raise
@@ -103,7 +103,7 @@
                 f"make one with `python -m pathsaddle.placement FILE --ledger {path}`",
             )
         self.path, self.clock = path, clock
-        self.cache: Book | None = None
+        self.cache: PlacementState | None = None
         try:
             self.base = _opened(path)
             row = self.base.execute("SELECT value FROM meta WHERE key = 'version'").fetchone()
@@ -126,14 +126,14 @@
     def _meta(self) -> dict[str, int]:
         return {str(key): int(value) for key, value in self.base.execute("SELECT key, value FROM meta")}
 
-    def _book(self) -> Book:
+    def _book(self) -> PlacementState:
         """Within a transaction. What was read before is used again while its revision is the one on the disk."""
         try:
             return self._whole()
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as fault:
             raise self._damaged(fault) from None
 
-    def _whole(self) -> Book:
+    def _whole(self) -> PlacementState:
         meta = self._meta()
         if self.cache is not None and self.cache.inventory.revision == meta["revision"]:
             return self.cache
@@ -149,10 +149,10 @@
         inventory = Inventory(
             units=units, cold=meta["cold"], revision=meta["revision"], base=meta["base"], **parts
         )
-        self.cache = Book(inventory, meta["number"], plan)
+        self.cache = PlacementState(inventory, meta["number"], plan)
         return self.cache
 
-    def read(self) -> Book:
+    def read(self) -> PlacementState:
         try:
             self.base.execute("BEGIN")
             try:
@@ -162,7 +162,7 @@
         except sqlite3.Error as fault:
             raise self._unusable(fault) from None
 
-    def do(self, does: str, *words: Any) -> Book:
+    def do(self, does: str, *words: Any) -> PlacementState:
         try:
             return self._do(does, words)
         except sqlite3.Error as fault:
@@ -186,13 +186,13 @@
             f"it (`fuser {self.path}` names it), or make room on its disk",
         )
 
-    def _do(self, does: str, words: tuple[Any, ...]) -> Book:
+    def _do(self, does: str, words: tuple[Any, ...]) -> PlacementState:
         self.base.execute("BEGIN IMMEDIATE")
         try:
             before = self._book()
             try:
-                after: Book = getattr(before, does)(*words)
-            except Refused as why:
+                after: PlacementState = getattr(before, does)(*words)
+            except PlanRejectedError as why:
                 self._tell(refused(does, words, before, why))
                 self.base.execute("COMMIT")
                 raise
@@ -238,7 +238,7 @@
     )
 
 
-def _written(base: sqlite3.Connection, before: Book | None, after: Book) -> None:
+def _written(base: sqlite3.Connection, before: PlacementState | None, after: PlacementState) -> None:
     """What differs, within a transaction."""
     new, old = after.inventory, before.inventory if before is not None else None
     for name in PARTS:
@@ -272,14 +272,14 @@
             f"name another file after --ledger, or tell what changed by `python -m "
             f"pathsaddle.placement tell {path}`",
         )
-    for name, what in broken(inventory):
+    for name, what in violations(inventory):
         raise Untrue(f"{path}: {name}: {what}", MENDS[name].format("the inventory that it was to be made of"))
     try:
         base = _opened(path)
         base.execute("BEGIN IMMEDIATE")
         for statement in SCHEMA.split(";"):
             base.execute(statement)
-        book = Book(inventory)
+        book = PlacementState(inventory)
         _written(base, None, book)
         _tell(base, clock(), opening(book))
         base.execute("COMMIT")
--- a/pathsaddle/placement/placement_state.py
+++ b/pathsaddle/placement/placement_state.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass, replace
 
-from pathsaddle.placement.errors import Refused
+from pathsaddle.placement.errors import PlanRejectedError
 from pathsaddle.placement.inventory import Demand, Inventory, Island, State, Target, Unit
 from pathsaddle.placement.plan import PLACE, WITHDRAW, Plan, waits
 
@@ -22,35 +22,35 @@
 
 
 @dataclass(frozen=True)
-class Book:
+class PlacementState:
     inventory: Inventory
     number: int = 0  # the highest that any planner came with
     plan: Plan | None = None
 
     # What planners do. All raise Refused, with nothing changed.
 
-    def take(self, number: int) -> Book:
+    def take(self, number: int) -> PlacementState:
         """A planner begins, with a number that nobody had."""
         if number <= self.number:
-            raise Refused("number", f"{number} comes after {self.number}")
+            raise PlanRejectedError("number", f"{number} comes after {self.number}")
         return replace(self, number=number, inventory=self._with())
 
-    def replaced(self, plan: Plan) -> Book:
+    def replaced(self, plan: Plan) -> PlacementState:
         """The plan, whole, in place of the one before."""
         self._number(plan.number)
         self._base(plan.base)
         return replace(self, plan=plan, inventory=self._with())
 
-    def reserve(self, number: int, base: int, name: str, at: int) -> Book:
+    def reserve(self, number: int, base: int, name: str, at: int) -> PlacementState:
         """The bay of step `at` is kept for its unit, for the planner `number`."""
         plan, unit = self._step(number, base, name, at, PLACE)
         bay = plan.steps[at].bay
         if unit.state is not State.HERE:
-            raise Refused("state", f"{unit.name} is {unit.state}")
+            raise PlanRejectedError("state", f"{unit.name} is {unit.state}")
         self._room(unit, bay)
         return self._changed(replace(unit, state=State.RESERVED, bay=bay, number=number, renewed=0))
 
-    def renew(self, number: int) -> Book:
+    def renew(self, number: int) -> PlacementState:
         """All reservations of this planner: their leases begin anew."""
         self._number(number)
         mine = [
@@ -60,37 +60,39 @@
         ]
         return self._changed(*mine)
 
-    def lapse(self, number: int, name: str, renewed: int) -> Book:
+    def lapse(self, number: int, name: str, renewed: int) -> PlacementState:
         """Another's reservation ends: its lease surely did, as this planner saw it stand since that
         renewal.
         """
         self._number(number)
         unit = self._unit(name)
         if unit.state is not State.RESERVED or unit.renewed != renewed or unit.number >= number:
-            raise Refused("lease", f"{name} is {unit.state}, renewed {unit.renewed} times by {unit.number}")
+            raise PlanRejectedError(
+                "lease", f"{name} is {unit.state}, renewed {unit.renewed} times by {unit.number}"
+            )
         return self._changed(replace(unit, state=State.HERE, bay=""), base=True)
 
-    def cold(self, number: int, name: str) -> Book:
+    def cold(self, number: int, name: str) -> PlacementState:
         """It may be warmed, if the fleet's cold budget has room."""
         self._number(number)
         unit = self._unit(name)
         if unit.state is not State.INSTALLING:
-            raise Refused("state", f"{name} is {unit.state}")
+            raise PlanRejectedError("state", f"{name} is {unit.state}")
         cold = sum(one.state is State.COLD for one in self.inventory.units)
         if cold >= self.inventory.cold:
-            raise Refused("budget", f"{cold} units are cold, {self.inventory.cold} may be")
+            raise PlanRejectedError("budget", f"{cold} units are cold, {self.inventory.cold} may be")
         return self._changed(replace(unit, state=State.COLD))
 
-    def withdraw(self, number: int, base: int, name: str, at: int) -> Book:
+    def withdraw(self, number: int, base: int, name: str, at: int) -> PlacementState:
         """The unit of step `at` takes nothing new; its bay is held until it is pulled."""
         _, unit = self._step(number, base, name, at, WITHDRAW)
         if unit.state not in (State.SERVING, State.FAILING):
-            raise Refused("state", f"{unit.name} is {unit.state}")
+            raise PlanRejectedError("state", f"{unit.name} is {unit.state}")
         return self._changed(replace(unit, state=State.WITHDRAWN))
 
     # What islands and stores tell. Told again, nothing changes.
 
-    def came(self, *units: Unit) -> Book:
+    def came(self, *units: Unit) -> PlacementState:
         """Ordered, or here: a batch is told at once."""
         known = self.inventory.unit
         new = [
@@ -101,7 +103,7 @@
         ]
         return self._changed(*new, base=any(unit.state is not State.ORDERED for unit in new)) if new else self
 
-    def put(self, name: str, bay: str) -> Book:
+    def put(self, name: str, bay: str) -> PlacementState:
         """An island finds this unit in this bay."""
         unit = self.inventory.unit.get(name)
         if unit is not None and unit.bay == bay:
@@ -114,7 +116,7 @@
         if unit is not None and loose and unit.fit:
             try:
                 self._room(unit, bay)
-            except Refused:
+            except PlanRejectedError:
                 pass
             else:
                 return self._changed(replace(unit, state=State.INSTALLING, bay=bay), base=True)
@@ -126,13 +128,13 @@
             rows.append(replace(other, state=State.HERE, bay=""))
         return self._changed(*rows, base=True, blocked=(*self.inventory.blocked, (bay, name)))
 
-    def warmed(self, name: str) -> Book:
+    def warmed(self, name: str) -> PlacementState:
         unit = self.inventory.unit.get(name)
         if unit is None or unit.state is not State.COLD:
             return self
         return self._changed(replace(unit, state=State.SERVING))
 
-    def dead(self, name: str) -> Book:
+    def dead(self, name: str) -> PlacementState:
         """It does not work, wherever it is."""
         unit = self.inventory.unit.get(name)
         if unit is None or not unit.fit:
@@ -142,7 +144,7 @@
             replace(unit, fit=False, state=state, bay=unit.bay if state is State.FAILING else ""), base=True
         )
 
-    def pulled(self, name: str) -> Book:
+    def pulled(self, name: str) -> PlacementState:
         """It is out of its bay, or of the bay where it should not have been."""
         unit = self.inventory.unit.get(name)
         blocked = tuple(row for row in self.inventory.blocked if row[1] != name)
@@ -155,7 +157,7 @@
         state = State.HERE if unit.fit else State.WITHDRAWN
         return self._changed(replace(unit, state=state, bay=""), base=not foreseen, blocked=blocked)
 
-    def cleared(self, bay: str) -> Book:
+    def cleared(self, bay: str) -> PlacementState:
         """Nothing is in that bay that should not be."""
         blocked = tuple(row for row in self.inventory.blocked if row[0] != bay)
         if blocked == self.inventory.blocked:
@@ -169,7 +171,7 @@
         ]
         return self._changed(*rows, base=True, blocked=blocked)
 
-    def island(self, told: Island) -> Book:
+    def island(self, told: Island) -> PlacementState:
         """New, lost, back, or with other limits. Reservations there end where it is lost: that is its
         word.
         """
@@ -188,7 +190,7 @@
         known[told.name] = told
         return self._changed(*rows, base=True, islands=tuple(known.values()))
 
-    def asked(self, demand: tuple[Demand, ...], targets: tuple[Target, ...]) -> Book:
+    def asked(self, demand: tuple[Demand, ...], targets: tuple[Target, ...]) -> PlacementState:
         """What dispatchers count, and the charter's targets. A small change ends no plan: it is let be until
         it has grown.
         """
@@ -209,24 +211,24 @@
 
     def _number(self, number: int) -> None:
         if number != self.number:
-            raise Refused("number", f"{number}, and {self.number} has begun")
+            raise PlanRejectedError("number", f"{number}, and {self.number} has begun")
 
     def _base(self, base: int) -> None:
         if base != self.inventory.base:
-            raise Refused("base", f"reckoned on {base}, now {self.inventory.base}")
+            raise PlanRejectedError("base", f"reckoned on {base}, now {self.inventory.base}")
 
     def _order(self, plan: Plan, at: int) -> None:
         if waits(self.inventory, plan, at):
-            raise Refused("order", f"step {at} of {plan.name} waits for one before it")
+            raise PlanRejectedError("order", f"step {at} of {plan.name} waits for one before it")
 
     def _room(self, unit: Unit, bay: str) -> None:
         island = self.inventory.island_of.get(bay)
         if island is None or not island.up:
-            raise Refused("bay", f"{bay} is on no island that is up")
+            raise PlanRejectedError("bay", f"{bay} is on no island that is up")
         if bay in self.inventory.holder or any(row[0] == bay for row in self.inventory.blocked):
-            raise Refused("bay", f"{bay} is held or blocked")
+            raise PlanRejectedError("bay", f"{bay} is held or blocked")
         if not island.holds(unit.kind):
-            raise Refused("limit", f"{island.name} holds no {unit.kind}")
+            raise PlanRejectedError("limit", f"{island.name} holds no {unit.kind}")
         there = [
             self.inventory.kind[one.kind]
             for name in island.bays
@@ -240,14 +242,16 @@
             (island.carries, sum(kind.carries for kind in there), "carries"),
         ):
             if drawn > limit:
-                raise Refused("limit", f"{island.name}: {name} {drawn} of {limit}")
+                raise PlanRejectedError("limit", f"{island.name}: {name} {drawn} of {limit}")
 
     def _step(self, number: int, base: int, name: str, at: int, does: str) -> tuple[Plan, Unit]:
         self._number(number)
         self._base(base)
         plan = self.plan
         if plan is None or plan.name != name or not 0 <= at < len(plan.steps) or plan.steps[at].does != does:
-            raise Refused("plan", f"step {at} of {name}, and {plan.name if plan else 'none'} counts")
+            raise PlanRejectedError(
+                "plan", f"step {at} of {name}, and {plan.name if plan else 'none'} counts"
+            )
         # Not what the planner says that it looked at, but what its plan was reckoned on: a look between two steps at
         # a newer book does not make an old plan new.
         self._base(plan.base)
@@ -257,13 +261,13 @@
     def _unit(self, name: str) -> Unit:
         unit = self.inventory.unit.get(name)
         if unit is None:
-            raise Refused("state", f"no unit {name}")
+            raise PlanRejectedError("state", f"no unit {name}")
         return unit
 
     def _with(self) -> Inventory:
         return replace(self.inventory, revision=self.inventory.revision + 1)
 
-    def _changed(self, *units: Unit, base: bool = False, **more: object) -> Book:
+    def _changed(self, *units: Unit, base: bool = False, **more: object) -> PlacementState:
         rows = dict(self.inventory.unit)
         for unit in units:
             rows[unit.name] = unit
--- a/pathsaddle/placement/rollout.py
+++ b/pathsaddle/placement/rollout.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from pathsaddle.placement.inventory import COMING, Inventory, State
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import PLACE, done, waits
 
 DRIFT = 0.02  # as for the fleet's leases
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Order:
+class RolloutStep:
     """does: `stop` (a later planner has begun), `plan`, `renew`, `lapse`, `reserve`, `withdraw`, `cold`: to
     the book; `install`, `warm`, `pull`: to the island of `bay`, with the number, and harmless when told
     again.
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Walk:
+class Rollout:
     """One planner's, under one number. lease: ticks."""
 
     number: int
@@ -59,17 +59,17 @@
             if unit.state is State.RESERVED and unit.number == self.number:
                 self.held(unit.name, asked)
 
-    def unheard(self, inventory: Inventory, now: int) -> list[Order]:
+    def unheard(self, inventory: Inventory, now: int) -> list[RolloutStep]:
         """With no word from the book: what it has reserved it still has installed, while its lease runs."""
         return [
-            Order("install", unit.name, unit.bay)
+            RolloutStep("install", unit.name, unit.bay)
             for unit in inventory.units
             if unit.state is State.RESERVED
             and unit.number == self.number
             and now < self.hold.get(unit.name, now)
         ]
 
-    def over(self, book: Book) -> bool:
+    def over(self, book: PlacementState) -> bool:
         """All steps of the plan that counts are done, and nothing is on its way in or out."""
         plan, inventory = book.plan, book.inventory
         return (
@@ -82,11 +82,11 @@
             )
         )
 
-    def due(self, book: Book, now: int) -> list[Order]:
+    def due(self, book: PlacementState, now: int) -> list[RolloutStep]:
         inventory, plan = book.inventory, book.plan
         if book.number > self.number:
-            return [Order("stop")]
-        found: list[Order] = []
+            return [RolloutStep("stop")]
+        found: list[RolloutStep] = []
         watched: dict[str, tuple[int, int, int]] = {}
         busy = renew = 0
         for unit in inventory.units:
@@ -94,7 +94,7 @@
                 busy += 1
                 if unit.number == self.number:
                     if now < self.hold.get(unit.name, now):
-                        found.append(Order("install", unit.name, unit.bay))
+                        found.append(RolloutStep("install", unit.name, unit.bay))
                     renew += now >= self.hold.get(unit.name, 0) - self.maybe() // 2
                     continue
                 seen = self.watched.get(unit.name)
@@ -102,19 +102,19 @@
                     seen = (unit.number, unit.renewed, now)
                 watched[unit.name] = seen
                 if now >= seen[2] + self.surely():
-                    found.append(Order("lapse", unit.name, renewed=unit.renewed))
+                    found.append(RolloutStep("lapse", unit.name, renewed=unit.renewed))
             elif unit.state is State.INSTALLING:
                 busy += 1
-                found.append(Order("cold", unit.name, unit.bay))
+                found.append(RolloutStep("cold", unit.name, unit.bay))
             elif unit.state is State.COLD:
-                found.append(Order("warm", unit.name, unit.bay))
+                found.append(RolloutStep("warm", unit.name, unit.bay))
             elif unit.state is State.WITHDRAWN and unit.bay:
-                found.append(Order("pull", unit.name, unit.bay))
+                found.append(RolloutStep("pull", unit.name, unit.bay))
         self.watched = watched
         if renew:
-            found.insert(0, Order("renew"))
+            found.insert(0, RolloutStep("renew"))
         if plan is None or plan.base != inventory.base:
-            return [*found, Order("plan")]
+            return [*found, RolloutStep("plan")]
         for at, step in enumerate(plan.steps):
             unit = inventory.unit[step.unit]
             if step.does == PLACE:
@@ -123,14 +123,14 @@
                     and busy < inventory.cold + AHEAD
                     and not waits(inventory, plan, at)
                 ):
-                    found.append(Order("reserve", unit.name, step.bay, at))
+                    found.append(RolloutStep("reserve", unit.name, step.bay, at))
                     busy += 1
             elif done(inventory, step):
                 continue
             elif unit.state is State.FAILING and not unit.bay:
                 found.append(
-                    Order("pull", unit.name, step.bay)
+                    RolloutStep("pull", unit.name, step.bay)
                 )  # it is where it should not be, and holds nothing
             elif unit.state in (State.SERVING, State.FAILING) and not waits(inventory, plan, at):
-                found.append(Order("withdraw", unit.name, step.bay, at))
+                found.append(RolloutStep("withdraw", unit.name, step.bay, at))
         return found
--- a/pathsaddle/settings/__main__.py
+++ b/pathsaddle/settings/__main__.py
@@ -14,14 +14,20 @@
 import click
 import msgspec
 
-from pathsaddle.consensus.udp_driver import steady
+from pathsaddle.consensus.udp_driver import monotonic_ticks
 from pathsaddle.errors import Error, access, why
 from pathsaddle.net.service import logbook
-from pathsaddle.settings.cluster_file import GroundForm, ground_of, named
-from pathsaddle.settings.dispatcher_subscription import told as member_told
-from pathsaddle.settings.documents import hashed
-from pathsaddle.settings.driver import Driver, Electorate, KeeperProcess, MemberDriver, Told
-from pathsaddle.settings.errors import NoDisk
+from pathsaddle.settings.cluster_file import ClusterFile, entry_named, load_cluster_file
+from pathsaddle.settings.dispatcher_subscription import driver_config as member_told
+from pathsaddle.settings.documents import content_hash
+from pathsaddle.settings.driver import (
+    ConfigServerDriver,
+    ConfigSubscriberDriver,
+    Driver,
+    DriverConfig,
+    VoterConfig,
+)
+from pathsaddle.settings.errors import StorageError
 
 
 @click.group()
@@ -34,19 +40,19 @@
 @click.option("--keeper", required=True, help="Its name, as at keepers.NAME and voters.names.")
 def found_command(file: str, keeper: str) -> None:
     """Begins the register of a keeper that votes: once in its life, before its first start."""
-    from pathsaddle.consensus.acceptor_log import found
+    from pathsaddle.consensus.acceptor_log import create_log
 
-    ground = ground_of(file)
-    row = named(file, "keepers", ground.keepers, keeper)
-    named(file, "voters.names", ground.voters.names, keeper)
+    ground = load_cluster_file(file)
+    row = entry_named(file, "keepers", ground.keepers, keeper)
+    entry_named(file, "voters.names", ground.voters.names, keeper)
     folder = Path(row.disk)
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as fault:
-        raise NoDisk(
+        raise StorageError(
             f"{folder}: {why(fault)}", access(fault, folder, folder) + f", at keepers.{keeper}.disk in {file}"
         ) from None
-    found(folder, keeper, ground.voters.names)
+    create_log(folder, keeper, ground.voters.names)
 
 
 @main.command("keep")
@@ -54,12 +60,12 @@
 @click.option("--keeper", help="Its name, as at keepers.NAME; none where FILE has only one.")
 def keep_command(file: str, keeper: str | None) -> None:
     """Runs a keeper until SIGTERM; it votes, too, if its name is among the voters."""
-    ground = ground_of(file)
+    ground = load_cluster_file(file)
     name = keeper or (next(iter(ground.keepers)) if len(ground.keepers) == 1 else "")
-    row = named(file, "keepers", ground.keepers, name)
+    row = entry_named(file, "keepers", ground.keepers, name)
     voters = ground.voters
     at = row.votes_at or voters.names.get(name, "") or f"{(row.listen or row.address).rpartition(':')[0]}:0"
-    told = Told(
+    told = DriverConfig(
         name,
         row.region,
         ground.key.encode(),
@@ -74,9 +80,9 @@
     )
     asyncio.run(
         _runs(
-            lambda: KeeperProcess(
+            lambda: ConfigServerDriver(
                 told,
-                Electorate(dict(voters.names), voters.fleet, voters.key.encode(), int(voters.lease), at),
+                VoterConfig(dict(voters.names), voters.fleet, voters.key.encode(), int(voters.lease), at),
                 SystemRandom(),
                 _log(ground, name),
             )
@@ -90,13 +96,13 @@
 @click.option("--acts", default=0.0, help="Acts a second that it logs, each by one row of those it goes by.")
 def follow_command(file: str, name: str, acts: float) -> None:
     """Runs a member alone until SIGTERM, and logs by what it acts."""
-    ground = ground_of(file)
+    ground = load_cluster_file(file)
     told = member_told(ground, file, name)
     chance = SystemRandom()
     tell = _log(ground, name)
 
-    def made() -> MemberDriver:
-        member = MemberDriver(told, chance, tell)
+    def made() -> ConfigSubscriberDriver:
+        member = ConfigSubscriberDriver(told, chance, tell)
         member.hear.append(
             lambda acting: tell(
                 "acting", revision=acting.revision, digest=acting.digest, rows=len(acting.rows)
@@ -107,15 +113,20 @@
     asyncio.run(_runs(made, None if not acts else lambda member: _acts(member, acts, chance, tell)))
 
 
-async def _acts(member: MemberDriver, rate: float, chance: Random, tell: Callable[..., None]) -> None:
+async def _acts(
+    member: ConfigSubscriberDriver, rate: float, chance: Random, tell: Callable[..., None]
+) -> None:
     """Effects, as far as a log has any: by what they go is looked at in the moment that the line has."""
     whole: tuple[object, str] = (None, "")
     while True:
-        acting, at = member.acting, steady()
+        acting, at = member.acting, monotonic_ticks()
         leased = member.leased()
         if acting.revision:
             if whole[0] is not acting:
-                whole = (acting, "" if acting.offers else hashed(repr(sorted(acting.rows.items())).encode()))
+                whole = (
+                    acting,
+                    "" if acting.offers else content_hash(repr(sorted(acting.rows.items())).encode()),
+                )
             key = chance.choice(sorted(acting.rows)) if acting.rows else "zones"
             value = acting.rows.get(key)
             tell(
@@ -157,7 +168,7 @@
         raise driver.fault
 
 
-def _log(ground: GroundForm, name: str) -> Callable[..., None]:
+def _log(ground: ClusterFile, name: str) -> Callable[..., None]:
     """A line of JSON for each thing that happens: `at`, ticks of the machine's monotonic clock; `time`, ms since 1970."""
     logbook.open_log("WARNING", "json")  # the register's own lines: voters, disks, faults
     if ground.log:
@@ -166,7 +177,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             file = (folder / f"{name}.jsonl").open("ab", buffering=0)
         except OSError as fault:
-            raise NoDisk(
+            raise StorageError(
                 f"{folder}: {why(fault)}", access(fault, folder, folder) + ", at log in the file of keepers"
             ) from None
         write = file.write
@@ -175,7 +186,7 @@
 
     def tell(what: str, at: int | None = None, **more: Any) -> None:
         row = {
-            "at": steady() if at is None else at,
+            "at": monotonic_ticks() if at is None else at,
             "what": what,
             "more": {"time": time.time_ns() // 1_000_000, "who": name, **more},
         }
--- a/pathsaddle/settings/active_terms.py
+++ b/pathsaddle/settings/active_terms.py
@@ -1,4 +1,4 @@
-"""The rows at one revision, as the text that `federation/versions.py` judges: whose word counts, and what a newer one forbids.
+"""The rows at one revision, as the text that `leased_versions.py` judges: whose word counts, and what a newer one forbids.
 
 Rights are compared key by key and field by field; LIMITS says which fields are rights and which way is narrower. What no
 right names (a portion, an SLA time) changes with the commit, like a loosening. "No narrower than" is an order, so it is
@@ -13,21 +13,21 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from pathsaddle.config.units import duration
-from pathsaddle.settings.documents import Group, Put, Wrong, canonical, value_of
+from pathsaddle.config.units import parse_duration
+from pathsaddle.settings.documents import Change, ChangeSet, InvalidDocumentError, canonical, decode_value
 
 FAR = float("inf")
 
 
 def _ticks(value: Any) -> float:
-    return float(value) if isinstance(value, (int, float)) else float(duration(value))
+    return float(value) if isinstance(value, (int, float)) else float(parse_duration(value))
 
 
 def _quota(value: Any) -> float:
     return float(value) or FAR  # 0 sets none
 
 
-class Limit(NamedTuple):
+class LimitRule(NamedTuple):
     """A field that is a right. missing: what holds where it isn't written. wide: the wider the greater."""
 
     field: str
@@ -39,23 +39,23 @@
     return lambda value: float(names.index(value))
 
 
-# Defaults are the charter's (charter/form.py); a test holds both together.
-LIMITS: dict[str, tuple[Limit, ...]] = {
-    "customers": (Limit("allowance", 0, _quota),),
+# Defaults are the charter's (config/schema.py); a test holds both together.
+LIMIT_RULES: dict[str, tuple[LimitRule, ...]] = {
+    "customers": (LimitRule("allowance", 0, _quota),),
     "schemes": (
-        Limit("semantics", "repeatable", _ranked("once-only", "referenced", "repeatable")),
-        Limit("group", "all", _ranked("cell", "zone", "all")),
-        Limit("window", "0s", _ticks),
+        LimitRule("semantics", "repeatable", _ranked("once-only", "referenced", "repeatable")),
+        LimitRule("group", "all", _ranked("cell", "zone", "all")),
+        LimitRule("window", "0s", _ticks),
     ),
     "rules": (
-        Limit("answer_slack", "0s", _ticks),
-        Limit("drain_grace", "500ms", _ticks),
-        Limit("dropped_stay_open", False, float),
-        Limit("ask_within", "10s", _ticks),
-        Limit("cold_share", 0.3, float),
-        Limit("cold_time", "9s", lambda value: -_ticks(value)),
-        Limit("fall_multiple", 4.0, float),
-        Limit("fall_time", "2s", _ticks),
+        LimitRule("answer_slack", "0s", _ticks),
+        LimitRule("drain_grace", "500ms", _ticks),
+        LimitRule("dropped_stay_open", False, float),
+        LimitRule("ask_within", "10s", _ticks),
+        LimitRule("cold_share", 0.3, float),
+        LimitRule("cold_time", "9s", lambda value: -_ticks(value)),
+        LimitRule("fall_multiple", 4.0, float),
+        LimitRule("fall_time", "2s", _ticks),
     ),
     "zones": (),
     "members": (),
@@ -66,7 +66,7 @@
     return key.partition(".")[0]
 
 
-def allows(key: str, old: bytes | None, new: bytes | None) -> bool:
+def permits(key: str, old: bytes | None, new: bytes | None) -> bool:
     """Whether `new` allows all that `old` does. None: there is no such row, and nobody may what it would name."""
     table = table_of(key)
     if table == "rules":  # without a row the defaults hold
@@ -75,21 +75,21 @@
         return True
     if new is None:
         return table in ("zones", "members")
-    one, two = value_of(old), value_of(new)
+    one, two = decode_value(old), decode_value(new)
     try:
         if table == "budgets":
             return float(one) <= float(two)
         return all(
             limit.wide(one.get(limit.field, limit.missing)) <= limit.wide(two.get(limit.field, limit.missing))
-            for limit in LIMITS[table]
+            for limit in LIMIT_RULES[table]
         )
     except (AttributeError, TypeError, ValueError):
         return False  # of another form than the charter's: nothing is known of it
 
 
-def narrower(key: str, one: bytes | None, two: bytes | None) -> bytes | None:
+def tighter(key: str, one: bytes | None, two: bytes | None) -> bytes | None:
     """`one`, with each right the lesser of the two's."""
-    if allows(key, one, two):
+    if permits(key, one, two):
         return one
     table = table_of(key)
     if table == "rules":
@@ -98,35 +98,35 @@
         return None
     if table == "budgets":
         return two
-    first, second = value_of(one), value_of(two)
+    first, second = decode_value(one), decode_value(two)
     try:
-        for limit in LIMITS[table]:
+        for limit in LIMIT_RULES[table]:
             field = limit.field
             if limit.wide(second.get(field, limit.missing)) < limit.wide(first.get(field, limit.missing)):
                 first[field] = second.get(field, limit.missing)
-    except (AttributeError, TypeError, ValueError, Wrong):
+    except (AttributeError, TypeError, ValueError, InvalidDocumentError):
         return two
     return canonical(first)
 
 
-class Terms:
+class ActiveTerms:
     """Rows at a revision; never changed, as far as anybody outside can tell."""
 
     __slots__ = ("_members", "_next", "_rows", "_undo", "customers")
 
     def __init__(self, rows: Mapping[str, bytes]) -> None:
         self._rows: dict[str, bytes] | None = dict(rows)
-        self._next: Terms | None = None  # towards the one that has the table
+        self._next: ActiveTerms | None = None  # towards the one that has the table
         self._undo: dict[str, bytes | None] = {}  # the rows here that differ from those at `_next`
         self.customers = sum(key.startswith("customers.") for key in rows)  # none: anybody is one
         self._members = _members(rows)
 
-    def after(self, group: Group) -> Terms:
+    def after(self, group: ChangeSet) -> ActiveTerms:
         """With these changes. Costs what they are; if this is not the one that has the table, the way there as well."""
         self._takes_table()
         rows = self._rows
         assert rows is not None
-        made = Terms.__new__(Terms)
+        made = ActiveTerms.__new__(ActiveTerms)
         made._rows, made._next, made._undo = rows, None, {}
         undo: dict[str, bytes | None] = {}
         made.customers, anew = self.customers, False
@@ -144,7 +144,7 @@
         return made
 
     def _takes_table(self) -> None:
-        way: list[Terms] = []
+        way: list[ActiveTerms] = []
         at = self
         while at._next is not None:
             way.append(at)
@@ -190,9 +190,9 @@
         self._takes_table()
         return len(self._rows or ())
 
-    def differing(self, other: Terms) -> list[str]:
+    def differing(self, other: ActiveTerms) -> list[str]:
         """The keys that may differ, sorted: what was changed on the way from one to the other."""
-        ways: list[list[Terms]] = []
+        ways: list[list[ActiveTerms]] = []
         for at in (self, other):
             way = [at]
             while way[-1]._next is not None:
@@ -217,37 +217,37 @@
     def has_member(self, name: str, here: str) -> bool:
         return self._members[0].get(name) == here
 
-    def withdrawn(self, new: Terms, here: str) -> bool:
+    def withdrawn(self, new: ActiveTerms, here: str) -> bool:
         """Whether somebody that hears nothing would, by this, do what `new` forbids; wherever it is."""
         if new.customers and not self.customers:
             return True  # anybody was a customer
         return any(
             not (table_of(key) == "customers" and not new.customers)
-            and not allows(key, self.get(key), new.get(key))
+            and not permits(key, self.get(key), new.get(key))
             for key in self.differing(new)
         )
 
-    def narrowed(self, other: Terms) -> Terms:
+    def narrowed(self, other: ActiveTerms) -> ActiveTerms:
         """With each right the lesser of the two's. Where that would leave no customer, which reads as anybody, customers
         stay: that part waits for its commit, as a loosening does.
         """
-        puts: list[Put] = []
-        customers: list[Put] = []
+        puts: list[Change] = []
+        customers: list[Change] = []
         left = self.customers
         for key in self.differing(other):
             mine, value = self.get(key), other.get(key)
             if table_of(key) != "customers":
-                value = narrower(key, mine, value)
+                value = tighter(key, mine, value)
             elif self.customers and other.customers:
-                value = narrower(key, mine, value)
+                value = tighter(key, mine, value)
                 left -= value is None and mine is not None
             elif self.customers:
                 continue  # anybody there: ours are the narrower
             if value != mine:
-                (customers if table_of(key) == "customers" else puts).append(Put(key, value))
+                (customers if table_of(key) == "customers" else puts).append(Change(key, value))
         if left or not self.customers:
             puts += customers
-        return self.after(Group(0, "", "", "", 0, tuple(puts))) if puts else self
+        return self.after(ChangeSet(0, "", "", "", 0, tuple(puts))) if puts else self
 
 
 def _members(rows: Mapping[str, bytes]) -> tuple[dict[str, str], tuple[str, ...]]:
@@ -256,11 +256,11 @@
     for key in sorted(key for key in rows if key.startswith("members.")):
         name = key.partition(".")[2]
         try:
-            told = value_of(rows[key])
+            told = decode_value(rows[key])
             if told.get("gone"):
                 gone.append(name)
             else:
                 found[name] = str(told.get("region", ""))
-        except (Wrong, AttributeError):
+        except (InvalidDocumentError, AttributeError):
             found[name] = ""  # somebody is meant: it is waited for rather than forgotten
     return found, tuple(gone)
--- a/pathsaddle/settings/changes.py
+++ b/pathsaddle/settings/changes.py
@@ -11,17 +11,17 @@
 
 from msgspec import Meta
 
-from pathsaddle.config.schema import Charter, Customer, Form, Rules, Scheme
-from pathsaddle.config.validation import Faulty, check
+from pathsaddle.config.schema import ConfigTable, Configuration, RequestClassTable, Rules, TenantTable
+from pathsaddle.config.validation import InvalidConfigError, validate
 from pathsaddle.errors import Error
-from pathsaddle.settings.documents import SINGLE, TABLES, Put, Wrong, canonical, row
-from pathsaddle.settings.errors import Refused, Restart, Unfit
+from pathsaddle.settings.documents import SINGLE, TABLES, Change, InvalidDocumentError, canonical, check_entry
+from pathsaddle.settings.errors import ChangeRejectedError, RestartRequiredError, ValidationError
 
 WHY = "each process takes it from its own charter as it starts"
 WHAT = "known are customers.NAME, schemes.NAME, budgets.NAME, members.NAME, zones, rules and remove"
 
 
-class MemberRow(Form):
+class MemberRow(ConfigTable):
     """Who must have a revision before it is in force.
 
     region: where it is. zone: there. gone: it never starts again with the disk that it had.
@@ -32,7 +32,7 @@
     gone: bool = False
 
 
-class BudgetRow(Form):
+class BudgetRow(ConfigTable):
     """A budget that all share.
 
     rate: units a second, of all together.
@@ -41,7 +41,7 @@
     rate: Annotated[int, Meta(ge=1)]
 
 
-def written(told: Mapping[str, Any]) -> tuple[dict[str, Any], list[str]]:
+def parse_change_file(told: Mapping[str, Any]) -> tuple[dict[str, Any], list[str]]:
     """Rows by key, and the keys to be removed, of a file's tables. Raises Refused, a line a fault."""
     rows: dict[str, Any] = {}
     remove: list[str] = []
@@ -51,21 +51,21 @@
             if isinstance(value, list) and all(isinstance(key, str) for key in value):
                 remove = value
             else:
-                faults.append(Unfit(key="remove", why="a list of keys is wanted"))
+                faults.append(ValidationError(key="remove", why="a list of keys is wanted"))
         elif table in SINGLE:
             rows[table] = value
         elif table in TABLES and isinstance(value, Mapping):
             rows |= {f"{table}.{name}": one for name, one in value.items()}
         elif table in TABLES:
-            faults.append(Unfit(key=table, why="a table by name is wanted"))
+            faults.append(ValidationError(key=table, why="a table by name is wanted"))
         else:
             faults.append(_unshared(table))
     if faults:
-        raise Refused(list(map(str, faults)))
+        raise ChangeRejectedError(list(map(str, faults)))
     return rows, remove
 
 
-def puts_of(rows: Mapping[str, Any], remove: Sequence[str]) -> tuple[Put, ...]:
+def changes_from_tables(rows: Mapping[str, Any], remove: Sequence[str]) -> tuple[Change, ...]:
     """What a group has of it, by key. Raises Refused, a line a fault."""
     faults: list[Error] = []
     puts: dict[str, bytes | None] = {}
@@ -76,32 +76,32 @@
             continue
         try:
             puts[key] = canonical(value)
-            row(key, puts[key])
+            check_entry(key, puts[key])
             _fits(key, value)
-        except Wrong as fault:
-            faults.append(Unfit(key=key, why=str(fault).removeprefix(f"{key}: ")))
-        except Faulty as fault:
+        except InvalidDocumentError as fault:
+            faults.append(ValidationError(key=key, why=str(fault).removeprefix(f"{key}: ")))
+        except InvalidConfigError as fault:
             faults += fault.faults
     for key in remove:
         try:
-            row(key, None)
-        except Wrong as fault:
-            faults.append(Unfit(key=key, why=str(fault)))
+            check_entry(key, None)
+        except InvalidDocumentError as fault:
+            faults.append(ValidationError(key=key, why=str(fault)))
         if key in rows or remove.count(key) > 1:
-            faults.append(Unfit(key=key, why="it is to be removed, and stands there a second time"))
+            faults.append(ValidationError(key=key, why="it is to be removed, and stands there a second time"))
         puts[key] = None
     if not puts and not faults:
-        faults.append(Unfit(key="the file", why="it changes nothing"))
+        faults.append(ValidationError(key="the file", why="it changes nothing"))
     if faults:
-        raise Refused(list(dict.fromkeys(map(str, faults))))
-    return tuple(Put(key, puts[key]) for key in sorted(puts))
+        raise ChangeRejectedError(list(dict.fromkeys(map(str, faults))))
+    return tuple(Change(key, puts[key]) for key in sorted(puts))
 
 
 def _unshared(key: str) -> Error:
     table = key.partition(".")[0]
-    if table in Charter.__struct_fields__:
-        return Restart(key=key, why=WHY)
-    return Unfit(key=key, why=f"no such table; {WHAT}")
+    if table in Configuration.__struct_fields__:
+        return RestartRequiredError(key=key, why=WHY)
+    return ValidationError(key=key, why=f"no such table; {WHAT}")
 
 
 def _fits(key: str, value: Any) -> None:
@@ -110,13 +110,15 @@
     """
     table, _, name = key.partition(".")
     if table in ("customers", "schemes"):
-        kind: type[Customer | Scheme] = Customer if table == "customers" else Scheme
-        check(kind, {**value, "name": name} if isinstance(value, Mapping) else value, key)
+        kind: type[TenantTable | RequestClassTable] = (
+            TenantTable if table == "customers" else RequestClassTable
+        )
+        validate(kind, {**value, "name": name} if isinstance(value, Mapping) else value, key)
     elif table == "members":
-        check(MemberRow, value, key)
+        validate(MemberRow, value, key)
     elif table == "rules":
-        check(Rules, value, key)
+        validate(Rules, value, key)
     elif table == "budgets":
-        check(BudgetRow, {"rate": value}, key)
+        validate(BudgetRow, {"rate": value}, key)
     elif not (isinstance(value, list) and value and all(isinstance(one, str) and one for one in value)):
-        raise Wrong("a list of names is wanted")
+        raise InvalidDocumentError("a list of names is wanted")
--- a/pathsaddle/settings/cluster_file.py
+++ b/pathsaddle/settings/cluster_file.py
@@ -8,17 +8,17 @@
 
 from msgspec import field
 
-from pathsaddle.config.schema import Form
+from pathsaddle.config.schema import ConfigTable
 from pathsaddle.config.units import Duration
-from pathsaddle.config.validation import check, load
+from pathsaddle.config.validation import load_toml, validate
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.errors import BadFile
+from pathsaddle.settings.errors import ClusterFileError
 from pathsaddle.trade import SECOND
 
 LEAST_KEY = 16
 
 
-class Voters(Form):
+class VoterTable(ConfigTable):
     """Who keeps the register.
 
     names: 3 or 5, each with its address (UDP) as the others reach it, as at the voters' `fleet.owners.voters`.
@@ -33,7 +33,7 @@
     lease: Duration = Duration(3 * SECOND)
 
 
-class KeeperRow(Form):
+class ServerEntry(ConfigTable):
     """One keeper.
 
     region: which members' pushes it is meant for.
@@ -52,7 +52,7 @@
     votes_at: str = ""
 
 
-class MemberAt(Form):
+class SubscriberEntry(ConfigTable):
     """One member that runs alone (`follow`); dispatchers are told by their charters.
 
     region: it asks the keepers of its region first.
@@ -67,7 +67,7 @@
     control: str = ""
 
 
-class GroundForm(Form):
+class ClusterFile(ConfigTable):
     """Who there is.
 
     key: the secret of keepers and members, 16 characters at least.
@@ -80,35 +80,35 @@
     """
 
     key: str
-    voters: Voters
-    keepers: dict[str, KeeperRow]
-    members: dict[str, MemberAt] = field(default_factory=dict)
+    voters: VoterTable
+    keepers: dict[str, ServerEntry]
+    members: dict[str, SubscriberEntry] = field(default_factory=dict)
     lease: Duration = Duration(10 * SECOND)
     log: str = ""
     bytes: int = 200_000
 
 
-def ground_of(path: str) -> GroundForm:
+def load_cluster_file(path: str) -> ClusterFile:
     """Raises charter.check.Faulty, BadFile."""
-    form = check(GroundForm, load(path), path)
+    form = validate(ClusterFile, load_toml(path), path)
     for key, secret in (("key", form.key), ("voters.key", form.voters.key)):
         if len(secret) < LEAST_KEY:
-            raise BadFile(
+            raise ClusterFileError(
                 f"{path}: {key}: a text stands there, of {len(secret)} characters",
                 f"write {LEAST_KEY} characters at least at {key} in {path}, the same at all that talk to one another",
             )
     if len(form.voters.names) not in (3, 5):
-        raise BadFile(
+        raise ClusterFileError(
             f"{path}: voters.names has {len(form.voters.names)}",
             f"write the 3 or 5 voters' names and addresses at voters.names in {path}",
         )
     if min(form.voters.lease, form.lease) < SECOND // 2:
-        raise BadFile(
+        raise ClusterFileError(
             f"{path}: a lease is under half a second",
             f"write 500ms at least at lease and voters.lease in {path}",
         )
     if not form.keepers:
-        raise BadFile(f"{path}: keepers is empty", f"write a table [keepers.NAME] in {path}")
+        raise ClusterFileError(f"{path}: keepers is empty", f"write a table [keepers.NAME] in {path}")
     addresses = {f"voters.names.{name}": one for name, one in form.voters.names.items()}
     for name, keeper in form.keepers.items():
         addresses |= {
@@ -125,14 +125,14 @@
         try:
             peer_of(address)
         except ValueError:
-            raise BadFile(
+            raise ClusterFileError(
                 f"{path}: {key}: {address!r} is no address",
                 f'write host:port, such as "10.0.0.7:7946", at {key} in {path}',
             ) from None
     for table, rows in (("keepers", form.keepers), ("members", form.members)):
         for name, one in rows.items():
-            if one.control and not on_loopback(one.control):
-                raise BadFile(
+            if one.control and not is_loopback(one.control):
+                raise ClusterFileError(
                     f"{path}: {table}.{name}.control: {one.control!r} is no address of the loopback, and nobody "
                     "signs in there",
                     f'write one such as "127.0.0.1:7198" at {table}.{name}.control in {path}',
@@ -140,7 +140,7 @@
     return form
 
 
-def on_loopback(address: str) -> bool:
+def is_loopback(address: str) -> bool:
     try:
         host = peer_of(address)[0]
         return host == "localhost" or ipaddress.ip_address(host).is_loopback
@@ -148,10 +148,10 @@
         return False
 
 
-def named(path: str, table: str, rows: Mapping[str, Any], name: str) -> Any:
+def entry_named(path: str, table: str, rows: Mapping[str, Any], name: str) -> Any:
     """Raises BadFile."""
     if name not in rows:
-        raise BadFile(
+        raise ClusterFileError(
             f"{path}: {table}.{name} is missing",
             f"add [{table}.{name}] to {path}, or name one that stands there: {', '.join(sorted(rows)) or 'nobody'}",
         )
--- a/pathsaddle/settings/commit_round.py
+++ b/pathsaddle/settings/commit_round.py
@@ -14,20 +14,20 @@
 from typing import Generic, TypeVar
 
 from pathsaddle.errors import Error
-from pathsaddle.settings.active_terms import Terms
-from pathsaddle.settings.documents import Group, Put, Wrong
+from pathsaddle.settings.active_terms import ActiveTerms
+from pathsaddle.settings.documents import Change, ChangeSet, InvalidDocumentError
 from pathsaddle.settings.store import Store
 
-MADE, SAME, OUTRUN, REFUSED = "made", "same", "outrun", "refused"
+ALREADY_COMMITTED, UNCHANGED, REVISION_CONFLICT, REJECTED = "made", "same", "outrun", "refused"
 
 
 @dataclass(eq=False)
-class Change:
+class PendingChange:
     """One that waits. expect: the revision which it must follow, or any. tried: the groups, by revision and digest, as which
     it was proposed in rounds of which nobody could say what came.
     """
 
-    puts: tuple[Put, ...]
+    puts: tuple[Change, ...]
     author: str = ""
     reason: str = ""
     at: int = 0
@@ -35,11 +35,11 @@
     tried: list[tuple[int, str]] = field(default_factory=list)
 
 
-C = TypeVar("C", bound=Change)
+C = TypeVar("C", bound=PendingChange)
 
 
 @dataclass(frozen=True)
-class Told(Generic[C]):
+class RoundVerdict(Generic[C]):
     """what: MADE (an earlier try was committed, as `revision`, `digest`), SAME (it would change nothing), OUTRUN, REFUSED (why).
     revision, digest: else the latest committed.
     """
@@ -48,44 +48,44 @@
     what: str
     revision: int
     digest: str
-    why: Error | Wrong | None = None
+    why: Error | InvalidDocumentError | None = None
 
 
 @dataclass(frozen=True)
-class Round(Generic[C]):
+class CommitRound(Generic[C]):
     """told: what is settled without it. taken: what it commits. All others wait for the next."""
 
-    told: tuple[Told[C], ...]
-    taken: tuple[tuple[C, Group], ...]
+    told: tuple[RoundVerdict[C], ...]
+    taken: tuple[tuple[C, ChangeSet], ...]
 
     @property
-    def groups(self) -> tuple[Group, ...]:
+    def groups(self) -> tuple[ChangeSet, ...]:
         return tuple(group for _, group in self.taken)
 
 
-def together(
+def plan_round(
     store: Store,
     waiting: Iterable[C],
-    fits: Callable[[Terms], None],
-    joins: Callable[[Sequence[Group]], bool],
-) -> Round[C]:
+    fits: Callable[[ActiveTerms], None],
+    joins: Callable[[Sequence[ChangeSet]], bool],
+) -> CommitRound[C]:
     """store: all that is committed, not changed here. fits: raises Error where rows don't fit together. joins: whether groups
     may go together.
     """
     at = store.copy()
-    told: list[Told[C]] = []
-    taken: list[tuple[C, Group]] = []
+    told: list[RoundVerdict[C]] = []
+    taken: list[tuple[C, ChangeSet]] = []
     for change in waiting:
         made = next((one for one in change.tried if store.digest_at(one[0]) == one[1]), None)
         what, why = "", None
-        group: Group | None = None
+        group: ChangeSet | None = None
         if made is not None:
-            told.append(Told(change, MADE, *made))
+            told.append(RoundVerdict(change, ALREADY_COMMITTED, *made))
             continue
-        if expected(change, at.revision):
-            group = next_of(at, change)
+        if expects(change, at.revision):
+            group = next_changeset(at, change)
             if group is None:
-                what = SAME
+                what = UNCHANGED
             elif taken and not joins([*(one for _, one in taken), group]):
                 break  # no later one comes before it
             else:
@@ -93,23 +93,23 @@
                     at.fits(group)
                     terms = at.terms.after(group)
                     fits(terms)
-                except (Error, Wrong) as fault:
-                    what, why = REFUSED, fault
+                except (Error, InvalidDocumentError) as fault:
+                    what, why = REJECTED, fault
                 else:
                     at.append(group, terms)
                     taken.append((change, group))
         else:
-            what = OUTRUN
+            what = REVISION_CONFLICT
         if what and not taken:
-            told.append(Told(change, what, store.revision, store.digest, why))
-    return Round(tuple(told), tuple(taken))
+            told.append(RoundVerdict(change, what, store.revision, store.digest, why))
+    return CommitRound(tuple(told), tuple(taken))
 
 
-def expected(change: Change, revision: int) -> bool:
+def expects(change: PendingChange, revision: int) -> bool:
     return change.expect is None or change.expect == revision
 
 
-def next_of(store: Store, change: Change) -> Group | None:
+def next_changeset(store: Store, change: PendingChange) -> ChangeSet | None:
     """As the group after what `store` has, without what is so already. None: all of it is."""
     puts = tuple(
         put
@@ -117,15 +117,17 @@
         if store.terms.get(put.key) != put.value or (put.value is None and store.terms.get(put.key) is None)
     )
     return (
-        Group(store.revision + 1, store.digest, change.author, change.reason, change.at, puts)
+        ChangeSet(store.revision + 1, store.digest, change.author, change.reason, change.at, puts)
         if puts
         else None
     )
 
 
-def way(last: str, first: str, groups: Callable[[str], Group | None]) -> tuple[Group, ...]:
+def changesets_between(
+    last: str, first: str, groups: Callable[[str], ChangeSet | None]
+) -> tuple[ChangeSet, ...]:
     """The groups from behind the digest `first` to `last`, by their `before`; none where that doesn't lead there."""
-    found: list[Group] = []
+    found: list[ChangeSet] = []
     while last != first:
         group = groups(last)
         if group is None or len(found) > 1000:
--- a/pathsaddle/settings/control_client.py
+++ b/pathsaddle/settings/control_client.py
@@ -8,12 +8,12 @@
 
 from pathsaddle.errors import CATALOGUE, Error, why
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.errors import Defect, Refused, Unreached
+from pathsaddle.settings.errors import ChangeRejectedError, ServerDefectError, ServerUnreachableError
 
 MOST = 64 << 20  # bytes of an answer
 
 
-def ask(address: str, word: str, patience: float = 5.0, **more: Any) -> dict[str, Any]:
+def query(address: str, word: str, patience: float = 5.0, **more: Any) -> dict[str, Any]:
     """What it answers. patience: seconds for each step of it. Raises Unreached, and whatever error of the family it answers with."""
     told = b""
     try:
@@ -26,15 +26,15 @@
                     break
                 told += data
     except (OSError, ValueError) as fault:
-        raise Unreached(address=address, word=word, why=why(fault)) from None
+        raise ServerUnreachableError(address=address, word=word, why=why(fault)) from None
     try:
         answer = json.loads(told)
     except ValueError:
-        raise Unreached(
+        raise ServerUnreachableError(
             address=address, word=word, why="what it says is no JSON" if told else "it closed"
         ) from None
     if not isinstance(answer, dict):
-        raise Unreached(address=address, word=word, why="what it says is no answer")
+        raise ServerUnreachableError(address=address, word=word, why="what it says is no answer")
     if "error" in answer:
         raise _error(address, answer["error"])
     return answer
@@ -43,10 +43,10 @@
 def _error(address: str, told: dict[str, Any]) -> Error:
     """As it was there."""
     name, lines = str(told.get("name", "")), told.get("lines")
-    if name == Defect.name or name not in CATALOGUE:
-        return Defect(address=address, why=f"{told.get('what', '')} [{name}]")
-    if name == Refused.name and lines:
-        return Refused([str(line) for line in lines])
+    if name == ServerDefectError.name or name not in CATALOGUE:
+        return ServerDefectError(address=address, why=f"{told.get('what', '')} [{name}]")
+    if name == ChangeRejectedError.name and lines:
+        return ChangeRejectedError([str(line) for line in lines])
     made = Error(str(told.get("what", "")), str(told.get("do", "")), name)
     made.code = int(told.get("code", 1))
     return made
--- a/pathsaddle/settings/disk.py
+++ b/pathsaddle/settings/disk.py
@@ -26,11 +26,19 @@
 import msgspec
 
 from pathsaddle.errors import access, why
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.settings.documents import Group, Snapshot, Wrong, digest_of, encoded, group_at, snapshot_at
-from pathsaddle.settings.errors import NoDisk
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.settings.documents import (
+    ChangeSet,
+    InvalidDocumentError,
+    Snapshot,
+    decode_changeset,
+    decode_snapshot,
+    digest_of,
+    encode_document,
+)
+from pathsaddle.settings.errors import StorageError
 from pathsaddle.settings.store import LOG, Store
-from pathsaddle.settings.sync import OFFERS, Write
+from pathsaddle.settings.sync import MAX_PROPOSALS, DiskWrite
 
 HEAD = 24
 MOST = 1 << 30  # bytes of a frame
@@ -60,26 +68,26 @@
             break
         length = int.from_bytes(head[:4], "big")
         if zlib.crc32(head[:4]) != int.from_bytes(head[4:8], "big"):
-            raise Wrong(f"no frame begins at byte {at}")
+            raise InvalidDocumentError(f"no frame begins at byte {at}")
         body = data[at + HEAD : at + HEAD + length]
         if len(body) < length:
             break
         if hashlib.blake2b(body, digest_size=16).digest() != head[8:]:
             if at + HEAD + length == len(data):
                 break
-            raise Wrong(f"the frame at byte {at} isn't what its sum says")
+            raise InvalidDocumentError(f"the frame at byte {at} isn't what its sum says")
         found.append(body)
         at += HEAD + length
     return found, at
 
 
-class Folder:
+class SettingsDirectory:
     """One process's. `store`, `offers`: what `load` found; the core that `store` is handed to has it from then on."""
 
     def __init__(self, folder: Path, name: str, at: str, *, keep: int = LOG) -> None:
         """at: the key and file that name the folder, for an operator. keep: groups that stay in the log. Raises NoDisk."""
         self.folder, self.name, self.at, self.keep = folder, name, at, keep
-        self.lives = Lives(folder, name)
+        self.lives = IncarnationStore(folder, name)
         self._log = -1
         self.load()
 
@@ -91,9 +99,9 @@
             snapshot = self._snapshot()
             groups = self._groups(snapshot)
             self.store = Store(snapshot, groups, keep=self.keep)
-            offers = [group_at(body) for body in self._frames("offers")]
-        except Wrong as fault:
-            raise NoDisk(
+            offers = [decode_changeset(body) for body in self._frames("offers")]
+        except InvalidDocumentError as fault:
+            raise StorageError(
                 f"{self.folder}: {fault}",
                 "move the folder away, keep it for who looks into this, and start again: what is "
                 f"committed comes from the keepers; its place is said at {self.at}",
@@ -121,7 +129,7 @@
         ]
         return max(0, int((now - max(times)) * 1000))
 
-    def write(self, writes: Sequence[Write]) -> None:
+    def write(self, writes: Sequence[DiskWrite]) -> None:
         """All of it, in order, synced. Raises NoDisk; then nothing may be said that goes by it, and `load` is due."""
         self._had(lambda: self._writes(writes))
 
@@ -132,14 +140,14 @@
 
     # Within
 
-    def _writes(self, writes: Sequence[Write]) -> None:
-        batch: list[Group] = []
+    def _writes(self, writes: Sequence[DiskWrite]) -> None:
+        batch: list[ChangeSet] = []
         offers = list(self.offers)
         last = self.last
         for one in writes:
             if one.snapshot is not None:
                 batch = []  # what came before it is in it
-                self._replaces("snapshot", framed(encoded(one.snapshot)))
+                self._replaces("snapshot", framed(encode_document(one.snapshot)))
                 self._begins_log(())
                 self.count, last = 0, one.snapshot.revision
             elif one.group is not None and one.committed:
@@ -152,15 +160,15 @@
         if batch:
             self._appends(batch)
         self.last = last
-        offers = [one for one in offers if one.revision > last][-OFFERS:]
+        offers = [one for one in offers if one.revision > last][-MAX_PROPOSALS:]
         if offers != self.offers:
-            self._replaces("offers", b"".join(framed(encoded(one)) for one in offers))
+            self._replaces("offers", b"".join(framed(encode_document(one)) for one in offers))
             self.offers = offers
         if self.count > 2 * self.keep:
             self._compacts()
 
-    def _appends(self, groups: Sequence[Group]) -> None:
-        data = memoryview(framed(_encode([encoded(one) for one in groups])))
+    def _appends(self, groups: Sequence[ChangeSet]) -> None:
+        data = memoryview(framed(_encode([encode_document(one) for one in groups])))
         while data:
             data = data[os.write(self._log, data) :]
         os.fsync(self._log)
@@ -170,35 +178,35 @@
         snapshot = self._snapshot()
         groups = self._groups(snapshot)
         store = Store(snapshot, groups[: -self.keep], keep=1)
-        self._replaces("snapshot", framed(encoded(store.snapshot())))
+        self._replaces("snapshot", framed(encode_document(store.snapshot())))
         self._begins_log(groups[-self.keep :])
         self.count = self.keep
 
-    def _begins_log(self, groups: Sequence[Group]) -> None:
-        self._replaces("log", framed(_encode([encoded(one) for one in groups])) if groups else b"")
+    def _begins_log(self, groups: Sequence[ChangeSet]) -> None:
+        self._replaces("log", framed(_encode([encode_document(one) for one in groups])) if groups else b"")
         os.close(self._log)
         self._opens()
 
     def _snapshot(self) -> Snapshot | None:
         found = self._frames("snapshot")
         if len(found) > 1:
-            raise Wrong("snapshot: more than one frame")
-        return snapshot_at(found[0]) if found else None
+            raise InvalidDocumentError("snapshot: more than one frame")
+        return decode_snapshot(found[0]) if found else None
 
-    def _groups(self, snapshot: Snapshot | None) -> list[Group]:
+    def _groups(self, snapshot: Snapshot | None) -> list[ChangeSet]:
         """The log's, after the snapshot. Cuts off a torn tail."""
         data = self._had(lambda: (self.folder / "log").read_bytes())
         try:
             bodies, end = frames(data)
             if end < len(data):
                 self._had(lambda: self._cuts(end))
-            found = [group_at(body) for many in bodies for body in _bodies(many)]
-        except (Wrong, msgspec.DecodeError, msgspec.ValidationError) as fault:
-            raise Wrong(f"log: {fault}") from None
+            found = [decode_changeset(body) for many in bodies for body in _bodies(many)]
+        except (InvalidDocumentError, msgspec.DecodeError, msgspec.ValidationError) as fault:
+            raise InvalidDocumentError(f"log: {fault}") from None
         at = snapshot.revision if snapshot is not None else 0
         for one in found:
             if snapshot is not None and one.revision == at and digest_of(one) != snapshot.digest:
-                raise Wrong(f"log: its revision {at} isn't the snapshot's")
+                raise InvalidDocumentError(f"log: its revision {at} isn't the snapshot's")
         return [one for one in found if one.revision > at]
 
     def _cuts(self, end: int) -> None:
@@ -213,10 +221,10 @@
         data = self._had(path.read_bytes)
         try:
             found, end = frames(data)
-        except Wrong as fault:
-            raise Wrong(f"{name}: {fault}") from None
+        except InvalidDocumentError as fault:
+            raise InvalidDocumentError(f"{name}: {fault}") from None
         if end < len(data):
-            raise Wrong(f"{name}: it ends within a frame")
+            raise InvalidDocumentError(f"{name}: it ends within a frame")
         return found
 
     def _replaces(self, name: str, data: bytes) -> None:
@@ -239,6 +247,6 @@
         try:
             return call()
         except OSError as fault:
-            raise NoDisk(
+            raise StorageError(
                 f"{self.folder}: {why(fault)}", access(fault, self.folder, self.folder) + f", at {self.at}"
             ) from None
--- a/pathsaddle/settings/dispatcher_subscription.py
+++ b/pathsaddle/settings/dispatcher_subscription.py
@@ -12,20 +12,20 @@
 from random import SystemRandom
 from typing import Any
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.errors import Error
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Fellows
-from pathsaddle.settings.cluster_file import GroundForm, ground_of, named
-from pathsaddle.settings.driver import Acting, MemberDriver, Told
-from pathsaddle.settings.sync import nearest
+from pathsaddle.settings.cluster_file import ClusterFile, entry_named, load_cluster_file
+from pathsaddle.settings.driver import ActiveSettings, ConfigSubscriberDriver, DriverConfig
+from pathsaddle.settings.sync import nearest_servers
 
 
-def told(ground: GroundForm, file: str, name: str) -> Told:
+def driver_config(ground: ClusterFile, file: str, name: str) -> DriverConfig:
     """A member as the file of keepers has it, keepers of its region first. Raises BadFile."""
-    row = named(file, "members", ground.members, name)
-    near = nearest({one: keeper.region for one, keeper in ground.keepers.items()}, name, row.region)
-    return Told(
+    row = entry_named(file, "members", ground.members, name)
+    near = nearest_servers({one: keeper.region for one, keeper in ground.keepers.items()}, name, row.region)
+    return DriverConfig(
         name,
         row.region,
         ground.key.encode(),
@@ -38,23 +38,25 @@
     )
 
 
-def logged(fault: Error) -> None:
+def log_error(fault: Error) -> None:
     """A line each, where it holds several."""
-    for one in fault.faults if isinstance(fault, Faulty) else [fault]:
+    for one in fault.faults if isinstance(fault, InvalidConfigError) else [fault]:
         logbook.refused(name=one.name, what=one.what, do=one.do)
 
 
-class Sharing:
+class DispatcherSubscription:
     """What the dispatcher begins and ends; its fleet, where it has one, goes with it. `applies` takes a revision into
     service, whole or not at all, and raises an Error where it can't.
     """
 
-    def __init__(self, file: str, name: str, applies: Callable[[Acting], None]) -> None:
+    def __init__(self, file: str, name: str, applies: Callable[[ActiveSettings], None]) -> None:
         """Raises Faulty, BadFile, NoDisk, and what net/service/place.py says of an address."""
         self.applies = applies
         self.fellows: Fellows | None = None
         self.refused = False  # a revision: its fault was logged, and is none of ours
-        self.member = MemberDriver(told(ground_of(file), file, name), SystemRandom(), self._tell)
+        self.member = ConfigSubscriberDriver(
+            driver_config(load_cluster_file(file), file, name), SystemRandom(), self._tell
+        )
         self.member.hear.append(self._hears)
         self._beginning: asyncio.Task[None] | None = None
         self._ending: asyncio.Task[None] | None = None
@@ -65,11 +67,11 @@
         elif not self.refused:
             logbook.refused(name="settings.defect", what=more["why"], do=f"report its trace: {more['trace']}")
 
-    def _hears(self, acting: Acting) -> None:
+    def _hears(self, acting: ActiveSettings) -> None:
         try:
             self.applies(acting)
         except Error as fault:
-            logged(fault)
+            log_error(fault)
             self.refused = True
             raise
 
@@ -84,7 +86,7 @@
         except Exception as fault:  # noqa: BLE001  # jobs go on by what was in service
             self.member.core = None  # nothing is said any more
             if isinstance(fault, Error):
-                logged(fault)
+                log_error(fault)
             else:
                 logbook.fault_task(fault)
 
--- a/pathsaddle/settings/documents.py
+++ b/pathsaddle/settings/documents.py
@@ -19,33 +19,33 @@
 import msgspec
 from msgspec import Struct
 
-KEY = 128  # characters of a key
-VALUE = 4096  # bytes of a value
-ROWS = 20_000
-PUTS = 64  # rows that one group changes
-GROUP = 32 << 10  # bytes of their keys and values together
-WORDS = 200  # characters of an author or a reason
-SNAPSHOT = 96 << 20  # bytes: more than ROWS rows of the greatest size encoded
+MAX_KEY_CHARS = 128  # characters of a key
+MAX_VALUE_BYTES = 4096  # bytes of a value
+MAX_ENTRIES = 20_000
+MAX_CHANGES = 64  # rows that one group changes
+MAX_CHANGESET_BYTES = 32 << 10  # bytes of their keys and values together
+MAX_TEXT_CHARS = 200  # characters of an author or a reason
+MAX_SNAPSHOT_BYTES = 96 << 20  # bytes: more than ROWS rows of the greatest size encoded
 TABLES = ("customers", "schemes", "budgets", "members")  # with a name each
 SINGLE = ("zones", "rules")
-START = (0, "")  # revision and digest before any group
+INITIAL_REVISION = (0, "")  # revision and digest before any group
 _KEY = re.compile(rf"(?:{'|'.join(SINGLE)}|(?:{'|'.join(TABLES)})\.[^\s\x00-\x1f]+)")
 
 
-class Wrong(ValueError):
+class InvalidDocumentError(ValueError):
     """A group or snapshot that nobody may take; its text says what is wrong with it. Steers our own code alone: what an
-    operator reads of it is one of `settings/faults.py`.
+    operator reads of it is one of `settings/errors.py`.
     """
 
 
-class Put(Struct, array_like=True, frozen=True):
+class Change(Struct, array_like=True, frozen=True):
     """One row's change. value: canonical JSON; None: the row is removed."""
 
     key: str
     value: bytes | None
 
 
-class Group(Struct, array_like=True, frozen=True):
+class ChangeSet(Struct, array_like=True, frozen=True):
     """Changes that count together or not at all.
 
     revision: 1 and up, each once. before: digest of the group of revision - 1 ("" of none). author, reason: for people.
@@ -57,7 +57,7 @@
     author: str
     reason: str
     at: int
-    puts: tuple[Put, ...]
+    puts: tuple[Change, ...]
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
@@ -69,7 +69,7 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_group = msgspec.msgpack.Decoder(Group).decode
+_group = msgspec.msgpack.Decoder(ChangeSet).decode
 _snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 _json = msgspec.json.Decoder().decode
 
@@ -79,87 +79,91 @@
     try:
         return msgspec.json.encode(value, order="deterministic")
     except (TypeError, ValueError, msgspec.MsgspecError) as fault:
-        raise Wrong(f"no JSON: {fault}") from None
+        raise InvalidDocumentError(f"no JSON: {fault}") from None
 
 
-def value_of(data: bytes) -> Any:
+def decode_value(data: bytes) -> Any:
     """Raises Wrong."""
     try:
         return _json(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as fault:
-        raise Wrong(f"no JSON: {fault}") from None
+        raise InvalidDocumentError(f"no JSON: {fault}") from None
 
 
-def hashed(data: bytes) -> str:
+def content_hash(data: bytes) -> str:
     """32 hexadecimal digits."""
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
-def encoded(one: Group | Snapshot) -> bytes:
+def encode_document(one: ChangeSet | Snapshot) -> bytes:
     return _encode(one)
 
 
-def digest_of(group: Group) -> str:
-    return hashed(_encode(group))
+def digest_of(group: ChangeSet) -> str:
+    return content_hash(_encode(group))
 
 
-def checked(group: Group) -> Group:
+def validated(group: ChangeSet) -> ChangeSet:
     """The same. Raises Wrong."""
     if not 0 < group.revision < 1 << 53:
-        raise Wrong(f"revision {group.revision}")
+        raise InvalidDocumentError(f"revision {group.revision}")
     if (len(group.before) != 32) != (group.revision == 1):
-        raise Wrong(f"revision {group.revision} after the digest {group.before!r}")
+        raise InvalidDocumentError(f"revision {group.revision} after the digest {group.before!r}")
     for name, words in (("author", group.author), ("reason", group.reason)):
-        if len(words) > WORDS:
-            raise Wrong(f"{name}: {len(words)} characters, {WORDS} at most")
-    if not 1 <= len(group.puts) <= PUTS:
-        raise Wrong(f"{len(group.puts)} rows, 1 to {PUTS} in a group")
+        if len(words) > MAX_TEXT_CHARS:
+            raise InvalidDocumentError(f"{name}: {len(words)} characters, {MAX_TEXT_CHARS} at most")
+    if not 1 <= len(group.puts) <= MAX_CHANGES:
+        raise InvalidDocumentError(f"{len(group.puts)} rows, 1 to {MAX_CHANGES} in a group")
     seen = dict.fromkeys(put.key for put in group.puts)
     if len(seen) < len(group.puts):
-        raise Wrong("a key stands there twice")
+        raise InvalidDocumentError("a key stands there twice")
     size = 0
     for put in group.puts:
-        row(put.key, put.value)
+        check_entry(put.key, put.value)
         size += len(put.key.encode()) + len(put.value or b"")
-    if size > GROUP:
-        raise Wrong(f"{size} bytes, {GROUP} at most in a group")
+    if size > MAX_CHANGESET_BYTES:
+        raise InvalidDocumentError(f"{size} bytes, {MAX_CHANGESET_BYTES} at most in a group")
     return group
 
 
-def row(key: str, value: bytes | None) -> None:
+def check_entry(key: str, value: bytes | None) -> None:
     """Raises Wrong where this is no row."""
-    if len(key) > KEY or not _KEY.fullmatch(key):
-        raise Wrong(f"{key[:KEY]!r} is no key of shared settings")
+    if len(key) > MAX_KEY_CHARS or not _KEY.fullmatch(key):
+        raise InvalidDocumentError(f"{key[:MAX_KEY_CHARS]!r} is no key of shared settings")
     if value is None:
         return
-    if len(value) > VALUE:
-        raise Wrong(f"{key}: {len(value)} bytes, {VALUE} at most")
-    if canonical(value_of(value)) != value:
-        raise Wrong(f"{key}: not canonical JSON")
+    if len(value) > MAX_VALUE_BYTES:
+        raise InvalidDocumentError(f"{key}: {len(value)} bytes, {MAX_VALUE_BYTES} at most")
+    if canonical(decode_value(value)) != value:
+        raise InvalidDocumentError(f"{key}: not canonical JSON")
 
 
-def group_at(data: bytes) -> Group:
+def decode_changeset(data: bytes) -> ChangeSet:
     """Raises Wrong."""
     try:
-        return checked(_group(data))
+        return validated(_group(data))
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise Wrong(f"no group: {fault}") from None
+        raise InvalidDocumentError(f"no group: {fault}") from None
 
 
-def snapshot_at(data: bytes) -> Snapshot:
+def decode_snapshot(data: bytes) -> Snapshot:
     """Raises Wrong."""
-    if len(data) > SNAPSHOT:
-        raise Wrong(f"{len(data)} bytes")
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        raise InvalidDocumentError(f"{len(data)} bytes")
     try:
         found = _snapshot(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise Wrong(f"no snapshot: {fault}") from None
-    if len(found.rows) > ROWS or found.revision < 0 or (len(found.digest) != 32) != (found.revision == 0):
-        raise Wrong("no snapshot")
+        raise InvalidDocumentError(f"no snapshot: {fault}") from None
+    if (
+        len(found.rows) > MAX_ENTRIES
+        or found.revision < 0
+        or (len(found.digest) != 32) != (found.revision == 0)
+    ):
+        raise InvalidDocumentError("no snapshot")
     if any(one[0] >= two[0] for one, two in zip(found.rows, found.rows[1:], strict=False)):
-        raise Wrong("rows out of order")
+        raise InvalidDocumentError("rows out of order")
     for key, value in found.rows:
-        row(key, value)
+        check_entry(key, value)
     return found
 
 
--- a/pathsaddle/settings/driver.py
+++ b/pathsaddle/settings/driver.py
@@ -25,28 +25,52 @@
 
 import msgspec
 
-from pathsaddle.config.schema import Charter
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.schema import Configuration
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.consensus.messages import Value
-from pathsaddle.consensus.udp_driver import Register, steady
-from pathsaddle.consensus.udp_driver import Told as Standing
-from pathsaddle.control_metrics import Unmetered
+from pathsaddle.consensus.udp_driver import RegisterConfig as Standing
+from pathsaddle.consensus.udp_driver import RegisterDriver, monotonic_ticks
+from pathsaddle.control_metrics import NullMeter
 from pathsaddle.errors import Error
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.place import unhad
 from pathsaddle.net.wire.terms import Peer, peer_of
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.active_terms import Terms
-from pathsaddle.settings.changes import puts_of
-from pathsaddle.settings.configuration import fitting
-from pathsaddle.settings.datagrams import Refused as Unread
+from pathsaddle.settings.active_terms import ActiveTerms
+from pathsaddle.settings.changes import changes_from_tables
+from pathsaddle.settings.configuration import check_consistency
+from pathsaddle.settings.datagrams import DatagramRejectedError as Unread
 from pathsaddle.settings.datagrams import decode, encode
-from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.documents import START, WORDS, Group, Wrong, digest_of, encoded, value_of
-from pathsaddle.settings.errors import Defect, NoDisk, NoMajority, Outrun, Refused, Unfit
-from pathsaddle.settings.sync import DATAGRAM, LEASE, SECOND, Happened, Keeper, Member, Ready, Said
+from pathsaddle.settings.disk import SettingsDirectory
+from pathsaddle.settings.documents import (
+    INITIAL_REVISION,
+    MAX_TEXT_CHARS,
+    ChangeSet,
+    InvalidDocumentError,
+    decode_value,
+    digest_of,
+    encode_document,
+)
+from pathsaddle.settings.errors import (
+    ChangeRejectedError,
+    NoQuorumError,
+    RevisionConflictError,
+    ServerDefectError,
+    StorageError,
+    ValidationError,
+)
+from pathsaddle.settings.sync import (
+    DEFAULT_LEASE,
+    MAX_DATAGRAM_BYTES,
+    SECOND,
+    ConfigServer,
+    ConfigSubscriber,
+    Happened,
+    Message,
+    Output,
+)
 
 KEY = "settings"  # the voters' key
 AT_ONCE = 64  # datagrams in one turn
@@ -62,7 +86,7 @@
 
 
 @dataclass
-class Told:
+class DriverConfig:
     """What a driver is told. keepers: addresses by name, nearest first. lease: ticks, the members'. at: the table and file
     where all this stands, for an operator. control: host:port on the loopback, or none.
     """
@@ -74,45 +98,47 @@
     keepers: dict[str, str]
     folder: Path
     at: str
-    lease: int = LEASE
+    lease: int = DEFAULT_LEASE
     control: str = ""
     most_bytes: int = 13_000
     most_datagrams: int = 200
 
 
 @dataclass(frozen=True)
-class Acting:
+class ActiveSettings:
     """By what a member acts: a revision that is on its disk, narrowed by what it was offered."""
 
     revision: int = 0
     digest: str = ""
     rows: Mapping[str, bytes] = field(default_factory=dict)
     offers: bool = False
-    terms: Terms | None = field(default=None, compare=False)  # that revision's own, by no offer narrowed
+    terms: ActiveTerms | None = field(
+        default=None, compare=False
+    )  # that revision's own, by no offer narrowed
 
 
-C = TypeVar("C", Member, Keeper)
+C = TypeVar("C", ConfigSubscriber, ConfigServer)
 Tell = Callable[..., None]
 
 
 class Driver(Generic[C]):
     """What both have in common. Raises NoDisk, and what net/service/place.py says of an address."""
 
-    def __init__(self, told: Told, chance: Random, tell: Tell) -> None:
+    def __init__(self, told: DriverConfig, chance: Random, tell: Tell) -> None:
         self.told, self.chance, self.tell = told, chance, tell
-        self.folder = Folder(told.folder, told.name, told.at)
+        self.folder = SettingsDirectory(told.folder, told.name, told.at)
         self.life = self.folder.life(time.time_ns() // 1_000_000)
-        self.purse = Purse(told.most_bytes, told.most_datagrams, steady())
+        self.rate_limiter = RateLimiter(told.most_bytes, told.most_datagrams, monotonic_ticks())
         self.peers: dict[str, Peer] = {name: peer_of(address) for name, address in told.keepers.items()}
         self.core: C | None = self._made()
         self.sock = self._bound()
         self.disk = ThreadPoolExecutor(1, "settings")
-        self.queue: deque[tuple[Ready, Acting]] = deque()
+        self.queue: deque[tuple[Output, ActiveSettings]] = deque()
         self.syncing = False
         self.refused: dict[str, int] = {}
         self.ended = asyncio.Event()
         self.fault: Error | None = None  # by which it ended
-        self.meter = Unmetered()
+        self.meter = NullMeter()
         self._events: asyncio.AbstractEventLoop
         self._alarm: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -122,8 +148,8 @@
     def _made(self) -> C:
         raise NotImplementedError
 
-    def _acting(self, core: C) -> Acting:
-        return Acting()
+    def _acting(self, core: C) -> ActiveSettings:
+        return ActiveSettings()
 
     def _bound(self) -> socket.socket:
         told, sock = self.told, None
@@ -172,7 +198,7 @@
         if core is None:
             return
         try:
-            due = call(core, steady())
+            due = call(core, monotonic_ticks())
             made, acting = core.ready(), self._acting(core)
         except Exception as fault:  # noqa: BLE001  # whatever it is, as a crash
             self._ill(fault)
@@ -192,7 +218,7 @@
     def _sets(self, due: int) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        self._alarm = self._events.call_later(max(1, due - steady()) / SECOND, self._wake)
+        self._alarm = self._events.call_later(max(1, due - monotonic_ticks()) / SECOND, self._wake)
 
     def _wake(self) -> None:
         self.meter.runs("settings", lambda: self._turn(lambda core, now: core.wake(now)))
@@ -206,7 +232,7 @@
             else:
                 self._does(*self.queue.popleft())
 
-    async def _syncs(self, batch: list[tuple[Ready, Acting]]) -> None:
+    async def _syncs(self, batch: list[tuple[Output, ActiveSettings]]) -> None:
         writes = [one for made, _ in batch for one in made.writes]
         try:
             await self._events.run_in_executor(self.disk, self.folder.write, writes)
@@ -214,7 +240,7 @@
             self._dies(
                 fault
                 if isinstance(fault, Error)
-                else NoDisk(
+                else StorageError(
                     f"{self.told.folder}: {type(fault).__name__}: {fault}", "report the trace in the log"
                 ),
                 fault,
@@ -224,12 +250,12 @@
             self.syncing = False
         self.meter.runs("settings", lambda: self._synced(batch))
 
-    def _synced(self, batch: list[tuple[Ready, Acting]]) -> None:
+    def _synced(self, batch: list[tuple[Output, ActiveSettings]]) -> None:
         for made, acting in batch:
             self._does(made, acting)
         self._drains()
 
-    def _does(self, made: Ready, acting: Acting) -> None:
+    def _does(self, made: Output, acting: ActiveSettings) -> None:
         """What stands in `made` is on disk. It acts by it before it says so: who hears its word may tell it in force."""
         if self.ended.is_set():
             return
@@ -238,7 +264,7 @@
         except Exception as fault:  # noqa: BLE001  # of who listens
             # What isn't in service must not be said to be: silence, and keepers name it as the one they wait for.
             self._dies(
-                Unfit(
+                ValidationError(
                     f"revision {acting.revision} could not be taken into service: {type(fault).__name__}: {fault}",
                     f"report the trace at driver.fault in the log of {self.told.name}, and restart it",
                 ),
@@ -250,7 +276,7 @@
                 self._tells(one)
             except Exception as fault:  # noqa: BLE001  # this line alone
                 self._says_fault(fault)
-        now = steady()
+        now = monotonic_ticks()
         for to, said in made.out:
             peer = self.peers.get(to)
             if peer is None:
@@ -265,7 +291,7 @@
                 self._says_fault(fault)
         self._looks()
 
-    def _acts(self, acting: Acting) -> None:
+    def _acts(self, acting: ActiveSettings) -> None:
         """On disk now."""
 
     def _tells(self, one: Happened) -> None:
@@ -329,24 +355,24 @@
         """By a reader: a datagram's source is wanted, and uvloop has no `sock_recvfrom`."""
         try:
             for _ in range(AT_ONCE):
-                data, source = self.sock.recvfrom(DATAGRAM + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 self.meter.came("settings", len(data))
                 try:
                     said = decode(data, self.told.key)
                 except Unread as why:
-                    self._counts(str(why), steady())
+                    self._counts(str(why), monotonic_ticks())
                     continue
                 if len(self.queue) < QUEUE and self._knows(said, source):
                     self._hears(said)
         except BlockingIOError:
             pass
         except OSError:  # such as a peer's port that nobody has
-            self._counts("socket", steady())
+            self._counts("socket", monotonic_ticks())
 
-    def _hears(self, said: Said) -> None:
+    def _hears(self, said: Message) -> None:
         self._turn(lambda core, now: core.heard(said, now))
 
-    def _knows(self, said: Said, source: Peer) -> bool:
+    def _knows(self, said: Message, source: Peer) -> bool:
         return said.name in self.told.keepers
 
     def _counts(self, why: str, now: int) -> None:
@@ -383,9 +409,9 @@
             word = asked.get("word") if isinstance(asked, dict) else None
             call = self._words().get(word or "")
             if call is None:
-                raise Unfit("no such word", f"ask one of {', '.join(self._words())}")
+                raise ValidationError("no such word", f"ask one of {', '.join(self._words())}")
             if self.core is None:
-                raise NoMajority(
+                raise NoQuorumError(
                     f"{self.told.name} has ended, or is made anew after a fault of ours",
                     f"look in the log of {self.told.name}, and ask again, or another",
                 )
@@ -418,42 +444,44 @@
 def _rows(rows: Mapping[str, bytes], key: str) -> dict[str, Any]:
     """key: the whole or the beginning, up to a dot, of those that are wanted."""
     return {
-        one: value_of(value)
+        one: decode_value(value)
         for one, value in sorted(rows.items())
         if not key or one == key or one.startswith(key + ".")
     }
 
 
-class MemberDriver(Driver[Member]):
+class ConfigSubscriberDriver(Driver[ConfigSubscriber]):
     """A dispatcher's part. `hear`: called with each Acting once it is on disk, and with the first at `begin`."""
 
-    def __init__(self, told: Told, chance: Random, tell: Tell) -> None:
-        self.hear: list[Callable[[Acting], None]] = []
+    def __init__(self, told: DriverConfig, chance: Random, tell: Tell) -> None:
+        self.hear: list[Callable[[ActiveSettings], None]] = []
         super().__init__(told, chance, tell)
         assert self.core is not None
         self.acting = self._acting(self.core)
 
-    def _made(self) -> Member:
+    def _made(self) -> ConfigSubscriber:
         told = self.told
-        return Member(
+        return ConfigSubscriber(
             told.name,
             told.region,
             self.life,
             self.folder.store,
             list(told.keepers),
             self.chance,
-            self.purse,
-            steady(),
+            self.rate_limiter,
+            monotonic_ticks(),
             told.lease,
         )
 
-    def _acting(self, core: Member) -> Acting:
+    def _acting(self, core: ConfigSubscriber) -> ActiveSettings:
         base = core.holder.base
         if not core.proven:
-            return Acting()
-        return Acting(base.number, base.digest, core.rows(steady()), bool(core.holder.offers), base.spec)
+            return ActiveSettings()
+        return ActiveSettings(
+            base.number, base.digest, core.rows(monotonic_ticks()), bool(core.holder.offers), base.spec
+        )
 
-    def _acts(self, acting: Acting) -> None:
+    def _acts(self, acting: ActiveSettings) -> None:
         if acting != self.acting:
             self.acting = acting
             for hear in self.hear:
@@ -478,14 +506,14 @@
         if core is None:
             return False
         base = core.holder.base
-        return core.leased(steady()) and (self.acting.revision, self.acting.digest) == (
+        return core.leased(monotonic_ticks()) and (self.acting.revision, self.acting.digest) == (
             base.number,
             base.digest,
         )
 
     def view(self) -> dict[str, Any]:
         assert self.core is not None
-        now = steady()
+        now = monotonic_ticks()
         told = self.core.status(now)
         return {
             "name": self.told.name,
@@ -527,18 +555,18 @@
 def unpacked(value: Value) -> tuple[int, str]:
     """Raises Wrong where somebody else writes under the key."""
     if not value.data:
-        return START
+        return INITIAL_REVISION
     try:
         revision, digest, _ = msgspec.msgpack.decode(value.data, type=tuple[int, bytes, int])
     except (msgspec.DecodeError, msgspec.ValidationError):
-        raise Wrong(
+        raise InvalidDocumentError(
             f"the voters' key {KEY!r} holds what is no revision: take it out of fleet.owners.keys"
         ) from None
     return revision, digest.hex()
 
 
 @dataclass(frozen=True)
-class Electorate:
+class VoterConfig:
     """The voters. listen: where this keeper's own socket to them is; its voter's, if it is one."""
 
     names: dict[str, str]
@@ -548,12 +576,12 @@
     listen: str
 
 
-class Committing:
+class RegisterSession:
     """One standing for the register's key: from the first change until a while after the last."""
 
-    def __init__(self, told: Told, voters: Electorate, chance: Random) -> None:
+    def __init__(self, told: DriverConfig, voters: VoterConfig, chance: Random) -> None:
         host = peer_of(voters.listen)[0]
-        self.register = Register(
+        self.register = RegisterDriver(
             Standing(
                 f"{told.name}.commits",
                 voters.fleet,
@@ -573,12 +601,12 @@
     async def owns(self, until: float) -> tuple[int, tuple[int, str]]:
         """Its number, and what the register held under it. Raises NoMajority, Wrong."""
         while time.monotonic() < until:
-            number = self.register.may_act(KEY)
+            number = self.register.fencing_token(KEY)
             value = await self.register.read(KEY) if number else None
-            if value is not None and value.number == number == self.register.may_act(KEY):
+            if value is not None and value.number == number == self.register.fencing_token(KEY):
                 return number, unpacked(value)
             await asyncio.sleep(0.02)
-        raise NoMajority(
+        raise NoQuorumError(
             "no majority of the voters lets us own the register: nothing was committed",
             "start those of voters.names that are down, or mend the ways to them, then apply again",
         )
@@ -591,14 +619,14 @@
 
 
 @dataclass(eq=False)
-class Queued(commit_round.Change):
+class QueuedChange(commit_round.PendingChange):
     """A change that waits. until: of the monotonic clock, seconds. done: its answer. group: as what it is proposed now.
     sent: whether the register has been asked to take it, so that it may be committed whatever is heard.
     """
 
     until: float = 0.0
     done: asyncio.Future[dict[str, Any]] = field(default_factory=asyncio.Future)
-    group: Group | None = None
+    group: ChangeSet | None = None
     sent: bool = False
 
     def fails(self, fault: Error) -> None:
@@ -610,29 +638,31 @@
             self.done.set_result({"revision": revision, "digest": digest, "changed": changed})
 
 
-class KeeperProcess(Driver[Keeper]):
+class ConfigServerDriver(Driver[ConfigServer]):
     """A keeper: texts on disk, the members of its region, the register by a majority of voters, changes from its control
     address.
     """
 
-    def __init__(self, told: Told, voters: Electorate, chance: Random, tell: Tell) -> None:
+    def __init__(self, told: DriverConfig, voters: VoterConfig, chance: Random, tell: Tell) -> None:
         """Raises also what ownership's Register does."""
         self.voters = voters
         self.reading: asyncio.Task[None] | None = None
         self.proved: int | None = None  # when the last reading that was proven began
         self.waits: list[tuple[Callable[[], bool], asyncio.Future[None]]] = []
-        self.queued: list[Queued] = []  # as many as ASKERS
+        self.queued: list[QueuedChange] = []  # as many as ASKERS
         self.rounds: asyncio.Task[None] | None = None
         self.changing = asyncio.Lock()
-        self.committing: Committing | None = None
+        self.committing: RegisterSession | None = None
         self.changes = 0  # that were begun
-        self.fitting: tuple[Charter, Mapping[str, bytes]] | None = None  # of the rows that were judged last
+        self.fitting: tuple[Configuration, Mapping[str, bytes]] | None = (
+            None  # of the rows that were judged last
+        )
         self.kept = (
             ""  # the digest of the last proposal that a majority of keepers, this one among them, has on disk
         )
         super().__init__(told, chance, tell)
         self.logged = self.folder.store.revision  # the highest told whole
-        self.register = Register(
+        self.register = RegisterDriver(
             Standing(
                 told.name,
                 voters.fleet,
@@ -648,18 +678,18 @@
             Counters(),
         )
 
-    def _made(self) -> Keeper:
+    def _made(self) -> ConfigServer:
         told = self.told
         peers = [name for name in told.keepers if name != told.name]
-        return Keeper(
+        return ConfigServer(
             told.name,
             told.region,
             self.life,
             self.folder.store,
             peers,
             self.chance,
-            self.purse,
-            steady(),
+            self.rate_limiter,
+            monotonic_ticks(),
             told.lease,
             offers=self.folder.offers,
         )
@@ -680,7 +710,7 @@
         await super().end()
         self.register.end()
 
-    def _knows(self, said: Said, source: Peer) -> bool:
+    def _knows(self, said: Message, source: Peer) -> bool:
         """Who has the key is a member by any name, and is where it was heard from last."""
         if said.name == self.told.name:
             return False
@@ -712,23 +742,23 @@
                     )
             self.logged = max(self.logged, one.revision)
 
-    def _after(self, core: Keeper) -> None:
+    def _after(self, core: ConfigServer) -> None:
         if core.wants_reading and self.reading is None:
             self.reading = self._runs(self._reads(core))
 
     # The register
 
-    async def _reads(self, core: Keeper) -> None:
+    async def _reads(self, core: ConfigServer) -> None:
         """One reading, by a majority, begun after `begins`."""
         value: Value | None = None
-        latest = START
-        now = steady()
+        latest = INITIAL_REVISION
+        now = monotonic_ticks()
         try:
             number = core.begins(now)
             value = await self.register.read(KEY)
             if value is not None:
                 latest = unpacked(value)
-        except Wrong as fault:
+        except InvalidDocumentError as fault:
             value = None
             self.tell("refused", why=str(fault))
         except Exception as fault:  # noqa: BLE001  # whatever it is ends this reading alone
@@ -777,11 +807,13 @@
         """
         rows, remove = asked.get("rows") or {}, asked.get("remove") or []
         author, reason = str(asked.get("author", "")), str(asked.get("reason", ""))
-        puts = puts_of(rows, remove)
-        if max(len(author), len(reason)) > WORDS:
-            raise Refused([str(Unfit(key="reason", why=f"{WORDS} characters at most"))])
+        puts = changes_from_tables(rows, remove)
+        if max(len(author), len(reason)) > MAX_TEXT_CHARS:
+            raise ChangeRejectedError(
+                [str(ValidationError(key="reason", why=f"{MAX_TEXT_CHARS} characters at most"))]
+            )
         until = time.monotonic() + min(60.0, float(asked.get("within", WITHIN)))
-        mine = Queued(puts, author, reason, int(time.time() * 1000), asked.get("expect"), until=until)
+        mine = QueuedChange(puts, author, reason, int(time.time() * 1000), asked.get("expect"), until=until)
         self.queued.append(mine)
         self.changes += 1
         if self.rounds is None:
@@ -793,7 +825,7 @@
                 raise self._untold(mine)
             if mine in self.queued and mine.group is None:
                 self.queued.remove(mine)
-                raise NoMajority(
+                raise NoQuorumError(
                     "no majority of the voters let us own the register, or other changes were before it: "
                     "nothing was committed",
                     "start those of voters.names that are down, or mend the ways to them, then apply again",
@@ -808,12 +840,12 @@
             async with self.changing:
                 while self.queued:
                     if self.committing is None:
-                        self.committing = Committing(self.told, self.voters, self.chance)
+                        self.committing = RegisterSession(self.told, self.voters, self.chance)
                         self.committing.register.begin()
                     try:
                         await self._round(self.committing)
-                    except Wrong as fault:
-                        self._fails(self.queued, Refused([self._wrong(fault)]))
+                    except InvalidDocumentError as fault:
+                        self._fails(self.queued, ChangeRejectedError([self._wrong(fault)]))
                     except Error as fault:
                         self._fails(self.queued, fault)
                     finally:
@@ -822,18 +854,19 @@
         except Exception as fault:  # noqa: BLE001  # a defect of ours: of these changes alone
             self._says_fault(fault)
             self._fails(
-                self.queued, Defect(address=self.told.control, why=f"{type(fault).__name__}: {fault}")
+                self.queued,
+                ServerDefectError(address=self.told.control, why=f"{type(fault).__name__}: {fault}"),
             )
         finally:
             self.rounds = None
             self._runs(self._lingers(self.changes))
 
-    def _fails(self, changes: Sequence[Queued], fault: Error) -> None:
+    def _fails(self, changes: Sequence[QueuedChange], fault: Error) -> None:
         """Who may be committed, whatever is heard, is told that."""
         for one in list(changes):
             if one in self.queued:
                 self.queued.remove(one)
-                one.fails(self._untold(one) if one.sent and isinstance(fault, NoMajority) else fault)
+                one.fails(self._untold(one) if one.sent and isinstance(fault, NoQuorumError) else fault)
 
     async def _lingers(self, mine: int) -> None:
         """Others may commit: the key is given back, unless more changes came here."""
@@ -843,40 +876,40 @@
                 committing, self.committing = self.committing, None
                 await committing.end()
 
-    def _keeps(self) -> Keeper:
+    def _keeps(self) -> ConfigServer:
         """Raises NoMajority."""
         if self.core is None:
-            raise NoMajority(
+            raise NoQuorumError(
                 f"{self.told.name} had a fault of ours: whether it was committed can't be told",
                 "look at `pathsaddle settings history`, and apply again if it isn't there",
             )
         return self.core
 
-    async def _round(self, committing: Committing) -> None:
+    async def _round(self, committing: RegisterSession) -> None:
         """One through the register, with all of the queue that can go together. Raises Error, Wrong: of all that wait."""
         now, waiting = time.monotonic(), list(self.queued)
         try:
             self._fails(
                 [one for one in waiting if one.until <= now],
-                NoMajority(
+                NoQuorumError(
                     "no round through the voters and keepers ended in time: nothing was committed",
                     "start those of voters.names and keepers that are down, or mend the ways to them, then apply again",
                 ),
             )
             if self.queued:
                 number, latest = await committing.owns(max(one.until for one in self.queued))
-        except NoMajority as fault:
+        except NoQuorumError as fault:
             self._fails(waiting, fault)
             return
         if not self.queued:
             return
         if not await self._has(latest, max(one.until for one in self.queued)):
-            raise NoMajority(
+            raise NoQuorumError(
                 f"no keeper has the text of revision {latest[0]}: nothing was committed",
                 "start the keepers that are down, and apply again",
             )
         core = self._keeps()
-        found = commit_round.together(core.store, self.queued, self._fits, core.joins)
+        found = commit_round.plan_round(core.store, self.queued, self._fits, core.joins)
         for told in found.told:
             self._tells_verdict(told, latest)
         if not found.taken:
@@ -887,21 +920,21 @@
             one.group = group
         try:
             self._proposes(groups)
-        except Wrong as fault:
-            self._fails(under, Refused([self._wrong(fault)]))
+        except InvalidDocumentError as fault:
+            self._fails(under, ChangeRejectedError([self._wrong(fault)]))
             return
         until = min(one.until for one in under)
         if not await self._kept_by_most(core, digest, until):
             self._withdraws()
             self._fails(
                 [one for one in under if one.until <= time.monotonic()],
-                NoMajority(
+                NoQuorumError(
                     f"no majority of the keepers has revision {last.revision} on disk: nothing was committed",
                     "start those of keepers that are down, or mend the ways to them, then apply again",
                 ),
             )
             return  # the others' time isn't over: once more, without those
-        if self._keeps() is not core or committing.register.may_act(KEY) != number:
+        if self._keeps() is not core or committing.register.fencing_token(KEY) != number:
             self._withdraws()
             return  # owned anew since the look: what was read may be no longer so
         for one, group in found.taken:
@@ -909,11 +942,11 @@
             one.tried.append((group.revision, digest_of(group)))
         # From here on the number guards it: voters take the change only while this very owning is the last.
         await committing.register.put(
-            KEY, packed(last.revision, digest, sum(len(encoded(group)) for group in groups))
+            KEY, packed(last.revision, digest, sum(len(encode_document(group)) for group in groups))
         )
         try:
             settled = await self._settled(last.revision, max(one.until for one in under))
-        except NoMajority as fault:
+        except NoQuorumError as fault:
             self._fails(under, fault)
             return
         made = settled == (last.revision, digest) or (
@@ -931,44 +964,46 @@
                     self.queued.remove(one)
                     one.fails(self._outrun(settled, one.expect))
 
-    def _tells_verdict(self, told: commit_round.Told[Queued], latest: tuple[int, str]) -> None:
+    def _tells_verdict(self, told: commit_round.RoundVerdict[QueuedChange], latest: tuple[int, str]) -> None:
         one = told.change
         self.queued.remove(one)
-        if told.what in (commit_round.MADE, commit_round.SAME):
-            one.answers(told.revision, told.digest, told.what == commit_round.MADE)
-        elif told.what == commit_round.OUTRUN:
+        if told.what in (commit_round.ALREADY_COMMITTED, commit_round.UNCHANGED):
+            one.answers(told.revision, told.digest, told.what == commit_round.ALREADY_COMMITTED)
+        elif told.what == commit_round.REVISION_CONFLICT:
             one.fails(self._outrun(latest, one.expect))
         elif isinstance(told.why, Error):
             one.fails(told.why)
         else:
-            one.fails(Refused([self._wrong(told.why)]))
+            one.fails(ChangeRejectedError([self._wrong(told.why)]))
 
     @staticmethod
     def _wrong(fault: object) -> str:
-        return str(Unfit(str(fault), "change that in what is applied, or see docs/settings-store.md"))
+        return str(
+            ValidationError(str(fault), "change that in what is applied, or see docs/settings-store.md")
+        )
 
-    def _untold(self, one: Queued) -> NoMajority:
+    def _untold(self, one: QueuedChange) -> NoQuorumError:
         revision, digest = one.tried[-1]
-        return NoMajority(
+        return NoQuorumError(
             f"no majority of the voters answers: whether revision {revision} was committed can't be told",
             f"start those of voters.names that are down, then see whether `pathsaddle settings history` has {digest[:8]}",
         )
 
-    def _fits(self, terms: Terms) -> None:
+    def _fits(self, terms: ActiveTerms) -> None:
         """Rows that don't fit together are refused here: no dispatcher could take them into service. Raises Refused."""
         try:
-            self.fitting = fitting(terms.rows(), self.fitting)
-        except Faulty as fault:
-            raise Refused(list(map(str, fault.faults))) from None
+            self.fitting = check_consistency(terms.rows(), self.fitting)
+        except InvalidConfigError as fault:
+            raise ChangeRejectedError(list(map(str, fault.faults))) from None
 
-    def _proposes(self, groups: Sequence[Group]) -> None:
+    def _proposes(self, groups: Sequence[ChangeSet]) -> None:
         """Raises Wrong."""
-        wrong: list[Wrong] = []
+        wrong: list[InvalidDocumentError] = []
 
-        def call(core: Keeper, now: int) -> int:
+        def call(core: ConfigServer, now: int) -> int:
             try:
                 return core.propose(groups[0], now, groups[1:])
-            except Wrong as fault:
+            except InvalidDocumentError as fault:
                 wrong.append(fault)
                 return core.wake(now)
 
@@ -976,11 +1011,11 @@
         if wrong:
             raise wrong[0]
 
-    async def _kept_by_most(self, core: Keeper, digest: str, until: float) -> bool:
+    async def _kept_by_most(self, core: ConfigServer, digest: str, until: float) -> bool:
         return await self._until(lambda: self.core is not core or self.kept == digest, until)
 
     def _withdraws(self) -> None:
-        def call(core: Keeper, now: int) -> int:
+        def call(core: ConfigServer, now: int) -> int:
             core.withdraw(now)
             return core.wake(now)
 
@@ -1013,12 +1048,12 @@
                     await self._has(found, until)
                 return found
             await asyncio.sleep(0.02)
-        raise NoMajority("no majority of the voters answers", "start those of voters.names that are down")
+        raise NoQuorumError("no majority of the voters answers", "start those of voters.names that are down")
 
-    def _outrun(self, found: tuple[int, str], expected: Any) -> Outrun:
+    def _outrun(self, found: tuple[int, str], expected: Any) -> RevisionConflictError:
         core = self._keeps()
         last = core.store.log[-1][1] if core.store.log and core.store.digest == found[1] else None
-        return Outrun(
+        return RevisionConflictError(
             revision=found[0],
             author=last.author if last else "somebody",
             reason=last.reason if last else "",
@@ -1031,7 +1066,7 @@
         return {"get": self._get, "apply": self.change, "history": self._history, "status": self._status}
 
     def _proved_ms(self) -> int | None:
-        return None if self.proved is None else (steady() - self.proved) // 10
+        return None if self.proved is None else (monotonic_ticks() - self.proved) // 10
 
     async def _get(self, asked: dict[str, Any]) -> dict[str, Any]:
         store = self._keeps().store
@@ -1055,7 +1090,7 @@
                     "reason": group.reason,
                     "at": group.at,
                     "puts": {
-                        put.key: None if put.value is None else value_of(put.value) for put in group.puts
+                        put.key: None if put.value is None else decode_value(put.value) for put in group.puts
                     },
                 }
                 for digest, group in store.log[-most:]
@@ -1063,7 +1098,7 @@
         }
 
     async def _status(self, asked: dict[str, Any]) -> dict[str, Any]:
-        now, core = steady(), self._keeps()
+        now, core = monotonic_ticks(), self._keeps()
         found = core.status(now)
         revision = asked.get("revision")
         return {
--- a/pathsaddle/settings/errors.py
+++ b/pathsaddle/settings/errors.py
@@ -7,11 +7,11 @@
 from pathsaddle.errors import FINDING, Error
 
 
-class SettingsFault(Error):
+class SettingsError(Error):
     """Any of shared settings'."""
 
 
-class Outrun(SettingsFault):
+class RevisionConflictError(SettingsError):
     name = "settings.outrun"
     what = (
         "revision {revision} was committed meanwhile by {author!r} ({reason!r}), and {expected} was expected"
@@ -20,14 +20,14 @@
     code = FINDING
 
 
-class NoMajority(SettingsFault):
+class NoQuorumError(SettingsError):
     """No majority of voters, or of keepers, answered in time: nothing was committed, or nobody can say whether it was."""
 
     name = "settings.no-majority"
     code = FINDING
 
 
-class Refused(SettingsFault):
+class ChangeRejectedError(SettingsError):
     """A change that nobody may make; holds all that is wrong with it, and prints as one line each."""
 
     name = "settings.refused"
@@ -43,21 +43,21 @@
         return "\n".join(self.lines)
 
 
-class Unfit(SettingsFault):
+class ValidationError(SettingsError):
     name = "settings.unfit"
     what = "{key}: {why}"
     do = "change {key} in what is applied"
     code = FINDING
 
 
-class Restart(SettingsFault):
+class RestartRequiredError(SettingsError):
     name = "settings.restart"
     what = "{key} is no shared setting: {why}"
     do = "write {key} in the charters of those whom it is meant for, and restart them"
     code = FINDING
 
 
-class Waits(SettingsFault):
+class NotYetActiveError(SettingsError):
     name = "settings.waits"
     what = "revision {revision} is committed, and not in force after {within:g} s: it waits for {names}"
     do = (
@@ -67,7 +67,7 @@
     code = FINDING
 
 
-class Unreached(SettingsFault):
+class ServerUnreachableError(SettingsError):
     name = "settings.unreached"
     what = "{address}: no answer to {word!r}: {why}"
     do = (
@@ -77,20 +77,20 @@
     code = FINDING
 
 
-class Defect(SettingsFault):
+class ServerDefectError(SettingsError):
     name = "settings.defect"
     what = "{address}: {why}"
     do = "report the trace in the log of the keeper at {address}"
     code = FINDING
 
 
-class BadFile(SettingsFault):
+class ClusterFileError(SettingsError):
     """The file of keepers and members, or of a change, says what can't be meant."""
 
     name = "settings.file"
 
 
-class NoDisk(SettingsFault):
+class StorageError(SettingsError):
     """A folder can't be read or written, or holds what we did not write."""
 
     name = "settings.disk"
