--- a/pathsaddle/settings/model_checker.py
+++ b/pathsaddle/settings/model_checker.py
@@ -21,18 +21,18 @@
 from typing import Any
 
 from pathsaddle import leased_versions
-from pathsaddle.settings.active_terms import Terms
-from pathsaddle.settings.documents import Group, Put, canonical, digest_of
+from pathsaddle.settings.active_terms import ActiveTerms
+from pathsaddle.settings.documents import Change, ChangeSet, canonical, digest_of
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
     Client,
+    ConfigServer,
+    ConfigSubscriber,
+    DiskWrite,
     Happened,
-    Keeper,
-    Machine,
-    Member,
-    Renewal,
-    Said,
-    Write,
+    LeaseRenewal,
+    Message,
+    SyncPeer,
 )
 
 LEASE = 300
@@ -42,12 +42,12 @@
 PAIR = ("customers.a", "customers.b")
 
 
-class Forbidden(AssertionError):
+class InvariantViolationError(AssertionError):
     """A bound does not hold; its text is which, and how that came about."""
 
 
 class _Ample:
-    def pays(self, size: int, now: int, spare: float = 0.0) -> bool:
+    def try_consume(self, size: int, now: int, spare: float = 0.0) -> bool:
         return True
 
 
@@ -57,18 +57,18 @@
     """
 
     def __init__(self, members: int, allowances: Iterable[int]) -> None:
-        self.groups: list[Group] = []
+        self.groups: list[ChangeSet] = []
         self.rows: list[dict[str, bytes]] = [{}]
         self.digests = [""]
         for i, allowance in enumerate(allowances):
-            puts = [Put(key, canonical({"allowance": allowance})) for key in PAIR]
+            puts = [Change(key, canonical({"allowance": allowance})) for key in PAIR]
             if not i:
-                puts += [Put(f"members.m{n}", canonical({"region": "north"})) for n in range(members)]
-            group = Group(i + 1, self.digests[-1], "model", "", 0, tuple(puts))
+                puts += [Change(f"members.m{n}", canonical({"region": "north"})) for n in range(members)]
+            group = ChangeSet(i + 1, self.digests[-1], "model", "", 0, tuple(puts))
             self.groups.append(group)
             self.digests.append(digest_of(group))
             self.rows.append(self.rows[-1] | {put.key: put.value for put in puts if put.value is not None})
-        self.terms = [Terms(rows) for rows in self.rows]
+        self.terms = [ActiveTerms(rows) for rows in self.rows]
 
     def store(self, revision: int) -> Store:
         return Store(None, self.groups[:revision])
@@ -81,12 +81,12 @@
     """
 
     line: Line
-    members: tuple[Member, ...]
+    members: tuple[ConfigSubscriber, ...]
     disks: tuple[Store, ...]
-    keeper: Keeper
-    disk: tuple[Store, tuple[Group, ...]]
+    keeper: ConfigServer
+    disk: tuple[Store, tuple[ChangeSet, ...]]
     clocks: tuple[int, ...]
-    air: frozenset[tuple[str, Said]]
+    air: frozenset[tuple[str, Message]]
     register: int = 1
     batch: bool = False
     reading: tuple[int, int] | None = None
@@ -130,7 +130,7 @@
     return row[0], 0
 
 
-def cloned(machine: Any) -> Any:
+def clone(machine: Any) -> Any:
     """As it is now; what can't be changed is shared."""
     made = copy.copy(machine)
     for key, value in vars(made).items():
@@ -139,7 +139,7 @@
     return made
 
 
-def kept(disk: Store, writes: Iterable[Write]) -> Store:
+def stored(disk: Store, writes: Iterable[DiskWrite]) -> Store:
     """What is on disk after it."""
     found = [write for write in writes if write.committed]
     if not found:
@@ -159,12 +159,12 @@
     for i in range(members):
         member = _member(f"m{i}", 1, line.store(1), 0)
         member.asks(0)
-        member.heard(Renewal("k", member.name, 1, 1, 1, line.digests[1]), 0)
+        member.heard(LeaseRenewal("k", member.name, 1, 1, 1, line.digests[1]), 0)
         member.ready()
         held.append(member)
     keeper = _keeper(1, line.store(1), (), 0)
     for i in range(members):
-        keeper.core = keeper.core.hears(leased_versions.Have(f"m{i}", 1, line.digests[1]))
+        keeper.core = keeper.core.hears(leased_versions.AppliedAck(f"m{i}", 1, line.digests[1]))
         keeper.clients[f"m{i}"] = Client(0, (1, line.digests[1]))
     keeper.core = replace(keeper.core, force=1)
     keeper.propose(line.groups[1], 0, line.groups[2:] if batch else ())
@@ -182,12 +182,12 @@
     )
 
 
-def _member(name: str, life: int, disk: Store, now: int) -> Member:
-    return Member(name, "north", life, disk.copy(), ("k",), Random(0), _Ample(), now, LEASE)
+def _member(name: str, life: int, disk: Store, now: int) -> ConfigSubscriber:
+    return ConfigSubscriber(name, "north", life, disk.copy(), ("k",), Random(0), _Ample(), now, LEASE)
 
 
-def _keeper(life: int, disk: Store, offers: tuple[Group, ...], now: int) -> Keeper:
-    return Keeper("k", "north", life, disk.copy(), (), Random(0), _Ample(), now, LEASE, offers)
+def _keeper(life: int, disk: Store, offers: tuple[ChangeSet, ...], now: int) -> ConfigServer:
+    return ConfigServer("k", "north", life, disk.copy(), (), Random(0), _Ample(), now, LEASE, offers)
 
 
 def steps(world: World, asks: int, lives: int) -> list[tuple[str, World]]:
@@ -195,11 +195,13 @@
     found: list[tuple[str, World]] = []
     line, now = world.line, world.clocks[-1]
 
-    def sent(machine: Machine) -> tuple[frozenset[tuple[str, Said]], tuple[Write, ...], tuple[Happened, ...]]:
+    def sent(
+        machine: SyncPeer,
+    ) -> tuple[frozenset[tuple[str, Message]], tuple[DiskWrite, ...], tuple[Happened, ...]]:
         ready = machine.ready()
         return world.air.union(ready.out) if ready.out else world.air, ready.writes, ready.told
 
-    def member(name: str, i: int, state: Member, **more: Any) -> None:
+    def member(name: str, i: int, state: ConfigSubscriber, **more: Any) -> None:
         air, writes, _ = sent(state)
         found.append(
             (
@@ -208,13 +210,13 @@
                     world,
                     members=(*world.members[:i], state, *world.members[i + 1 :]),
                     air=air,
-                    disks=(*world.disks[:i], kept(world.disks[i], writes), *world.disks[i + 1 :]),
+                    disks=(*world.disks[:i], stored(world.disks[i], writes), *world.disks[i + 1 :]),
                     **more,
                 ),
             )
         )
 
-    def keeper(name: str, state: Keeper, **more: Any) -> None:
+    def keeper(name: str, state: ConfigServer, **more: Any) -> None:
         air, writes, told = sent(state)
         store, offers = world.disk
         offers = (
@@ -226,7 +228,7 @@
             (
                 name,
                 replace(
-                    world, keeper=state, air=air, disk=(kept(store, writes), offers), force=force, **more
+                    world, keeper=state, air=air, disk=(stored(store, writes), offers), force=force, **more
                 ),
             )
         )
@@ -240,20 +242,20 @@
         and world.keeper.store.revision == world.register
         and not all(group in world.disk[1] for group in following)
     ):
-        state = cloned(world.keeper)
+        state = clone(world.keeper)
         state.propose(following[0], now, following[1:])
         keeper(f"the keeper proposes {last}", state)
     if world.reading is None:
-        state = cloned(world.keeper)
+        state = clone(world.keeper)
         keeper("a reading begins", state, reading=(state.begins(now), world.register))
     else:
         number, then = world.reading
         for revision in dict.fromkeys((then, world.register)):
-            state = cloned(world.keeper)
+            state = clone(world.keeper)
             state.read(number, revision, line.digests[revision], now)
             keeper(f"it read {revision}", state, reading=None)
     if world.keeper.core.force < world.keeper.core.known[0]:
-        state = cloned(world.keeper)
+        state = clone(world.keeper)
         state.judges(now)
         if state.core.force > world.keeper.core.force:
             keeper("the keeper judges", state)
@@ -266,7 +268,7 @@
         )
     for i, (one, clock) in enumerate(zip(world.members, world.clocks, strict=False)):
         if one.holder.echo < asks + 1:
-            state = cloned(one)
+            state = clone(one)
             state.asks(clock)
             member(f"{one.name} asks", i, state)
         if world.lives < lives:
@@ -278,12 +280,12 @@
             )
     for to, said in sorted(world.air, key=repr):
         if to == "k":
-            state = cloned(world.keeper)
+            state = clone(world.keeper)
             state.heard(said, now)
             keeper(f"the keeper hears {type(said).__name__} of {said.name}", state)
         else:
             i = int(to[1:])
-            state = cloned(world.members[i])
+            state = clone(world.members[i])
             state.heard(said, world.clocks[i])
             member(f"{to} hears {type(said).__name__}", i, state)
     for slow in range(-1, len(world.clocks)):
@@ -313,7 +315,7 @@
             return f"whole: {one.name} acts by a part of a group"
         if disk.terms.rows() != line.rows[disk.revision]:
             return f"whole: {one.name} has a part of a group on disk"
-        mine = Terms(rows)
+        mine = ActiveTerms(rows)
         if mine.withdrawn(line.terms[base.number], ""):
             return f"unborn: {one.name} does what {base.number} doesn't allow"
         if before is not None:
@@ -329,7 +331,7 @@
     return ""
 
 
-def check(
+def check_all(
     depth: int,
     members: int = 2,
     asks: int = 1,
@@ -354,13 +356,13 @@
                 here = (way, name)
                 wrong = breach(at, after)
                 if wrong:
-                    raise Forbidden(f"{wrong}: " + ", ".join(_path(here)))
+                    raise InvariantViolationError(f"{wrong}: " + ", ".join(_path(here)))
                 following.append((after, here))
         edge = following
     return len(seen)
 
 
-def led(world: World, *names: str, asks: int = 1, lives: int = 0) -> World:
+def drive_to(world: World, *names: str, asks: int = 1, lives: int = 0) -> World:
     """By the first step of each name that changes anything."""
     for name in names:
         here = world.key()
@@ -375,9 +377,11 @@
     2 is cut from the keeper's history; 3, which forbids what both allow, is proposed.
     """
     words = [
-        word for i in range(1, members) for word in (f"m{i} hears Commit", f"the keeper hears Have of m{i}")
+        word
+        for i in range(1, members)
+        for word in (f"m{i} hears CommitNotice", f"the keeper hears AppliedAck of m{i}")
     ]
-    return led(
+    return drive_to(
         start(Line(members, LOOSER), members),
         "the register takes 2",
         "a reading begins",
@@ -414,7 +418,7 @@
         path.append(name)
         wrong = breach(before, world)
         if wrong:
-            raise Forbidden(f"{wrong}: " + ", ".join(path))
+            raise InvariantViolationError(f"{wrong}: " + ", ".join(path))
     return world
 
 
--- a/pathsaddle/settings/store.py
+++ b/pathsaddle/settings/store.py
@@ -8,16 +8,16 @@
 
 from collections.abc import Iterable
 
-from pathsaddle.settings.active_terms import Terms
+from pathsaddle.settings.active_terms import ActiveTerms
 from pathsaddle.settings.documents import (
-    ROWS,
-    Group,
+    MAX_ENTRIES,
+    ChangeSet,
+    InvalidDocumentError,
     Snapshot,
-    Wrong,
-    checked,
+    decode_value,
     digest_of,
     snapshot_of,
-    value_of,
+    validated,
 )
 
 LOG = 1024  # groups
@@ -27,13 +27,13 @@
     """revision, digest: of the highest group. terms: the rows there. log: the groups up to it, lowest first."""
 
     def __init__(
-        self, snapshot: Snapshot | None = None, log: Iterable[Group] = (), *, keep: int = LOG
+        self, snapshot: Snapshot | None = None, log: Iterable[ChangeSet] = (), *, keep: int = LOG
     ) -> None:
         """keep: groups in the log. Raises Wrong where they don't follow one another."""
         snapshot = snapshot or Snapshot(0, "")
         self.revision, self.digest, self.keep = snapshot.revision, snapshot.digest, keep
-        self.terms = Terms(dict(snapshot.rows))
-        self.log: tuple[tuple[str, Group], ...] = ()  # each with its digest
+        self.terms = ActiveTerms(dict(snapshot.rows))
+        self.log: tuple[tuple[str, ChangeSet], ...] = ()  # each with its digest
         for group in log:
             self.append(group)
 
@@ -43,11 +43,11 @@
         made.terms, made.log = self.terms, self.log
         return made
 
-    def fits(self, group: Group) -> None:
+    def fits(self, group: ChangeSet) -> None:
         """Raises Wrong where it can't be the next."""
-        checked(group)
+        validated(group)
         if (group.revision, group.before) != (self.revision + 1, self.digest):
-            raise Wrong(
+            raise InvalidDocumentError(
                 f"{group.revision} after {group.before or 'nothing'} doesn't follow {self.revision} {self.digest}"
             )
         rows = len(self.terms)
@@ -55,17 +55,19 @@
             was = self.terms.get(put.key)
             rows += (put.value is not None) - (was is not None)
             if put.value is None and was is None:
-                raise Wrong(f"{put.key} is to be removed and isn't there")
+                raise InvalidDocumentError(f"{put.key} is to be removed and isn't there")
             if (
                 put.value is None
                 and put.key.startswith("members.")
-                and not value_of(was or b"{}").get("gone")
+                and not decode_value(was or b"{}").get("gone")
             ):
-                raise Wrong(f'{put.key} can be removed once it says "gone": true, and not before')
-        if rows > ROWS:
-            raise Wrong(f"{rows} rows, {ROWS} at most")
+                raise InvalidDocumentError(
+                    f'{put.key} can be removed once it says "gone": true, and not before'
+                )
+        if rows > MAX_ENTRIES:
+            raise InvalidDocumentError(f"{rows} rows, {MAX_ENTRIES} at most")
 
-    def append(self, group: Group, terms: Terms | None = None) -> Terms:
+    def append(self, group: ChangeSet, terms: ActiveTerms | None = None) -> ActiveTerms:
         """Whole or not at all. terms: those after it, where they are made already. Raises Wrong."""
         self.fits(group)
         self.terms = terms if terms is not None else self.terms.after(group)
@@ -73,15 +75,15 @@
         self.log = (*self.log, (self.digest, group))[-self.keep :]
         return self.terms
 
-    def replaced(self, snapshot: Snapshot) -> Terms:
+    def replaced(self, snapshot: Snapshot) -> ActiveTerms:
         """By a snapshot of a higher revision; the log begins anew. Raises Wrong."""
         if snapshot.revision <= self.revision:
-            raise Wrong(f"a snapshot of {snapshot.revision}, with {self.revision} here")
+            raise InvalidDocumentError(f"a snapshot of {snapshot.revision}, with {self.revision} here")
         self.revision, self.digest, self.log = snapshot.revision, snapshot.digest, ()
-        self.terms = Terms(dict(snapshot.rows))
+        self.terms = ActiveTerms(dict(snapshot.rows))
         return self.terms
 
-    def since(self, revision: int) -> tuple[Group, ...] | None:
+    def since(self, revision: int) -> tuple[ChangeSet, ...] | None:
         """The groups after it, lowest first; None: compacted away."""
         first = self.revision - len(self.log)
         if revision < first:
--- a/pathsaddle/settings/sync.py
+++ b/pathsaddle/settings/sync.py
@@ -3,7 +3,7 @@
 Bounds: nobody acts on a revision that never was committed, but for what an offer narrows (`unborn`); nobody goes back, nor
 does its disk (`back`); once a revision is told in force nobody acts, leased, on an older one, and nobody does what it
 forbids (`in-force`); a group is seen whole or not at all (`whole`). Leases, offers and the proof of in force are those of
-`federation/versions.py`; the case for them stands there.
+`leased_versions.py`; the case for them stands there.
 
 What a driver must do:
 - Hand in each message, decoded and from a known sender, by `heard(said, now)`; call `wake(now)` when the time it returned
@@ -15,7 +15,7 @@
 - `now`: ticks of a tenth of a millisecond of one monotonic clock, that goes on while the process stands, and runs off by
   less than DRIFT (2%). `life`: of this run of the process, higher than that of any earlier one under the name (the wall
   clock in milliseconds will do, but for a clock set back: keep the last on disk). `chance`: one seeded Random.
-- `purse`: a fleet.purse.Purse, this process's own for all that it sends of settings; `size(said)` tells the bytes that a
+- `rate_limiter`: a fleet.rate_limiter.Purse, this process's own for all that it sends of settings; `size(said)` tells the bytes that a
   message takes with its envelope. What isn't paid waits in a queue (catch-up, repeats) or is dropped (answers: asked again).
 - A keeper: whenever `wants_reading` and no reading of the register runs, call `begins(now)` and only after that begin one
   by a majority of voters; report it by `read(number, ..)` with the number that `begins` gave, or, nothing proven,
@@ -40,53 +40,55 @@
 from msgspec import Struct
 
 from pathsaddle import leased_versions
-from pathsaddle.fleet.rate_limiter import Purse
-from pathsaddle.leased_versions import Holder, Version
-from pathsaddle.settings.active_terms import Terms
+from pathsaddle.fleet.rate_limiter import RateLimiter
+from pathsaddle.leased_versions import Version, VersionSubscriber
+from pathsaddle.settings.active_terms import ActiveTerms
 from pathsaddle.settings.documents import (
-    SNAPSHOT as MOST_SNAPSHOT,
-)
-from pathsaddle.settings.documents import (
-    START,
-    Group,
+    INITIAL_REVISION,
+    ChangeSet,
+    InvalidDocumentError,
     Snapshot,
-    Wrong,
-    checked,
+    content_hash,
+    decode_changeset,
+    decode_snapshot,
     digest_of,
-    encoded,
-    group_at,
-    hashed,
-    snapshot_at,
+    encode_document,
+    validated,
+)
+from pathsaddle.settings.documents import (
+    MAX_SNAPSHOT_BYTES as MOST_SNAPSHOT,
 )
 from pathsaddle.settings.store import Store
 
 SECOND = 10_000  # ticks
-LEASE = 10 * SECOND
-DATAGRAM = 1200  # bytes, with its envelope
-ENVELOPE = 17  # bytes: a form and a sum, as in fleet/wire.py
-PIECE = 1024  # bytes of a group or snapshot in one datagram
-GROUP, SNAPSHOT = 0, 1  # what pieces are of
-WINDOW = 8  # pieces asked for at once
-ANSWER = SECOND  # within which a keeper answers, or the next is asked
-RETRY = SECOND  # the first wait before something is asked for again; doubles
+DEFAULT_LEASE = 10 * SECOND
+MAX_DATAGRAM_BYTES = 1200  # bytes, with its envelope
+ENVELOPE = 17  # bytes: a form and a sum, as in fleet/messages.py
+CHUNK_BYTES = 1024  # bytes of a group or snapshot in one datagram
+CHANGESET, SNAPSHOT = 0, 1  # what pieces are of
+CHUNK_WINDOW = 8  # pieces asked for at once
+ANSWER_TIMEOUT = SECOND  # within which a keeper answers, or the next is asked
+INITIAL_RETRY_DELAY = SECOND  # the first wait before something is asked for again; doubles
 FAR = 1 << 60
 
 # Bounded; reached, it is told as `full`.
-OFFERS = 16  # a keeper's, not committed
-BATCH = 8  # groups that are offered, and committed, together; half of OFFERS: a keeper that has not yet heard of the last ones
+MAX_PROPOSALS = 16  # a keeper's, not committed
+MAX_ROUND_CHANGESETS = 8  # groups that are offered, and committed, together; half of OFFERS: a keeper that has not yet heard of the last ones
 # committed has room for the next
-HELD = 4  # a member's offers, not committed
-PENDING = 64  # committed groups that wait for one before them
-CLIENTS = 1024  # members that a keeper serves
-HISTORY = 256  # revisions not in force of which a keeper knows what they withdrew
+MAX_HELD_PROPOSALS = 4  # a member's offers, not committed
+MAX_PENDING_CHANGESETS = 64  # committed groups that wait for one before them
+MAX_SUBSCRIBERS = 1024  # members that a keeper serves
+MAX_REVOCATION_HISTORY = 256  # revisions not in force of which a keeper knows what they withdrew
 # In any second of catch-up to one member, so that who comes back stays within what control may take of it: 13,000 bytes
-# in all, also where it has asked two keepers. Half of it comes back a second (fleet/purse.py): 51 KB of rows take 17 s.
+# in all, also where it has asked two keepers. Half of it comes back a second (fleet/rate_limiter.py): 51 KB of rows take 17 s.
 CLIENT_BYTES, CLIENT_DATAGRAMS = 6_000, 64
-SAID = 3  # times that a word is told to the other keepers at once; all are told again every half lease
-TEXTS = 2  # groups or snapshots on their way to one machine in pieces
+GOSSIP_REPEATS = (
+    3  # times that a word is told to the other keepers at once; all are told again every half lease
+)
+MAX_TRANSFERS = 2  # groups or snapshots on their way to one machine in pieces
 
 
-class Asking(Struct, array_like=True, frozen=True, tag=1):
+class SyncRequest(Struct, array_like=True, frozen=True, tag=1):
     """Member to keeper: what is committed? Also its word that it has (revision, digest) as committed, on disk; whoever
     answers sends what comes after. echo: grows with each asking of a life.
     """
@@ -98,7 +100,7 @@
     digest: str
 
 
-class Renewal(Struct, array_like=True, frozen=True, tag=2):
+class LeaseRenewal(Struct, array_like=True, frozen=True, tag=2):
     """Keeper to member: what the register had by a reading that began after that asking came."""
 
     name: str
@@ -109,17 +111,17 @@
     digest: str
 
 
-class Offer(Struct, array_like=True, frozen=True, tag=3):
+class Proposal(Struct, array_like=True, frozen=True, tag=3):
     """A group that may come to be committed: committing keeper to keepers, keeper to members of its region. then: to keepers
     alone, what follows it and is to be committed with it, one after another. All in one datagram: no keeper has a part.
     """
 
     name: str
-    group: Group
-    then: tuple[Group, ...] = ()
+    group: ChangeSet
+    then: tuple[ChangeSet, ...] = ()
 
 
-class Kept(Struct, array_like=True, frozen=True, tag=4):
+class ProposalAck(Struct, array_like=True, frozen=True, tag=4):
     """Keeper to committing keeper: the offered group, all of them, of which this is the last, are on its disk."""
 
     name: str
@@ -127,17 +129,17 @@
     digest: str
 
 
-class Commit(Struct, array_like=True, frozen=True, tag=5):
+class CommitNotice(Struct, array_like=True, frozen=True, tag=5):
     """Keeper to member (or keeper): committed groups, in order, one after another. known: (revision, digest) of the highest
     committed. Groups that don't fit into one datagram come as pieces instead, and `groups` is empty.
     """
 
     name: str
     known: tuple[int, str]
-    groups: tuple[Group, ...] = ()
+    groups: tuple[ChangeSet, ...] = ()
 
 
-class Have(Struct, array_like=True, frozen=True, tag=6):
+class AppliedAck(Struct, array_like=True, frozen=True, tag=6):
     """Member to keeper: it acts by this, knows it committed, and has it on disk."""
 
     name: str
@@ -145,14 +147,14 @@
     digest: str
 
 
-class Haves(Struct, array_like=True, frozen=True, tag=7):
+class AppliedSummary(Struct, array_like=True, frozen=True, tag=7):
     """Keeper to keeper: what members said to have. rows: (revision, digest, names)."""
 
     name: str
     rows: tuple[tuple[int, str, tuple[str, ...]], ...]
 
 
-class Announce(Struct, array_like=True, frozen=True, tag=8):
+class ChunkManifest(Struct, array_like=True, frozen=True, tag=8):
     """There is something in pieces. digest: of a group, or hash of a snapshot's bytes. known: what it leads to when taken: for
     a snapshot its (revision, group's digest). size: bytes. offer: the group is not committed.
     """
@@ -165,7 +167,7 @@
     offer: bool = False
 
 
-class Want(Struct, array_like=True, frozen=True, tag=9):
+class ChunkRequest(Struct, array_like=True, frozen=True, tag=9):
     """Send pieces from `first` on, `count` of them."""
 
     name: str
@@ -175,7 +177,7 @@
     count: int
 
 
-class Piece(Struct, array_like=True, frozen=True, tag=10):
+class Chunk(Struct, array_like=True, frozen=True, tag=10):
     name: str
     what: int
     digest: str
@@ -183,19 +185,30 @@
     data: bytes
 
 
-Said = Asking | Renewal | Offer | Kept | Commit | Have | Haves | Announce | Want | Piece
+Message = (
+    SyncRequest
+    | LeaseRenewal
+    | Proposal
+    | ProposalAck
+    | CommitNotice
+    | AppliedAck
+    | AppliedSummary
+    | ChunkManifest
+    | ChunkRequest
+    | Chunk
+)
 
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Write(Struct, frozen=True):
+class DiskWrite(Struct, frozen=True):
     """To be put on disk, synced, before `out` is sent. group: is appended to the committed log (committed) or kept beside it
     as an offer (a keeper's). over: digests of the offers that made room for it. snapshot: takes the place of rows and log;
     later groups follow it.
     """
 
-    group: Group | None = None
+    group: ChangeSet | None = None
     snapshot: Snapshot | None = None
     committed: bool = True
     over: tuple[str, ...] = ()
@@ -227,11 +240,11 @@
     why: str = ""
 
 
-class Ready(Struct, frozen=True):
+class Output(Struct, frozen=True):
     """What one or several calls made: do `writes` and sync, then send `out`, then act by `told`."""
 
-    writes: tuple[Write, ...]
-    out: tuple[tuple[str, Said], ...]
+    writes: tuple[DiskWrite, ...]
+    out: tuple[tuple[str, Message], ...]
     told: tuple[Happened, ...]
 
 
@@ -251,28 +264,28 @@
     keeper: str
 
 
-def nearest(keepers: Mapping[str, str], name: str, region: str) -> list[str]:
+def nearest_servers(keepers: Mapping[str, str], name: str, region: str) -> list[str]:
     """Those of that region first; of the others each member has an order of its own, so that who leaves a keeper doesn't go
     where all others go. keepers: regions by name.
     """
-    return sorted(keepers, key=lambda one: (keepers[one] != region, hashed(f"{name} {one}".encode())))
+    return sorted(keepers, key=lambda one: (keepers[one] != region, content_hash(f"{name} {one}".encode())))
 
 
-def size_of(said: Said) -> int:
+def size_of(said: Message) -> int:
     return len(_encode(said)) + ENVELOPE
 
 
-class Paying(Protocol):
-    """As fleet.purse.Purse."""
+class SendBudget(Protocol):
+    """As fleet.rate_limiter.Purse."""
 
-    def pays(self, size: int, now: int, spare: float = 0.0) -> bool: ...
+    def try_consume(self, size: int, now: int, spare: float = 0.0) -> bool: ...
 
 
 @dataclass(frozen=True)
-class Parts:
+class PartialTransfer:
     """A text on its way in pieces. have: by number. until: the first piece not yet asked for. due: when it is asked again."""
 
-    announce: Announce
+    announce: ChunkManifest
     have: Mapping[int, bytes] = field(default_factory=dict)
     until: int = 0
     due: int = 0
@@ -280,10 +293,10 @@
 
     @property
     def count(self) -> int:
-        return -(-self.announce.size // PIECE)
+        return -(-self.announce.size // CHUNK_BYTES)
 
 
-class Machine:
+class SyncPeer:
     """What members and keepers have in common: what goes out, and texts that come in pieces."""
 
     def __init__(
@@ -293,38 +306,38 @@
         life: int,
         store: Store,
         chance: Random,
-        purse: Paying,
-        size: Callable[[Said], int] | None,
+        rate_limiter: SendBudget,
+        size: Callable[[Message], int] | None,
     ) -> None:
         self.name, self.region, self.life, self.store = name, region, life, store
-        self.chance, self.purse, self.size = chance, purse, size or size_of
-        self.writes: list[Write] = []
-        self.out: list[tuple[str, Said]] = []
+        self.chance, self.rate_limiter, self.size = chance, rate_limiter, size or size_of
+        self.writes: list[DiskWrite] = []
+        self.out: list[tuple[str, Message]] = []
         self.told: list[Happened] = []
-        self.parts: dict[tuple[int, str], Parts] = {}
+        self.parts: dict[tuple[int, str], PartialTransfer] = {}
 
-    def ready(self) -> Ready:
+    def ready(self) -> Output:
         """What came together since it was last called; empties it."""
-        made = Ready(tuple(self.writes), tuple(self.out), tuple(self.told))
+        made = Output(tuple(self.writes), tuple(self.out), tuple(self.told))
         self.writes, self.out, self.told = [], [], []
         return made
 
     def tell(self, what: str, **more: Any) -> None:
         self.told.append(Happened(what, **more))
 
-    def say(self, to: str, said: Said, now: int, spare: float = 0.0) -> bool:
-        """Whether it was paid for. spare: what part of the purse is left to others."""
-        if not self.purse.pays(self.size(said), now, spare):
+    def say(self, to: str, said: Message, now: int, spare: float = 0.0) -> bool:
+        """Whether it was paid for. spare: what part of the rate_limiter is left to others."""
+        if not self.rate_limiter.try_consume(self.size(said), now, spare):
             return False
         self.out.append((to, said))
         return True
 
     def backoff(self, tries: int, most: int) -> int:
-        return int(min(most, RETRY << min(tries, 16)) * self.chance.uniform(0.5, 1.0))
+        return int(min(most, INITIAL_RETRY_DELAY << min(tries, 16)) * self.chance.uniform(0.5, 1.0))
 
     # Pieces
 
-    def announced(self, said: Announce, now: int) -> None:
+    def announced(self, said: ChunkManifest, now: int) -> None:
         """It is wanted; repeats ask for nothing that is on its way."""
         key = (said.what, said.digest)
         if not 0 < said.size <= MOST_SNAPSHOT:
@@ -333,11 +346,11 @@
             if self.parts[key].announce.size == said.size:  # whoever spoke last is asked next
                 self.parts[key] = replace(self.parts[key], announce=said)
             return
-        if len(self.parts) >= TEXTS:
+        if len(self.parts) >= MAX_TRANSFERS:
             oldest = next(iter(self.parts))
             del self.parts[oldest]
             self.tell("full", digest=oldest[1], why="texts in pieces: the oldest was given up")
-        self.parts[key] = Parts(said)
+        self.parts[key] = PartialTransfer(said)
         self.wants(key, now)
 
     def wants(self, key: tuple[int, str], now: int, again: bool = False) -> None:
@@ -346,13 +359,13 @@
         tries = part.tries + 1 if again else 0
         self.parts[key] = replace(
             part,
-            until=min(first + WINDOW, part.count),
+            until=min(first + CHUNK_WINDOW, part.count),
             tries=tries,
-            due=now + RETRY + self.backoff(tries, 16 * SECOND),
+            due=now + INITIAL_RETRY_DELAY + self.backoff(tries, 16 * SECOND),
         )
-        self.say(part.announce.name, Want(self.name, *key, first, WINDOW), now)
+        self.say(part.announce.name, ChunkRequest(self.name, *key, first, CHUNK_WINDOW), now)
 
-    def took(self, said: Piece, now: int) -> tuple[Announce, bytes] | None:
+    def took(self, said: Chunk, now: int) -> tuple[ChunkManifest, bytes] | None:
         """The whole text and how it was announced, once it is there and is what its digest says."""
         key = (said.what, said.digest)
         part = self.parts.get(key)
@@ -365,19 +378,22 @@
             return None
         del self.parts[key]
         data = b"".join(part.have[i] for i in range(part.count))
-        if len(data) != part.announce.size or hashed(data) != said.digest:
+        if len(data) != part.announce.size or content_hash(data) != said.digest:
             self.tell("refused", digest=said.digest, why="pieces that are not what their digest says")
             return None
         return part.announce, data
 
-    def text(self, announce: Announce, data: bytes) -> Group | Snapshot | None:
+    def text(self, announce: ChunkManifest, data: bytes) -> ChangeSet | Snapshot | None:
         """None, and told: it is not what was announced."""
         try:
-            found = group_at(data) if announce.what == GROUP else snapshot_at(data)
-        except Wrong as fault:
+            found = decode_changeset(data) if announce.what == CHANGESET else decode_snapshot(data)
+        except InvalidDocumentError as fault:
             self.tell("refused", digest=announce.digest, why=str(fault))
             return None
-        if (found.revision, digest_of(found) if isinstance(found, Group) else found.digest) != announce.known:
+        if (
+            found.revision,
+            digest_of(found) if isinstance(found, ChangeSet) else found.digest,
+        ) != announce.known:
             self.tell("refused", digest=announce.digest, why="a text of another revision than was announced")
             return None
         return found
@@ -394,7 +410,7 @@
         return min((part.due for part in self.parts.values()), default=FAR)
 
 
-class Member(Machine):
+class ConfigSubscriber(SyncPeer):
     """A dispatcher's part: applies groups in order and whole, asks for its lease, says what it has."""
 
     def __init__(
@@ -405,19 +421,19 @@
         store: Store,
         keepers: Sequence[str],
         chance: Random,
-        purse: Paying,
+        rate_limiter: SendBudget,
         now: int,
-        lease: int = LEASE,
-        size: Callable[[Said], int] | None = None,
+        lease: int = DEFAULT_LEASE,
+        size: Callable[[Message], int] | None = None,
     ) -> None:
         """store: what its disk has (committed alone), or an empty one. keepers: names, nearest first; one at least."""
-        super().__init__(name, region, life, store, chance, purse, size)
+        super().__init__(name, region, life, store, chance, rate_limiter, size)
         self.keepers, self.lease = tuple(keepers), lease
-        self.holder: Holder[Terms] = leased_versions.holder(
+        self.holder: VersionSubscriber[ActiveTerms] = leased_versions.new_subscriber(
             name, region, life, lease, Version(store.revision, store.digest, store.terms)
         )
-        self.pending: dict[int, Group] = {}
-        self.held: dict[str, Group] = {}  # offers, by digest
+        self.pending: dict[int, ChangeSet] = {}
+        self.held: dict[str, ChangeSet] = {}  # offers, by digest
         self.at = 0  # which keeper is asked
         self.tries = 0  # keepers in a row that said nothing
         self.asked: int | None = None  # when, and no answer yet
@@ -430,7 +446,9 @@
         # A disk that is empty may have been lost, after the word of what was on it: what it gets on the way to the latest
         # revision may long be forbidden. It acts on nothing, and keeps nothing, until it has had a lease.
         self.proven = store.revision > 0
-        self._rows: tuple[Version[Terms], tuple[Version[Terms], ...], Mapping[str, bytes]] | None = None
+        self._rows: (
+            tuple[Version[ActiveTerms], tuple[Version[ActiveTerms], ...], Mapping[str, bytes]] | None
+        ) = None
 
     # What it acts by
 
@@ -463,17 +481,17 @@
 
     # Events
 
-    def heard(self, said: Said, now: int) -> int:
+    def heard(self, said: Message, now: int) -> int:
         """When `wake` is due."""
-        if isinstance(said, Renewal):
+        if isinstance(said, LeaseRenewal):
             self._renewed(said, now)
-        elif isinstance(said, Commit):
+        elif isinstance(said, CommitNotice):
             self._committed(said.known, said.groups, said.name, now)
-        elif isinstance(said, Offer):
+        elif isinstance(said, Proposal):
             self._offered(said.group, said.name, now)
-        elif isinstance(said, Announce):
+        elif isinstance(said, ChunkManifest):
             self._announced(said, now)
-        elif isinstance(said, Piece):
+        elif isinstance(said, Chunk):
             found = self.took(said, now)
             if found is not None:
                 self._whole(*found, now)
@@ -481,7 +499,7 @@
 
     def wake(self, now: int) -> int:
         """When it is due next."""
-        if self.asked is not None and now >= self.asked + ANSWER:
+        if self.asked is not None and now >= self.asked + ANSWER_TIMEOUT:
             before, self.asked, self.again_due = self.keepers[self.at], None, FAR
             self.at, self.tries = (self.at + 1) % len(self.keepers), self.tries + 1
             self.home_due = now + int(6 * self.lease * self.chance.uniform(0.5, 1.5)) if self.at else FAR
@@ -503,18 +521,20 @@
         """For a lease and for what it lacks."""
         self.holder, ask = self.holder.asks(now)
         base = self.holder.base
-        self.say(self.keepers[self.at], Asking(self.name, self.life, ask.echo, base.number, base.digest), now)
+        self.say(
+            self.keepers[self.at], SyncRequest(self.name, self.life, ask.echo, base.number, base.digest), now
+        )
         if self.asked is None:
-            self.asked, self.again_due = now, now + ANSWER // 2
+            self.asked, self.again_due = now, now + ANSWER_TIMEOUT // 2
         self.ask_due = now + int(self.lease / 3 * self.chance.uniform(0.8, 1.0))
 
-    def _renewed(self, said: Renewal, now: int) -> None:
+    def _renewed(self, said: LeaseRenewal, now: int) -> None:
         if (said.to, said.life) != (self.name, self.life):
             return
         before, asked = self.store.revision, dict(self.holder.open).get(said.echo)
         self._knows((said.revision, said.digest))
         self.holder = self.holder.renewed(
-            leased_versions.Renewed(said.to, said.life, said.echo, said.revision, said.digest), now
+            leased_versions.LeaseRenewal(said.to, said.life, said.echo, said.revision, said.digest), now
         )
         if asked is None:
             self._lagging(now)
@@ -526,7 +546,7 @@
         if self.store.revision > before:
             self._answers(said.name, before, now)
 
-    def _committed(self, known: tuple[int, str], groups: Iterable[Group], sender: str, now: int) -> None:
+    def _committed(self, known: tuple[int, str], groups: Iterable[ChangeSet], sender: str, now: int) -> None:
         before = self.store.revision
         for group in groups:
             if group.before in self.held:  # what a committed group follows is committed
@@ -543,7 +563,7 @@
         if known[1] in self.held:
             self._waits(self.held[known[1]])
             self._drain()
-        self.holder = self.holder.told(leased_versions.Commit(*known))[0]
+        self.holder = self.holder.told(leased_versions.CommitNotice(*known))[0]
 
     def _answers(self, sender: str, before: int, now: int) -> None:
         """The word of what it has; where it lacks something, no oftener than it gets on or a wait is over: else a text that
@@ -552,10 +572,10 @@
         self._lagging(now)
         base = self.holder.base
         if not self._behind() or self.store.revision > before:
-            self.say(sender, Have(self.name, base.number, base.digest), now)
+            self.say(sender, AppliedAck(self.name, base.number, base.digest), now)
             if self._behind():
-                self.lag_due, self.lag_tries = now + RETRY, 0
-        elif now >= self.lag_due - RETRY and not self.lag_tries:
+                self.lag_due, self.lag_tries = now + INITIAL_RETRY_DELAY, 0
+        elif now >= self.lag_due - INITIAL_RETRY_DELAY and not self.lag_tries:
             self._lags(now, sender)
 
     def _behind(self) -> bool:
@@ -565,20 +585,20 @@
         if not self._behind():
             self.lag_due, self.lag_tries = FAR, 0
         elif self.lag_due == FAR:
-            self.lag_due, self.lag_tries = now + RETRY, 0
+            self.lag_due, self.lag_tries = now + INITIAL_RETRY_DELAY, 0
 
     def _lags(self, now: int, to: str = "") -> None:
         """Says what it has, so that what comes after it is sent."""
         base = self.holder.base
-        self.say(to or self.keepers[self.at], Have(self.name, base.number, base.digest), now)
+        self.say(to or self.keepers[self.at], AppliedAck(self.name, base.number, base.digest), now)
         self.lag_tries += 1
-        self.lag_due = now + RETRY + self.backoff(self.lag_tries, 16 * SECOND)
+        self.lag_due = now + INITIAL_RETRY_DELAY + self.backoff(self.lag_tries, 16 * SECOND)
 
-    def _waits(self, group: Group) -> None:
+    def _waits(self, group: ChangeSet) -> None:
         """A committed group, until those before it are there."""
         if group.revision <= self.store.revision or group.revision in self.pending:
             return
-        if len(self.pending) >= PENDING:
+        if len(self.pending) >= MAX_PENDING_CHANGESETS:
             self.tell(
                 "full",
                 revision=group.revision,
@@ -591,7 +611,7 @@
         while (group := self.pending.pop(self.store.revision + 1, None)) is not None:
             try:
                 self._applies(group)
-            except Wrong as fault:
+            except InvalidDocumentError as fault:
                 self.tell(
                     "diverged" if group.before != self.store.digest else "refused",
                     revision=group.revision,
@@ -602,7 +622,7 @@
         for revision in [one for one in self.pending if one <= self.store.revision]:
             del self.pending[revision]
 
-    def _applies(self, group: Group) -> None:
+    def _applies(self, group: ChangeSet) -> None:
         """Whole; on disk before any word of it. Raises Wrong."""
         digest, old = digest_of(group), self.holder
         offer = next(
@@ -610,10 +630,10 @@
         )
         terms = self.store.append(group, offer.spec if offer is not None else None)
         if self.proven:
-            self.writes.append(Write(group))
+            self.writes.append(DiskWrite(group))
         self._goes_by(offer or Version(group.revision, digest, terms), tuple(put.key for put in group.puts))
 
-    def _goes_by(self, version: Version[Terms], keys: Iterable[str]) -> None:
+    def _goes_by(self, version: Version[ActiveTerms], keys: Iterable[str]) -> None:
         old = self.holder
         self.holder = old.caught_up(version)
         # Offers no longer hold where their number is settled, or what they narrowed was of the older rows.
@@ -626,7 +646,7 @@
             "applied", revision=version.number, digest=version.digest, keys=tuple(sorted(over.union(keys)))
         )
 
-    def _offered(self, group: Group, sender: str, now: int) -> None:
+    def _offered(self, group: ChangeSet, sender: str, now: int) -> None:
         digest = digest_of(group)
         known = (group.revision, digest)
         if known == self.holder.known and group.revision > self.store.revision:
@@ -638,14 +658,17 @@
             or group.revision <= self.holder.known[0]
         ):
             return
-        if len(self.holder.offers) >= HELD:
+        if len(self.holder.offers) >= MAX_HELD_PROPOSALS:
             self.tell(
-                "full", revision=group.revision, digest=digest, why=f"{HELD} offers are held: it is left"
+                "full",
+                revision=group.revision,
+                digest=digest,
+                why=f"{MAX_HELD_PROPOSALS} offers are held: it is left",
             )
             return
         try:
             self.store.fits(group)
-        except Wrong as fault:
+        except InvalidDocumentError as fault:
             self.tell("refused", revision=group.revision, digest=digest, why=str(fault))
             return
         self.holder = self.holder.offered(Version(group.revision, digest, self.store.terms.after(group)))
@@ -654,9 +677,10 @@
             "offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts)
         )
 
-    def _announced(self, said: Announce, now: int) -> None:
+    def _announced(self, said: ChunkManifest, now: int) -> None:
         if said.known[0] <= self.store.revision or (
-            said.offer and (said.known[0] != self.store.revision + 1 or len(self.holder.offers) >= HELD)
+            said.offer
+            and (said.known[0] != self.store.revision + 1 or len(self.holder.offers) >= MAX_HELD_PROPOSALS)
         ):
             return
         if not said.offer:
@@ -665,13 +689,13 @@
             self._answers(said.name, before, now)
             if said.known[0] <= self.store.revision:
                 return
-            if said.what == GROUP and said.known[0] > self.store.revision + PENDING:
+            if said.what == CHANGESET and said.known[0] > self.store.revision + MAX_PENDING_CHANGESETS:
                 return
         self.announced(said, now)
 
-    def _whole(self, announce: Announce, data: bytes, now: int) -> None:
+    def _whole(self, announce: ChunkManifest, data: bytes, now: int) -> None:
         found, before = self.text(announce, data), self.store.revision
-        if isinstance(found, Group):
+        if isinstance(found, ChangeSet):
             if announce.offer:
                 self._offered(found, announce.name, now)
                 return
@@ -681,7 +705,7 @@
             old = self.store.terms
             terms = self.store.replaced(found)
             if self.proven:
-                self.writes.append(Write(snapshot=found))
+                self.writes.append(DiskWrite(snapshot=found))
             self._goes_by(
                 Version(found.revision, found.digest, terms),
                 [key for key in old.differing(terms) if old.get(key) != terms.get(key)],
@@ -693,7 +717,7 @@
         leased = self.leased(now)
         if leased and not self.proven:
             self.proven, self._rows = True, None
-            self.writes.append(Write(snapshot=self.store.snapshot()))
+            self.writes.append(DiskWrite(snapshot=self.store.snapshot()))
             self.tell(
                 "applied",
                 revision=self.holder.base.number,
@@ -711,7 +735,7 @@
         return min(
             self.ask_due,
             self.again_due,
-            FAR if self.asked is None else self.asked + ANSWER,
+            FAR if self.asked is None else self.asked + ANSWER_TIMEOUT,
             self.lag_due,
             self.home_due if self.asked is None else FAR,
             self.holder.ends() if leased else FAR,
@@ -731,17 +755,17 @@
 
 
 @dataclass(frozen=True)
-class Proposal:
+class PendingProposal:
     """groups: one after another. digest: of the last. kept: keepers that have all of them on disk."""
 
-    groups: tuple[Group, ...]
+    groups: tuple[ChangeSet, ...]
     digest: str
     kept: tuple[str, ...]
     due: int
     told: bool = False
 
 
-class Keeper(Machine):
+class ConfigServer(SyncPeer):
     """Has the texts, serves who asks it, tells what is in force. Several at once do no harm."""
 
     def __init__(
@@ -752,17 +776,17 @@
         store: Store,
         peers: Sequence[str],
         chance: Random,
-        purse: Paying,
+        rate_limiter: SendBudget,
         now: int,
-        lease: int = LEASE,
-        offers: Sequence[Group] = (),
-        size: Callable[[Said], int] | None = None,
+        lease: int = DEFAULT_LEASE,
+        offers: Sequence[ChangeSet] = (),
+        size: Callable[[Message], int] | None = None,
     ) -> None:
         """store, offers: what its disk has. peers: the other keepers' names. lease: the members', the longest of them."""
-        super().__init__(name, region, life, store, chance, purse, size)
+        super().__init__(name, region, life, store, chance, rate_limiter, size)
         self.peers, self.lease = tuple(peers), lease
         version = Version(store.revision, store.digest, store.terms)
-        self.core: leased_versions.Keeper[Terms] = leased_versions.Keeper(
+        self.core: leased_versions.VersionServer[ActiveTerms] = leased_versions.VersionServer(
             lease,
             now,
             (store.revision, store.digest),
@@ -772,65 +796,70 @@
             learnt=((store.revision, now),),
         )
         self.offers = {digest_of(group): group for group in offers if group.revision > store.revision}
-        self.offers = dict(list(self.offers.items())[-OFFERS:])
+        self.offers = dict(list(self.offers.items())[-MAX_PROPOSALS:])
         self.clients: dict[str, Client] = {}
         self.wants_reading = True
         self.readings, self.read_at = 0, now - SECOND
-        self.waiting: dict[str, Asking] = {}
-        self.answering: dict[int, dict[str, Asking]] = {}
-        self.target: tuple[int, str] = START  # committed, and a text is missing
+        self.waiting: dict[str, SyncRequest] = {}
+        self.answering: dict[int, dict[str, SyncRequest]] = {}
+        self.target: tuple[int, str] = INITIAL_REVISION  # committed, and a text is missing
         self.target_due, self.target_tries = FAR, 0
         self.feeds: dict[str, tuple[int, str]] = {}  # who lacks what comes after this
-        self.serving: dict[str, Want] = {}
+        self.serving: dict[str, ChunkRequest] = {}
         self.paced: dict[
-            str, Purse
+            str, RateLimiter
         ] = {}  # what catch-up may send to each, of those that were sent any lately
         self.snapshots: dict[str, tuple[tuple[int, str], bytes]] = {}
-        self.proposal: Proposal | None = None
+        self.proposal: PendingProposal | None = None
         self.fresh: dict[str, int] = {}  # of our clients' words: how often each is still told to peers
         self.gossip_due, self.refresh_due = FAR, now + lease // 2
-        self.pump_due, self.push_due, self.judge_due, self.judged_at = FAR, now + RETRY, FAR, now
+        self.pump_due, self.push_due, self.judge_due, self.judged_at = (
+            FAR,
+            now + INITIAL_RETRY_DELAY,
+            FAR,
+            now,
+        )
         self.memo: dict[tuple[int, str], int] = {}  # of this line, for `judged_each`
         self._gone()
 
     # Events
 
-    def heard(self, said: Said, now: int) -> int:
+    def heard(self, said: Message, now: int) -> int:
         """When `wake` is due."""
-        if isinstance(said, Asking):
+        if isinstance(said, SyncRequest):
             self._asked(said, now)
-        elif isinstance(said, Have):
+        elif isinstance(said, AppliedAck):
             self._has(said.name, (said.revision, said.digest), now)
-        elif isinstance(said, Haves):
+        elif isinstance(said, AppliedSummary):
             for revision, digest, names in said.rows:
                 self._hears(names, revision, digest, now)
-        elif isinstance(said, Want):
+        elif isinstance(said, ChunkRequest):
             self.serving[said.name] = said
             self._pump(now)
         elif said.name in self.peers:
             self._peer(said, now)
         return self._due(now)
 
-    def _peer(self, said: Said, now: int) -> None:
-        if isinstance(said, Offer):
+    def _peer(self, said: Message, now: int) -> None:
+        if isinstance(said, Proposal):
             self._offered(said, now)
-        elif isinstance(said, Kept):
+        elif isinstance(said, ProposalAck):
             proposal = self.proposal
             if proposal is not None and said.digest == proposal.digest and said.name not in proposal.kept:
                 self.proposal = replace(proposal, kept=(*proposal.kept, said.name))
                 self._kept()
-        elif isinstance(said, Commit):
+        elif isinstance(said, CommitNotice):
             before = self.store.revision
             self._spreads([group for group in said.groups if self._takes(group, now)], now)
             self._learns(*said.known, now)
             if before < self.store.revision < self.core.known[0]:
-                self.say(said.name, Have(self.name, self.store.revision, self.store.digest), now)
-        elif isinstance(said, Announce):
+                self.say(said.name, AppliedAck(self.name, self.store.revision, self.store.digest), now)
+        elif isinstance(said, ChunkManifest):
             if said.known[0] > self.store.revision:
                 if not said.offer:
                     self._learns(*said.known, now)
                 self.announced(said, now)
-        elif isinstance(said, Piece):
+        elif isinstance(said, Chunk):
             whole = self.took(said, now)
             if whole is not None:
                 self._whole(*whole, now)
@@ -845,7 +874,7 @@
             self._asks_peer(now)
         proposal = self.proposal
         if proposal is not None and now >= proposal.due:
-            self.proposal = replace(proposal, due=now + RETRY // 2)
+            self.proposal = replace(proposal, due=now + INITIAL_RETRY_DELAY // 2)
             for name in self.peers:
                 if name not in proposal.kept:
                     self._offers(name, proposal.groups, now)
@@ -860,7 +889,7 @@
             }
             self._gossips(list(self.clients), now)
         if now >= self.push_due:
-            self.push_due = now + RETRY
+            self.push_due = now + INITIAL_RETRY_DELAY
             known = (self.store.revision, self.store.digest)
             for name, client in self.clients.items():
                 if client.has != known and client.has[0] <= known[0] and now < client.at + self.lease:
@@ -891,11 +920,13 @@
             self.waiting = {**asked, **self.waiting}
             return self._due(now)
         for ask in asked.values():
-            told = self.core.answers(leased_versions.Ask(ask.name, ask.life, ask.echo))
+            told = self.core.answers(leased_versions.SyncRequest(ask.name, ask.life, ask.echo))
             if not self.say(
-                ask.name, Renewal(self.name, told.name, told.life, told.echo, told.number, told.digest), now
+                ask.name,
+                LeaseRenewal(self.name, told.name, told.life, told.echo, told.number, told.digest),
+                now,
             ):
-                self.tell("full", name=ask.name, why="the purse: a renewal was dropped")
+                self.tell("full", name=ask.name, why="the rate_limiter: a renewal was dropped")
         return self._due(now)
 
     def unread(self, reading: int, now: int) -> int:
@@ -905,26 +936,27 @@
 
     # Proposing
 
-    def joins(self, groups: Sequence[Group]) -> bool:
+    def joins(self, groups: Sequence[ChangeSet]) -> bool:
         """Whether these, one after another, may be proposed together: one alone always may."""
         return len(groups) == 1 or (
-            len(groups) <= BATCH and self.size(Offer(self.name, groups[0], tuple(groups[1:]))) <= DATAGRAM
+            len(groups) <= MAX_ROUND_CHANGESETS
+            and self.size(Proposal(self.name, groups[0], tuple(groups[1:]))) <= MAX_DATAGRAM_BYTES
         )
 
-    def propose(self, group: Group, now: int, then: Sequence[Group] = ()) -> int:
+    def propose(self, group: ChangeSet, now: int, then: Sequence[ChangeSet] = ()) -> int:
         """Offers it to keepers and members, and to keepers what is to be committed with it, all or none: `joins` says so.
         `kept` is told once a majority of keepers has all on disk. The caller owns the register's key and has looked that
         (revision - 1, before) is the latest. Raises forms.Wrong. When `wake` is due.
         """
         groups = (group, *then)
         if not self.joins(groups):
-            raise Wrong(f"{len(groups)} groups, which don't go out together")
+            raise InvalidDocumentError(f"{len(groups)} groups, which don't go out together")
         store = self.store.copy()
         for one in groups:
             store.append(one)
         if not self._keeps(groups, now):
-            raise Wrong(f"{OFFERS} offers are held that no reading has settled")
-        self.proposal = Proposal(groups, store.digest, (self.name,), now + RETRY // 2)
+            raise InvalidDocumentError(f"{MAX_PROPOSALS} offers are held that no reading has settled")
+        self.proposal = PendingProposal(groups, store.digest, (self.name,), now + INITIAL_RETRY_DELAY // 2)
         for name in self.peers:
             self._offers(name, groups, now)
         self._kept()
@@ -944,58 +976,64 @@
             self.proposal = replace(proposal, told=True)
             self.tell("kept", revision=proposal.groups[-1].revision, digest=proposal.digest)
 
-    def _offers(self, to: str, groups: Sequence[Group], now: int) -> bool:
-        said: Said = Offer(self.name, groups[0], tuple(groups[1:]))
-        if self.size(said) > DATAGRAM:  # one alone
+    def _offers(self, to: str, groups: Sequence[ChangeSet], now: int) -> bool:
+        said: Message = Proposal(self.name, groups[0], tuple(groups[1:]))
+        if self.size(said) > MAX_DATAGRAM_BYTES:  # one alone
             said = self._announces(groups[0], True)
         return self.say(to, said, now)
 
-    def _announces(self, group: Group, offer: bool) -> Announce:
+    def _announces(self, group: ChangeSet, offer: bool) -> ChunkManifest:
         digest = digest_of(group)
-        return Announce(self.name, GROUP, digest, (group.revision, digest), len(encoded(group)), offer)
+        return ChunkManifest(
+            self.name, CHANGESET, digest, (group.revision, digest), len(encode_document(group)), offer
+        )
 
-    def _offered(self, said: Offer, now: int) -> None:
+    def _offered(self, said: Proposal, now: int) -> None:
         sender, last = said.name, (said.group, *said.then)[-1]
         digest = digest_of(last)
         if last.revision <= self.store.revision:
             if self.store.digest_at(last.revision) == digest:
-                self.say(sender, Kept(self.name, last.revision, digest), now)
+                self.say(sender, ProposalAck(self.name, last.revision, digest), now)
             return
         groups = (said.group, *said.then)
         if any(digest_of(one) not in self.offers for one in groups):
             try:
-                if len(groups) > BATCH:
-                    raise Wrong(f"{len(groups)} groups, {BATCH} at most together")
+                if len(groups) > MAX_ROUND_CHANGESETS:
+                    raise InvalidDocumentError(
+                        f"{len(groups)} groups, {MAX_ROUND_CHANGESETS} at most together"
+                    )
                 for one, after in zip(groups, (*groups[1:], None), strict=True):
-                    checked(one)
+                    validated(one)
                     if after is not None and (after.revision, after.before) != (
                         one.revision + 1,
                         digest_of(one),
                     ):
-                        raise Wrong(f"{after.revision} doesn't follow {one.revision}, with which it came")
-            except Wrong as fault:
+                        raise InvalidDocumentError(
+                            f"{after.revision} doesn't follow {one.revision}, with which it came"
+                        )
+            except InvalidDocumentError as fault:
                 self.tell("refused", revision=last.revision, digest=digest, name=sender, why=str(fault))
                 return
             if not self._keeps(tuple(one for one in groups if one.revision > self.store.revision), now):
                 return
             if (last.revision, digest) == self.core.known:
                 self._learns(last.revision, digest, now)
-        self.say(sender, Kept(self.name, last.revision, digest), now)
+        self.say(sender, ProposalAck(self.name, last.revision, digest), now)
 
-    def _keeps(self, groups: Sequence[Group], now: int) -> bool:
+    def _keeps(self, groups: Sequence[ChangeSet], now: int) -> bool:
         """Whether all are on disk when what is sent leaves; none, if there is no room for one. At the bound only what surely
         never counts makes room: a rival of its own revision (whoever proposes this has looked and found none committed, and
         owns the key), or of one that it follows. All else may be committed, and this may be one of the few that have its
         text.
         """
         offers = dict(self.offers)
-        new: list[tuple[Group, str, tuple[str, ...]]] = []
+        new: list[tuple[ChangeSet, str, tuple[str, ...]]] = []
         for group in groups:
             digest = digest_of(group)
             if digest in offers:
                 continue
             over: tuple[str, ...] = ()
-            if len(offers) >= OFFERS:
+            if len(offers) >= MAX_PROPOSALS:
                 follows = dict[str, int]()
                 at = offers.get(group.before)
                 while at is not None and digest_of(at) not in follows:
@@ -1011,7 +1049,7 @@
                         "full",
                         revision=group.revision,
                         digest=digest,
-                        why=f"{OFFERS} offers that may count: it is left",
+                        why=f"{MAX_PROPOSALS} offers that may count: it is left",
                     )
                     return False
                 over = (oldest,)
@@ -1024,10 +1062,10 @@
                     "full",
                     revision=self.offers.pop(oldest).revision,
                     digest=oldest,
-                    why=f"{OFFERS} offers: the oldest goes",
+                    why=f"{MAX_PROPOSALS} offers: the oldest goes",
                 )
             self.offers[digest] = group
-            self.writes.append(Write(group, committed=False, over=over))
+            self.writes.append(DiskWrite(group, committed=False, over=over))
             self.tell(
                 "offered", revision=group.revision, digest=digest, keys=tuple(put.key for put in group.puts)
             )
@@ -1050,13 +1088,13 @@
             return False
         if revision > self.core.known[0]:
             self.core = self.core.reads(revision, digest, None, now)
-        way: list[Group] = []
+        way: list[ChangeSet] = []
         at = self.offers.get(self.core.known[1])
         while at is not None:
             way.append(at)
             at = self.offers.get(at.before) if at.before != self.store.digest else None
         if way and (way[-1].before, way[-1].revision) == (self.store.digest, self.store.revision + 1):
-            taken: list[Group] = []
+            taken: list[ChangeSet] = []
             for group in reversed(way):
                 if not self._takes(group, now):
                     break
@@ -1072,19 +1110,21 @@
 
     def _asks_peer(self, now: int) -> None:
         self.target_tries += 1
-        self.target_due = now + RETRY + self.backoff(self.target_tries, 16 * SECOND)
+        self.target_due = now + INITIAL_RETRY_DELAY + self.backoff(self.target_tries, 16 * SECOND)
         if self.peers:
             self.say(
-                self.chance.choice(self.peers), Have(self.name, self.store.revision, self.store.digest), now
+                self.chance.choice(self.peers),
+                AppliedAck(self.name, self.store.revision, self.store.digest),
+                now,
             )
 
-    def _takes(self, group: Group, now: int) -> bool:
+    def _takes(self, group: ChangeSet, now: int) -> bool:
         """One that is surely committed."""
         if group.revision != self.store.revision + 1:
             return False
         try:
             terms = self.store.append(group)
-        except Wrong as fault:
+        except InvalidDocumentError as fault:
             self.tell(
                 "diverged" if group.before != self.store.digest else "refused",
                 revision=group.revision,
@@ -1092,7 +1132,7 @@
                 why=str(fault),
             )
             return False
-        self.writes.append(Write(group))
+        self.writes.append(DiskWrite(group))
         digest = self.store.digest
         self._goes_by(Version(group.revision, digest, terms), tuple(put.key for put in group.puts), now)
         proposal = self.proposal
@@ -1104,11 +1144,11 @@
             self.proposal = None  # it is the last of them, or a rival's
             if proposal.digest == digest:
                 for name in self.peers:
-                    self.say(name, Commit(self.name, (group.revision, digest)), now)
+                    self.say(name, CommitNotice(self.name, (group.revision, digest)), now)
         self.judge_due = min(self.judge_due, now + SECOND // 20)
         return True
 
-    def _spreads(self, taken: Sequence[Group], now: int) -> None:
+    def _spreads(self, taken: Sequence[ChangeSet], now: int) -> None:
         """What was taken just now, one after another, to our members: who had what the first follows is sent as many as go
         into one datagram (the first it may have, as an offer); all else follows by what each says to have.
         """
@@ -1124,7 +1164,7 @@
             groups = tuple(taken[1:] if client.offer == digest else taken)
             count = self._fit(groups)
             said = (
-                Commit(self.name, known, groups[:count])
+                CommitNotice(self.name, known, groups[:count])
                 if count or not groups
                 else self._announces(groups[0], False)
             )
@@ -1132,23 +1172,23 @@
                 self.feeds[name] = client.has
         self._pump(now)
 
-    def _goes_by(self, version: Version[Terms], keys: tuple[str, ...], now: int) -> None:
+    def _goes_by(self, version: Version[ActiveTerms], keys: tuple[str, ...], now: int) -> None:
         self.core = self.core.reads(version.number, version.digest, version, now)
         self.offers = {one: group for one, group in self.offers.items() if group.revision > version.number}
         self._gone()
         self.tell("committed", revision=version.number, digest=version.digest, keys=keys)
 
-    def _whole(self, announce: Announce, data: bytes, now: int) -> None:
+    def _whole(self, announce: ChunkManifest, data: bytes, now: int) -> None:
         found, before = self.text(announce, data), self.store.revision
-        if isinstance(found, Group):
+        if isinstance(found, ChangeSet):
             if announce.offer:
-                self._offered(Offer(announce.name, found), now)
+                self._offered(Proposal(announce.name, found), now)
                 return
             if self._takes(found, now):
                 self._spreads([found], now)
         elif found is not None and found.revision > self.store.revision:
             terms = self.store.replaced(found)
-            self.writes.append(Write(snapshot=found))
+            self.writes.append(DiskWrite(snapshot=found))
             version = Version(found.revision, found.digest, terms)
             # What was before it is not known here: whoever has said nothing from it on is waited for.
             self.core = replace(self.core, history=(), begins=found.revision)
@@ -1158,7 +1198,7 @@
             self.judge_due = min(self.judge_due, now + SECOND // 20)
         self._learns(*self.core.known, now)
         if before < self.store.revision < self.core.known[0]:
-            self.say(announce.name, Have(self.name, self.store.revision, self.store.digest), now)
+            self.say(announce.name, AppliedAck(self.name, self.store.revision, self.store.digest), now)
 
     def _gone(self) -> None:
         """Whose newest row in what is kept of the past says so."""
@@ -1175,9 +1215,9 @@
 
     # Members
 
-    def _asked(self, said: Asking, now: int) -> None:
-        if len(self.clients) >= CLIENTS and said.name not in self.clients:
-            self.tell("full", name=said.name, why=f"{CLIENTS} members are served: it is not answered")
+    def _asked(self, said: SyncRequest, now: int) -> None:
+        if len(self.clients) >= MAX_SUBSCRIBERS and said.name not in self.clients:
+            self.tell("full", name=said.name, why=f"{MAX_SUBSCRIBERS} members are served: it is not answered")
             return
         self.waiting[said.name] = said
         if now >= self.read_at + SECOND // 4:
@@ -1195,10 +1235,10 @@
         if client is not None and name not in self.peers:
             self._hears((name,), *has, now, own=True)
         if has[0] < self.store.revision or (has[0] == self.store.revision and has[1] != self.store.digest):
-            if len(self.feeds) < CLIENTS or name in self.feeds:
+            if len(self.feeds) < MAX_SUBSCRIBERS or name in self.feeds:
                 self.feeds[name] = has
             else:
-                self.tell("full", name=name, why=f"{CLIENTS} wait for what they lack: it asks again")
+                self.tell("full", name=name, why=f"{MAX_SUBSCRIBERS} wait for what they lack: it asks again")
             self._pump(now)
 
     def _hears(self, names: Iterable[str], revision: int, digest: str, now: int, own: bool = False) -> None:
@@ -1209,9 +1249,9 @@
         for name in names:
             if name in members:
                 old = self.core
-                self.core = old.hears(leased_versions.Have(name, revision, digest))
+                self.core = old.hears(leased_versions.AppliedAck(name, revision, digest))
                 if own and self.core is not old:
-                    self.fresh[name] = SAID
+                    self.fresh[name] = GOSSIP_REPEATS
                     if self.gossip_due == FAR:
                         self.gossip_due = now + SECOND // 4
         if self.core is not before:
@@ -1224,8 +1264,8 @@
         if self.core.force > before:
             digest = next(one.digest for one in self.core.history if one.number == self.core.force)
             self.tell("force", revision=self.core.force, digest=digest)
-        if self.core.force > before or len(self.core.history) > HISTORY:
-            self.core = self.core.cut(HISTORY)
+        if self.core.force > before or len(self.core.history) > MAX_REVOCATION_HISTORY:
+            self.core = self.core.cut(MAX_REVOCATION_HISTORY)
             self.memo = {key: last for key, last in self.memo.items() if key[0] >= self.core.begins}
             members = self.store.terms.members()
             if len(self.core.rows) > len(members):
@@ -1237,7 +1277,7 @@
             (
                 at
                 for at in (
-                    at + leased_versions.surely(self.lease)
+                    at + leased_versions.certain_lease_end(self.lease)
                     for number, at in self.core.learnt
                     if number > self.core.force
                 )
@@ -1261,13 +1301,15 @@
                 said += [(revision, digest, tuple(group[i : i + 8])) for i in range(0, len(group), 8)]
         while said:
             count = len(said)
-            while count > 1 and self.size(Haves(self.name, tuple(said[:count]))) > DATAGRAM:
+            while (
+                count > 1 and self.size(AppliedSummary(self.name, tuple(said[:count]))) > MAX_DATAGRAM_BYTES
+            ):
                 count -= 1
             for peer in self.peers:
-                self.say(peer, Haves(self.name, tuple(said[:count])), now)
+                self.say(peer, AppliedSummary(self.name, tuple(said[:count])), now)
             said = said[count:]
 
-    # What is sent as far as the purse allows
+    # What is sent as far as the rate_limiter allows
 
     def _pump(self, now: int) -> None:
         """Each in turn: who is behind gets the next groups, who asked for pieces gets the next one."""
@@ -1284,8 +1326,12 @@
             before = len(self.serving)
             for name, want in list(self.serving.items()):
                 data = self._data(want)
-                part = data[want.first * PIECE : (want.first + 1) * PIECE] if data is not None else b""
-                said = Piece(self.name, want.what, want.digest, want.first, part)
+                part = (
+                    data[want.first * CHUNK_BYTES : (want.first + 1) * CHUNK_BYTES]
+                    if data is not None
+                    else b""
+                )
+                said = Chunk(self.name, want.what, want.digest, want.first, part)
                 if part and not self._paces(name, said, now):
                     continue
                 if part and not self.say(name, said, now, 0.5):
@@ -1294,42 +1340,42 @@
                 del self.serving[name]
                 before = -1
                 if part and want.count > 1:
-                    self.serving[name] = Want(
-                        want.name, want.what, want.digest, want.first + 1, min(want.count, WINDOW) - 1
+                    self.serving[name] = ChunkRequest(
+                        want.name, want.what, want.digest, want.first + 1, min(want.count, CHUNK_WINDOW) - 1
                     )
             if before >= 0:
                 break  # each that is left waits for its own pace
 
-    def _paces(self, name: str, said: Said, now: int) -> bool:
+    def _paces(self, name: str, said: Message, now: int) -> bool:
         """Whether it is within what one may be sent of catch-up in a second."""
         if name not in self.paced:
-            if len(self.paced) >= CLIENTS:
+            if len(self.paced) >= MAX_SUBSCRIBERS:
                 del self.paced[next(iter(self.paced))]
-            self.paced[name] = Purse(CLIENT_BYTES, CLIENT_DATAGRAMS, now)
-        if self.paced[name].pays(self.size(said), now):
+            self.paced[name] = RateLimiter(CLIENT_BYTES, CLIENT_DATAGRAMS, now)
+        if self.paced[name].try_consume(self.size(said), now):
             return True
         self.pump_due = min(self.pump_due, now + SECOND // 20)
         return False
 
-    def _next(self, has: tuple[int, str]) -> Said | None:
+    def _next(self, has: tuple[int, str]) -> Message | None:
         groups = self.store.since(has[0]) if self.store.digest_at(has[0]) == has[1] else None
         known = (self.store.revision, self.store.digest)
         if groups is None:
             if has[0] >= known[0]:
                 return None
             digest, of, data = self._snapshot()
-            return Announce(self.name, SNAPSHOT, digest, of, len(data))
+            return ChunkManifest(self.name, SNAPSHOT, digest, of, len(data))
         if not groups:
             return None
         count = self._fit(groups)
-        return Commit(self.name, known, groups[:count]) if count else self._announces(groups[0], False)
+        return CommitNotice(self.name, known, groups[:count]) if count else self._announces(groups[0], False)
 
-    def _fit(self, groups: Sequence[Group]) -> int:
+    def _fit(self, groups: Sequence[ChangeSet]) -> int:
         """How many of the first go into one Commit."""
-        count, size = 0, self.size(Commit(self.name, (self.store.revision, self.store.digest)))
+        count, size = 0, self.size(CommitNotice(self.name, (self.store.revision, self.store.digest)))
         for group in groups:
-            size += len(encoded(group))
-            if size > DATAGRAM - 8:
+            size += len(encode_document(group))
+            if size > MAX_DATAGRAM_BYTES - 8:
                 break
             count += 1
         return count
@@ -1340,20 +1386,20 @@
             # One that the log leads on from is as good: who is on its way with it must not begin anew at each commit.
             if self.store.since(of[0]) is not None and self.store.digest_at(of[0]) == of[1]:
                 return digest, of, data
-        data = encoded(self.store.snapshot())
-        digest = hashed(data)
+        data = encode_document(self.store.snapshot())
+        digest = content_hash(data)
         self.snapshots[digest] = (known, data)
         while len(self.snapshots) > 2:
             del self.snapshots[next(iter(self.snapshots))]
         return digest, known, data
 
-    def _data(self, want: Want) -> bytes | None:
+    def _data(self, want: ChunkRequest) -> bytes | None:
         if want.what == SNAPSHOT:
             return self.snapshots[want.digest][1] if want.digest in self.snapshots else None
         group = self.offers.get(want.digest)
         if group is None:
             group = next((one for digest, one in reversed(self.store.log) if digest == want.digest), None)
-        return None if group is None else encoded(group)
+        return None if group is None else encode_document(group)
 
     # What an operator asks
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.experiment.capacity import (
     BEGIN,
     END,
@@ -65,7 +65,7 @@
 figure = "tally.bytes"
 at = "dispatchers"
 limit = "bytes_per_second"
-mechanism = "fleet/members.py"
+mechanism = "fleet/membership.py"
 """
 
 
@@ -151,7 +151,7 @@
     def test_how_a_figure_is_known(self):
         def known(at: str, figure: str = "tally.bytes") -> tuple[str, str]:
             made, _ = tables(self.target(BYTES.replace('"dispatchers"', at).replace("tally.bytes", figure)))
-            cells = self.row(made, "fleet/members.py")
+            cells = self.row(made, "fleet/membership.py")
             return cells[3], cells[5]
 
         self.assertEqual(
@@ -178,7 +178,7 @@
             self.keep((n,), figures={"bytes": value})
         made, _ = tables(self.target(BYTES.replace('"dispatchers"', "400")))
         self.assertRegex(
-            self.row(made, "fleet/members.py")[5],
+            self.row(made, "fleet/membership.py")[5],
             "by constant, 100, 2 times beyond the last; not ruled out: 1",
         )
         self.assertIn(
@@ -195,7 +195,7 @@
                 )
             )
         )
-        cells = self.row(made, "fleet/members.py")
+        cells = self.row(made, "fleet/membership.py")
         self.assertEqual(
             (cells[0], cells[3], cells[4]), ("**0.00210**", "21.0", "at least 10,000 (bytes_per_second)")
         )
@@ -220,7 +220,7 @@
         self.keep((50,), figures={"bytes": 9000.0})
         self.keep((20,), figures={}, fault="broke")  # there is a whole one
         made, _ = tables(self.target(BYTES.replace('"dispatchers"', "50")))
-        self.assertEqual(self.row(made, "fleet/members.py")[3], "9,000")
+        self.assertEqual(self.row(made, "fleet/membership.py")[3], "9,000")
         self.assertEqual(self.row(made, "`tally`")[1:3], ["10", "0"])
         text = (self.folder / "tally.toml").read_text()
         (self.folder / "tally.toml").write_text(text.replace("200]\npl", "200, 400]\npl"))
@@ -300,7 +300,7 @@
             (NUMBERS + BYTES.replace('at = "dispatchers"', ""), "charter.missing", "rows[0].at"),
             (NUMBERS + BYTES.replace('limit = "bytes_per_second"', ""), "charter.missing", "rows[0].limit"),
             (
-                NUMBERS + BYTES.replace('mechanism = "fleet/members.py"', ""),
+                NUMBERS + BYTES.replace('mechanism = "fleet/membership.py"', ""),
                 "charter.missing",
                 "rows[0].mechanism",
             ),
@@ -316,7 +316,7 @@
                 "assumptions[0].value",
             ),
         ):
-            with self.subTest(words), self.assertRaises(Faulty) as caught:
+            with self.subTest(words), self.assertRaises(InvalidConfigError) as caught:
                 read(self.target(numbers=text))
             for word in ("target.toml", f"[{name}]", *words):
                 self.assertIn(word, str(caught.exception))
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -12,13 +12,13 @@
 from pathsaddle.emulator.state.ground import BUDGET, Ground, Plan, varied
 from pathsaddle.emulator.state.judge import judge
 from pathsaddle.fleet.gossip import model_checker
-from pathsaddle.fleet.gossip.gossip import ROWS, Carry, Origin
-from pathsaddle.fleet.gossip.messages import BODY, Compare, decode
-from pathsaddle.fleet.quota.leases import Lend, Want
-from pathsaddle.fleet.quota.model_checker import Exceeded
-from pathsaddle.fleet.quota.quota_limiter import WINDOW, Dealt, Limiter
-from pathsaddle.fleet.quota.shared_state import SPARE, Shared
-from pathsaddle.fleet.rate_limiter import SECOND, Purse
+from pathsaddle.fleet.gossip.gossip import MAX_DIGEST_ROWS, Gossip, Origin
+from pathsaddle.fleet.gossip.messages import MAX_RECORD_BYTES, Digest, decode
+from pathsaddle.fleet.quota.leases import Grant, QuotaRequest
+from pathsaddle.fleet.quota.model_checker import InvariantViolationError
+from pathsaddle.fleet.quota.quota_limiter import WINDOW, QuotaConfig, QuotaLimiter
+from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
+from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
 
 KEY = b"sixteen bytes or more"
 
@@ -29,7 +29,8 @@
     def __init__(self, *names, bytes_=24_000):
         self.now = 0
         self.all = {
-            name: Carry(name, 7, "f", KEY, Purse(bytes_, 60, 0), SECOND, Random(name), 0) for name in names
+            name: Gossip(name, 7, "f", KEY, RateLimiter(bytes_, 60, 0), SECOND, Random(name), 0)
+            for name in names
         }
         for one in self.all.values():
             for name in names:
@@ -92,7 +93,7 @@
         few.plays(12)
         self.assertEqual(few.all["c"].origins["a"].seen, 20)
         self.assertEqual(len(few.all["c"].origins["a"].records), 20)
-        # No burst: what brought 6,000 bytes there was paid from the purse like all else.
+        # No burst: what brought 6,000 bytes there was paid from the rate_limiter like all else.
         self.assertLess(max(few.sent[n] - before[n] for n in "abc"), 12 * 3000)
 
     def test_an_old_life_ends_once_and_comes_back_by_no_late_message(self):
@@ -156,7 +157,7 @@
     NAMES = tuple(f"m{n:02}" for n in range(50))
 
     def setUp(self):
-        self.one = Carry("m25", 7, "f", KEY, Purse(24_000, 60, 0), SECOND, Random(5), 0)
+        self.one = Gossip("m25", 7, "f", KEY, RateLimiter(24_000, 60, 0), SECOND, Random(5), 0)
         for name in self.NAMES:
             self.one.joined(name, 7, name)
             self.one.origins.setdefault(name, Origin(7, seen=1))
@@ -168,7 +169,7 @@
             self.one.wake(now)
             for _, data in self.one.out:
                 for said in decode(data, KEY, "f").said:
-                    if isinstance(said, Compare):
+                    if isinstance(said, Digest):
                         pages += 1
                         for row in said.rows:
                             times[row.name] += 1
@@ -177,7 +178,7 @@
 
     def test_each_name_is_compared_as_often_as_any_other(self):
         times, pages = self.compared(60)
-        rounds = pages // -(-len(self.NAMES) // ROWS)
+        rounds = pages // -(-len(self.NAMES) // MAX_DIGEST_ROWS)
         self.assertGreater(rounds, 10)
         self.assertLessEqual(max(times.values()) - min(times.values()), 1, times)
         self.assertGreaterEqual(min(times.values()), rounds - 1)
@@ -185,7 +186,7 @@
     def test_a_comparison_that_the_purse_refuses_is_not_the_names_turn(self):
         self.compared(1)
         before = self.one.compared
-        self.one.purse.left[0] = -24_000  # and what a beat brings back
+        self.one.rate_limiter.left[0] = -24_000  # and what a beat brings back
         self.one.wake(self.one.compare_due)
         self.assertEqual((self.one.counts["held back"], self.one.compared, self.one.out), (1, before, []))
 
@@ -209,7 +210,7 @@
         self.assertGreater(count, 20_000)
 
     def test_what_breaks_that_is_found(self):
-        take = Carry._take
+        take = Gossip._take
 
         def over_gaps(self, delta, now, asked):
             take(self, delta, now, asked)
@@ -218,7 +219,11 @@
                 origin.seen = max(origin.seen, delta.upto)
 
         for name, instead in (("_take", over_gaps), ("_life", mutants._all_lives)):
-            with self.subTest(name), mock.patch.object(Carry, name, instead), self.assertRaises(Exceeded):
+            with (
+                self.subTest(name),
+                mock.patch.object(Gossip, name, instead),
+                self.assertRaises(InvariantViolationError),
+            ):
                 model_checker.check(5)
 
 
@@ -251,16 +256,16 @@
 
 class LimiterStory(unittest.TestCase):
     def limiter(self, part, now=10 * SECOND, rate=10):
-        one = Limiter("a", 1, {"r": Dealt(rate, part, 10 * SECOND)}, Random(1), 0)
+        one = QuotaLimiter("a", 1, {"r": QuotaConfig(rate, part, 10 * SECOND)}, Random(1), 0)
         return one, now
 
     def test_no_second_wherever_it_begins_holds_more_uses_than_there_are_rights(self):
         one, now = self.limiter(4)
-        taken = [at for at in range(now, now + 5 * SECOND, 97) if one.takes("r", 1, at)]
+        taken = [at for at in range(now, now + 5 * SECOND, 97) if one.try_acquire("r", 1, at)]
         for at in taken:
             self.assertLessEqual(sum(at <= other < at + SECOND for other in taken), 4)
         self.assertGreater(len(taken), 16)
-        self.assertFalse(one.takes("r", 5, now + 9 * SECOND))
+        self.assertFalse(one.try_acquire("r", 5, now + 9 * SECOND))
 
     def test_a_new_life_uses_nothing_for_as_long_as_its_old_one_may_have_used_before(self):
         one, _ = self.limiter(4)
@@ -268,34 +273,34 @@
 
     def test_it_lends_what_it_neither_used_in_the_last_second_nor_wanted_of_late(self):
         one, now = self.limiter(6, 30 * SECOND)
-        self.assertTrue(one.takes("r", 4, now))
-        one.asked("r", Want("b", 3, 1, 9), now + 1)
+        self.assertTrue(one.try_acquire("r", 4, now))
+        one.asked("r", QuotaRequest("b", 3, 1, 9), now + 1)
         [(to, _, lend)] = one.out
         self.assertEqual((to, lend.units, one.free("r", now + 2)), ("b", 2, 0))
-        one.asked("r", Want("b", 3, 1, 9), now + 3)  # the same again
+        one.asked("r", QuotaRequest("b", 3, 1, 9), now + 3)  # the same again
         self.assertEqual(len(one.out), 1)
 
     def test_a_stall_between_the_check_and_the_use_longer_than_the_lease_leaves_nothing_of_it_after(self):
-        a, b = (Limiter(name, 1, {"r": Dealt(10, 5, 4 * SECOND)}, Random(1), 0) for name in "ab")
+        a, b = (QuotaLimiter(name, 1, {"r": QuotaConfig(10, 5, 4 * SECOND)}, Random(1), 0) for name in "ab")
         now = 30 * SECOND
         b.there = ["a"]
-        self.assertTrue(b.takes("r", 5, now))
-        self.assertFalse(b.takes("r", 2, now))
+        self.assertTrue(b.try_acquire("r", 5, now))
+        self.assertFalse(b.try_acquire("r", 2, now))
         [(_, _, want)] = b.out
         a.asked("r", want, now)
         [(_, _, lend)] = a.out
         b.lent("r", lend, now + 1)
-        self.assertTrue(b.takes("r", 2, now + 2))
+        self.assertTrue(b.try_acquire("r", 2, now + 2))
         late = now + 5 * SECOND
         self.assertEqual((b.free("r", late), a.free("r", late)), (5, 3))
         self.assertEqual(a.free("r", late + 2 * SECOND), 5)
 
     def test_who_leaves_gives_back_what_it_holds_and_uses_its_own_to_the_end(self):
-        b = Limiter("b", 1, {"r": Dealt(10, 5, 10 * SECOND)}, Random(1), 0)
+        b = QuotaLimiter("b", 1, {"r": QuotaConfig(10, 5, 10 * SECOND)}, Random(1), 0)
         b.there, now = ["a"], 30 * SECOND
-        self.assertFalse(b.takes("r", 7, now))
+        self.assertFalse(b.try_acquire("r", 7, now))
         [(_, _, want)] = b.out
-        b.lent("r", Lend("a", 1, "b", 1, want.number, 2, 10 * SECOND), now)
+        b.lent("r", Grant("a", 1, "b", 1, want.number, 2, 10 * SECOND), now)
         b.out.clear()
         b.leave(now + 1)
         self.assertEqual(
@@ -314,16 +319,16 @@
     def test_a_limiter_whose_name_is_anothers_too_uses_and_lends_nothing_more(self):
         one, now = self.limiter(6, 30 * SECOND)
         one.close()
-        one.asked("r", Want("b", 3, 1, 9), now)
-        self.assertEqual((one.takes("r", 1, now), one.out), (False, []))
+        one.asked("r", QuotaRequest("b", 3, 1, 9), now)
+        self.assertEqual((one.try_acquire("r", 1, now), one.out), (False, []))
 
     def test_what_is_wrong_in_a_charters_budgets_is_said(self):
         from pathsaddle.config.fleet import equal_part
-        from pathsaddle.config.schema import Fleet
-        from pathsaddle.config.validation import Faulty, check
+        from pathsaddle.config.schema import FleetTable
+        from pathsaddle.config.validation import InvalidConfigError, validate
 
         base = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:3"}
-        check(Fleet, {**base, "budgets": {"repeats": 30}, "parts": {"repeats": 12}}, "x")
+        validate(FleetTable, {**base, "budgets": {"repeats": 30}, "parts": {"repeats": 12}}, "x")
         for wrong, word in (
             ({"budgets": {"a b": 1}}, '"a b" stands there'),
             ({"budgets": {"a": 0}}, "at least 1"),
@@ -332,8 +337,8 @@
             ({"lease": "1s"}, "write 2s to 10min"),
             ({"budgets": {f"b{n}": 1 for n in range(17)}}, "write 16 budgets at most"),
         ):
-            with self.assertRaises(Faulty) as caught:
-                check(Fleet, {**base, **wrong}, "x")
+            with self.assertRaises(InvalidConfigError) as caught:
+                validate(FleetTable, {**base, **wrong}, "x")
             self.assertIn(word, str(caught.exception))
         self.assertEqual([equal_part(10, 4, number) for number in range(4)], [3, 3, 2, 2])
 
@@ -343,20 +348,20 @@
 
     def told(self, length):
         names = [f"{n:02d}".ljust(length, "x") for n in range(16)]
-        one = Shared(
+        one = SharedState(
             "a",
             1,
             "f",
             KEY,
-            Purse(24_000, 60, 0),
+            RateLimiter(24_000, 60, 0),
             SECOND,
-            {name: Dealt(200, 20 + n, 10 * SECOND) for n, name in enumerate(names)},
+            {name: QuotaConfig(200, 20 + n, 10 * SECOND) for n, name in enumerate(names)},
             Random(1),
             0,
         )
         one.wake(60 * SECOND)  # long after its start, when all that may be lent is free
-        body = one.carry.mine.records[SPARE].body
-        self.assertLessEqual(len(body), BODY)
+        body = one.carry.mine.records[SPARE_TOPIC].body
+        self.assertLessEqual(len(body), MAX_RECORD_BYTES)
         return names, msgspec.msgpack.decode(body), one.carry.counts.get("spare untold", 0)
 
     def test_sixteen_budgets_with_the_longest_names_are_told_as_far_as_a_record_has_room_the_most_first(self):
--- a/tests/test_charter.py
+++ b/tests/test_charter.py
@@ -8,11 +8,11 @@
 from unittest import mock
 
 from pathsaddle.cli.show import explained
-from pathsaddle.config.dispatcher import CharterGround
-from pathsaddle.config.loader import read, told
-from pathsaddle.config.schema import IN_SERVICE, Charter
-from pathsaddle.config.units import duration, size, written
-from pathsaddle.config.validation import Faulty, explain, load
+from pathsaddle.config.dispatcher import ConfiguredDispatcher
+from pathsaddle.config.loader import platform_config, read_configuration
+from pathsaddle.config.schema import RELOADABLE_KEYS, Configuration
+from pathsaddle.config.units import format_quantity, parse_duration, parse_size
+from pathsaddle.config.validation import InvalidConfigError, explain_keys, load_toml
 from pathsaddle.emulator import plan
 from pathsaddle.experiment import capacity, scale
 from pathsaddle.net.service import logbook
@@ -39,8 +39,8 @@
 
     def faults(self, text: str) -> list[str]:
         self.path.write_text(text)
-        with self.assertRaises(Faulty) as caught:
-            read(self.path)
+        with self.assertRaises(InvalidConfigError) as caught:
+            read_configuration(self.path)
         return [f"{fault.path}: {fault.text}" for fault in caught.exception.faults]
 
     def test_all_faults_are_told_at_once_with_the_nearest_key(self) -> None:
@@ -68,13 +68,16 @@
         )
         self.assertIn("is not TOML: ", self.faults("listen = ")[0])
         self.path.unlink()
-        with self.assertRaises(Faulty):
-            read(self.path)
+        with self.assertRaises(InvalidConfigError):
+            read_configuration(self.path)
 
     def test_dropped_workers_stay_open_goes_the_whole_road(self) -> None:
         for text, open_ in (("", False), ("[rules]\ndropped_stay_open = true\n", True)):
             self.path.write_text(GOOD + text)
-            self.assertIs(birth(json.dumps(told(read(self.path)))).terms.dropped_stay_open, open_)
+            self.assertIs(
+                birth(json.dumps(platform_config(read_configuration(self.path)))).terms.dropped_stay_open,
+                open_,
+            )
 
     def test_what_contradicts_itself(self) -> None:
         self.assertIn(
@@ -86,16 +89,16 @@
 
     def test_units(self) -> None:
         for text, ticks in (("250ms", 2500), ("1.5s", 15_000), ("2min", 1_200_000), ("1h", 36_000_000)):
-            self.assertEqual(duration(text), ticks)
-            self.assertEqual(duration(json.loads(written(duration(text)))), ticks)
-        self.assertEqual(size("64MiB"), 64 << 20)
+            self.assertEqual(parse_duration(text), ticks)
+            self.assertEqual(parse_duration(json.loads(format_quantity(parse_duration(text)))), ticks)
+        self.assertEqual(parse_size("64MiB"), 64 << 20)
         for bad in ("5", "s", "-5s", "1e3s", "5 parsecs", 5, None, "٣s"):
             with self.assertRaises(ValueError):
-                duration(bad)
+                parse_duration(bad)
 
     def test_both_roads_lead_to_the_same_birth(self) -> None:
         self.path.write_text(GOOD)
-        one = birth(json.dumps(told(read(self.path))))
+        one = birth(json.dumps(platform_config(read_configuration(self.path))))
         settings = {
             "Azs": ["here"],
             "Discovery": "subscribe",
@@ -121,10 +124,10 @@
 
     def test_reread_takes_over_what_may_change_and_names_what_stays(self) -> None:
         self.path.write_text(GOOD)
-        ground = CharterGround(self.path)
+        ground = ConfiguredDispatcher(self.path)
         with mock.patch.object(logbook, "stays") as stays, mock.patch.object(logbook, "open_log") as opened:
             self.path.write_text('[log]\nlevel = "WARNING"\n[limits]\nsockets = 128\n')
-            with self.assertRaises(Faulty):
+            with self.assertRaises(InvalidConfigError):
                 ground.moved()
             self.assertEqual(ground.charter.discovery, "127.0.0.1:9090", "a broken file changes nothing")
             self.path.write_text(
@@ -141,15 +144,15 @@
 
     def test_the_pages_are_what_explain_prints(self) -> None:
         for said, page in (
-            (explained(explain(Charter), IN_SERVICE), "charter.md"),
-            (explained(explain(plan.Plan)), "plan.md"),
-            (explained(explain(scale.Plan)), "plan.md"),
-            (explained(explain(capacity.Target)), "scale.md"),
+            (explained(explain_keys(Configuration), RELOADABLE_KEYS), "charter.md"),
+            (explained(explain_keys(plan.Plan)), "plan.md"),
+            (explained(explain_keys(scale.Plan)), "plan.md"),
+            (explained(explain_keys(capacity.Target)), "scale.md"),
         ):
             self.assertIn(said, (ROOT / "docs" / page).read_text(), f"docs/{page} is old")
 
     def test_the_example_is_good(self) -> None:
-        read(ROOT / "deploy/charter.example.toml")
+        read_configuration(ROOT / "deploy/charter.example.toml")
 
     def test_the_catalogue_of_log_lines_and_the_page_for_those_on_call_agree(self) -> None:
         page = (ROOT / "docs/on-call.md").read_text().partition("## The log")[2].partition("###")[0]
@@ -174,7 +177,7 @@
     }
 
     def faults(self, **more: object) -> str:
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             plan.of({**self.GOOD, **more}, "p.toml")
         return "\n".join(map(str, caught.exception.faults))
 
@@ -197,7 +200,7 @@
 
     def test_plans_that_are_here_are_good(self) -> None:
         for path in (ROOT / "experiments").glob("*.toml"):
-            if "charter" in load(
+            if "charter" in load_toml(
                 path
             ):  # what has none is the plan of a ground of its own, checked where it is played
                 plan.read(path)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -30,9 +30,9 @@
 import pathsaddle
 from pathsaddle import errors
 from pathsaddle.cli.main import main
-from pathsaddle.config.loader import read
-from pathsaddle.config.validation import Fault, Faulty
-from pathsaddle.consensus.acceptor_log import found as begins_register
+from pathsaddle.config.loader import read_configuration
+from pathsaddle.config.validation import ConfigKeyError, InvalidConfigError
+from pathsaddle.consensus.acceptor_log import create_log as begins_register
 from pathsaddle.emulator import stage
 from pathsaddle.emulator.ground import ports
 from pathsaddle.emulator.ground.ports import udp_places
@@ -46,9 +46,9 @@
 from pathsaddle.federation.spec import parse
 from pathsaddle.federation.udp_driver import ground_of
 from pathsaddle.fleet import control_client
-from pathsaddle.fleet.incarnation_store import Lives
-from pathsaddle.fleet.membership import Ways
-from pathsaddle.fleet.udp_driver import WAKES, Fellows, Told
+from pathsaddle.fleet.incarnation_store import IncarnationStore
+from pathsaddle.fleet.membership import MembershipOptions
+from pathsaddle.fleet.udp_driver import MAX_TIMER_FAILURES, MembershipConfig, MembershipDriver
 from pathsaddle.histories.logs import write
 from pathsaddle.histories.planted import wrong
 from pathsaddle.jobs import store as jobs
@@ -57,10 +57,10 @@
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.place import unhad
-from pathsaddle.settings.changes import puts_of
-from pathsaddle.settings.cluster_file import ground_of as settings_ground
-from pathsaddle.settings.driver import Electorate, KeeperProcess
-from pathsaddle.settings.driver import Told as SettingsTold
+from pathsaddle.settings.changes import changes_from_tables
+from pathsaddle.settings.cluster_file import load_cluster_file as settings_ground
+from pathsaddle.settings.driver import ConfigServerDriver, VoterConfig
+from pathsaddle.settings.driver import DriverConfig as SettingsTold
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = 'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\nname = "d"\n'
@@ -155,7 +155,7 @@
 
     def __init__(self, ground: Path, count: int) -> None:
         form = settings_ground(str(ground))
-        self.made: list[KeeperProcess] = []
+        self.made: list[ConfigServerDriver] = []
         for i in range(count):
             row = form.keepers[f"k{i}"]
             folder = Path(row.disk)
@@ -174,8 +174,8 @@
                 200_000,
                 1000,
             )
-            electorate = Electorate(form.voters.names, "f", KEY.encode(), 5000, form.voters.names[f"k{i}"])
-            self.made.append(KeeperProcess(told, electorate, Random(i), lambda what, **more: None))
+            electorate = VoterConfig(form.voters.names, "f", KEY.encode(), 5000, form.voters.names[f"k{i}"])
+            self.made.append(ConfigServerDriver(told, electorate, Random(i), lambda what, **more: None))
         self.up = dict.fromkeys(range(count), True)
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
@@ -351,14 +351,14 @@
 
     def test_a_faults_sentence_is_whole_after_a_way_between_processes(self) -> None:
         path = self.file(GOOD)
-        with self.assertRaises(Faulty) as caught:
-            read(path)
+        with self.assertRaises(InvalidConfigError) as caught:
+            read_configuration(path)
         again = pickle.loads(pickle.dumps(caught.exception))
         self.assertEqual(str(again), str(caught.exception))
         self.assertEqual(again.faults[0].path, "schemes")
         KNOWN.add("charter.faulty")
-        self.assertIsInstance(Fault("f", "k", "3 stands there; a text may"), errors.Error)
-        self.assertEqual(Fault("f", "k", "3 stands there; a text may").do, "write a text at k")
+        self.assertIsInstance(ConfigKeyError("f", "k", "3 stands there; a text may"), errors.Error)
+        self.assertEqual(ConfigKeyError("f", "k", "3 stands there; a text may").do, "write a text at k")
 
 
 class StartStory(Reading):
@@ -552,7 +552,7 @@
             'ground = "scale"\nname = "c"\nmeasure = "trouble"\nagainst = "m"\npoints = [1]\nprocesses = 1\n'
             'memory_mib = 50\n[[slopes]]\nfigure = "speed"\nbound = {point = 1, most = 1.0}\n'
         )
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             scale.read(self.file(text), "tests.measures")
         self.reads(str(caught.exception), "experiment.not-counted", "slopes[0].bound", "speed", "size")
         with self.assertRaises(errors.Error) as few:
@@ -678,19 +678,25 @@
         self.reads(str(caught.exception), "experiment.no-ground", old[:10], "--ground sockets")
 
 
-def fellows(folder: Path, control: str = "") -> Fellows:
-    told = Told(
-        "a", "here", "127.0.0.1:0", "127.0.0.1:0", [], control, Ways("f", b"sixteen bytes or more", 500, 150)
+def fellows(folder: Path, control: str = "") -> MembershipDriver:
+    told = MembershipConfig(
+        "a",
+        "here",
+        "127.0.0.1:0",
+        "127.0.0.1:0",
+        [],
+        control,
+        MembershipOptions("f", b"sixteen bytes or more", 500, 150),
     )
-    made = Fellows(told, Ground(), Lives(folder, "a"), Random(1), Counters())
+    made = MembershipDriver(told, Ground(), IncarnationStore(folder, "a"), Random(1), Counters())
     made.quiet = True
     return made
 
 
 class AskingStory(Reading):
     def asks(self, address: str, name: str, *words: object) -> None:
-        with self.assertRaises(control_client.Unasked) as caught:
-            control_client.asked(address, "members", 0.3)
+        with self.assertRaises(control_client.ControlUnreachableError) as caught:
+            control_client.query_dispatcher(address, "members", 0.3)
         self.assertEqual(caught.exception.code, 1)
         self.reads(str(caught.exception), name, address, *words)
 
@@ -725,8 +731,8 @@
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", said is None, 0)
             )
             async with server:
-                with self.assertRaises(control_client.Unasked) as caught:
-                    await control_client.ask(
+                with self.assertRaises(control_client.ControlUnreachableError) as caught:
+                    await control_client.query(
                         f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "members", 5.0
                     )
                 return str(caught.exception)
@@ -767,8 +773,8 @@
         return line
 
     async def ask(self, word: str) -> str:
-        with self.assertRaises(control_client.Unasked) as caught:
-            await control_client.ask(self.control, word, 5.0)
+        with self.assertRaises(control_client.ControlUnreachableError) as caught:
+            await control_client.query(self.control, word, 5.0)
         KNOWN.add(caught.exception.name)
         return str(caught.exception)
 
@@ -844,7 +850,7 @@
                     await self.logged()
         self.assertEqual(self.lines[-1][1]["then"], "the membership has ended, jobs go on")
         self.assertEqual(len(self.lines), 2)  # a second line within a second would say nothing new
-        self.assertEqual(self.fellows.counters["fleet.fault"], WAKES)
+        self.assertEqual(self.fellows.counters["fleet.fault"], MAX_TIMER_FAILURES)
         said = await self.ask("members")
         self.assertIn("ZeroDivisionError: of ours", said)
         self.assertIn("[control.ended]", said)
@@ -858,7 +864,7 @@
             said = await self.ask("members")
         self.assertIn("[control.fault]", said)
         self.assertEqual(self.lines[0][0], "fault_control")
-        self.assertEqual((await control_client.ask(self.control, "members", 5.0))["name"], "a")
+        self.assertEqual((await control_client.query(self.control, "members", 5.0))["name"], "a")
         self.assertIn("[control.no-budgets]", await self.ask("budgets"))
         self.assertIn("[control.unmetered]", await self.ask("control"))
         self.assertIn("'nonsense' was asked, and it knows members", said := await self.ask("nonsense"))
@@ -1153,7 +1159,7 @@
         code, said = self.command(*apply, self.file("listen = 'x:1'\nname = 'y'\n", "wrong"), *at)
         self.assertEqual((code, len(said.splitlines())), (1, 2), said)
         with self.assertRaises(errors.Error) as caught:
-            puts_of({"listen": 1}, [])
+            changes_from_tables({"listen": 1}, [])
         self.assertEqual(caught.exception.name, "settings.refused")
         KNOWN.add("settings.refused")  # a command prints each of its lines
         with Keepers(ground, 3) as keepers:
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -5,18 +5,18 @@
 
 from pathsaddle.emulator.federation.mutants import IN_MODEL, mutant
 from pathsaddle.emulator.steps import Steps
-from pathsaddle.federation.errors import SpecFaulty
-from pathsaddle.federation.model_checker import Forbidden, check, versions, walk
+from pathsaddle.federation.errors import InvalidSpecError
+from pathsaddle.federation.model_checker import InvariantViolationError, check, versions, walk
 from pathsaddle.federation.spec import parse
 from pathsaddle.leased_versions import (
-    Change,
-    Commit,
-    Keeper,
-    Renewed,
+    CommitNotice,
+    LeaseRenewal,
     Version,
-    compared,
-    holder,
-    surely,
+    VersionChange,
+    VersionServer,
+    certain_lease_end,
+    compare_versions,
+    new_subscriber,
 )
 
 LEASE = 10_000
@@ -75,7 +75,7 @@
 
 class SpecStory(unittest.TestCase):
     def faults(self, text):
-        with self.assertRaises(SpecFaulty) as caught:
+        with self.assertRaises(InvalidSpecError) as caught:
             parse(REGIONS + text, "f.toml")
         return caught.exception.lines
 
@@ -111,7 +111,7 @@
             with Steps() as steps:
                 one = parse(REGIONS + body + data)
                 two = parse(REGIONS + body.replace('"west"', '"south"') + data)
-                changes = compared(one, two)
+                changes = compare_versions(one, two)
                 self.assertEqual(len(self.faults(body.replace('["west"]', '["wset"]') + data)), count)
             self.assertEqual((len(changes), sum(row.tightens for row in changes)), (2 * count, count))
             return steps.lines
@@ -124,41 +124,41 @@
 class VersionsStory(unittest.TestCase):
     def held(self):
         one, two = versions(1)
-        state, ask = holder("m0", "north", 1, LEASE, one).asks(0)
-        return one, two, state.renewed(Renewed("m0", 1, ask.echo, 1, one.digest), 5)
+        state, ask = new_subscriber("m0", "north", 1, LEASE, one).asks(0)
+        return one, two, state.renewed(LeaseRenewal("m0", 1, ask.echo, 1, one.digest), 5)
 
     def test_comparing_tells_tightenings_and_loosenings_for_each_scheme_and_region(self):
         one, two = versions(1)
         self.assertEqual(
-            compared(one.spec, two.spec),
-            [Change("a", "south", "may", False), Change("a", "west", "may", True)],
+            compare_versions(one.spec, two.spec),
+            [VersionChange("a", "south", "may", False), VersionChange("a", "west", "may", True)],
         )
         less = parse(one.spec.text + "at_most = 0.1\n")
-        self.assertEqual(compared(one.spec, less), [Change("a", "", "at_most", True)])
+        self.assertEqual(compare_versions(one.spec, less), [VersionChange("a", "", "at_most", True)])
 
     def test_a_tightening_binds_at_once_and_a_loosening_when_it_is_committed(self):
         _, two, state = self.held()
         self.assertEqual(state.rule("a", 10).may, {"north", "west"})
         state = state.offered(two)
         self.assertEqual(state.rule("a", 10).may, {"north"})
-        self.assertEqual(state.told(Commit(2, two.digest))[0].rule("a", 10).may, {"north", "south"})
+        self.assertEqual(state.told(CommitNotice(2, two.digest))[0].rule("a", 10).may, {"north", "south"})
 
     def test_who_hears_nothing_beyond_its_lease_is_home_alone_and_so_is_a_new_life_with_an_old_disk(self):
         one, _, state = self.held()
         self.assertEqual(state.rule("a", LEASE).may, {"north"})
-        self.assertEqual(holder("m0", "north", 2, LEASE, one).rule("a", 6).may, {"north"})
+        self.assertEqual(new_subscriber("m0", "north", 2, LEASE, one).rule("a", 6).may, {"north"})
 
     def test_a_lease_counts_from_the_asking_and_what_answers_an_older_life_or_is_lower_is_nothing(self):
         one, two, state = self.held()
-        self.assertEqual(state.renewed(Renewed("m0", 1, 1, 1, one.digest), 9000).until, state.until)
+        self.assertEqual(state.renewed(LeaseRenewal("m0", 1, 1, 1, one.digest), 9000).until, state.until)
         state, ask = state.asks(100)
-        self.assertEqual(state.renewed(Renewed("m0", 0, ask.echo, 1, one.digest), 200), state)
-        later, _ = state.offered(two).told(Commit(2, two.digest))
-        self.assertEqual(later.renewed(Renewed("m0", 1, ask.echo, 1, one.digest), 200), later)
+        self.assertEqual(state.renewed(LeaseRenewal("m0", 0, ask.echo, 1, one.digest), 200), state)
+        later, _ = state.offered(two).told(CommitNotice(2, two.digest))
+        self.assertEqual(later.renewed(LeaseRenewal("m0", 1, ask.echo, 1, one.digest), 200), later)
 
     def test_a_number_whose_text_is_missing_leaves_home_alone_until_the_very_text_comes(self):
         one, two, state = self.held()
-        state, have = state.told(Commit(2, two.digest))
+        state, have = state.told(CommitNotice(2, two.digest))
         self.assertIsNone(have)
         self.assertEqual(state.rule("a", 10).may, {"north"})
         self.assertIs(state.offered(Version(2, "another", one.spec)), state)
@@ -167,18 +167,18 @@
     def test_a_member_started_with_another_first_text_is_home_alone_until_it_has_the_committed_one(self):
         one, _, _ = self.held()
         other = Version(1, "mine", one.spec)
-        state, ask = holder("m0", "north", 1, LEASE, other).asks(0)
-        state = state.renewed(Renewed("m0", 1, ask.echo, 1, one.digest), 5)
+        state, ask = new_subscriber("m0", "north", 1, LEASE, other).asks(0)
+        state = state.renewed(LeaseRenewal("m0", 1, ask.echo, 1, one.digest), 5)
         self.assertEqual(state.rule("a", 10).may, {"north"})
         self.assertEqual(state.offered(one).rule("a", 10).may, {"north", "west"})
 
     def test_in_force_needs_each_ones_word_or_a_leases_end_and_a_home_withdrawn_needs_the_word(self):
         one, two = versions(1)
-        keeper = Keeper(LEASE, 0).reads(1, one.digest, one, 0).reads(2, two.digest, two, 50)
+        keeper = VersionServer(LEASE, 0).reads(1, one.digest, one, 0).reads(2, two.digest, two, 50)
         self.assertEqual(keeper.waits_for(60), ("m0", "s", "w"))
-        self.assertEqual(keeper.judged(50 + surely(LEASE)).force, 2)
+        self.assertEqual(keeper.judged(50 + certain_lease_end(LEASE)).force, 2)
         _, moved = versions(1, moved="south")
-        keeper = Keeper(LEASE, 0).reads(1, one.digest, one, 0).reads(2, moved.digest, moved, 50)
+        keeper = VersionServer(LEASE, 0).reads(1, one.digest, one, 0).reads(2, moved.digest, moved, 50)
         self.assertEqual(keeper.waits_for(100 * LEASE), ("m0", "s", "w"))
         self.assertEqual(replace(keeper, gone=("m0", "w")).waits_for(100 * LEASE), ("s",))
 
@@ -187,7 +187,7 @@
         rival = Version(2, "rival", parse(one.spec.text + "at_most = 0.2\n"))
         state = state.offered(rival).offered(two)
         self.assertEqual(state.rule("a", 10).at_most, 0.2)
-        state, _ = state.told(Commit(2, two.digest))
+        state, _ = state.told(CommitNotice(2, two.digest))
         self.assertEqual((state.base.digest, state.offers), (two.digest, ()))
 
 
@@ -206,7 +206,7 @@
 
     def test_every_mutant_is_found(self):
         for name in IN_MODEL:
-            with self.subTest(name), mutant(name), self.assertRaises(Forbidden):
+            with self.subTest(name), mutant(name), self.assertRaises(InvariantViolationError):
                 check(9, 1, lives=1)
 
 
--- a/tests/test_federation_world.py
+++ b/tests/test_federation_world.py
@@ -10,8 +10,8 @@
 from pathsaddle.emulator.federation.judge import earned, judged, turned
 from pathsaddle.emulator.federation.plans import COURSES, Plan, Trouble
 from pathsaddle.emulator.federation.world import World
-from pathsaddle.federation.routing import BACK, FIRST, IN_A_ROW, Job, Ways
-from pathsaddle.federation.spare_capacity import Free, Lender, parts
+from pathsaddle.federation.routing import BACK, FIRST, IN_A_ROW, RegionRouter, RoutedRequest
+from pathsaddle.federation.spare_capacity import ReleaseNotice, SpareCapacityLender, parts
 from pathsaddle.federation.spec import parse
 from pathsaddle.trade import SECOND
 
@@ -218,10 +218,10 @@
 
 class ChoiceStory(unittest.TestCase):
     def setUp(self):
-        self.ways = Ways("w", "west", ["north", "south"])
+        self.ways = RegionRouter("w", "west", ["north", "south"])
 
     def choose(self, scheme, now=0, left=4 * SECOND, origin="west", unknown=(), ways=None):
-        job = Job("t/1", scheme, SECOND // 2, left, origin, list(unknown))
+        job = RoutedRequest("t/1", scheme, SECOND // 2, left, origin, list(unknown))
         return (ways or self.ways).choose(job, SPEC.rule(scheme, "west"), SPEC, 7, now)
 
     def lose(self, region="north", at=0):
@@ -248,7 +248,7 @@
 
     def test_what_another_region_sent_runs_here_or_nowhere(self):
         self.assertEqual(self.choose("once", origin="south").what, "run")
-        east = Ways("s", "south", ["north", "west"])
+        east = RegionRouter("s", "south", ["north", "west"])
         self.assertEqual(self.choose("plain", origin="north", ways=east).code, "residency")
 
     def test_a_copy_older_than_allowed_is_declined_where_that_is_declared(self):
@@ -291,12 +291,12 @@
 class LenderStory(unittest.TestCase):
     def test_own_first_what_is_free_and_no_more_than_its_share_in_any_second(self):
         rule = SPEC.rule("once", "west")
-        lender = Lender("w", 1, 3, -100 * SECOND)
-        free = Free(10, 0, 0, {})
-        self.assertEqual(lender.asked("once", rule, "west", Free(10, 1, 0, {}), 0), "own-first")
-        self.assertEqual(lender.asked("once", rule, "west", Free(0, 0, 3, {}), 0), "no-room")
+        lender = SpareCapacityLender("w", 1, 3, -100 * SECOND)
+        free = ReleaseNotice(10, 0, 0, {})
+        self.assertEqual(lender.asked("once", rule, "west", ReleaseNotice(10, 1, 0, {}), 0), "own-first")
+        self.assertEqual(lender.asked("once", rule, "west", ReleaseNotice(0, 0, 3, {}), 0), "no-room")
         self.assertEqual(
-            lender.asked("once", rule, "west", Free(5, 0, 5, {"once": 3}), 0), "no-room"
+            lender.asked("once", rule, "west", ReleaseNotice(5, 0, 5, {"once": 3}), 0), "no-room"
         )  # 0.3 of 10
         self.assertEqual(
             [lender.asked("once", rule, "west", free, i) for i in range(4)], ["", "", "", "no-share"]
@@ -305,9 +305,14 @@
         self.assertEqual(sum(parts(50, 7)), 50)
 
     def test_a_new_life_takes_on_none_for_a_second_and_one_unit_serves_one_at_a_time(self):
-        rule, free = SPEC.rule("once", "west"), Free(10, 0, 0, {})
-        self.assertEqual(Lender("w", 2, 9, 0).asked("once", rule, "west", free, SECOND // 2), "no-share")
-        one, two = Lender("a", 1, 4, -100 * SECOND), Lender("b", 1, 0, -100 * SECOND)
+        rule, free = SPEC.rule("once", "west"), ReleaseNotice(10, 0, 0, {})
+        self.assertEqual(
+            SpareCapacityLender("w", 2, 9, 0).asked("once", rule, "west", free, SECOND // 2), "no-share"
+        )
+        one, two = (
+            SpareCapacityLender("a", 1, 4, -100 * SECOND),
+            SpareCapacityLender("b", 1, 0, -100 * SECOND),
+        )
         self.assertEqual(two.asked("once", rule, "west", free, 0), "no-share")
         two.asks(0)
         one.hears(two.out.pop(), 1)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -181,8 +181,8 @@
 
 class ChartStory(unittest.TestCase):
     def test_what_is_wrong_in_a_fleets_table_is_said_all_at_once(self):
-        from pathsaddle.config.schema import Charter
-        from pathsaddle.config.validation import Faulty, check
+        from pathsaddle.config.schema import Configuration
+        from pathsaddle.config.validation import InvalidConfigError, validate
 
         base = {
             "listen": "127.0.0.1:1",
@@ -191,7 +191,7 @@
             "schemes": [{"name": "s", "semantics": "repeatable", "expiry": "5s"}],
         }
         fleet = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:3"}
-        self.assertIsNotNone(check(Charter, {**base, "fleet": fleet}, "x").fleet)
+        self.assertIsNotNone(validate(Configuration, {**base, "fleet": fleet}, "x").fleet)
         for wrong, word in (
             ({"key": "short"}, "fleet.key"),
             ({"listen": "nowhere"}, "host:port of IPv4"),
@@ -201,14 +201,14 @@
             ({"patience": "600ms"}, "patience"),
             ({"bits": 1}, "bits"),
         ):
-            with self.assertRaises(Faulty) as caught:
-                check(Charter, {**base, "fleet": {**fleet, **wrong}}, "x")
+            with self.assertRaises(InvalidConfigError) as caught:
+                validate(Configuration, {**base, "fleet": {**fleet, **wrong}}, "x")
             self.assertIn(word, str(caught.exception))
-        with self.assertRaises(Faulty):
-            check(Charter, {**base, "name": "pathsaddle", "dispatchers": 2, "fleet": fleet}, "x")
+        with self.assertRaises(InvalidConfigError):
+            validate(Configuration, {**base, "name": "pathsaddle", "dispatchers": 2, "fleet": fleet}, "x")
 
     def test_a_plans_links_name_whom_there_is(self):
-        from pathsaddle.config.validation import Faulty
+        from pathsaddle.config.validation import InvalidConfigError
         from pathsaddle.emulator import plan as plans
 
         table = {
@@ -220,7 +220,7 @@
             },
             "faults": [{"kind": "link-cut", "of": "east", "at": "1s"}],
         }
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             plans.of(table, "p")
         self.assertIn("charter.fleet is missing", str(caught.exception))
         table["charter"]["fleet"] = {}
@@ -228,6 +228,6 @@
         self.assertEqual(plans.named(plan, plans.charter_of(plan), "east"), ["d0", "d2"])
         table["faults"][0]["of"] = "south"
         table["faults"].append({"kind": "link-cut", "of": "d1", "among": "d9", "at": "1s"})
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             plans.of(table, "p")
         self.assertEqual([one.path for one in caught.exception.faults], ["faults[0].of", "faults[1].among"])
--- a/tests/test_grounds.py
+++ b/tests/test_grounds.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from pathsaddle.cli.main import main
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.errors import Error
 from pathsaddle.experiment import grounds
 
@@ -168,7 +168,7 @@
             self.assertRegex(line, r"\((\d+ seeds|scale, \d+ points|a target of \d+ rows|[a-z]+\))")
 
     def test_a_target_is_no_plan(self):
-        with self.assertRaises(Faulty):
+        with self.assertRaises(InvalidConfigError):
             grounds.read(self.file("[numbers]\n"))
         self.assertEqual(grounds.read(ROOT / "experiments/scale/target.toml")[0], "target")
 
@@ -178,7 +178,7 @@
             ('leases = ["x"]\n', "charter.wrong-kind", "leases"),
             ("[mutants]\nx = 1\n", "charter.not-among", "mutants.x"),
         ):
-            with self.assertRaises(Faulty) as caught:
+            with self.assertRaises(InvalidConfigError) as caught:
                 grounds.read(self.file(f'ground = "owners"\nname = "t"\n{text}'))
             self.assertIn(name, str(caught.exception))
             self.assertIn(word, str(caught.exception))
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from pathsaddle.config.loader import settings
+from pathsaddle.config.loader import platform_settings
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing
 from pathsaddle.emulator.hollow import outside, scan, workers
@@ -66,7 +66,7 @@
 
     async def asyncSetUp(self) -> None:
         self.told: list[Callback] = []
-        given = settings(CHARTER)
+        given = platform_settings(CHARTER)
         known = terms.terms(given)
         self.words = Words(given, known)
         self.links = Links(Reach(20_000, 600_000), 64, Clock(), Counters())
@@ -230,7 +230,7 @@
         told = HollowList(made.rows)
         self.addCleanup(told.end)
         self.heard: list[tuple[ListNews, list[str]]] = []
-        given = settings(CHARTER)
+        given = platform_settings(CHARTER)
 
         class TxnService:
             words = Words(given, terms.terms(given))
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -17,16 +17,24 @@
 from pathsaddle.emulator.ground.links import Host, Net
 from pathsaddle.emulator.ground.moments import Moments
 from pathsaddle.jobs import model_checker, state_machine
-from pathsaddle.jobs.job_service import OPEN, DurableTxnService, Ways
-from pathsaddle.jobs.state_machine import End, Impossible, Job, Kind, Next, Record, Word
+from pathsaddle.jobs.job_service import OPEN, JobService, JobServiceOptions
+from pathsaddle.jobs.state_machine import (
+    End,
+    InvalidTransitionError,
+    JobRecord,
+    JobStateMachine,
+    Kind,
+    Next,
+    Word,
+)
 from pathsaddle.jobs.store import (
     MIGRATIONS,
     Accepted,
     DiskWriter,
-    Fenced,
     Store,
+    StoreFencedError,
+    StoreUnusableError,
     ThreadWriter,
-    Unusable,
     backup,
     connect,
     rows,
@@ -46,7 +54,7 @@
 TOLD: dict[str, Any] = {**SETTINGS, "Schemes": [{**row, "OverdueValue": 0.5} for row in SETTINGS["Schemes"]]}
 ROOT = Path(__file__).parent.parent
 ONCE, AGAIN = Semantics.ONCE_ONLY, Semantics.REPEATABLE
-WAYS = Ways(
+WAYS = JobServiceOptions(
     lease=5 * SECOND,
     retention=60 * SECOND,
     longest_poll=30 * SECOND,
@@ -56,24 +64,24 @@
 
 
 class LifeStory(unittest.TestCase):
-    def job(self, semantics: Semantics = ONCE) -> Job:
-        return Job("j", semantics, 0, 100 * SECOND)
+    def job(self, semantics: Semantics = ONCE) -> JobStateMachine:
+        return JobStateMachine("j", semantics, 0, 100 * SECOND)
 
-    def intent(self, job: Job, number: int) -> None:
-        job.apply(Record(Kind.INTENT, "j", 0, number, "w"))
+    def intent(self, job: JobStateMachine, number: int) -> None:
+        job.apply(JobRecord(Kind.INTENT, "j", 0, number, "w"))
 
     def test_leases_only_grow_and_once_only_waits_for_certainty(self) -> None:
         job = self.job()
         self.intent(job, 1)
-        with self.assertRaises(Impossible):
+        with self.assertRaises(InvalidTransitionError):
             self.intent(job, 2)
-        job.apply(Record(Kind.CLEAR, "j", number=1))
-        with self.assertRaises(Impossible):
+        job.apply(JobRecord(Kind.CLEAR, "j", number=1))
+        with self.assertRaises(InvalidTransitionError):
             self.intent(job, 1)
         self.intent(job, 2)
-        job.apply(Record(Kind.FINAL, "j", end=End.SETTLED))
-        with self.assertRaises(Impossible):
-            job.apply(Record(Kind.FINAL, "j", end=End.REVERSED))
+        job.apply(JobRecord(Kind.FINAL, "j", end=End.SETTLED))
+        with self.assertRaises(InvalidTransitionError):
+            job.apply(JobRecord(Kind.FINAL, "j", end=End.REVERSED))
 
     def test_what_a_workers_word_means(self) -> None:
         for word, follows in (
@@ -130,10 +138,10 @@
 
     async def test_what_was_put_is_there_whole_after_a_restart(self) -> None:
         store = self.store()
-        await store.put(self.accepted("a", "k"), Record(Kind.INTENT, "a", 5, 1, "w"))
-        await store.put(Record(Kind.CLEAR, "a", number=1), Record(Kind.INTENT, "a", 6, 2, "x"))
-        await store.put(Record(Kind.CANCEL, "a", 7))
-        await store.put(Record(Kind.FINAL, "a", 8, end=End.SETTLED, status=200, result=b"\x00r"))
+        await store.put(self.accepted("a", "k"), JobRecord(Kind.INTENT, "a", 5, 1, "w"))
+        await store.put(JobRecord(Kind.CLEAR, "a", number=1), JobRecord(Kind.INTENT, "a", 6, 2, "x"))
+        await store.put(JobRecord(Kind.CANCEL, "a", 7))
+        await store.put(JobRecord(Kind.FINAL, "a", 8, end=End.SETTLED, status=200, result=b"\x00r"))
         store.close()
         told, job = (self.store(), self.found[0])[1]
         self.assertEqual((told.key, told.digest), ("k", b"d"))
@@ -156,12 +164,12 @@
 
     async def test_two_processes_on_one_store(self) -> None:
         first = self.store()
-        with self.assertRaisesRegex(Unusable, "another process"):
+        with self.assertRaisesRegex(StoreUnusableError, "another process"):
             self.store()
         second = self.store(lock=False)  # as on a disk without locks
-        with self.assertRaises(Fenced):
+        with self.assertRaises(StoreFencedError):
             await first.put(self.accepted("a"))
-        with self.assertRaises(Fenced):
+        with self.assertRaises(StoreFencedError):
             await first.put(self.accepted("b"))
         await second.put(self.accepted("c"))
         self.assertEqual([job.tag for _, job in rows(self.path)], ["c"])
@@ -181,7 +189,7 @@
         self.assertEqual(verify(self.path), [])
         with connect(self.path) as db:
             db.execute("PRAGMA user_version = 99")
-        with self.assertRaisesRegex(Unusable, "newer"):
+        with self.assertRaisesRegex(StoreUnusableError, "newer"):
             self.store()
 
     async def test_a_flipped_row_is_set_aside_alone_and_verify_names_it(self) -> None:
@@ -297,7 +305,7 @@
         self.disk = DiskWriter(self.loop, Random(1), sync)
         self.store = Store(self.path, self.disk, lock=False, sync="OFF")
         known = terms.terms(TOLD)
-        self.service = DurableTxnService(
+        self.service = JobService(
             known,
             Words(TOLD, known),
             7,
@@ -700,7 +708,7 @@
         tag = self.submitted()
 
         async def wish() -> None:
-            await self.store.put(Record(Kind.CANCEL, tag, 1))
+            await self.store.put(JobRecord(Kind.CANCEL, tag, 1))
 
         self.do(wish())
         self.dies()
@@ -774,8 +782,8 @@
         self.dies()
         told = [job for _, job in rows(self.path)]
         self.assertEqual([job.tag for job in told], [tag])
-        gap = Job("g", AGAIN, 0, 10)
-        gap.apply(Record(Kind.INTENT, "g", 0, 4, "w"))
+        gap = JobStateMachine("g", AGAIN, 0, 10)
+        gap.apply(JobRecord(Kind.INTENT, "g", 0, 4, "w"))
         self.assertEqual(gap.next_number, 5)
 
     def test_a_call_is_answered_by_its_expiry_whatever_the_disk_does(self) -> None:
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -20,7 +20,7 @@
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.placement.judge import judged as placed
 from pathsaddle.placement.__main__ import ticks
-from pathsaddle.placement.invariants import broken
+from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import State
 from pathsaddle.placement.ledger import made
 from tests.test_ownership_processes import CHARTER
@@ -348,7 +348,7 @@
     def good(self):
         found = self.kept.read().inventory
         self.assertEqual(sum(unit.state is State.SERVING for unit in found.units), 24)
-        self.assertEqual(broken(found), [])
+        self.assertEqual(violations(found), [])
         story = [Event(at, what, more) for at, what, more in self.kept.story()]
         self.assertEqual(placed(story), [])
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,10 +12,10 @@
 from pathsaddle.emulator.judges.judge import judge
 from pathsaddle.emulator.judges.mutants import MEMBER_MUTANTS, mutated
 from pathsaddle.fleet import messages
-from pathsaddle.fleet.gossip.gossip import Carry
-from pathsaddle.fleet.membership import MOST_MEMBERS, Membership, Ways, life_of
-from pathsaddle.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, Refused, Row, Said
-from pathsaddle.fleet.rate_limiter import Purse
+from pathsaddle.fleet.gossip.gossip import Gossip
+from pathsaddle.fleet.membership import MAX_MEMBERS, Membership, MembershipOptions, next_incarnation
+from pathsaddle.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, DatagramRejectedError, MemberRecord, Message
+from pathsaddle.fleet.rate_limiter import RateLimiter
 
 ROOT = Path(__file__).resolve().parent.parent
 SECOND = 10_000
@@ -152,8 +152,10 @@
 
 
 def member(name, life=0, seed=0, now=0, **ways):
-    row = Row(name, life or life_of(1000, 0, Random(seed)), 0, ALIVE, f"10.0.0.1:{name}", "here")
-    return Membership(row, Ways("f", KEY, **ways), [], Random(seed), now)
+    row = MemberRecord(
+        name, life or next_incarnation(1000, 0, Random(seed)), 0, ALIVE, f"10.0.0.1:{name}", "here"
+    )
+    return Membership(row, MembershipOptions("f", KEY, **ways), [], Random(seed), now)
 
 
 class Between:
@@ -189,7 +191,7 @@
 
     def test_of_two_processes_under_one_name_one_falls_silent_and_the_other_stays(self):
         old, new, third = member("a", 5 << 10, 1), member("a", 6 << 10, 2), member("c", seed=3)
-        new.me = Row("a", new.me.life, 0, ALIVE, "10.0.0.9:a", "here")
+        new.me = MemberRecord("a", new.me.life, 0, ALIVE, "10.0.0.9:a", "here")
         between = self.meet(old, third)
         between.run(5 * SECOND)
         between.at["10.0.0.9:a"] = new
@@ -205,7 +207,7 @@
         between.run(5 * SECOND)
         again = [member("a", a.me.life + 1024, 3, between.now), member("b", b.me.life + 1024, 4, between.now)]
         for core, address in zip(again, (b.me.address, a.me.address), strict=True):
-            core.me = Row(core.me.name, core.me.life, 0, ALIVE, address, "here")
+            core.me = MemberRecord(core.me.name, core.me.life, 0, ALIVE, address, "here")
             core.seeds = [c.me.address]
             between.at[address] = core
         between.run(20 * SECOND)
@@ -217,7 +219,7 @@
     def test_what_is_not_a_fellows_is_counted_by_its_reason_and_changes_nothing(self):
         core = member("a")
         other = member("b", seed=1)
-        said = Said("f", other.me, 1, "a", messages.PING, 7)
+        said = Message("f", other.me, 1, "a", messages.PING, 7)
         good = messages.encode(said, KEY)
         newer = bytes((messages.FORM + 1,)) + good[1:-16]
         newer += messages.hmac.digest(KEY, newer, "sha256")[:16]
@@ -225,8 +227,8 @@
             "cut": good[:10],
             "stranger": messages.encode(said, b"another key, as long as it"),
             "newer": newer,
-            "fleet": messages.encode(Said("g", other.me, 1, "a", messages.PING), KEY),
-            "misdirected": messages.encode(Said("f", other.me, 1, "z", messages.PING), KEY),
+            "fleet": messages.encode(Message("g", other.me, 1, "a", messages.PING), KEY),
+            "misdirected": messages.encode(Message("f", other.me, 1, "z", messages.PING), KEY),
         }
         for reason, data in cases.items():
             core.heard(data, 1)
@@ -247,7 +249,7 @@
         kept = [
             (address, data)
             for address, data in [
-                (a.me.address, messages.encode(Said("f", b.me, 1 << 40, "a", messages.ACK, 1), KEY))
+                (a.me.address, messages.encode(Message("f", b.me, 1 << 40, "a", messages.ACK, 1), KEY))
             ]
         ]
         del between.at[b.me.address]
@@ -263,18 +265,22 @@
         self.meet(core, *others)
         until, told = [], []
         for by in "bcd":
-            core.learn(Row("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by=by), 10, by)
+            core.learn(
+                MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by=by), 10, by
+            )
             until.append(core.members["f"].until)
             told.append(core.members["f"].row.by)
         self.assertEqual(told, ["b", "c", "d"])
         self.assertTrue(until[0] > until[1] > until[2])
-        core.learn(Row("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 20, "b")
+        core.learn(
+            MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 20, "b"
+        )
         self.assertEqual(core.members["f"].until, until[2])
 
     def test_a_helper_without_an_answer_says_so_in_time_for_who_asked(self):
         core, asker, gone = member("a"), member("b", seed=1), member("c", seed=2)
         self.meet(core, asker, gone)
-        asked = messages.encode(Said("f", asker.me, 1, "a", messages.ASK, 7, "c"), KEY)
+        asked = messages.encode(Message("f", asker.me, 1, "a", messages.ASK, 7, "c"), KEY)
         core.wake(0)
         core.heard(asked, 50)
         self.assertLessEqual(core.due(50), 50 + core.ways.patience)
@@ -314,7 +320,7 @@
                 )
                 self.meet(core, *others)
                 core.gossip.clear()
-                carry = Carry("a", core.me.life, "f", KEY, core.purse, SECOND, Random(1), 0)
+                carry = Gossip("a", core.me.life, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
                 for one in others:
                     carry.joined(one.me.name, one.me.life, one.me.address)
                 sent = -1
@@ -326,7 +332,9 @@
                     carry.wake(0)
                 self.assertGreater(carry.counts["held back"], 0)
                 core.learn(
-                    Row("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 0, "b"
+                    MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"),
+                    0,
+                    "b",
                 )
                 core.beat_due = 0
                 core.wake(0)
@@ -336,18 +344,18 @@
     def test_the_dead_are_remembered_up_to_a_bound_and_a_name_that_comes_and_goes_takes_one_place(self):
         core = member("a", most_dead=8)
         for i in range(30):
-            core.learn(Row(f"x{i}", 5, 0, ALIVE, "10.0.0.2:1", ""), i, "b")
-            core.learn(Row(f"x{i}", 5, 0, DEAD, "10.0.0.2:1", ""), i, "b")
+            core.learn(MemberRecord(f"x{i}", 5, 0, ALIVE, "10.0.0.2:1", ""), i, "b")
+            core.learn(MemberRecord(f"x{i}", 5, 0, DEAD, "10.0.0.2:1", ""), i, "b")
             core.wake(i * SECOND)
         for life in range(200):
-            core.learn(Row("comes", life, 0, ALIVE, "10.0.0.2:2", ""), 300_000, "b")
-            core.learn(Row("comes", life, 0, LEFT, "10.0.0.2:2", ""), 300_000, "b")
+            core.learn(MemberRecord("comes", life, 0, ALIVE, "10.0.0.2:2", ""), 300_000, "b")
+            core.learn(MemberRecord("comes", life, 0, LEFT, "10.0.0.2:2", ""), 300_000, "b")
         self.assertLessEqual(sum(not m.here for m in core.members.values()), 8)
 
     def test_no_second_holds_more_than_the_purse_says(self):
-        chance, purse, paid = Random(5), Purse(6000, 20, 0), []
+        chance, rate_limiter, paid = Random(5), RateLimiter(6000, 20, 0), []
         for now in sorted(chance.randrange(10 * SECOND) for _ in range(4000)):
-            if purse.pays(size := chance.randrange(60, 1200), now):
+            if rate_limiter.try_consume(size := chance.randrange(60, 1200), now):
                 paid.append((now, size))
         for now, _ in paid:
             inside = [size for at, size in paid if now <= at < now + SECOND]
@@ -357,7 +365,7 @@
 
 NAMES = [f"m{i}" for i in range(5)]
 ROWS = st.builds(
-    Row,
+    MemberRecord,
     st.sampled_from([*NAMES, "x", "y"]),
     st.integers(0, 4000),
     st.integers(0, 3),
@@ -373,7 +381,7 @@
         st.just("says"),
         st.integers(0, 4),
         st.builds(
-            Said,
+            Message,
             st.just("f"),
             ROWS,
             st.integers(0, 200),
@@ -425,10 +433,10 @@
                 core.out, core.changes = [], []
 
     def valid(self, core, now):
-        self.assertTrue(all(len(data) <= messages.MOST for _, data in core.out))
+        self.assertTrue(all(len(data) <= messages.MAX_DATAGRAM_BYTES for _, data in core.out))
         for _, data in core.out:
             messages.decode(data, KEY, "f")
-        self.assertLess(len(core.members), MOST_MEMBERS)
+        self.assertLess(len(core.members), MAX_MEMBERS)
         self.assertNotIn(core.me.name, core.members)
         self.assertLessEqual(set(core.gossip), set(core.members))
         self.assertLessEqual({m.row.name for m in core.accused.values()}, set(core.members))
@@ -442,9 +450,11 @@
 class RefusalStory(unittest.TestCase):
     def test_no_bytes_but_a_fellows_are_read(self):
         chance = Random(9)
-        good = messages.encode(Said("f", Row("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", messages.PING), KEY)
+        good = messages.encode(
+            Message("f", MemberRecord("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", messages.PING), KEY
+        )
         for _ in range(500):
             bad = bytearray(good)
             bad[chance.randrange(len(bad))] ^= 1 << chance.randrange(8)
-            with self.assertRaises(Refused):
+            with self.assertRaises(DatagramRejectedError):
                 messages.decode(bytes(bad), KEY, "f")
--- a/tests/test_metering.py
+++ b/tests/test_metering.py
@@ -7,10 +7,10 @@
 from unittest import mock
 
 from pathsaddle.cli.fleet import _control
-from pathsaddle.config.loader import settings
-from pathsaddle.config.metering import MINUTE, Metered, MeteredWatch, MeteredWords
+from pathsaddle.config.loader import platform_settings
+from pathsaddle.config.metering import MINUTE, DispatcherMetering, MeteredWatch, MeteredWords
 from pathsaddle.config.schema import Control
-from pathsaddle.control_metrics import PURPOSES, WITH_TXNS, ControlMeter, Unmetered
+from pathsaddle.control_metrics import PURPOSES, WITH_TXNS, ControlMeter, NullMeter
 from pathsaddle.emulator.hollow import control
 from pathsaddle.emulator.hollow.workers import charter
 from pathsaddle.net.memory.counters import Counters
@@ -90,7 +90,7 @@
         self.assertEqual((self.meter._inner, self.meter._outer), ([], []))
 
     def test_a_driver_that_nobody_meters_does_what_it_did(self) -> None:
-        none = Unmetered()
+        none = NullMeter()
         none.came("list", 5)
         none.went("list", 5)
         self.assertEqual(none.runs("list", lambda: 7), 7)
@@ -166,8 +166,8 @@
     def setUp(self) -> None:
         self.clocks = Clocks()
         self.counters = Counters()
-        with mock.patch("pathsaddle.charter.metered.ControlMeter", lambda: self.clocks.meter):
-            self.metered = Metered(Control(core=0.036, bytes=1000), self.counters, lambda: 30.0)
+        with mock.patch("pathsaddle.config.metering.ControlMeter", lambda: self.clocks.meter):
+            self.metered = DispatcherMetering(Control(core=0.036, bytes=1000), self.counters, lambda: 30.0)
         self.lines: list[dict[str, str]] = []
         patched = mock.patch.object(logbook, "control_over", lambda **fields: self.lines.append(fields))
         patched.start()
@@ -249,7 +249,7 @@
 class WhatHangsOnIt(unittest.TestCase):
     def setUp(self) -> None:
         self.meter = ControlMeter()
-        given = settings(charter(control.Setting(), "127.0.0.1:1", "127.0.0.1:1"))
+        given = platform_settings(charter(control.Setting(), "127.0.0.1:1", "127.0.0.1:1"))
         self.words = MeteredWords.of(Words(given, terms.terms(given)), self.meter)
 
     def test_words_read_as_before_and_stay_metered_when_terms_change(self) -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,15 +10,28 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from pathsaddle.control_metrics import Unmetered
+from pathsaddle.control_metrics import NullMeter
 from pathsaddle.fleet.overload import driver, retry_budgets
-from pathsaddle.fleet.overload.admission_gate import Gate, Ways
-from pathsaddle.fleet.overload.errors import BadWord
-from pathsaddle.fleet.overload.load_summary import MOST, TELLS, Word, packed, read, short
-from pathsaddle.fleet.overload.retry_advice import Returns
-from pathsaddle.fleet.overload.scheduler_gate import Beside
-from pathsaddle.fleet.overload.shed_level import DEAD, FALLS, RISES, Level, Sums
-from pathsaddle.fleet.overload.shed_rank import BANDS, PERIOD, Ask, band, drawn
+from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
+from pathsaddle.fleet.overload.errors import InvalidSummaryError
+from pathsaddle.fleet.overload.load_summary import (
+    MAX_SUMMARY_BYTES,
+    PUBLISH_INTERVAL,
+    LoadSummary,
+    decode_summary,
+    encode_summary,
+    rounded_figure,
+)
+from pathsaddle.fleet.overload.retry_advice import RetryAdvice
+from pathsaddle.fleet.overload.scheduler_gate import SchedulerAdmissionGate
+from pathsaddle.fleet.overload.shed_level import DEAD, RELAX_INTERVAL, TIGHTEN_INTERVAL, LoadTotals, ShedLevel
+from pathsaddle.fleet.overload.shed_rank import (
+    RANK_BANDS,
+    RANK_PERIOD,
+    AdmissionRequest,
+    rank_band,
+    rank_hash,
+)
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.trade import SECOND, Outcome, Scheme
@@ -31,7 +44,7 @@
     def __init__(self, *refuses: str) -> None:
         self.refuses, self.asked = refuses, list[str]()
 
-    def takes(self, budget: str, units: int, now: int) -> bool:
+    def try_acquire(self, budget: str, units: int, now: int) -> bool:
         self.asked.append(budget)
         return budget not in self.refuses
 
@@ -43,12 +56,12 @@
     work: float = 2000.0,
     left: int = SECOND,
     **more: object,
-) -> Ask:
-    return Ask(customer, key, "s0", value, 0.3, work, left, 2000, **more)  # type: ignore[arg-type]
+) -> AdmissionRequest:
+    return AdmissionRequest(customer, key, "s0", value, 0.3, work, left, 2000, **more)  # type: ignore[arg-type]
 
 
-def ways(members: int = 4, **more: float) -> Ways:
-    return Ways(
+def ways(members: int = 4, **more: float) -> GateOptions:
+    return GateOptions(
         b"secret",
         members,
         0.001,
@@ -59,54 +72,63 @@
     )
 
 
-def word(total: float, could: float = 40.0, at: int = 8, **customers: float) -> Word:
-    offered = [0.0] * BANDS
+def word(total: float, could: float = 40.0, at: int = 8, **customers: float) -> LoadSummary:
+    offered = [0.0] * RANK_BANDS
     offered[at] = total
-    return Word(could, 1.0, 0.0, 0.0, total, offered, {short(who): rate for who, rate in customers.items()})
+    return LoadSummary(
+        could, 1.0, 0.0, 0.0, total, offered, {rounded_figure(who): rate for who, rate in customers.items()}
+    )
 
 
 class Standings(unittest.TestCase):
     def test_the_dearer_work_stands_higher_and_what_is_over_its_share_lower(self) -> None:
-        self.assertGreater(band(ask(4.0), 0.001, False), band(ask(1.0), 0.001, False))
-        self.assertGreater(band(ask(1.0, work=500.0), 0.001, False), band(ask(1.0), 0.001, False))
-        self.assertLess(band(ask(4.0), 0.001, True), band(ask(4.0), 0.001, False))
+        self.assertGreater(rank_band(ask(4.0), 0.001, False), rank_band(ask(1.0), 0.001, False))
+        self.assertGreater(rank_band(ask(1.0, work=500.0), 0.001, False), rank_band(ask(1.0), 0.001, False))
+        self.assertLess(rank_band(ask(4.0), 0.001, True), rank_band(ask(4.0), 0.001, False))
 
     def test_work_already_spent_raises_and_time_run_out_lowers(self) -> None:
-        self.assertGreater(band(ask(spent=1500.0), 0.001, False), band(ask(), 0.001, False))
-        self.assertLess(band(ask(left=100), 0.001, False), band(ask(), 0.001, False))
-        self.assertEqual(0, band(Ask("c", "k", "s", 5.0, 0.0, 2000.0, 100, 2000), 0.001, False))
+        self.assertGreater(rank_band(ask(spent=1500.0), 0.001, False), rank_band(ask(), 0.001, False))
+        self.assertLess(rank_band(ask(left=100), 0.001, False), rank_band(ask(), 0.001, False))
+        self.assertEqual(
+            0, rank_band(AdmissionRequest("c", "k", "s", 5.0, 0.0, 2000.0, 100, 2000), 0.001, False)
+        )
 
     def test_a_draw_is_the_same_at_all_for_its_period_and_another_in_the_next(self) -> None:
-        place, period = drawn(b"secret", ask(), 3 * PERIOD)
+        place, period = rank_hash(b"secret", ask(), 3 * RANK_PERIOD)
         # Of two moments half a period apart one at least stands in the same period as the first.
-        same = [drawn(b"secret", ask(), 3 * PERIOD + off) for off in (-PERIOD // 2, PERIOD // 2)]
+        same = [
+            rank_hash(b"secret", ask(), 3 * RANK_PERIOD + off)
+            for off in (-RANK_PERIOD // 2, RANK_PERIOD // 2)
+        ]
         self.assertIn((place, period), same)
-        self.assertNotEqual(place, drawn(b"secret", ask(), 4 * PERIOD)[0])
-        self.assertNotEqual(place, drawn(b"another", ask(), 3 * PERIOD)[0])
+        self.assertNotEqual(place, rank_hash(b"secret", ask(), 4 * RANK_PERIOD)[0])
+        self.assertNotEqual(place, rank_hash(b"another", ask(), 3 * RANK_PERIOD)[0])
 
     def test_a_period_ends_at_another_moment_for_each(self) -> None:
-        periods = {drawn(b"secret", ask(key=f"k{n}"), PERIOD * 7 // 2)[1] for n in range(40)}
+        periods = {rank_hash(b"secret", ask(key=f"k{n}"), RANK_PERIOD * 7 // 2)[1] for n in range(40)}
         self.assertEqual({3, 4}, periods)
 
 
 class Words(unittest.TestCase):
     def test_a_record_of_the_busiest_member_fits_two_hundred_bytes(self) -> None:
-        told = Word(1e9, 2.0, 0.5, 1e9, 1e9, [1e9] * BANDS, dict.fromkeys(range(500), 1000000000.0))
-        body = packed(told)
-        self.assertLessEqual(len(body), MOST)
-        self.assertEqual(TELLS, len(read(body).customers))
+        told = LoadSummary(
+            1e9, 2.0, 0.5, 1e9, 1e9, [1e9] * RANK_BANDS, dict.fromkeys(range(500), 1000000000.0)
+        )
+        body = encode_summary(told)
+        self.assertLessEqual(len(body), MAX_SUMMARY_BYTES)
+        self.assertEqual(PUBLISH_INTERVAL, len(decode_summary(body).customers))
 
     def test_no_bytes_harm_a_reader(self) -> None:
         chance = Random(5)
-        good = packed(word(3.0, c1=1.0))
+        good = encode_summary(word(3.0, c1=1.0))
         for _ in range(2000):
             body = bytearray(good[: chance.randrange(len(good) + 1)])
             for _ in range(chance.randrange(4)):
                 if body:
                     body[chance.randrange(len(body))] = chance.randrange(256)
             try:
-                told = read(bytes(body))
-            except BadWord:
+                told = decode_summary(bytes(body))
+            except InvalidSummaryError:
                 pass  # and nothing else is raised
             else:
                 self.assertTrue(0.0 <= told.total < 1e7)
@@ -114,7 +136,7 @@
 
 class Levels(unittest.TestCase):
     def test_what_fits_is_let_in_whole(self) -> None:
-        self.assertEqual(0.0, Sums([word(9.0) for _ in range(4)], 0.25).target())
+        self.assertEqual(0.0, LoadTotals([word(9.0) for _ in range(4)], 0.25).target())
 
     def test_the_marginal_band_is_cut_where_the_rest_fits(self) -> None:
         # 60 offered of band 8 and 20 of band 12; 40 can be served: 20 of 60 are let in.
@@ -122,42 +144,42 @@
         for told in words:
             told.offered[12] = 5.0
             told.steady = 20.0
-        self.assertAlmostEqual(8.0 + 40.0 / 60.0, Sums(words, 0.25).target())
+        self.assertAlmostEqual(8.0 + 40.0 / 60.0, LoadTotals(words, 0.25).target())
 
     def test_one_that_tells_a_hundred_times_its_load_moves_little(self) -> None:
-        honest = Sums([word(9.0) for _ in range(20)], 0.05)
-        lied = Sums([word(9.0) for _ in range(19)] + [word(900.0)], 0.05)
+        honest = LoadTotals([word(9.0) for _ in range(20)], 0.05)
+        lied = LoadTotals([word(9.0) for _ in range(19)] + [word(900.0)], 0.05)
         self.assertLessEqual(sum(lied.offered), 1.06 * sum(honest.offered))
-        could = Sums([word(9.0) for _ in range(19)] + [word(9.0, could=4e6)], 0.05)
+        could = LoadTotals([word(9.0) for _ in range(19)] + [word(9.0, could=4e6)], 0.05)
         self.assertLessEqual(could.could, 1.06 * honest.could)
 
     def test_a_burst_is_no_overload_and_its_end_counts_at_once(self) -> None:
         words = [word(15.0) for _ in range(4)]
         for told in words:
             told.steady = 9.0
-        self.assertEqual(0.0, Sums(words, 0.25).target())
+        self.assertEqual(0.0, LoadTotals(words, 0.25).target())
         quiet = [word(9.0) for _ in range(4)]
         for told in quiet:
             told.steady = 15.0
-        self.assertEqual(0.0, Sums(quiet, 0.25).target())
+        self.assertEqual(0.0, LoadTotals(quiet, 0.25).target())
 
     def test_who_hears_nothing_goes_by_its_part(self) -> None:
-        alone = Sums([word(20.0)], 0.25)
+        alone = LoadTotals([word(20.0)], 0.25)
         self.assertEqual(10.0, alone.supply)
         self.assertAlmostEqual(8.5, alone.target())
 
     def test_a_level_keeps_its_pace_and_a_stall_is_no_licence_to_leap(self) -> None:
-        level = Level(0)
-        self.assertLessEqual(level.moves(16.0, 1.0, SECOND // 10), RISES / 10 + 1e-9)
+        level = ShedLevel(0)
+        self.assertLessEqual(level.moves(16.0, 1.0, SECOND // 10), TIGHTEN_INTERVAL / 10 + 1e-9)
         up = level.stands
         level.moves(16.0, 1.0, 90 * SECOND)
-        self.assertLessEqual(level.stands - up, RISES)
+        self.assertLessEqual(level.stands - up, TIGHTEN_INTERVAL)
         top = level.stands
         level.moves(0.0, 1.0, 90 * SECOND + SECOND // 10)
-        self.assertAlmostEqual(top - FALLS / 10, level.stands)
+        self.assertAlmostEqual(top - RELAX_INTERVAL / 10, level.stands)
 
     def test_sums_that_tremble_do_not_move_it(self) -> None:
-        level = Level(0)
+        level = ShedLevel(0)
         level.moves(4.0, 1.0, SECOND)
         stood = level.stands
         for n in range(50):
@@ -171,7 +193,7 @@
         for members in (1, 5, 40, 200):
             told = []
             for number in range(members):
-                returns = Returns(24.0, 1 / members, number / members, 8 * SECOND)
+                returns = RetryAdvice(24.0, 1 / members, number / members, 8 * SECOND)
                 for n in range(8000 // members):
                     if wait := returns.advise(Random(number * 1000 + n).random(), 1.0, SECOND // 2, 12_345):
                         told.append(12_345 + wait)
@@ -188,23 +210,27 @@
     def test_little_free_means_few_told_to_come(self) -> None:
         counts = []
         for free in (0.0, 1.0):
-            returns = Returns(200.0, 1.0, 0.0, 8 * SECOND)
+            returns = RetryAdvice(200.0, 1.0, 0.0, 8 * SECOND)
             counts.append(sum(returns.advise(0.5, free, SECOND // 2, 0) > 0 for _ in range(2000)))
         self.assertLess(counts[0], counts[1] / 5)
         self.assertGreater(counts[0], 0)
 
 
 class Gates(unittest.TestCase):
-    def gate(self, name: str = "d0", members: int = 4, now: int = 0, limiter: Free | None = None) -> Gate:
-        gate = Gate(ways(members), name, int(name[1:]), limiter or Free(), now)
+    def gate(
+        self, name: str = "d0", members: int = 4, now: int = 0, limiter: Free | None = None
+    ) -> OverloadGate:
+        gate = OverloadGate(ways(members), name, int(name[1:]), limiter or Free(), now)
         gate.sees(40.0, 0.0, 0.0)
         return gate
 
-    def crowd(self, gate: Gate, now: int, total: float = 30.0, version: int = 1, **customers: float) -> None:
-        body = packed(word(total, **customers))
+    def crowd(
+        self, gate: OverloadGate, now: int, total: float = 30.0, version: int = 1, **customers: float
+    ) -> None:
+        body = encode_summary(word(total, **customers))
         gate.hears([(f"d{n}", 1, version, body, (0, 100)) for n in range(1, 4)], now)
 
-    def stands(self, gate: Gate, now: int, seconds: int) -> int:
+    def stands(self, gate: OverloadGate, now: int, seconds: int) -> int:
         for step in range(seconds * 10):
             now += SECOND // 10
             gate.wake(now)
@@ -213,7 +239,7 @@
     def test_the_same_txn_is_shed_by_each_member_that_knows_the_same(self) -> None:
         one, other = self.gate("d0"), self.gate("d3")
         for gate in (one, other):
-            body = packed(word(30.0))
+            body = encode_summary(word(30.0))
             gate.hears([(f"d{n}", 1, 1, body, (0, 0)) for n in range(4)], 0)
             self.stands(gate, 0, 2)
         self.assertGreater(one.level.stands, 7.0)
@@ -248,7 +274,7 @@
     def test_words_that_age_are_worth_nothing_and_an_older_version_changes_nothing(self) -> None:
         gate = self.gate()
         self.crowd(gate, 0, version=7)
-        gate.hears([("d1", 1, 6, packed(word(9000.0)), (0, 0)), ("d2", 1, 9, b"none", (0, 0))], 0)
+        gate.hears([("d1", 1, 6, encode_summary(word(9000.0)), (0, 0)), ("d2", 1, 9, b"none", (0, 0))], 0)
         self.assertEqual(30.0, gate.heard["d1"][2].total)
         now = self.stands(gate, 0, 2)
         self.assertGreater(gate.level.stands, 7.0)
@@ -287,8 +313,8 @@
 
     def host(self, limiter: Free | None = None, *schemes: Scheme) -> FakeHost:
         host = FakeHost(*(schemes or (scheme(), scheme(ONCE_ONLY, index=1))))
-        core = Gate(ways(1), "d0", 0, limiter or Free(), host.now)
-        host.loop.choice.gate = Beside(core)
+        core = OverloadGate(ways(1), "d0", 0, limiter or Free(), host.now)
+        host.loop.choice.gate = SchedulerAdmissionGate(core)
         self.core = core
         return host
 
@@ -352,13 +378,13 @@
         """It ended the level's timer unseen: the gate went on by the level that stood, for good."""
         fellows = SimpleNamespace(
             counters=Counters(),
-            meter=Unmetered(),
+            meter=NullMeter(),
             clock=SimpleNamespace(now=lambda: 7 * SECOND),
             shared=SimpleNamespace(carry=SimpleNamespace(records=lambda topic, now: [], put=mock.Mock())),
         )
         gate = mock.Mock(ways=SimpleNamespace(members=3))
         gate.wake.side_effect = [ZeroDivisionError("of ours"), 8 * SECOND]
-        levels = driver.Levels(fellows, gate, mock.Mock(), mock.Mock())  # type: ignore[arg-type]
+        levels = driver.ShedLevelDriver(fellows, gate, mock.Mock(), mock.Mock())  # type: ignore[arg-type]
         self.addCleanup(levels.end)
         with mock.patch.object(logbook, "fault_level") as told:
             levels.begin()
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,28 +12,28 @@
 from unittest import mock
 
 from pathsaddle.consensus import model_checker
-from pathsaddle.consensus.acceptor import Voter, Write
-from pathsaddle.consensus.acceptor_log import LARGE, NAME, Log, found
-from pathsaddle.consensus.errors import OtherVoters
+from pathsaddle.consensus.acceptor import Acceptor, DiskWrite
+from pathsaddle.consensus.acceptor_log import LARGE, NAME, AcceptorLog, create_log
+from pathsaddle.consensus.errors import VoterSetMismatchError
 from pathsaddle.consensus.fencing import Fence
-from pathsaddle.consensus.lease_manager import Owner
+from pathsaddle.consensus.lease_manager import LeaseManager
 from pathsaddle.consensus.messages import (
-    MOST,
-    MOST_DATA,
-    NEVER,
-    NOBODY,
+    MAX_DATAGRAM_BYTES,
+    MAX_VALUE_BYTES,
+    NO_BALLOT,
+    NO_VALUE,
     Accept,
     Ballot,
+    DatagramRejectedError,
+    Envelope,
     Promise,
-    Said,
-    Unread,
     Value,
     decode,
-    group_of,
-    packed,
+    group_checksum,
+    pack_datagrams,
 )
-from pathsaddle.consensus.model_checker import Broken, Ways
-from pathsaddle.consensus.udp_driver import Register, Told
+from pathsaddle.consensus.model_checker import CheckerOptions, InvariantViolationError
+from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.faults import troubled
@@ -51,7 +51,7 @@
         (
             name
             for name, host in ground.hosts.items()
-            if name[0] == "m" and host.up and host.owner.may_act(key, host.now())
+            if name[0] == "m" and host.up and host.owner.fencing_token(key, host.now())
         ),
         "",
     )
@@ -301,15 +301,15 @@
 class ModelStory(unittest.TestCase):
     def test_in_every_order_of_events_to_the_stated_depth_the_bounds_hold(self):
         for name, depth, ways, first in (
-            ("from nothing", 6, Ways(), None),
-            ("from an owner", 6, Ways(), model_checker.owned(Ways())),
+            ("from nothing", 6, CheckerOptions(), None),
+            ("from an owner", 6, CheckerOptions(), model_checker.owned(CheckerOptions())),
             (
                 "given back, begun anew",
                 5,
-                Ways(gives=1, ends=1, kills=0),
-                model_checker.owned(Ways(gives=1, ends=1, kills=0)),
+                CheckerOptions(gives=1, ends=1, kills=0),
+                model_checker.owned(CheckerOptions(gives=1, ends=1, kills=0)),
             ),
-            ("a disk lost", 4, Ways(losses=1), model_checker.owned(Ways(losses=1))),
+            ("a disk lost", 4, CheckerOptions(losses=1), model_checker.owned(CheckerOptions(losses=1))),
         ):
             with self.subTest(name):
                 worlds = model_checker.check(depth, ways, first)
@@ -317,18 +317,18 @@
                 self.assertGreater(worlds, 2000)
 
     def test_what_is_wrong_is_found_by_the_model_too(self):
-        with self.assertRaisesRegex(Broken, "a number twice"):
-            ways = Ways(hasty=True, kills=2, moments=0, renewals=0, ballots=2)
+        with self.assertRaisesRegex(InvariantViolationError, "a number twice"):
+            ways = CheckerOptions(hasty=True, kills=2, moments=0, renewals=0, ballots=2)
             model_checker.check(
-                5, ways, self.through(ways, model_checker.Bid, "v0 is killed", "v1 is killed")
+                5, ways, self.through(ways, model_checker.Proposer, "v0 is killed", "v1 is killed")
             )
-        late = Ways(kills=0, renewals=0)
-        with self.assertRaisesRegex(Broken, "two may act"):
+        late = CheckerOptions(kills=0, renewals=0)
+        with self.assertRaisesRegex(InvariantViolationError, "two may act"):
             # One voter's answer is there; a moment later the other's counts from its arrival.
             self.slowly(late, ByArrival)
-        self.slowly(late, model_checker.Bid)
-        ways = Ways(kills=0, renewals=0, ends=1)
-        with self.assertRaisesRegex(Broken, "a number twice"):
+        self.slowly(late, model_checker.Proposer)
+        ways = CheckerOptions(kills=0, renewals=0, ends=1)
+        with self.assertRaisesRegex(InvariantViolationError, "a number twice"):
             model_checker.check(
                 5,
                 ways,
@@ -364,7 +364,7 @@
                 (after for name, after in model_checker.steps(world, ways) if name.startswith(word)), world
             )
             if model_checker.broken(world):
-                raise Broken(model_checker.broken(world))
+                raise InvariantViolationError(model_checker.broken(world))
         model_checker.check(3, ways, world, bid)
 
     def through(self, ways, bid, *words):
@@ -383,17 +383,23 @@
         held = tempfile.TemporaryDirectory()
         self.addCleanup(held.cleanup)
         self.folder = Path(held.name)
-        found(self.folder, "a", self.VOTERS)
+        create_log(self.folder, "a", self.VOTERS)
 
     def opened(self):
-        log = Log(self.folder, "a", self.VOTERS)
+        log = AcceptorLog(self.folder, "a", self.VOTERS)
         self.addCleanup(log.close)
         return log
 
     def test_what_was_synced_is_there_whole(self):
         log = self.opened()
         self.assertTrue(log.held.whole)
-        log.append([Write("k", self.KEPT), Write(voter="b", start=9), Write(voter="a", start=5, whole=True)])
+        log.append(
+            [
+                DiskWrite("k", self.KEPT),
+                DiskWrite(voter="b", start=9),
+                DiskWrite(voter="a", start=5, whole=True),
+            ]
+        )
         held = self.opened().held
         self.assertEqual(
             (held.rows, held.starts, held.start, held.whole), ({"k": self.KEPT}, {"b": 9}, 5, True)
@@ -401,7 +407,7 @@
 
     def test_torn_anywhere_cut_empty_gone_or_a_copy_it_is_not_whole(self):
         log = self.opened()
-        log.append([Write("k", self.KEPT), Write(voter="a", start=5, whole=True)])
+        log.append([DiskWrite("k", self.KEPT), DiskWrite(voter="a", start=5, whole=True)])
         path = self.folder / NAME
         good = path.read_bytes()
 
@@ -421,7 +427,7 @@
         self.assertFalse(self.opened().held.whole)
         shutil.rmtree(self.folder)
         self.folder.mkdir()
-        found(self.folder, "a", self.VOTERS)
+        create_log(self.folder, "a", self.VOTERS)
         copy = path.read_bytes()
         path.unlink()  # the next file may get its inode again
         path.write_bytes(copy)
@@ -429,12 +435,12 @@
 
     def test_a_write_that_failed_leaves_what_was_there(self):
         log = self.opened()
-        log.append([Write(voter="a", start=5, whole=True)])
+        log.append([DiskWrite(voter="a", start=5, whole=True)])
         with (
             mock.patch("os.fdatasync", side_effect=OSError(errno.ENOSPC, "full")),
             self.assertRaises(OSError),
         ):
-            log.append([Write("k", self.KEPT)])
+            log.append([DiskWrite("k", self.KEPT)])
         held = self.opened().held
         self.assertEqual((held.rows, held.whole, held.start), ({}, True, 5))
 
@@ -442,13 +448,13 @@
         log = self.opened()
         with mock.patch("os.fdatasync"):
             for i in range(2 * LARGE // 100):
-                log.append([Write("k", (Ballot(i, "m", 7), *self.KEPT[1:]))])
+                log.append([DiskWrite("k", (Ballot(i, "m", 7), *self.KEPT[1:]))])
         self.assertLess((self.folder / NAME).stat().st_size, LARGE + 1000)
         self.assertEqual(self.opened().held.rows["k"][0].round, i)
 
     def test_other_voters_are_refused(self):
-        with self.assertRaises(OtherVoters) as caught:
-            Log(self.folder, "a", ("a", "b", "d"))
+        with self.assertRaises(VoterSetMismatchError) as caught:
+            AcceptorLog(self.folder, "a", ("a", "b", "d"))
         self.assertIn("fleet.owners.voters", caught.exception.do)
 
 
@@ -463,12 +469,12 @@
 
     def test_the_longest_value_fits_a_datagram_and_a_strangers_is_not_read(self):
         name = "n" * 64
-        value = Value(name, 1 << 61, 1 << 40, 30_000, 1 << 40, bytes(MOST_DATA))
+        value = Value(name, 1 << 61, 1 << 40, 30_000, 1 << 40, bytes(MAX_VALUE_BYTES))
         ballot = Ballot(1 << 30, name, 1 << 61)
-        said = Said("fleet", group_of("abc"), "a", "m", 1 << 61, [1 << 61] * 5, [])
+        said = Envelope("fleet", group_checksum("abc"), "a", "m", 1 << 61, [1 << 61] * 5, [])
         messages = [Promise("k" * 64, ballot, ballot, value), Accept("k" * 64, ballot, value, 1 << 30)]
-        whole = list(packed(said, messages, b"key"))
-        self.assertTrue(all(len(data) <= MOST for data in whole), [len(data) for data in whole])
+        whole = list(pack_datagrams(said, messages, b"key"))
+        self.assertTrue(all(len(data) <= MAX_DATAGRAM_BYTES for data in whole), [len(data) for data in whole])
         told = [m for data in whole for m in decode(data, b"key", "fleet", said.group, "m").messages]
         self.assertEqual(told, messages)
         for wrong in (
@@ -477,7 +483,7 @@
             (b"key", "fleet", 1, "m"),
             (b"key", "fleet", said.group, "n"),
         ):
-            with self.assertRaises(Unread):
+            with self.assertRaises(DatagramRejectedError):
                 decode(whole[0], *wrong)
 
     def test_data_is_changed_by_its_owner_alone_and_read_from_a_majority(self):
@@ -498,7 +504,7 @@
         self.assertEqual([(one.owner, one.revision, one.data) for one in read], [(name, 1, b"digest/1")])
 
     def test_a_voter_says_nothing_before_it_may_and_nothing_it_did_not_write(self):
-        voter = Voter("a", "abc", {}, {}, 1, True, 0)
+        voter = Acceptor("a", "abc", {}, {}, 1, True, 0)
         voter.heard("m", Accept("k", Ballot(1, "m", 1), Value("m", 1, 1, 100, 0, b""), 1), 0)
         self.assertEqual(voter.out, [])
         voter.wake(2 * SECOND)
@@ -510,9 +516,9 @@
         self.assertEqual(len(voter.writes), 1, "a ballot of another's name")
 
     def test_who_stands_for_nothing_owns_nothing(self):
-        owner = Owner("m", 1, "abc", 1000, Random(1))
-        self.assertEqual((owner.may_act("k", 0), owner.due()), (0, 1 << 60))
-        self.assertEqual((NOBODY.number, NEVER.round), (0, 0))
+        owner = LeaseManager("m", 1, "abc", 1000, Random(1))
+        self.assertEqual((owner.fencing_token("k", 0), owner.due()), (0, 1 << 60))
+        self.assertEqual((NO_VALUE.number, NO_BALLOT.round), (0, 0))
 
 
 class DriverStory(unittest.IsolatedAsyncioTestCase):
@@ -520,8 +526,8 @@
         """A fault behind the owner's part of a moment left the timer unset: nothing was renewed any more, unseen."""
         with tempfile.TemporaryDirectory() as folder:
             voters = {name: f"127.0.0.1:{port}" for port, name in enumerate("abc", 1)}
-            register = Register(
-                Told(
+            register = RegisterDriver(
+                RegisterConfig(
                     "m",
                     "f",
                     b"sixteen bytes or more",
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pathsaddle.consensus.fencing import Fence
-from pathsaddle.consensus.udp_driver import steady
+from pathsaddle.consensus.udp_driver import monotonic_ticks
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_places
@@ -86,7 +86,7 @@
             )
 
     def now(self):
-        return steady()
+        return monotonic_ticks()
 
     def charter(self, name):
         return self.folder / f"{name}.toml"
@@ -98,13 +98,13 @@
                 let_in = self.fence.look(key, int(number)).let_in
                 self.events.append(
                     Event(
-                        steady(),
+                        monotonic_ticks(),
                         "effect",
                         {"who": "s", "key": key, "number": int(number), "by": by, "taken": let_in, "id": one},
                     )
                 )
                 if let_in:
-                    self.heard[by] = steady()
+                    self.heard[by] = monotonic_ticks()
         except OSError:
             pass
 
@@ -147,7 +147,7 @@
             self.processes[name].send_signal(signal.SIGKILL)
         for name in names:
             self.processes[name].wait()
-            self.events.append(Event(steady(), "member.ended", {"who": name, "why": "killed"}))
+            self.events.append(Event(monotonic_ticks(), "member.ended", {"who": name, "why": "killed"}))
 
     async def until(self, holds, what):
         by = time.monotonic() + 30
@@ -159,7 +159,7 @@
 
     async def owner(self, *others):
         """Whoever has effect from now on, and is none of `others`."""
-        since = steady()
+        since = monotonic_ticks()
         return await self.until(
             lambda: next(
                 (by for by, at in sorted(self.heard.items()) if at > since and by not in others), ""
@@ -265,10 +265,10 @@
         last = await fleet.owner()
 
         # SIGTERM: the next has it at once, not after the lease's end.
-        asked = steady()
+        asked = monotonic_ticks()
         fleet.processes[last].send_signal(signal.SIGTERM)
         await fleet.owner(last)
-        self.assertLess(steady() - asked, 5 * SECOND)
+        self.assertLess(monotonic_ticks() - asked, 5 * SECOND)
         given = [
             event
             for event in fleet.history()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,16 +13,16 @@
 from pathsaddle.emulator.placement.mutants import MUTANTS, Unnumbered, Unrevised
 from pathsaddle.emulator.placement.policies import POLICIES
 from pathsaddle.emulator.placement.world import Site, Trouble, World
-from pathsaddle.placement.errors import PlacementFault, Refused
+from pathsaddle.placement.errors import PlacementError, PlanRejectedError
 from pathsaddle.placement.files import read
 from pathsaddle.placement.greedy import greedy
-from pathsaddle.placement.invariants import broken
+from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import Count, Demand, Inventory, Island, Kind, State, Target, Unit, demand
 from pathsaddle.placement.ledger import Memory
-from pathsaddle.placement.placement_state import Book
+from pathsaddle.placement.placement_state import PlacementState
 from pathsaddle.placement.plan import WITHDRAW, plan_of
 from pathsaddle.placement.problem import figures, problem_of
-from pathsaddle.placement.rollout import Walk
+from pathsaddle.placement.rollout import Rollout
 from pathsaddle.placement.solver import planned
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -64,7 +64,7 @@
 class Ground:
     """One planner's walk with hands that do at once what they are told, each change in the log."""
 
-    def __init__(self, start, choose=by_greedy, book=Book):
+    def __init__(self, start, choose=by_greedy, book=PlacementState):
         self.log, self.at, self.choose = [], 0, choose
         self.kept = Memory(
             book(start), lambda what, more: self.log.append(Event(self.at, what, {"who": "k"} | more))
@@ -75,7 +75,7 @@
     def begun(self):
         self.number += 1
         self.kept.do("take", self.number)
-        self.walk = Walk(self.number, 1000)
+        self.walk = Rollout(self.number, 1000)
 
     def step(self, dead=()):
         """All that is due, once. Returns what was done."""
@@ -102,7 +102,7 @@
                     self.walk.renewed(self.kept.do("renew", self.number).inventory, self.at)
                 else:
                     self.kept.do(order.does, self.number, order.unit)
-            except Refused as why:
+            except PlanRejectedError as why:
                 if why.why in ("base", "plan"):
                     break
         return orders
@@ -125,8 +125,8 @@
             ("unit-twice", here(1) + here(1), {}),
             ("cold-over", (Unit("x", "gpu", State.COLD, "a/1"),), {"cold": 0}),
         ):
-            self.assertIn(name, [row[0] for row in broken(inventory((one,), units, **more))])
-        self.assertEqual([], broken(inventory((one,), serving("a/1") + here(4))))
+            self.assertIn(name, [row[0] for row in violations(inventory((one,), units, **more))])
+        self.assertEqual([], violations(inventory((one,), serving("a/1") + here(4))))
 
     def test_who_hears_nothing_makes_demand_an_interval(self):
         counts = (Count("a", "gpu", 8, 3, 10), Count("b", "gpu", 8, 5, 10**9), Count("a", "gpu", 16, 1, 10))
@@ -178,7 +178,7 @@
         moved = replace(start, demand=(Demand("gpu", 8, 4, 7), Demand("gpu", 16, 1, 2)))
         second = plan_of(moved, 1, first, by_solver)
         self.assertEqual(first.wanted, second.wanted)
-        kept = Book(start, 1, first)
+        kept = PlacementState(start, 1, first)
         self.assertIs(kept, kept.asked(moved.demand, start.targets))  # nor does it end one
 
     def test_no_plan_fits_and_a_batch_larger_than_all_bays_are_said_beforehand(self):
@@ -224,7 +224,7 @@
 
 
 class Guards(unittest.TestCase):
-    def started(self, book=Book):
+    def started(self, book=PlacementState):
         ground = Ground(inventory((island("a", 2), island("b", 2)), here(4)), book=book)
         ground.step()
         return ground, ground.kept.read()
@@ -232,10 +232,10 @@
     def test_the_first_planner_wakes_after_another_took_over(self):
         ground, looked = self.started()
         ground.begun()
-        with self.assertRaises(Refused) as why:
+        with self.assertRaises(PlanRejectedError) as why:
             ground.kept.do("reserve", 1, looked.inventory.base, looked.plan.name, 0)
         self.assertEqual("number", why.exception.why)
-        self.assertEqual("stop", Walk(1, 1000).due(ground.kept.read(), 0)[0].does)
+        self.assertEqual("stop", Rollout(1, 1000).due(ground.kept.read(), 0)[0].does)
         self.assertEqual([], judged(ground.log))
 
     def test_a_number_that_is_not_checked_is_found(self):
@@ -245,13 +245,13 @@
         self.assertEqual({"late-planner"}, {row[1] for row in judged(ground.log)})
 
     def test_nothing_is_reserved_on_a_stale_inventory(self):
-        for book, caught in ((Book, set()), (Unrevised, {"stale-revision"})):
+        for book, caught in ((PlacementState, set()), (Unrevised, {"stale-revision"})):
             ground, looked = self.started(book)
             ground.kept.do("island", replace(looked.inventory.islands[0], up=False))
             at = next(n for n, step in enumerate(looked.plan.steps) if step.bay.startswith("b/"))
             words = (1, looked.inventory.base, looked.plan.name, at)
-            if book is Book:
-                with self.assertRaises(Refused) as why:
+            if book is PlacementState:
+                with self.assertRaises(PlanRejectedError) as why:
                     ground.kept.do("reserve", *words)
                 self.assertEqual("base", why.exception.why)
             else:
@@ -263,7 +263,7 @@
         # reserved on the base that the answer to another change had told.
         ground, looked = self.started()
         newer = ground.kept.do("came", *here(1, start=9)).inventory.base
-        with self.assertRaises(Refused) as why:
+        with self.assertRaises(PlanRejectedError) as why:
             ground.kept.do("reserve", 1, newer, looked.plan.name, 0)
         self.assertEqual("base", why.exception.why)
 
@@ -272,13 +272,13 @@
         late = plan_of(looked.inventory, 1, None, by_greedy)
         ground.begun()
         mine = ground.kept.do("replaced", plan_of(looked.inventory, 2, None, by_greedy))
-        with self.assertRaises(Refused):
+        with self.assertRaises(PlanRejectedError):
             ground.kept.do("replaced", late)
         self.assertIs(mine, ground.kept.read())
 
     def test_a_reservation_is_ended_only_after_its_lease_by_the_slower_of_two_clocks(self):
         ground, looked = self.started()
-        walk = Walk(1, 1000)
+        walk = Rollout(1, 1000)
         asked = 500
         held = ground.kept.do("reserve", 1, looked.inventory.base, looked.plan.name, 0)
         walk.held(looked.plan.steps[0].unit, asked)
@@ -318,7 +318,7 @@
     def ends(self, ground, serve, dead=()):
         book = ground.walked(dead)
         self.assertEqual(serve, sum(unit.state is State.SERVING for unit in book.inventory.units))
-        self.assertEqual([], broken(book.inventory))
+        self.assertEqual([], violations(book.inventory))
         self.assertEqual([], judged(ground.log))
         return book
 
@@ -425,7 +425,7 @@
         for seed in range(1, 13):
             world = World(Site(seconds=60, trouble=self.TROUBLE), seed, POLICIES["greedy"]).ran()
             self.assertEqual([], judged(world.events.rows), f"seed {seed}")
-            self.assertEqual([], broken(world.keeper.read().inventory))
+            self.assertEqual([], violations(world.keeper.read().inventory))
 
     def test_the_same_seed_is_the_same_story(self):
         first, second = (
@@ -467,11 +467,11 @@
             self.assertEqual(0, out.returncode, out.stderr)
             self.assertIn("1 place    n in a/1", out.stdout)
             path.write_text(text.replace("bays", "bay"))
-            with self.assertRaises(PlacementFault) as fault:
+            with self.assertRaises(PlacementError) as fault:
                 read(path)
             self.assertIn("bay", str(fault.exception))
             path.write_text(text.replace('kind = "gpu"', 'kind = "gpus"'))
-            with self.assertRaises(PlacementFault) as fault:
+            with self.assertRaises(PlacementError) as fault:
                 read(path)
             self.assertIn("write `gpu` at units.n.kind in", fault.exception.do)
 
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -21,7 +21,7 @@
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.placement.judge import judged
 from pathsaddle.placement.__main__ import ticks
-from pathsaddle.placement.invariants import broken
+from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import Demand, Inventory, Island, Kind, State, Target, Unit
 from pathsaddle.placement.ledger import made
 
@@ -147,7 +147,7 @@
     def ended_well(self, kept, serve):
         found = kept.read().inventory
         self.assertEqual(serve, sum(unit.state is State.SERVING for unit in found.units))
-        self.assertEqual([], broken(found))
+        self.assertEqual([], violations(found))
         self.assertEqual([], judged(Event(at, what, more) for at, what, more in kept.story()))
 
     def walked(self, planner, hands):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -15,16 +15,16 @@
 from unittest import mock
 
 from pathsaddle.cli.show import TABLES
-from pathsaddle.config.dispatcher import CharterGround
+from pathsaddle.config.dispatcher import ConfiguredDispatcher
 from pathsaddle.config.fleet import equal_part
-from pathsaddle.config.loader import told
-from pathsaddle.config.reload import WHY, in_service, restarts
-from pathsaddle.config.schema import IN_SERVICE, Charter
-from pathsaddle.config.validation import Faulty, check, explain
-from pathsaddle.fleet.quota.leases import Back, Lend, Loan, Want
-from pathsaddle.fleet.quota.quota_limiter import WINDOW, Dealt, Limiter
+from pathsaddle.config.loader import platform_config
+from pathsaddle.config.reload import RESTART_REASONS, reloaded, restart_reasons
+from pathsaddle.config.schema import RELOADABLE_KEYS, Configuration
+from pathsaddle.config.validation import InvalidConfigError, explain_keys, validate
+from pathsaddle.fleet.quota.leases import Grant, Lease, QuotaRequest, Release
+from pathsaddle.fleet.quota.quota_limiter import WINDOW, QuotaConfig, QuotaLimiter
 from pathsaddle.fleet.rate_limiter import SECOND as TICKS
-from pathsaddle.jobs.job_service import DurableTxnService, Ways
+from pathsaddle.jobs.job_service import JobService, JobServiceOptions
 from pathsaddle.jobs.store import Store, ThreadWriter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
@@ -51,8 +51,8 @@
 FLEET = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:7199", "budgets": {"gpu": 30}}
 
 
-def charter(**more: Any) -> Charter:
-    return check(Charter, {**BASE, **more}, "the charter")
+def charter(**more: Any) -> Configuration:
+    return validate(Configuration, {**BASE, **more}, "the charter")
 
 
 class ServiceStory(unittest.IsolatedAsyncioTestCase):
@@ -65,7 +65,7 @@
 
     def begin(self, made: Callable[..., Any] | None = None, **more: Any) -> None:
         self.path.write_text(json.dumps({**BASE, **more}))
-        self.ground = CharterGround(self.path)
+        self.ground = ConfiguredDispatcher(self.path)
         self.ground.open_log = lambda: None  # type: ignore[method-assign]
         if made is not None:
             self.ground._made = made  # type: ignore[method-assign]
@@ -173,7 +173,7 @@
                 }
             )
         )
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             self.ground.moved()
         self.assertEqual(
             [fault.path for fault in caught.exception.faults],
@@ -192,12 +192,12 @@
 
     async def test_budgets_of_a_reread_charter_come_to_the_member_with_its_part(self) -> None:
         self.begin(fleet=FLEET)
-        limiter = Limiter("d0", 1, {"gpu": Dealt(30, 30, 10 * TICKS)}, Random(1), 0)
+        limiter = QuotaLimiter("d0", 1, {"gpu": QuotaConfig(30, 30, 10 * TICKS)}, Random(1), 0)
         self.ground._fellows = mock.Mock(retune=lambda dealt: limiter.retune(dealt, 1))
         self.tells(fleet={**FLEET, "budgets": {"gpu": 20, "cpu": 9}})
         self.assertEqual(
             {name: one.dealt for name, one in limiter.budgets.items()},
-            {"gpu": Dealt(20, 20, 10 * TICKS), "cpu": Dealt(9, 9, 10 * TICKS)},
+            {"gpu": QuotaConfig(20, 20, 10 * TICKS), "cpu": QuotaConfig(9, 9, 10 * TICKS)},
         )
         self.assertEqual(limiter.budgets["gpu"].state.part, 20)
 
@@ -210,10 +210,10 @@
     async def test_a_durable_job_that_waits_is_served_by_the_words_it_was_accepted_by(self) -> None:
         path = self.path.with_name("jobs.db")
         self.begin(
-            lambda *told: DurableTxnService(
+            lambda *told: JobService(
                 *told,
                 store=Store(path, ThreadWriter()),
-                ways=Ways(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
+                ways=JobServiceOptions(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
                 chance=Random(1),
             )
         )
@@ -241,7 +241,7 @@
 
     def test_lowered_and_raised_under_load_it_binds_from_the_next_txn_on(self) -> None:
         served = charter(customers=[{"name": "acme", "allowance": 20.0}])
-        made = birth(json.dumps(told(served))).terms
+        made = birth(json.dumps(platform_config(served))).terms
         host = FakeHost(*made.schemes, customers=made.customers)
         acme = made.customers[0]
         self.assertEqual(self.over(host, acme, 10, 10), 0)
@@ -257,7 +257,7 @@
         self.assertEqual(self.over(host, acme, 10, 10), 0)
 
     def test_a_longer_fall_time_sends_the_cold_nothing_until_it_has_passed(self) -> None:
-        made = birth(json.dumps(told(charter()))).terms
+        made = birth(json.dumps(platform_config(charter()))).terms
         host = FakeHost(scheme())
         choice = host.loop.choice
         host.passes(5 * SECOND)
@@ -274,9 +274,10 @@
 
 class RestartStory(unittest.TestCase):
     def named(self, before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-        found = configuration.restarts(charter(**before), charter(**after))
+        found = configuration.restart_required(charter(**before), charter(**after))
         self.assertEqual(
-            found, [f"{key}: {why}" for key, why in restarts(charter(**before), charter(**after)).items()]
+            found,
+            [f"{key}: {why}" for key, why in restart_reasons(charter(**before), charter(**after)).items()],
         )
         for line in found:
             self.assertTrue(line.partition(": ")[2], line)
@@ -317,18 +318,20 @@
         )
 
     def test_every_key_of_the_charter_may_change_or_has_its_reason(self) -> None:
-        for key, kind, _, _ in explain(Charter):
-            if kind not in TABLES and key.partition("[]")[0] not in IN_SERVICE:
+        for key, kind, _, _ in explain_keys(Configuration):
+            if kind not in TABLES and key.partition("[]")[0] not in RELOADABLE_KEYS:
                 parts = key.split(".")
-                self.assertTrue(any(".".join(parts[:n]) in WHY for n in range(1, len(parts) + 1)), key)
+                self.assertTrue(
+                    any(".".join(parts[:n]) in RESTART_REASONS for n in range(1, len(parts) + 1)), key
+                )
         before = charter(fleet=FLEET, name="d0")
-        self.assertEqual(in_service(before, before), (before, {}))
+        self.assertEqual(reloaded(before, before), (before, {}))
 
 
 class RowsStory(unittest.TestCase):
     def test_rows_there_and_back_are_the_same_charter(self) -> None:
         one = charter(fleet=FLEET, name="d0", rules={"cold_time": "1234567.8ms"}, zones=["here", "b"])
-        rows = configuration.rows_of(one)
+        rows = configuration.entries_of(one)
         self.assertEqual(
             sorted(rows),
             [
@@ -341,15 +344,15 @@
                 "zones",
             ],
         )
-        back = configuration.charter_with(one, rows)
-        self.assertEqual(configuration.rows_of(back), rows)
-        self.assertEqual(configuration.differences(one, back), [])
-        anew = configuration.charter_with(charter(fleet=FLEET, name="d0"), rows)
+        back = configuration.configuration_with(one, rows)
+        self.assertEqual(configuration.entries_of(back), rows)
+        self.assertEqual(configuration.changed_entries(one, back), [])
+        anew = configuration.configuration_with(charter(fleet=FLEET, name="d0"), rows)
         self.assertEqual(anew.rules.cold_time, 12_345_678)
 
     def test_all_faults_are_told_by_their_row_and_nothing_is_left_behind(self) -> None:
         one = charter(fleet=FLEET, name="d0")
-        rows = configuration.rows_of(one)
+        rows = configuration.entries_of(one)
         bad = {
             **rows,
             "customers.acme": b'{"allowance":-1,"portoin":0.1}',
@@ -360,8 +363,8 @@
             "zones": b"{",
             "members.d0": b"{}",
         }
-        with self.assertRaises(Faulty) as caught:
-            configuration.charter_with(one, bad)
+        with self.assertRaises(InvalidConfigError) as caught:
+            configuration.configuration_with(one, bad)
         self.assertEqual(
             sorted(fault.path for fault in caught.exception.faults),
             [
@@ -375,22 +378,22 @@
                 "zones",
             ],
         )
-        self.assertEqual(configuration.rows_of(one), rows)
-        with self.assertRaises(Faulty) as caught:
-            configuration.charter_with(
+        self.assertEqual(configuration.entries_of(one), rows)
+        with self.assertRaises(InvalidConfigError) as caught:
+            configuration.configuration_with(
                 one, {**rows, "schemes.render": b'{"expiry":"5s","machine":"m9","semantics":"repeatable"}'}
             )
         self.assertEqual([fault.path for fault in caught.exception.faults], ["schemes.render.machine"])
 
     def test_what_did_not_change_is_not_read_again(self) -> None:
         one = charter()
-        rows = configuration.rows_of(one)
-        two = configuration.charter_with(
+        rows = configuration.entries_of(one)
+        two = configuration.configuration_with(
             one, {**rows, "customers.acme": b'{"allowance":7,"portion":0}'}, rows
         )
         self.assertIs(two.schemes[1], one.schemes[0])
         self.assertEqual(
-            configuration.differences(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')]
+            configuration.changed_entries(one, two), [("customers.acme", b'{"allowance":7.0,"portion":0.0}')]
         )
 
 
@@ -400,13 +403,13 @@
     def setUp(self) -> None:
         self.now, self.chance = 0, Random(3)
         self.limiters = [
-            Limiter(f"m{n}", 1, {"b": self.dealt(100, n)}, Random(n), 0) for n in range(self.MEMBERS)
+            QuotaLimiter(f"m{n}", 1, {"b": self.dealt(100, n)}, Random(n), 0) for n in range(self.MEMBERS)
         ]
         for limiter in self.limiters:
             limiter.there = [other.name for other in self.limiters]
 
-    def dealt(self, rate: int, number: int) -> Dealt:
-        return Dealt(rate, equal_part(rate, self.MEMBERS, number), self.LEASE)
+    def dealt(self, rate: int, number: int) -> QuotaConfig:
+        return QuotaConfig(rate, equal_part(rate, self.MEMBERS, number), self.LEASE)
 
     def passes(self, ticks: int, bound: int) -> int:
         """Two members want all; at no instant is more usable than the bound. The most that was lent."""
@@ -415,7 +418,7 @@
             self.now += 500
             for limiter in self.limiters[:2]:
                 if "b" in limiter.budgets:
-                    limiter.takes("b", 5, self.now)
+                    limiter.try_acquire("b", 5, self.now)
             for limiter in self.limiters:
                 limiter.heard_at = self.now
                 limiter.wake(self.now)
@@ -423,11 +426,11 @@
                 out, limiter.out = limiter.out, []
                 for to, budget, said in out:
                     other = next(one for one in self.limiters if one.name == to)
-                    if isinstance(said, Want):
+                    if isinstance(said, QuotaRequest):
                         other.asked(budget, said, self.now)
-                    elif isinstance(said, Lend):
+                    elif isinstance(said, Grant):
                         other.lent(budget, said, self.now)
-                    elif isinstance(said, Back) and self.chance.random() < 0.5:
+                    elif isinstance(said, Release) and self.chance.random() < 0.5:
                         other.returned(budget, said, self.now)
             states = [one.budgets["b"].state for one in self.limiters if "b" in one.budgets]
             self.assertLessEqual(sum(max(0, state.usable(self.now)) for state in states), bound)
@@ -449,13 +452,13 @@
     def test_a_lowered_part_renews_no_more_than_itself_whatever_else_it_holds(self) -> None:
         self.now = 10 * TICKS
         owner, taker = self.limiters[0], self.limiters[1]
-        owner.asked("b", Want(taker.name, 1, 1, 10), self.now)
-        self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Lend)], [10])
+        owner.asked("b", QuotaRequest(taker.name, 1, 1, 10), self.now)
+        self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Grant)], [10])
         one = owner.budgets["b"]
-        one.state = dataclasses.replace(one.state, held=(("m2", 1, 1, Loan(20, self.now + 100 * TICKS)),))
+        one.state = dataclasses.replace(one.state, held=(("m2", 1, 1, Lease(20, self.now + 100 * TICKS)),))
         owner.retune({"b": self.dealt(20, 0)}, self.now)
-        owner.asked("b", Want(taker.name, 1, 2, 10, renews=1), self.now)
-        self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Lend)], [10, 4])
+        owner.asked("b", QuotaRequest(taker.name, 1, 2, 10, renews=1), self.now)
+        self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Grant)], [10, 4])
 
     def test_taken_out_and_put_in_again_it_uses_nothing_that_may_still_be_lent(self) -> None:
         self.passes(20 * TICKS, 100)
@@ -463,7 +466,7 @@
         for limiter in self.limiters:
             limiter.retune({}, self.now)
         with self.assertRaises(KeyError):
-            self.limiters[0].takes("b", 1, self.now)
+            self.limiters[0].try_acquire("b", 1, self.now)
         for n, limiter in enumerate(self.limiters):
             limiter.retune({"b": self.dealt(100, n)}, self.now)
             self.assertLessEqual(limiter.budgets["b"].state.usable(self.now), 10)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import get_args
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.experiment import scale
 from pathsaddle.experiment.slope import LAWS
 
@@ -63,7 +63,7 @@
 
 class Refusals(Rigging):
     def refused(self, name: str, /, *words: str, **changes: str) -> None:
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             self.plan(**changes)
         said = str(caught.exception)
         self.assertIn(f"[{name}]", said)
@@ -140,7 +140,7 @@
             ("bound = {point = 3, most = 1.0}", "charter.not-among", "slopes[0].bound.point", "1, 2, 4, 8"),
             ("bound = {point = 8}", "charter.wrong", "neither most nor least"),
         ):
-            with self.subTest(bound), self.assertRaises(Faulty) as caught:
+            with self.subTest(bound), self.assertRaises(InvalidConfigError) as caught:
                 self.plan(bound=bound)
             self.assertIn(f"[{name}]", str(caught.exception))
             for word in words:
