--- a/tests/test_settings_batch.py
+++ b/tests/test_settings_batch.py
@@ -13,28 +13,40 @@
 
 from pathsaddle.errors import Error
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.commit_round import MADE, OUTRUN, REFUSED, SAME, Change, together
-from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.documents import Group, Put, Wrong, canonical, digest_of
-from pathsaddle.settings.driver import KeeperProcess
-from pathsaddle.settings.errors import NoMajority, Outrun, Refused, Unfit
+from pathsaddle.settings.commit_round import (
+    ALREADY_COMMITTED,
+    REJECTED,
+    REVISION_CONFLICT,
+    UNCHANGED,
+    PendingChange,
+    plan_round,
+)
+from pathsaddle.settings.disk import SettingsDirectory
+from pathsaddle.settings.documents import Change, ChangeSet, InvalidDocumentError, canonical, digest_of
+from pathsaddle.settings.driver import ConfigServerDriver
+from pathsaddle.settings.errors import (
+    ChangeRejectedError,
+    NoQuorumError,
+    RevisionConflictError,
+    ValidationError,
+)
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
-    BATCH,
-    DATAGRAM,
-    OFFERS,
-    Commit,
-    Have,
-    Keeper,
-    Kept,
-    Member,
-    Offer,
+    MAX_DATAGRAM_BYTES,
+    MAX_PROPOSALS,
+    MAX_ROUND_CHANGESETS,
+    AppliedAck,
+    CommitNotice,
+    ConfigServer,
+    ConfigSubscriber,
+    Proposal,
+    ProposalAck,
     size_of,
 )
 
 
 class Ample:
-    def pays(self, size, now, spare=0.0):
+    def try_consume(self, size, now, spare=0.0):
         return True
 
 
@@ -43,9 +55,9 @@
 
 
 def change(at, expect=None, **puts):
-    return Change(
+    return PendingChange(
         tuple(
-            Put(f"customers.{key}", None if value is None else quota(value)) for key, value in puts.items()
+            Change(f"customers.{key}", None if value is None else quota(value)) for key, value in puts.items()
         ),
         "ann",
         f"change {at}",
@@ -57,13 +69,13 @@
 def founded():
     store = Store()
     store.append(
-        Group(
+        ChangeSet(
             1,
             "",
             "ann",
             "founding",
             0,
-            (Put("customers.a", quota(1)), Put("members.m0", canonical({"region": "north"}))),
+            (Change("customers.a", quota(1)), Change("members.m0", canonical({"region": "north"}))),
         )
     )
     return store
@@ -73,13 +85,13 @@
     """That many groups, each after the other."""
     store, found = store.copy(), []
     for i in range(count):
-        group = Group(
+        group = ChangeSet(
             store.revision + 1,
             store.digest,
             "ann",
             f"{reason} {i}" + "x" * size,
             0,
-            (Put(f"customers.c{i}", quota(i)),),
+            (Change(f"customers.c{i}", quota(i)),),
         )
         store.append(group)
         found.append(group)
@@ -93,7 +105,7 @@
 def eight(terms):
     """Rows of which no customer may have eight."""
     if quota(8) in terms.rows().values():
-        raise Unfit(key="customers", why="eight")
+        raise ValidationError(key="customers", why="eight")
 
 
 KINDS = (
@@ -114,10 +126,10 @@
 
     store: Store
     told: dict[int, tuple[str, int]] = field(default_factory=dict)
-    order: list[Change] = field(default_factory=list)
+    order: list[PendingChange] = field(default_factory=list)
 
     def round(self, waiting, joins, takes):
-        found = together(self.store, waiting, eight, joins)
+        found = plan_round(self.store, waiting, eight, joins)
         for told in found.told:
             self.order.append(told.change)
             self.told[told.change.at] = (told.what, told.revision)
@@ -128,7 +140,7 @@
             for one, group in found.taken:
                 self.store.append(group)
                 self.order.append(one)
-                self.told[one.at] = (MADE, group.revision)
+                self.told[one.at] = (ALREADY_COMMITTED, group.revision)
                 waiting.remove(one)
         return found
 
@@ -136,7 +148,7 @@
 class TogetherStory(unittest.TestCase):
     def test_each_has_its_own_revision_author_and_reason_one_after_another(self):
         waiting = [change(1, a=5), change(2, b=6), change(3, a=7)]
-        found = together(founded(), waiting, unjudged, lambda groups: True)
+        found = plan_round(founded(), waiting, unjudged, lambda groups: True)
         self.assertEqual(
             [(group.revision, group.reason, group.at) for group in found.groups],
             [(2, "change 1", 1), (3, "change 2", 2), (4, "change 3", 3)],
@@ -149,9 +161,10 @@
     def test_one_that_is_refused_or_outrun_leaves_the_others_whole(self):
         bad, late, same = change(1, gone=None), change(2, expect=0, a=9), change(3, a=1)
         good = [change(4, a=5), change(5, b=6)]
-        found = together(founded(), [bad, late, same, *good], unjudged, lambda groups: True)
+        found = plan_round(founded(), [bad, late, same, *good], unjudged, lambda groups: True)
         self.assertEqual(
-            [(told.change, told.what) for told in found.told], [(bad, REFUSED), (late, OUTRUN), (same, SAME)]
+            [(told.change, told.what) for told in found.told],
+            [(bad, REJECTED), (late, REVISION_CONFLICT), (same, UNCHANGED)],
         )
         self.assertEqual([one for one, _ in found.taken], good)
         self.assertEqual([group.revision for group in found.groups], [2, 3])
@@ -160,20 +173,23 @@
         """Behind another of its round each of these would be told otherwise than alone: it waits for the next."""
         first = change(1, a=5)
         for second in (change(2, a=5), change(2, a=1, gone=None), change(2, expect=1, b=6), change(2, b=8)):
-            found = together(founded(), [first, second], eight, lambda groups: True)
+            found = plan_round(founded(), [first, second], eight, lambda groups: True)
             self.assertEqual(([one for one, _ in found.taken], found.told), ([first], ()))
         self.assertEqual(
-            len(together(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).taken), 2
+            len(plan_round(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).taken), 2
         )
 
     def test_a_round_that_was_committed_though_nobody_could_say_so_is_not_made_again(self):
         store, waiting = founded(), [change(1, a=5), change(2, a=6)]
-        found = together(store, waiting, unjudged, lambda groups: True)
+        found = plan_round(store, waiting, unjudged, lambda groups: True)
         for one, group in found.taken:
             one.tried.append((group.revision, digest_of(group)))
             store.append(group)
-        again = together(store, waiting, unjudged, lambda groups: True)
-        self.assertEqual([(told.what, told.revision) for told in again.told], [(MADE, 2), (MADE, 3)])
+        again = plan_round(store, waiting, unjudged, lambda groups: True)
+        self.assertEqual(
+            [(told.what, told.revision) for told in again.told],
+            [(ALREADY_COMMITTED, 2), (ALREADY_COMMITTED, 3)],
+        )
         self.assertEqual((again.taken, store.terms.get("customers.a")), ((), quota(6)))
 
     def test_in_every_order_with_rounds_that_fail_each_is_told_as_one_after_another_would_be(self):
@@ -190,7 +206,7 @@
                     alone = Voters(founded())
                     for one in voters.order:
                         alone.round(
-                            [Change(one.puts, one.author, one.reason, one.at, one.expect)],
+                            [PendingChange(one.puts, one.author, one.reason, one.at, one.expect)],
                             lambda groups: True,
                             True,
                         )
@@ -204,12 +220,12 @@
 
     def test_that_planted_faults_are_found_by_it(self):
         for fault in (
-            mock.patch.object(commit_round, "expected", lambda change, revision: True),
+            mock.patch.object(commit_round, "expects", lambda change, revision: True),
             mock.patch.object(Store, "fits", lambda store, group: None),
             mock.patch.object(
                 commit_round,
-                "next_of",
-                lambda store, change: Group(
+                "next_changeset",
+                lambda store, change: ChangeSet(
                     store.revision + 1, store.digest, change.author, change.reason, change.at, change.puts
                 ),
             ),
@@ -218,34 +234,37 @@
                 self.one_that_is_judged()
 
     def one_that_is_judged(self):
-        found = together(
+        found = plan_round(
             founded(),
             [change(1, gone=None), change(2, expect=0, b=2), change(3, a=1)],
             unjudged,
             lambda groups: True,
         )
-        self.assertEqual({told.change.at: told.what for told in found.told}, {1: REFUSED, 2: OUTRUN, 3: SAME})
+        self.assertEqual(
+            {told.change.at: told.what for told in found.told},
+            {1: REJECTED, 2: REVISION_CONFLICT, 3: UNCHANGED},
+        )
 
 
 class KeptStory(unittest.TestCase):
     """A keeper's part."""
 
     def keeper(self, store, peers=("k1", "k2"), **more):
-        return Keeper("k0", "north", 1, store.copy(), peers, random.Random(1), Ample(), 0, **more)
+        return ConfigServer("k0", "north", 1, store.copy(), peers, random.Random(1), Ample(), 0, **more)
 
     def test_a_batch_goes_out_in_one_datagram_and_is_kept_once_most_have_all_of_it(self):
         store = founded()
         groups = chained(store, 3)
         one, two = (
             self.keeper(store),
-            Keeper("k1", "south", 1, store.copy(), ("k0", "k2"), random.Random(1), Ample(), 0),
+            ConfigServer("k1", "south", 1, store.copy(), ("k0", "k2"), random.Random(1), Ample(), 0),
         )
         one.propose(groups[0], 0, groups[1:])
         made = one.ready()
         offers = [said for to, said in made.out if to == "k1"]
-        self.assertEqual(offers, [Offer("k0", groups[0], tuple(groups[1:]))])
+        self.assertEqual(offers, [Proposal("k0", groups[0], tuple(groups[1:]))])
         self.assertEqual([write.group for write in made.writes], groups)
-        one.heard(Kept("k1", 3, digest_of(groups[1])), 1)  # of a part
+        one.heard(ProposalAck("k1", 3, digest_of(groups[1])), 1)  # of a part
         self.assertEqual(one.ready().told, ())
         two.heard(offers[0], 1)
         made = two.ready()
@@ -262,18 +281,18 @@
         store = founded()
         groups = chained(store, 3)
         keeper = self.keeper(store)
-        keeper.heard(Offer("k1", groups[0], (groups[2],)), 1)
+        keeper.heard(Proposal("k1", groups[0], (groups[2],)), 1)
         made = keeper.ready()
         self.assertEqual((made.writes, made.out, [told.what for told in made.told]), ((), (), ["refused"]))
-        line = chained(store, OFFERS - 1)  # which no reading has shown as committed, and may be
+        line = chained(store, MAX_PROPOSALS - 1)  # which no reading has shown as committed, and may be
         for group in line:
-            keeper.heard(Offer("k1", group), 2)
+            keeper.heard(Proposal("k1", group), 2)
         keeper.ready()
         later = store.copy()
         for group in line:
             later.append(group)
         two = chained(later, 2, "later")
-        keeper.heard(Offer("k1", two[0], (two[1],)), 3)
+        keeper.heard(Proposal("k1", two[0], (two[1],)), 3)
         made = keeper.ready()
         self.assertEqual((made.writes, made.out, [told.what for told in made.told]), ((), (), ["full"]))
 
@@ -285,19 +304,19 @@
             keeper = self.keeper(store, offers=[])
             here = store.copy()
             for i in range(40):
-                groups = chained(here, chance.randrange(1, BATCH + 1), f"try {i}")
-                keeper.heard(Offer("k1", groups[0], tuple(groups[1:])), i)
+                groups = chained(here, chance.randrange(1, MAX_ROUND_CHANGESETS + 1), f"try {i}")
+                keeper.heard(Proposal("k1", groups[0], tuple(groups[1:])), i)
                 made = keeper.ready()
                 self.assertEqual(
-                    [said for _, said in made.out if isinstance(said, Kept)],
-                    [Kept("k0", groups[-1].revision, digest_of(groups[-1]))],
+                    [said for _, said in made.out if isinstance(said, ProposalAck)],
+                    [ProposalAck("k0", groups[-1].revision, digest_of(groups[-1]))],
                 )
-                self.assertLessEqual(len(keeper.offers), OFFERS)
+                self.assertLessEqual(len(keeper.offers), MAX_PROPOSALS)
                 self.assertTrue(all(digest_of(group) in keeper.offers for group in groups))
                 if chance.random() < 0.3:
                     for group in groups:
                         here.append(group)
-                    keeper.heard(Commit("k1", (here.revision, here.digest)), i)
+                    keeper.heard(CommitNotice("k1", (here.revision, here.digest)), i)
                     keeper.ready()
                     self.assertEqual(keeper.store.digest, here.digest)
 
@@ -305,18 +324,18 @@
         """The disk kept the latest, the keeper what may count: after a crash it lacked a text that it had said to have."""
         store = founded()
         with tempfile.TemporaryDirectory() as path:
-            folder = Folder(Path(path) / "k", "k0", "x")
+            folder = SettingsDirectory(Path(path) / "k", "k0", "x")
             self.addCleanup(folder.close)
             folder.write([mock.Mock(snapshot=store.snapshot(), group=None)])
             keeper = self.keeper(store)
             first = chained(store, 1)[0]
             after = store.copy()
             after.append(first)
-            keeper.heard(Offer("k1", first), 1)
-            for i in range(2 * OFFERS):  # each says that `first` was committed
-                keeper.heard(Offer("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
+            keeper.heard(Proposal("k1", first), 1)
+            for i in range(2 * MAX_PROPOSALS):  # each says that `first` was committed
+                keeper.heard(Proposal("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
             folder.write(keeper.ready().writes)
-            again = Folder(Path(path) / "k", "k0", "x")
+            again = SettingsDirectory(Path(path) / "k", "k0", "x")
             self.addCleanup(again.close)
             self.assertEqual({digest_of(one) for one in again.offers}, set(keeper.offers))
             self.assertIn(first, again.offers)
@@ -324,51 +343,54 @@
     def test_a_batch_is_no_larger_than_a_datagram_and_a_large_group_goes_alone(self):
         store = founded()
         keeper = self.keeper(store)
-        small = chained(store, BATCH + 1)
+        small = chained(store, MAX_ROUND_CHANGESETS + 1)
         self.assertEqual(
-            [keeper.joins(small[:n]) for n in (1, 2, BATCH, BATCH + 1)], [True, True, True, False]
+            [keeper.joins(small[:n]) for n in (1, 2, MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS + 1)],
+            [True, True, True, False],
         )
         large = chained(store, 2, size=180)
         wide = msgspec.structs.replace(
-            large[0], puts=tuple(Put(f"customers.w{i}", quota(i)) for i in range(50))
+            large[0], puts=tuple(Change(f"customers.w{i}", quota(i)) for i in range(50))
         )
         self.assertEqual((keeper.joins([wide]), keeper.joins([wide, small[0]])), (True, False))
-        with self.assertRaises(Wrong):
+        with self.assertRaises(InvalidDocumentError):
             keeper.propose(small[0], 0, small[1:])
-        for groups in (small[:BATCH], small[:3]):
-            self.assertLessEqual(size_of(Offer("k0", groups[0], tuple(groups[1:]))), DATAGRAM)
+        for groups in (small[:MAX_ROUND_CHANGESETS], small[:3]):
+            self.assertLessEqual(size_of(Proposal("k0", groups[0], tuple(groups[1:]))), MAX_DATAGRAM_BYTES)
 
     def test_a_member_gets_all_of_a_batch_in_one_datagram_and_not_again_what_it_was_offered(self):
         store = founded()
         groups = chained(store, 3)
         keeper = self.keeper(store, peers=())
-        member = Member("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
+        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
         member.asks(0)
         for _, said in member.ready().out:
             keeper.heard(said, 0)
         keeper.read(keeper.begins(1), 1, store.digest, 1)
         keeper.propose(groups[0], 2, groups[1:])
         made = [said for to, said in keeper.ready().out if to == "m0"]
-        self.assertEqual([said for said in made if isinstance(said, Offer)], [Offer("k0", groups[0])])
+        self.assertEqual([said for said in made if isinstance(said, Proposal)], [Proposal("k0", groups[0])])
         for said in made:
             member.heard(said, 3)
         self.assertEqual(member.rows(3).keys(), store.terms.rows().keys())  # it allows nothing yet
         member.ready()
         keeper.read(keeper.begins(4), 4, digest_of(groups[2]), 5)
-        commits = [said for to, said in keeper.ready().out if to == "m0" and isinstance(said, Commit)]
-        self.assertEqual(commits, [Commit("k0", (4, digest_of(groups[2])), tuple(groups[1:]))])
+        commits = [said for to, said in keeper.ready().out if to == "m0" and isinstance(said, CommitNotice)]
+        self.assertEqual(commits, [CommitNotice("k0", (4, digest_of(groups[2])), tuple(groups[1:]))])
         member.heard(commits[0], 6)
         made = member.ready()
         self.assertEqual([write.group for write in made.writes], groups)
-        self.assertEqual([said for _, said in made.out], [Have("m0", 4, digest_of(groups[2]))])
+        self.assertEqual([said for _, said in made.out], [AppliedAck("m0", 4, digest_of(groups[2]))])
 
     def test_who_missed_the_offer_gets_the_first_too(self):
         store = founded()
         groups = chained(store, 2)
-        member = Member("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
-        member.heard(Commit("k0", (3, digest_of(groups[1])), (groups[1],)), 1)
-        self.assertEqual([said.revision for _, said in member.ready().out if isinstance(said, Have)], [1])
-        member.heard(Commit("k0", (3, digest_of(groups[1])), tuple(groups)), 2)
+        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
+        member.heard(CommitNotice("k0", (3, digest_of(groups[1])), (groups[1],)), 1)
+        self.assertEqual(
+            [said.revision for _, said in member.ready().out if isinstance(said, AppliedAck)], [1]
+        )
+        member.heard(CommitNotice("k0", (3, digest_of(groups[1])), tuple(groups)), 2)
         self.assertEqual(member.store.digest, digest_of(groups[1]))
 
 
@@ -381,7 +403,7 @@
     async def asyncSetUp(self):
         self.store = founded()
         self.known = (1, self.store.digest)
-        self.driver = driver = mock.Mock(spec=KeeperProcess)
+        self.driver = driver = mock.Mock(spec=ConfigServerDriver)
         for name in (
             "change",
             "_rounds",
@@ -394,12 +416,12 @@
             "_outrun",
             "_has_made",
         ):
-            made = getattr(KeeperProcess, name)
+            made = getattr(ConfigServerDriver, name)
             setattr(driver, name, made if name == "_wrong" else made.__get__(driver))
         driver.queued, driver.rounds, driver.changes, driver.fitting = [], None, 0, None
         driver.changing, driver.committing = asyncio.Lock(), mock.Mock()
         driver.told = mock.Mock(control="here")
-        driver.core = mock.Mock(store=self.store, joins=lambda groups: len(groups) <= BATCH)
+        driver.core = mock.Mock(store=self.store, joins=lambda groups: len(groups) <= MAX_ROUND_CHANGESETS)
         driver._keeps = lambda: driver.core
         driver._runs = lambda work: asyncio.get_running_loop().create_task(work)
         driver._lingers = lambda mine: asyncio.sleep(0)
@@ -421,7 +443,7 @@
 
         self.kept, self.rounds = True, []
         driver.committing.owns, driver._has, driver._kept_by_most = owns, has, kept
-        driver.committing.register.may_act = lambda key: 7
+        driver.committing.register.fencing_token = lambda key: 7
         driver.committing.register.put = self.put
         driver._settled = self.settled
 
@@ -437,7 +459,7 @@
     async def settled(self, revision, until):
         if self.lost:
             self.lost = False
-            raise NoMajority("no majority of the voters answers", "start them")
+            raise NoQuorumError("no majority of the voters answers", "start them")
         return self.known
 
     async def all(self, *asked):
@@ -449,14 +471,15 @@
         found = await self.all(
             *(
                 {"rows": {f"customers.c{i}": {"allowance": i + 1}}, "reason": f"{i}"}
-                for i in range(2 * BATCH + 1)
+                for i in range(2 * MAX_ROUND_CHANGESETS + 1)
             )
         )
-        self.assertEqual([one["revision"] for one in found], list(range(2, 2 * BATCH + 3)))
+        self.assertEqual([one["revision"] for one in found], list(range(2, 2 * MAX_ROUND_CHANGESETS + 3)))
         self.assertEqual(
-            [group.reason for _, group in self.store.log[1:]], [f"{i}" for i in range(2 * BATCH + 1)]
+            [group.reason for _, group in self.store.log[1:]],
+            [f"{i}" for i in range(2 * MAX_ROUND_CHANGESETS + 1)],
         )
-        self.assertEqual(self.rounds, [BATCH, BATCH, 1])
+        self.assertEqual(self.rounds, [MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS, 1])
 
     async def test_who_is_refused_or_outrun_is_told_so_and_the_others_are_committed(self):
         found = await self.all(
@@ -467,16 +490,19 @@
             {"rows": {"budgets.c": 1}},
         )
         self.assertEqual([one["revision"] for one in found if isinstance(one, dict)], [2, 3])
-        self.assertEqual([type(found[i]) for i in (1, 2, 3)], [Refused, Outrun, Refused])
+        self.assertEqual(
+            [type(found[i]) for i in (1, 2, 3)],
+            [ChangeRejectedError, RevisionConflictError, ChangeRejectedError],
+        )
         self.assertEqual(
             sorted(self.store.terms.rows()), ["budgets.a", "budgets.c", "customers.a", "members.m0"]
         )
 
     async def test_another_was_first_who_expected_nothing_goes_once_more_and_who_did_is_outrun(self):
-        rival = Group(2, self.store.digest, "bob", "mine", 0, (Put("budgets.z", b"1"),))
+        rival = ChangeSet(2, self.store.digest, "bob", "mine", 0, (Change("budgets.z", b"1"),))
         self.rival = rival
         found = await self.all({"rows": {"budgets.a": 1}, "expect": 1}, {"rows": {"budgets.b": 1}})
-        self.assertIsInstance(found[0], Outrun)
+        self.assertIsInstance(found[0], RevisionConflictError)
         self.assertEqual(found[1]["revision"], 3)
         self.assertEqual([group.author for _, group in self.store.log[1:]], ["bob", ""])
 
@@ -485,7 +511,7 @@
         found = await self.all(
             {"rows": {"budgets.a": 1}, "within": 0.2}, {"rows": {"budgets.b": 1}, "within": 0.4}
         )
-        self.assertEqual([type(one) for one in found], [NoMajority, NoMajority])
+        self.assertEqual([type(one) for one in found], [NoQuorumError, NoQuorumError])
         self.assertTrue(all("nothing was committed" in str(one) for one in found))
         self.assertEqual(self.store.revision, 1)
 
@@ -493,14 +519,14 @@
         self.lost = True
         found = await self.all({"rows": {"budgets.a": 1}}, {"rows": {"budgets.b": 1}})
         for revision, one in zip((2, 3), found, strict=True):
-            self.assertIsInstance(one, NoMajority)
+            self.assertIsInstance(one, NoQuorumError)
             self.assertIn(f"whether revision {revision} was committed can't be told", str(one))
         again = await self.all({"rows": {"budgets.b": 1}})
         self.assertEqual((again[0]["changed"], self.store.revision), (False, 3))
 
     async def test_a_defect_ends_these_changes_alone(self):
         self.driver._says_fault = mock.Mock()
-        with mock.patch.object(commit_round, "together", side_effect=ZeroDivisionError("ours")):
+        with mock.patch.object(commit_round, "plan_round", side_effect=ZeroDivisionError("ours")):
             found = await self.all({"rows": {"budgets.a": 1}}, {"rows": {"budgets.b": 1}})
         self.assertEqual([one.name for one in found if isinstance(one, Error)], ["settings.defect"] * 2)
         self.assertEqual((await self.all({"rows": {"budgets.a": 1}}))[0]["revision"], 2)
--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -10,55 +10,62 @@
 import msgspec
 
 from pathsaddle import leased_versions
-from pathsaddle.fleet.rate_limiter import Purse
-from pathsaddle.leased_versions import Holder, Version, surely
+from pathsaddle.fleet.rate_limiter import RateLimiter
+from pathsaddle.leased_versions import Version, VersionSubscriber, certain_lease_end
 from pathsaddle.settings import documents
-from pathsaddle.settings.active_terms import LIMITS, Terms, allows, narrower
+from pathsaddle.settings.active_terms import LIMIT_RULES, ActiveTerms, permits, tighter
 from pathsaddle.settings.documents import (
-    START,
-    Group,
-    Put,
+    INITIAL_REVISION,
+    Change,
+    ChangeSet,
+    InvalidDocumentError,
     Snapshot,
-    Wrong,
     canonical,
+    decode_changeset,
+    decode_snapshot,
     digest_of,
-    encoded,
-    group_at,
-    snapshot_at,
+    encode_document,
+)
+from pathsaddle.settings.model_checker import (
+    LOOSER,
+    TIGHTER,
+    InvariantViolationError,
+    check_all,
+    left_behind,
+    walk,
 )
-from pathsaddle.settings.model_checker import LOOSER, TIGHTER, Forbidden, check, left_behind, walk
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
-    ANSWER,
-    LEASE,
-    OFFERS,
+    ANSWER_TIMEOUT,
+    DEFAULT_LEASE,
+    MAX_PROPOSALS,
     SECOND,
     SNAPSHOT,
-    Announce,
-    Asking,
-    Commit,
-    Have,
-    Keeper,
-    Member,
-    Offer,
-    Renewal,
-    Said,
-    nearest,
+    AppliedAck,
+    ChunkManifest,
+    CommitNotice,
+    ConfigServer,
+    ConfigSubscriber,
+    LeaseRenewal,
+    Message,
+    Proposal,
+    SyncRequest,
+    nearest_servers,
     size_of,
 )
 
-decode = msgspec.msgpack.Decoder(Said).decode
+decode = msgspec.msgpack.Decoder(Message).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
 def group_of(store, puts, reason="a test"):
-    return Group(
+    return ChangeSet(
         store.revision + 1,
         store.digest,
         "ann",
         reason,
         0,
-        tuple(Put(key, None if value is None else canonical(value)) for key, value in puts.items()),
+        tuple(Change(key, None if value is None else canonical(value)) for key, value in puts.items()),
     )
 
 
@@ -75,23 +82,23 @@
 
 
 class Ample:
-    def pays(self, size, now, spare=0.0):
+    def try_consume(self, size, now, spare=0.0):
         return True
 
 
 class Register:
     """The voters' value, as a keeper reads it: any majority, at once."""
 
-    def __init__(self, known=START):
+    def __init__(self, known=INITIAL_REVISION):
         self.known = known
 
 
 class Net:
     """Members, keepers and a register on one virtual clock; datagrams are lost, doubled and late by chance."""
 
-    def __init__(self, seed, keepers=("k0", "k1", "k2"), lost=0.0, purse=None, latency=(100, 1500)):
+    def __init__(self, seed, keepers=("k0", "k1", "k2"), lost=0.0, rate_limiter=None, latency=(100, 1500)):
         self.chance, self.lost, self.latency = random.Random(seed), lost, latency
-        self.purse = purse or (lambda now: Ample())
+        self.rate_limiter = rate_limiter or (lambda now: Ample())
         self.now, self.queue, self.count = 0, [], 0
         self.register, self.machines, self.disks, self.cut = Register(), {}, {}, set()
         self.told, self.sent, self.largest, self.due = [], [], 0, {}
@@ -103,30 +110,30 @@
 
     def starts_keeper(self, name):
         store, offers = self.disk(name)
-        self.machines[name] = Keeper(
+        self.machines[name] = ConfigServer(
             name,
             "north",
             self.now,
             store,
             [one for one in self.names if one != name],
             self.chance,
-            self.purse(self.now),
+            self.rate_limiter(self.now),
             self.now,
-            LEASE,
+            DEFAULT_LEASE,
             offers,
         )
         self.wakes(name)
 
     def starts_member(self, name, keepers=None):
         store, _ = self.disk(name)
-        self.machines[name] = Member(
+        self.machines[name] = ConfigSubscriber(
             name,
             "north",
             self.now + 1,
             store,
             keepers or self.names,
             self.chance,
-            self.purse(self.now),
+            self.rate_limiter(self.now),
             self.now,
         )
         self.wakes(name)
@@ -160,7 +167,7 @@
                     self.later(self.now + self.chance.randint(*self.latency), "heard", to, name, data)
         for one in ready.told:
             self.told.append((self.now, name, one))
-        if isinstance(machine, Keeper) and machine.wants_reading and not machine.answering:
+        if isinstance(machine, ConfigServer) and machine.wants_reading and not machine.answering:
             number = machine.begins(self.now)
             self.later(self.now + self.chance.randint(50, 400), "read", name, machine, number)
 
@@ -227,7 +234,7 @@
 class FormsStory(unittest.TestCase):
     def test_a_group_comes_back_from_its_bytes_with_the_same_digest(self):
         group = group_of(Store(), {"customers.a": quota(5), "zones": ["a", "b"]})
-        self.assertEqual(group_at(encoded(group)), group)
+        self.assertEqual(decode_changeset(encode_document(group)), group)
         self.assertEqual(len(digest_of(group)), 32)
         self.assertNotEqual(digest_of(group), digest_of(msgspec.structs.replace(group, reason="another")))
 
@@ -235,38 +242,38 @@
         good = group_of(Store(), {"customers.a": quota(5)})
         put = good.puts[0]
         for told, change in (
-            ("no key", {"puts": (Put("fleet.listen", b"1"),)}),
-            ("no key", {"puts": (Put("customers.", b"1"),)}),
-            ("no key", {"puts": (Put("customers." + "x" * 128, b"1"),)}),
-            ("no JSON", {"puts": (Put("zones", b"{"),)}),
-            ("not canonical", {"puts": (Put("zones", b'[ "a"]'),)}),
+            ("no key", {"puts": (Change("fleet.listen", b"1"),)}),
+            ("no key", {"puts": (Change("customers.", b"1"),)}),
+            ("no key", {"puts": (Change("customers." + "x" * 128, b"1"),)}),
+            ("no JSON", {"puts": (Change("zones", b"{"),)}),
+            ("not canonical", {"puts": (Change("zones", b'[ "a"]'),)}),
             ("twice", {"puts": (put, put)}),
-            ("4096 at most", {"puts": (Put("zones", canonical("x" * 4097)),)}),
+            ("4096 at most", {"puts": (Change("zones", canonical("x" * 4097)),)}),
             ("1 to 64", {"puts": ()}),
-            ("1 to 64", {"puts": tuple(Put(f"budgets.b{i}", b"1") for i in range(65))}),
+            ("1 to 64", {"puts": tuple(Change(f"budgets.b{i}", b"1") for i in range(65))}),
             (
                 "32768 at most",
-                {"puts": tuple(Put(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))},
+                {"puts": tuple(Change(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))},
             ),
             ("after the digest", {"revision": 2}),
             ("revision 0", {"revision": 0}),
             ("200 at most", {"reason": "x" * 201}),
         ):
-            with self.subTest(told, **change), self.assertRaisesRegex(Wrong, told):
-                group_at(encoded(msgspec.structs.replace(good, **change)))
-        with self.assertRaisesRegex(Wrong, "no group"):
-            group_at(b"\x01")
+            with self.subTest(told, **change), self.assertRaisesRegex(InvalidDocumentError, told):
+                decode_changeset(encode_document(msgspec.structs.replace(good, **change)))
+        with self.assertRaisesRegex(InvalidDocumentError, "no group"):
+            decode_changeset(b"\x01")
 
     def test_a_snapshot_out_of_order_or_without_its_groups_digest_is_refused(self):
         good = line_of({"customers.a": quota(5)}, {"budgets.b": 4}).snapshot()
-        self.assertEqual(snapshot_at(encoded(good)), good)
+        self.assertEqual(decode_snapshot(encode_document(good)), good)
         for bad in (
             Snapshot(2, good.digest, good.rows[::-1]),
             Snapshot(2, "", good.rows),
             Snapshot(0, good.digest, ()),
         ):
-            with self.assertRaises(Wrong):
-                snapshot_at(encoded(bad))
+            with self.assertRaises(InvalidDocumentError):
+                decode_snapshot(encode_document(bad))
 
 
 class StoreStory(unittest.TestCase):
@@ -279,7 +286,7 @@
             ({"budgets.b": 1, "customers.x": None}, {}),
             ({"budgets.b": 1, "members.x": None}, {}),
         ):
-            with self.subTest(puts, **more), self.assertRaises(Wrong):
+            with self.subTest(puts, **more), self.assertRaises(InvalidDocumentError):
                 store.append(msgspec.structs.replace(group_of(store, puts), **more))
             self.assertEqual(store.snapshot(), before)
 
@@ -300,15 +307,17 @@
 
     def test_a_member_is_removed_only_once_it_is_said_to_be_gone(self):
         store = line_of(members_of(1))
-        with self.assertRaisesRegex(Wrong, "gone"):
+        with self.assertRaisesRegex(InvalidDocumentError, "gone"):
             store.append(group_of(store, {"members.m0": None}))
         store.append(group_of(store, {"members.m0": {"region": "north", "gone": True}}))
         self.assertEqual((store.terms.members(), store.terms.gone()), ({}, ("m0",)))
         store.append(group_of(store, {"members.m0": None}))
 
     def test_rows_are_bounded(self):
-        store = Store(Snapshot(1, "0" * 32, tuple((f"budgets.b{i:05}", b"1") for i in range(documents.ROWS))))
-        with self.assertRaisesRegex(Wrong, "20000 at most"):
+        store = Store(
+            Snapshot(1, "0" * 32, tuple((f"budgets.b{i:05}", b"1") for i in range(documents.MAX_ENTRIES)))
+        )
+        with self.assertRaisesRegex(InvalidDocumentError, "20000 at most"):
             store.append(group_of(store, {"budgets.more": 1}))
         store.append(group_of(store, {"budgets.b00000": None, "budgets.more": 1}))
 
@@ -328,22 +337,22 @@
         ):
             with self.subTest(key, wide=wide, narrow=narrow):
                 one, two = canonical(wide), canonical(narrow)
-                self.assertEqual((allows(key, one, two), allows(key, two, one)), (False, True))
-                self.assertEqual(narrower(key, two, one), two)
-                self.assertTrue(allows(key, narrower(key, one, two), two))
+                self.assertEqual((permits(key, one, two), permits(key, two, one)), (False, True))
+                self.assertEqual(tighter(key, two, one), two)
+                self.assertTrue(permits(key, tighter(key, one, two), two))
         for key in ("customers.a", "schemes.s", "budgets.b"):
-            self.assertFalse(allows(key, b"1", None))
-            self.assertTrue(allows(key, None, b"1"))
-            self.assertIsNone(narrower(key, b"1", None))
-            self.assertIsNone(narrower(key, None, b"1"))
-        self.assertTrue(allows("customers.a", canonical({"portion": 0.5}), canonical({"portion": 0.1})))
+            self.assertFalse(permits(key, b"1", None))
+            self.assertTrue(permits(key, None, b"1"))
+            self.assertIsNone(tighter(key, b"1", None))
+            self.assertIsNone(tighter(key, None, b"1"))
+        self.assertTrue(permits("customers.a", canonical({"portion": 0.5}), canonical({"portion": 0.1})))
 
     def test_the_defaults_are_the_charters(self):
         from pathsaddle.config import schema
 
         for table, kind in (
-            ("customers", schema.Customer),
-            ("schemes", schema.Scheme),
+            ("customers", schema.TenantTable),
+            ("schemes", schema.RequestClassTable),
             ("rules", schema.Rules),
         ):
             defaults = dict(
@@ -354,10 +363,10 @@
                 )
             )
             self.assertEqual(
-                {limit.field for limit in LIMITS[table]} - set(defaults),
+                {limit.field for limit in LIMIT_RULES[table]} - set(defaults),
                 {"semantics"} if table == "schemes" else set(),
             )  # that one has to be written
-            for limit in LIMITS[table]:
+            for limit in LIMIT_RULES[table]:
                 if limit.field in defaults:
                     self.assertEqual(
                         limit.wide(limit.missing), limit.wide(defaults[limit.field]), limit.field
@@ -378,7 +387,7 @@
             kept.append((store.terms, dict(plain)))
             if chance.random() < 0.3:  # a branch off an older one, as an offer is
                 old, rows = chance.choice(kept)
-                made = old.after(Group(1, "", "", "", 0, (Put("zones", b"[1]"),)))
+                made = old.after(ChangeSet(1, "", "", "", 0, (Change("zones", b"[1]"),)))
                 self.assertEqual(made.rows(), rows | {"zones": b"[1]"})
             terms, rows = chance.choice(kept)
             self.assertEqual((terms.rows(), len(terms)), (rows, len(rows)))
@@ -387,11 +396,11 @@
             self.assertLessEqual(differ, set(terms.differing(other)))
             self.assertEqual(
                 terms.withdrawn(other, ""),
-                any(not allows(key, rows.get(key), others.get(key)) for key in rows),
+                any(not permits(key, rows.get(key), others.get(key)) for key in rows),
             )
 
     def test_no_customer_means_anybody_so_the_first_tightens_and_none_is_ever_left_by_narrowing(self):
-        none, a, b = Terms({}), Terms({"customers.a": b"{}"}), Terms({"customers.b": b"{}"})
+        none, a, b = ActiveTerms({}), ActiveTerms({"customers.a": b"{}"}), ActiveTerms({"customers.b": b"{}"})
         self.assertTrue(none.withdrawn(a, ""))
         self.assertFalse(a.withdrawn(none, ""))
         self.assertEqual(none.narrowed(a).rows(), a.rows())
@@ -408,7 +417,7 @@
                 if chance.random() < 0.6
             }
             rows |= {"budgets.x": canonical(chance.randrange(3))} if chance.random() < 0.7 else {}
-            return Terms(
+            return ActiveTerms(
                 rows
                 | (
                     {"rules": canonical({"cold_share": chance.choice((0.1, 0.3, 0.5))})}
@@ -433,7 +442,7 @@
     """versions.Keeper over rows, its history cut."""
 
     def keeper(self, *changes):
-        store, core = Store(), leased_versions.Keeper(LEASE, 0)
+        store, core = Store(), leased_versions.VersionServer(DEFAULT_LEASE, 0)
         for puts in changes:
             store.append(group_of(store, puts))
             core = core.reads(
@@ -450,21 +459,21 @@
     def test_what_is_in_force_is_where_history_begins_and_a_member_cleared_by_a_lease_is_found_by_it(self):
         store, core = self.keeper(members_of(2, **{"customers.a": quota(5)}))
         core = (
-            core.hears(leased_versions.Have("m0", 1, store.digest))
-            .hears(leased_versions.Have("m1", 1, store.digest))
+            core.hears(leased_versions.AppliedAck("m0", 1, store.digest))
+            .hears(leased_versions.AppliedAck("m1", 1, store.digest))
             .judged(0)
         )
         core = self.more(store, core, {"customers.a": quota(9)}, 10)
-        core = core.hears(leased_versions.Have("m0", 2, store.digest))
+        core = core.hears(leased_versions.AppliedAck("m0", 2, store.digest))
         self.assertEqual(core.waits_for(20), ("m1",))
-        later = 10 + surely(LEASE)
+        later = 10 + certain_lease_end(DEFAULT_LEASE)
         core = core.judged(later).cut(8)
         self.assertEqual((core.force, [one.number for one in core.history]), (2, [2]))
         # m1, which has 1 on disk (5), is within 2 (9); 3 (7) forbids nothing of 1, but what is kept can't tell: waited for.
         core = self.more(store, core, {"customers.a": quota(7)}, later)
         self.assertEqual(core.waits_for(10 * later), ("m0", "m1"))
-        core = core.hears(leased_versions.Have("m0", 3, store.digest)).hears(
-            leased_versions.Have("m1", 3, store.digest)
+        core = core.hears(leased_versions.AppliedAck("m0", 3, store.digest)).hears(
+            leased_versions.AppliedAck("m1", 3, store.digest)
         )
         self.assertEqual(core.judged(later).force, 3)
 
@@ -476,8 +485,8 @@
                 core = self.more(store, core, {"customers.a": quota(chance.randrange(1, 9))}, 1000 * (i + 1))
                 for name in chance.sample(["m0", "m1", "m2"], chance.randrange(4)):
                     revision = chance.randrange(1, store.revision + 1)
-                    core = core.hears(leased_versions.Have(name, revision, store.digest_at(revision)))
-            now = chance.randrange(0, 2 * LEASE)
+                    core = core.hears(leased_versions.AppliedAck(name, revision, store.digest_at(revision)))
+            now = chance.randrange(0, 2 * DEFAULT_LEASE)
             each = core.judged_each(now, {})
             self.assertEqual(each.force == core.known[0], not core.waits_for(now))
             agreed += each.force == core.known[0]
@@ -501,13 +510,15 @@
         for i in range(6, 20):
             core = self.more(store, core, {"customers.a": quota(i)}, i).cut(4)
         self.assertEqual(len(core.history), 4)
-        self.assertEqual(core.waits_for(10 * LEASE), ("m0",))
+        self.assertEqual(core.waits_for(10 * DEFAULT_LEASE), ("m0",))
 
     def test_a_history_of_3700_revisions_keeps_one(self):
         store, core = self.keeper(members_of(1, **{"customers.a": quota(5)}))
         for i in range(3700):
             core = self.more(store, core, {"customers.a": quota(6 + i)}, i)
-            core = core.hears(leased_versions.Have("m0", store.revision, store.digest)).judged(i).cut(256)
+            core = (
+                core.hears(leased_versions.AppliedAck("m0", store.revision, store.digest)).judged(i).cut(256)
+            )
             self.assertEqual(len(core.history), 1)
 
 
@@ -525,7 +536,7 @@
         return {
             name: machine.status(net.now)
             for name, machine in net.machines.items()
-            if isinstance(machine, Member)
+            if isinstance(machine, ConfigSubscriber)
         }
 
     def test_a_change_reaches_all_and_is_told_in_force_with_their_words(self):
@@ -598,7 +609,7 @@
         began = net.now
         net.commit({"customers.a": quota(9)})
         net.run(net.now + 15 * SECOND)
-        self.assertGreaterEqual(net.force(2), began + LEASE)
+        self.assertGreaterEqual(net.force(2), began + DEFAULT_LEASE)
         self.assertFalse(self.acting(net)["m0"].leased)
 
     def test_who_is_gone_by_the_operators_word_is_not_waited_for(self):
@@ -624,7 +635,7 @@
         began = len(net.sent)
         net.run(net.now + 5 * SECOND)
         self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].leased), (31, True))
-        self.assertNotIn("Piece", [row[4] for row in net.sent[began:] if row[2] == "m0"])
+        self.assertNotIn("Chunk", [row[4] for row in net.sent[began:] if row[2] == "m0"])
 
     def test_who_is_behind_the_log_gets_the_snapshot_in_pieces(self):
         net = self.fleet(7)
@@ -638,7 +649,7 @@
         net.starts_member("m0")
         net.run(net.now + 30 * SECOND)
         self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].leased), (9, True))
-        self.assertIn("Piece", [row[4] for row in net.sent])
+        self.assertIn("Chunk", [row[4] for row in net.sent])
         snapshot, log, _ = net.disks["m0"]
         self.assertEqual(Store(snapshot, log).terms.rows(), net.machines["k0"].store.terms.rows())
 
@@ -701,7 +712,7 @@
             net.commit({"customers.a": quota(3)}, within=5 * SECOND)
 
     def test_all_members_back_at_once_are_paid_from_the_purse(self):
-        net = self.fleet(14, count=30, purse=lambda now: Purse(13_000, 100, now))
+        net = self.fleet(14, count=30, rate_limiter=lambda now: RateLimiter(13_000, 100, now))
         for i in range(30):
             net.kill(f"m{i}")
         for value in range(20, 60):
@@ -721,7 +732,7 @@
     """One machine, its events handed in by hand."""
 
     def member(self, store, life=1):
-        made = Member("m0", "north", life, store, ("k0", "k1"), random.Random(1), Ample(), 0)
+        made = ConfigSubscriber("m0", "north", life, store, ("k0", "k1"), random.Random(1), Ample(), 0)
         made.asks(0)
         made.ready()
         return made
@@ -736,15 +747,15 @@
         store.append(first)
         second = group_of(store, {"customers.a": quota(4), "customers.b": quota(4)})
         store.append(second)
-        member.heard(Commit("k0", (3, store.digest), (second,)), 10)
+        member.heard(CommitNotice("k0", (3, store.digest), (second,)), 10)
         self.assertEqual(member.ready().writes, ())
         self.assertEqual(
             (member.status(10).revision, member.status(10).known, member.leased(10)), (1, 3, False)
         )
-        member.heard(Commit("k0", (2, digest_of(first)), (first,)), 20)
+        member.heard(CommitNotice("k0", (2, digest_of(first)), (first,)), 20)
         ready = member.ready()
         self.assertEqual([write.group for write in ready.writes], [first, second])
-        self.assertEqual(ready.out, (("k0", Have("m0", 3, store.digest)),))
+        self.assertEqual(ready.out, (("k0", AppliedAck("m0", 3, store.digest)),))
         self.assertEqual(
             {member.rows(20)[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
         )
@@ -752,7 +763,7 @@
     def test_a_faulty_group_leaves_nothing_and_is_told(self):
         store, member = self.start()
         bad = group_of(store, {"customers.a": quota(3), "customers.nobody": None})
-        member.heard(Commit("k0", (2, digest_of(bad)), (bad,)), 10)
+        member.heard(CommitNotice("k0", (2, digest_of(bad)), (bad,)), 10)
         ready = member.ready()
         self.assertEqual(([one.what for one in ready.told], ready.writes), (["refused"], ()))
         self.assertEqual(member.rows(10)["customers.a"], canonical(quota(5)))
@@ -760,7 +771,7 @@
     def test_a_group_after_another_digest_is_told_as_diverged(self):
         store, member = self.start()
         bad = msgspec.structs.replace(group_of(store, {"customers.a": quota(3)}), before="0" * 32)
-        member.heard(Commit("k0", (2, digest_of(bad)), (bad,)), 10)
+        member.heard(CommitNotice("k0", (2, digest_of(bad)), (bad,)), 10)
         self.assertIn("diverged", [one.what for one in member.ready().told])
 
     def test_a_commit_of_what_was_offered_is_written_before_it_is_acted_by(self):
@@ -768,115 +779,116 @@
             with self.subTest(how):
                 store, member = self.start()
                 group = group_of(store, {"customers.a": quota(9)})
-                member.heard(Offer("k0", group), 5)
+                member.heard(Proposal("k0", group), 5)
                 self.assertEqual(member.rows(5)["customers.a"], canonical(quota(5)))
                 known = (2, digest_of(group))
                 member.heard(
-                    Commit("k0", known) if how == "commit" else Renewal("k0", "m0", 1, 1, *known), 10
+                    CommitNotice("k0", known) if how == "commit" else LeaseRenewal("k0", "m0", 1, 1, *known),
+                    10,
                 )
                 ready = member.ready()
                 self.assertEqual([write.group for write in ready.writes], [group])
-                self.assertIn(("k0", Have("m0", *known)), ready.out)
+                self.assertIn(("k0", AppliedAck("m0", *known)), ready.out)
                 self.assertEqual(member.rows(10)["customers.a"], canonical(quota(9)))
 
     def test_a_lease_counts_from_the_asking_and_not_for_an_older_life(self):
         store, member = self.start()
-        member.heard(Renewal("k0", "m0", 0, 1, 1, store.digest), 10)
+        member.heard(LeaseRenewal("k0", "m0", 0, 1, 1, store.digest), 10)
         self.assertFalse(member.leased(10))
-        member.heard(Renewal("k0", "m0", 1, 1, 1, store.digest), 5000)
+        member.heard(LeaseRenewal("k0", "m0", 1, 1, 1, store.digest), 5000)
         self.assertTrue(member.leased(5000))
-        self.assertFalse(member.leased(LEASE))
+        self.assertFalse(member.leased(DEFAULT_LEASE))
         self.assertEqual(member.status(6000).age, 6000)
         self.assertEqual([one.what for one in member.ready().told], ["leased"])
-        member.wake(LEASE)
+        member.wake(DEFAULT_LEASE)
         self.assertIn("alone", [one.what for one in member.ready().told])
 
     def test_a_text_that_never_fits_does_not_go_to_and_fro(self):
         _, member = self.start()
         for i in range(50):
-            member.heard(Commit("k0", (5, "5" * 32)), 100 + i)
+            member.heard(CommitNotice("k0", (5, "5" * 32)), 100 + i)
         self.assertEqual(len(member.ready().out), 1)
 
     def test_bounds_that_are_reached_are_told(self):
         store, member = self.start()
         for i in range(6):
-            member.heard(Offer("k0", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
+            member.heard(Proposal("k0", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
         self.assertIn("full", [one.what for one in member.ready().told])
-        ahead = [Group(i, "0" * 32, "", "", 0, (Put("zones", b"[]"),)) for i in range(10, 80)]
-        member.heard(Commit("k0", (90, "9" * 32), tuple(ahead)), 20)
+        ahead = [ChangeSet(i, "0" * 32, "", "", 0, (Change("zones", b"[]"),)) for i in range(10, 80)]
+        member.heard(CommitNotice("k0", (90, "9" * 32), tuple(ahead)), 20)
         self.assertIn("full", [one.what for one in member.ready().told])
         for i in range(3):
-            member.heard(Announce("k0", SNAPSHOT, f"{i}" * 32, (90, "9" * 32), 5000), 30)
+            member.heard(ChunkManifest("k0", SNAPSHOT, f"{i}" * 32, (90, "9" * 32), 5000), 30)
         self.assertIn("full", [one.what for one in member.ready().told])
-        keeper = Keeper("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
-        for i in range(OFFERS + 1):
-            keeper.heard(Offer("k1", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
+        keeper = ConfigServer("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
+        for i in range(MAX_PROPOSALS + 1):
+            keeper.heard(Proposal("k1", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
         self.assertEqual([one.what for one in keeper.ready().told].count("full"), 1)
 
     def test_an_offer_that_others_follow_is_not_pushed_out(self):
         store, _ = self.start()
-        keeper = Keeper("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
+        keeper = ConfigServer("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
         first = group_of(store, {"customers.a": quota(3)})
-        keeper.heard(Offer("k1", first), 5)
+        keeper.heard(Proposal("k1", first), 5)
         store.append(first)
-        for i in range(2 * OFFERS):
-            keeper.heard(Offer("k1", group_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i)
+        for i in range(2 * MAX_PROPOSALS):
+            keeper.heard(Proposal("k1", group_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i)
         self.assertIn(digest_of(first), keeper.offers)
-        self.assertEqual(len(keeper.offers), OFFERS)
-        for i in range(2 * OFFERS):  # a line that no reading has shown as committed
+        self.assertEqual(len(keeper.offers), MAX_PROPOSALS)
+        for i in range(2 * MAX_PROPOSALS):  # a line that no reading has shown as committed
             group = group_of(store, {"customers.a": quota(i)})
-            keeper.heard(Offer("k1", group), 100 + i)
+            keeper.heard(Proposal("k1", group), 100 + i)
             store.append(group)
-        self.assertLessEqual(len(keeper.offers), OFFERS)
+        self.assertLessEqual(len(keeper.offers), MAX_PROPOSALS)
         self.assertIn(digest_of(first), keeper.offers)
 
     def test_one_datagram_that_is_lost_sends_nobody_to_another_keeper(self):
         """One in fifty lost, two hundred members were soon at keepers of other regions, for a minute each time."""
         store, _ = self.start()
-        member = Member("m0", "north", 1, store.copy(), ("k0", "k1"), random.Random(1), Ample(), 0)
+        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0", "k1"), random.Random(1), Ample(), 0)
         member.asks(0)
         self.assertEqual([(to, said.echo) for to, said in member.ready().out], [("k0", 1)])
-        due = member.wake(ANSWER // 2)
+        due = member.wake(ANSWER_TIMEOUT // 2)
         self.assertEqual([(to, said.echo) for to, said in member.ready().out], [("k0", 2)])
-        self.assertEqual(due, ANSWER)
-        member.heard(Renewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
+        self.assertEqual(due, ANSWER_TIMEOUT)
+        member.heard(LeaseRenewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
         self.assertGreater(member.wake(due), due)
         self.assertEqual((member.status(due).keeper, member.leased(due)), ("k0", True))
         member.asks(2 * SECOND)  # both lost
-        member.wake(2 * SECOND + ANSWER // 2)
+        member.wake(2 * SECOND + ANSWER_TIMEOUT // 2)
         member.ready()
-        member.wake(2 * SECOND + ANSWER)
+        member.wake(2 * SECOND + ANSWER_TIMEOUT)
         self.assertEqual([to for to, _ in member.ready().out], ["k1"])
 
     def test_who_leaves_a_keeper_doesnt_go_where_all_others_go(self):
-        """All went to the first by name: at 400 changes a minute it had half of 200 members, and no purse for them."""
+        """All went to the first by name: at 400 changes a minute it had half of 200 members, and no rate_limiter for them."""
         keepers = {f"k{i}": f"r{i}" for i in range(8)}
-        orders = [nearest(keepers, f"m{i}", "r3") for i in range(700)]
+        orders = [nearest_servers(keepers, f"m{i}", "r3") for i in range(700)]
         self.assertEqual({order[0] for order in orders}, {"k3"})
         seconds = [sum(order[1] == name for order in orders) for name in keepers if name != "k3"]
         self.assertTrue(all(60 < count < 140 for count in seconds), seconds)
         self.assertEqual(
-            orders, [nearest(dict(reversed(keepers.items())), f"m{i}", "r3") for i in range(700)]
+            orders, [nearest_servers(dict(reversed(keepers.items())), f"m{i}", "r3") for i in range(700)]
         )
 
     def test_an_asking_is_answered_only_by_a_reading_that_began_after_it(self):
         store, _ = self.start()
-        keeper = Keeper("k0", "north", 1, store.copy(), (), random.Random(1), Ample(), 0)
+        keeper = ConfigServer("k0", "north", 1, store.copy(), (), random.Random(1), Ample(), 0)
         number = keeper.begins(0)
-        keeper.heard(Asking("m0", 1, 1, 1, store.digest), 5)
+        keeper.heard(SyncRequest("m0", 1, 1, 1, store.digest), 5)
         keeper.read(number, 1, store.digest, 10)
-        self.assertEqual([said for _, said in keeper.ready().out if isinstance(said, Renewal)], [])
+        self.assertEqual([said for _, said in keeper.ready().out if isinstance(said, LeaseRenewal)], [])
         number = keeper.begins(20)
         keeper.unread(number, 30)
         self.assertTrue(keeper.waiting)
         number = keeper.begins(40)
         keeper.read(number, 1, store.digest, 50)
-        self.assertEqual([said.echo for _, said in keeper.ready().out if isinstance(said, Renewal)], [1])
+        self.assertEqual([said.echo for _, said in keeper.ready().out if isinstance(said, LeaseRenewal)], [1])
 
     def test_every_message_fits_its_form(self):
         for said in (
-            Asking("m0", 1, 2, 3, "0" * 32),
-            Commit("k0", (1, "1" * 32), (group_of(Store(), {"zones": []}),)),
+            SyncRequest("m0", 1, 2, 3, "0" * 32),
+            CommitNotice("k0", (1, "1" * 32), (group_of(Store(), {"zones": []}),)),
         ):
             self.assertEqual(decode(encode(said)), said)
             self.assertLess(size_of(said), 1200)
@@ -887,19 +899,19 @@
 
     def test_every_bound_holds_in_every_order(self):
         for allowances in (TIGHTER, LOOSER):
-            self.assertGreater(check(5, 2, allowances=allowances), 15_000)
-            self.assertGreater(check(7, 1, allowances=allowances), 10_000)
+            self.assertGreater(check_all(5, 2, allowances=allowances), 15_000)
+            self.assertGreater(check_all(7, 1, allowances=allowances), 10_000)
 
     def test_nor_does_one_break_where_both_groups_are_committed_together(self):
         for allowances in (TIGHTER, LOOSER):
-            self.assertGreater(check(5, 2, allowances=allowances, batch=True), 15_000)
-            self.assertGreater(check(6, 1, allowances=allowances, batch=True), 10_000)
+            self.assertGreater(check_all(5, 2, allowances=allowances, batch=True), 15_000)
+            self.assertGreater(check_all(6, 1, allowances=allowances, batch=True), 10_000)
             self.assertTrue(
                 any(walk(seed, 100, allowances=allowances, batch=True).force == 3 for seed in range(10))
             )
 
     def test_nor_is_who_was_left_behind_by_a_loosening_forgotten_by_a_tightening(self):
-        self.assertGreater(check(5, first=left_behind(), lives=2), 20_000)
+        self.assertGreater(check_all(5, first=left_behind(), lives=2), 20_000)
 
     def test_nor_in_orders_far_longer_drawn_by_chance(self):
         ended = [
@@ -912,16 +924,16 @@
         with contextlib.ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
-            with self.assertRaisesRegex(Forbidden, f"^{bound}: "):
+            with self.assertRaisesRegex(InvariantViolationError, f"^{bound}: "):
                 for seed in range(walks):
                     walk(seed, 120)
-                check(depth, members, **more)
+                check_all(depth, members, **more)
 
     def test_an_in_force_that_is_told_too_early_is_found(self):
         self.found(
             "in-force",
             mock.patch.object(
-                leased_versions.Keeper,
+                leased_versions.VersionServer,
                 "judged_each",
                 lambda core, now, memo: replace(core, force=core.known[0]),
             ),
@@ -933,7 +945,7 @@
         def append(store, group, terms=None):
             made = whole(store, group, terms)
             if group.revision > 1:
-                made = store.terms = Terms({**made.rows(), group.puts[1].key: canonical(quota(10))})
+                made = store.terms = ActiveTerms({**made.rows(), group.puts[1].key: canonical(quota(10))})
             return made
 
         self.found("whole", mock.patch.object(Store, "append", append))
@@ -941,20 +953,22 @@
     def test_a_word_before_the_disk_is_found(self):
         def ready(member):
             made = whole(member)
-            return msgspec.structs.replace(made, writes=()) if isinstance(member, Member) else made
+            return msgspec.structs.replace(made, writes=()) if isinstance(member, ConfigSubscriber) else made
 
-        whole = Member.ready
-        self.found("back", mock.patch.object(Member, "ready", ready))
+        whole = ConfigSubscriber.ready
+        self.found("back", mock.patch.object(ConfigSubscriber, "ready", ready))
 
     def test_half_of_a_batch_kept_is_found(self):
         def ready(member):
             made = whole(member)
             return (
-                msgspec.structs.replace(made, writes=made.writes[:1]) if isinstance(member, Member) else made
+                msgspec.structs.replace(made, writes=made.writes[:1])
+                if isinstance(member, ConfigSubscriber)
+                else made
             )
 
-        whole = Member.ready
-        self.found("back", mock.patch.object(Member, "ready", ready), batch=True)
+        whole = ConfigSubscriber.ready
+        self.found("back", mock.patch.object(ConfigSubscriber, "ready", ready), batch=True)
 
     def test_the_first_of_a_batch_acted_by_as_soon_as_it_is_offered_is_found(self):
         def offered(member, group, sender, now):
@@ -962,20 +976,20 @@
             if member.held:
                 member._committed((group.revision, digest_of(group)), (group,), sender, now)
 
-        whole = Member._offered
-        self.found("unborn", mock.patch.object(Member, "_offered", offered), batch=True)
+        whole = ConfigSubscriber._offered
+        self.found("unborn", mock.patch.object(ConfigSubscriber, "_offered", offered), batch=True)
 
     def test_a_commit_of_an_offer_that_is_acted_by_unkept_is_found(self):
         def knows(member, known):
-            member.holder = member.holder.told(leased_versions.Commit(*known))[0]
+            member.holder = member.holder.told(leased_versions.CommitNotice(*known))[0]
 
-        self.found("back", mock.patch.object(Member, "_knows", knows))
+        self.found("back", mock.patch.object(ConfigSubscriber, "_knows", knows))
 
     def test_an_offer_that_allows_is_found(self):
         self.found(
             "unborn",
             mock.patch.object(
-                Holder,
+                VersionSubscriber,
                 "narrowest",
                 lambda holder, right: right(holder.offers[-1].spec if holder.offers else holder.base.spec),
             ),
@@ -992,11 +1006,11 @@
             keeper.core = keeper.core.cut(8)
             judged(keeper, now)
 
-        whole, judged = leased_versions.Keeper.cut, Keeper.judges
+        whole, judged = leased_versions.VersionServer.cut, ConfigServer.judges
         self.found(
             "in-force",
-            mock.patch.object(leased_versions.Keeper, "cut", cut),
-            mock.patch.object(Keeper, "judges", judges),
+            mock.patch.object(leased_versions.VersionServer, "cut", cut),
+            mock.patch.object(ConfigServer, "judges", judges),
             depth=7,
         )
 
--- a/tests/test_settings_disk.py
+++ b/tests/test_settings_disk.py
@@ -9,25 +9,25 @@
 import msgspec
 
 from pathsaddle.settings import datagrams, disk
-from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.documents import Group, Put, canonical, digest_of
-from pathsaddle.settings.errors import NoDisk
+from pathsaddle.settings.disk import SettingsDirectory
+from pathsaddle.settings.documents import Change, ChangeSet, canonical, digest_of
+from pathsaddle.settings.errors import StorageError
 from pathsaddle.settings.store import Store
 from pathsaddle.settings.sync import (
-    GROUP,
-    OFFERS,
-    PIECE,
-    Announce,
-    Asking,
-    Commit,
-    Have,
-    Haves,
-    Kept,
-    Offer,
-    Piece,
-    Renewal,
-    Want,
-    Write,
+    CHANGESET,
+    CHUNK_BYTES,
+    MAX_PROPOSALS,
+    AppliedAck,
+    AppliedSummary,
+    Chunk,
+    ChunkManifest,
+    ChunkRequest,
+    CommitNotice,
+    DiskWrite,
+    LeaseRenewal,
+    Proposal,
+    ProposalAck,
+    SyncRequest,
     size_of,
 )
 
@@ -38,13 +38,13 @@
     """Groups that follow one another."""
     found = []
     for revision in range(first, first + count):
-        group = Group(
+        group = ChangeSet(
             revision,
             before,
             "a",
             "r",
             0,
-            (Put(f"customers.c{revision % 7}", canonical({"allowance": revision})),),
+            (Change(f"customers.c{revision % 7}", canonical({"allowance": revision})),),
         )
         found.append(group)
         before = digest_of(group)
@@ -57,17 +57,17 @@
     def said(self):
         group = line(1)[0]
         return [
-            Asking("m", 1, 2, 3, self.D),
-            Asking("m", 1, 2, 0, ""),
-            Renewal("k", "m", 1, 2, 3, self.D),
-            Offer("k", group),
-            Kept("k", 1, self.D),
-            Commit("k", (1, self.D), (group,)),
-            Have("m", 1, self.D),
-            Haves("k", ((1, self.D, ("m", "n")),)),
-            Announce("k", GROUP, self.D, (1, self.D), 3000, True),
-            Want("m", GROUP, self.D, 0, 8),
-            Piece("k", GROUP, self.D, 2, b"x" * PIECE),
+            SyncRequest("m", 1, 2, 3, self.D),
+            SyncRequest("m", 1, 2, 0, ""),
+            LeaseRenewal("k", "m", 1, 2, 3, self.D),
+            Proposal("k", group),
+            ProposalAck("k", 1, self.D),
+            CommitNotice("k", (1, self.D), (group,)),
+            AppliedAck("m", 1, self.D),
+            AppliedSummary("k", ((1, self.D, ("m", "n")),)),
+            ChunkManifest("k", CHANGESET, self.D, (1, self.D), 3000, True),
+            ChunkRequest("m", CHANGESET, self.D, 0, 8),
+            Chunk("k", CHANGESET, self.D, 2, b"x" * CHUNK_BYTES),
         ]
 
     def test_each_message_comes_as_it_went_and_takes_the_bytes_that_the_purse_paid(self):
@@ -88,24 +88,24 @@
             ("newer", newer),
         ]
         for said in (
-            Asking("", 1, 2, 3, self.D),
-            Asking("m" * 65, 1, 2, 3, self.D),
-            Have("m", 0, self.D),
-            Have("m", 3, ""),
-            Have("m", -1, ""),
-            Commit("k", (1, "")),
-            Piece("k", 2, self.D, 0, b"x"),
-            Piece("k", GROUP, self.D, -1, b""),
-            Piece("k", GROUP, self.D, 0, b"x" * (PIECE + 1)),
-            Want("m", GROUP, self.D, 0, 0),
-            Announce("k", GROUP, "d", (1, self.D), 3),
-            Haves("k", ((1, "x", ("m",)),)),
+            SyncRequest("", 1, 2, 3, self.D),
+            SyncRequest("m" * 65, 1, 2, 3, self.D),
+            AppliedAck("m", 0, self.D),
+            AppliedAck("m", 3, ""),
+            AppliedAck("m", -1, ""),
+            CommitNotice("k", (1, "")),
+            Chunk("k", 2, self.D, 0, b"x"),
+            Chunk("k", CHANGESET, self.D, -1, b""),
+            Chunk("k", CHANGESET, self.D, 0, b"x" * (CHUNK_BYTES + 1)),
+            ChunkRequest("m", CHANGESET, self.D, 0, 0),
+            ChunkManifest("k", CHANGESET, "d", (1, self.D), 3),
+            AppliedSummary("k", ((1, "x", ("m",)),)),
         ):
             bad.append(("cut", datagrams.encode(said, KEY)))
         for why, one in bad:
-            with self.subTest(why), self.assertRaisesRegex(datagrams.Refused, why):
+            with self.subTest(why), self.assertRaisesRegex(datagrams.DatagramRejectedError, why):
                 datagrams.decode(one, KEY)
-        with self.assertRaisesRegex(datagrams.Refused, "stranger"):
+        with self.assertRaisesRegex(datagrams.DatagramRejectedError, "stranger"):
             datagrams.decode(data, b"another key of ours")
 
     def test_bytes_that_chance_changed_are_refused_and_nothing_else_is_raised(self):
@@ -117,8 +117,8 @@
             data = bytes(body) + datagrams.hmac.digest(KEY, bytes(body), "sha256")[:16]
             try:
                 datagrams.decode(data, KEY)
-            except datagrams.Refused as why:
-                self.assertIn(str(why), datagrams.REASONS)
+            except datagrams.DatagramRejectedError as why:
+                self.assertIn(str(why), datagrams.REJECTION_REASONS)
 
 
 class FolderStory(unittest.TestCase):
@@ -128,14 +128,14 @@
         self.path = Path(folder.name) / "m0"
 
     def folder(self, keep=1024):
-        made = Folder(self.path, "m0", "members.m0.disk in ground.toml", keep=keep)
+        made = SettingsDirectory(self.path, "m0", "members.m0.disk in ground.toml", keep=keep)
         self.addCleanup(made.close)
         return made
 
     def test_what_was_written_is_there_again_and_the_life_grows(self):
         folder, groups = self.folder(), line(5)
-        folder.write([Write(one) for one in groups[:3]])
-        folder.write([Write(groups[3]), Write(groups[4], committed=False)])
+        folder.write([DiskWrite(one) for one in groups[:3]])
+        folder.write([DiskWrite(groups[3]), DiskWrite(groups[4], committed=False)])
         self.assertEqual(folder.life(50), 50)
         again = self.folder()
         self.assertEqual((again.store.revision, again.store.digest), (4, digest_of(groups[3])))
@@ -146,36 +146,38 @@
     def test_a_snapshot_takes_the_place_of_rows_and_log_and_what_follows_follows_it(self):
         folder, groups = self.folder(), line(9)
         there = Store(None, groups[:7])
-        folder.write([Write(one) for one in groups[:3]])
-        folder.write([Write(snapshot=there.snapshot()), Write(groups[7])])
+        folder.write([DiskWrite(one) for one in groups[:3]])
+        folder.write([DiskWrite(snapshot=there.snapshot()), DiskWrite(groups[7])])
         again = self.folder()
         self.assertEqual((again.store.revision, len(again.store.log)), (8, 1))
         self.assertEqual(again.store.snapshot(), Store(None, groups[:8]).snapshot())
 
     def test_a_crash_between_the_snapshots_rename_and_the_logs_leaves_the_snapshot(self):
         folder, groups = self.folder(), line(9)
-        folder.write([Write(one) for one in groups[:7]])
-        folder._replaces("snapshot", disk.framed(disk.encoded(Store(None, groups[:5]).snapshot())))
+        folder.write([DiskWrite(one) for one in groups[:7]])
+        folder._replaces("snapshot", disk.framed(disk.encode_document(Store(None, groups[:5]).snapshot())))
         again = self.folder()
         self.assertEqual((again.store.revision, [one for _, one in again.store.log]), (7, groups[5:7]))
-        folder._replaces("snapshot", disk.framed(disk.encoded(Store(None, groups[:9]).snapshot())))
+        folder._replaces("snapshot", disk.framed(disk.encode_document(Store(None, groups[:9]).snapshot())))
         self.assertEqual((self.folder().store.revision, self.folder().store.log), (9, ()))
 
     def test_offers_keep_their_order_the_latest_few_and_go_with_their_revision(self):
         folder, first = self.folder(), line(1)[0]
-        offers = [Group(2, digest_of(first), "a", str(i), i, first.puts) for i in range(OFFERS + 3)]
-        folder.write([Write(first)])
+        offers = [
+            ChangeSet(2, digest_of(first), "a", str(i), i, first.puts) for i in range(MAX_PROPOSALS + 3)
+        ]
+        folder.write([DiskWrite(first)])
         for one in offers:
-            folder.write([Write(one, committed=False)])
-        self.assertEqual(self.folder().offers, offers[-OFFERS:])
-        folder.write([Write(offers[0])])
+            folder.write([DiskWrite(one, committed=False)])
+        self.assertEqual(self.folder().offers, offers[-MAX_PROPOSALS:])
+        folder.write([DiskWrite(offers[0])])
         self.assertEqual(self.folder().offers, [])
 
     def test_the_log_is_compacted_and_stays_bounded(self):
         folder, groups = self.folder(keep=4), line(40)
         sizes = []
         for one in groups:
-            folder.write([Write(one)])
+            folder.write([DiskWrite(one)])
             sizes.append((self.path / "log").stat().st_size)
         again = self.folder(keep=4)
         self.assertEqual(again.store.snapshot(), Store(None, groups).snapshot())
@@ -184,9 +186,9 @@
 
     def test_cut_anywhere_in_the_last_frame_all_before_it_is_there_and_the_tail_is_gone_for_good(self):
         folder, groups = self.folder(), line(4)
-        folder.write([Write(one) for one in groups[:2]])
+        folder.write([DiskWrite(one) for one in groups[:2]])
         before = (self.path / "log").stat().st_size
-        folder.write([Write(one) for one in groups[2:]])
+        folder.write([DiskWrite(one) for one in groups[2:]])
         whole = (self.path / "log").read_bytes()
         torn = [whole[:at] for at in range(before, len(whole))]
         torn += [whole[:at] + bytes(len(whole) - at) for at in range(before + disk.HEAD, len(whole) - 1, 7)]
@@ -196,19 +198,19 @@
             again = self.folder()
             self.assertEqual(again.store.revision, 2)
             self.assertEqual((self.path / "log").stat().st_size, before)
-            again.write([Write(groups[2])])
+            again.write([DiskWrite(groups[2])])
             self.assertEqual(self.folder().store.revision, 3)
 
     def test_anything_else_that_is_wrong_is_an_error_that_says_where_and_what_to_do(self):
         folder, groups = self.folder(), line(6)
-        folder.write([Write(groups[0])])
-        folder.write([Write(groups[1])])
-        folder.write([Write(groups[2]), Write(groups[4], committed=False)])
+        folder.write([DiskWrite(groups[0])])
+        folder.write([DiskWrite(groups[1])])
+        folder.write([DiskWrite(groups[2]), DiskWrite(groups[4], committed=False)])
         log, offers = (self.path / "log").read_bytes(), (self.path / "offers").read_bytes()
         chance = random.Random(3)
-        one = len(disk.framed(disk._encode([disk.encoded(groups[0])])))
+        one = len(disk.framed(disk._encode([disk.encode_document(groups[0])])))
         for at in sorted(chance.sample(range(2 * one), 60)):
-            with self.subTest(at), self.assertRaises(NoDisk) as caught:
+            with self.subTest(at), self.assertRaises(StorageError) as caught:
                 (self.path / "log").write_bytes(log[:at] + bytes((log[at] ^ 0x11,)) + log[at + 1 :])
                 self.folder()
             self.assertIn("members.m0.disk in ground.toml", str(caught.exception))
@@ -218,11 +220,11 @@
             ("offers", offers[:-1]),
             ("snapshot", b"x"),
             ("snapshot", disk.framed(b"x")),
-            ("snapshot", disk.framed(disk.encoded(Store(None, line(1, 1)).snapshot())) * 2),
+            ("snapshot", disk.framed(disk.encode_document(Store(None, line(1, 1)).snapshot())) * 2),
             ("log", log[one:]),
             ("log", log + log[:one]),
         ):
-            with self.subTest(name), self.assertRaises(NoDisk):
+            with self.subTest(name), self.assertRaises(StorageError):
                 (self.path / name).write_bytes(data)
                 self.folder()
             (self.path / "offers").write_bytes(offers)
@@ -234,13 +236,13 @@
         folder = self.folder()
         with (
             mock.patch.object(disk.os, "fsync", side_effect=OSError(28, "No space left on device")),
-            self.assertRaises(NoDisk) as caught,
+            self.assertRaises(StorageError) as caught,
         ):
-            folder.write([Write(line(1)[0])])
+            folder.write([DiskWrite(line(1)[0])])
         self.assertIn("no space left", str(caught.exception))
         (self.path.parent / "file").write_text("")
-        with self.assertRaises(NoDisk):
-            Folder(self.path.parent / "file", "m0", "x")
+        with self.assertRaises(StorageError):
+            SettingsDirectory(self.path.parent / "file", "m0", "x")
 
 
 if __name__ == "__main__":
--- a/tests/test_settings_driver.py
+++ b/tests/test_settings_driver.py
@@ -8,17 +8,17 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.consensus.udp_driver import steady
-from pathsaddle.fleet.rate_limiter import Purse
-from pathsaddle.settings.disk import Folder
-from pathsaddle.settings.documents import Group, Put, canonical, digest_of
-from pathsaddle.settings.driver import MemberDriver, Told
-from pathsaddle.settings.errors import NoDisk
-from pathsaddle.settings.sync import Commit, Have, Member, Write
+from pathsaddle.consensus.udp_driver import monotonic_ticks
+from pathsaddle.fleet.rate_limiter import RateLimiter
+from pathsaddle.settings.disk import SettingsDirectory
+from pathsaddle.settings.documents import Change, ChangeSet, canonical, digest_of
+from pathsaddle.settings.driver import ConfigSubscriberDriver, DriverConfig
+from pathsaddle.settings.errors import StorageError
+from pathsaddle.settings.sync import AppliedAck, CommitNotice, ConfigSubscriber, DiskWrite
 
 KEY = b"sixteen bytes or more"
-ONE = Group(1, "", "a", "r", 0, (Put("customers.a", canonical({"allowance": 9})),))
-TWO = Group(2, digest_of(ONE), "a", "r", 0, (Put("customers.a", canonical({"allowance": 5})),))
+ONE = ChangeSet(1, "", "a", "r", 0, (Change("customers.a", canonical({"allowance": 9})),))
+TWO = ChangeSet(2, digest_of(ONE), "a", "r", 0, (Change("customers.a", canonical({"allowance": 5})),))
 
 
 class DriverStory(unittest.IsolatedAsyncioTestCase):
@@ -26,11 +26,13 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path, self.seen, self.said = Path(folder.name) / "m", [], []
-        disk = Folder(self.path, "m", "x")
-        disk.write([Write(ONE)])
+        disk = SettingsDirectory(self.path, "m", "x")
+        disk.write([DiskWrite(ONE)])
         disk.close()
-        told = Told("m", "r", KEY, "127.0.0.1:0", {"k": "127.0.0.1:9"}, self.path, "members.m in x")
-        self.driver = MemberDriver(told, Random(1), lambda what, **more: self.seen.append((what, more)))
+        told = DriverConfig("m", "r", KEY, "127.0.0.1:0", {"k": "127.0.0.1:9"}, self.path, "members.m in x")
+        self.driver = ConfigSubscriberDriver(
+            told, Random(1), lambda what, **more: self.seen.append((what, more))
+        )
         self.acting = []
         self.driver.hear.append(lambda acting: self.acting.append(acting.revision))
         await self.driver.begin()
@@ -49,7 +51,7 @@
             await asyncio.sleep(0.01)
 
     def commits(self):
-        self.driver._hears(Commit("k", (2, digest_of(TWO)), (TWO,)))
+        self.driver._hears(CommitNotice("k", (2, digest_of(TWO)), (TWO,)))
 
     async def test_it_acts_and_speaks_by_a_revision_once_that_is_on_disk_and_not_before(self):
         write = self.driver.folder.write
@@ -76,7 +78,7 @@
 
     async def test_a_fault_of_the_machine_is_told_by_name_and_it_is_made_anew_from_its_disk(self):
         life = self.driver.life
-        with mock.patch.object(Member, "_committed", side_effect=ZeroDivisionError("ours")):
+        with mock.patch.object(ConfigSubscriber, "_committed", side_effect=ZeroDivisionError("ours")):
             self.commits()
         self.assertEqual(
             [more["why"] for what, more in self.seen if what == "driver.fault"], ["ZeroDivisionError: ours"]
@@ -92,15 +94,15 @@
     async def test_a_disk_that_fails_ends_it_with_nothing_said_of_it_and_what_it_acted_by_stays(self):
         said = []
         with (
-            mock.patch.object(self.driver.folder, "write", side_effect=NoDisk("full", "make room")),
+            mock.patch.object(self.driver.folder, "write", side_effect=StorageError("full", "make room")),
             mock.patch.object(self.driver, "_does", side_effect=lambda made, acting: said.append(made)),
         ):
             self.commits()
             await self.until(self.driver.ended.is_set)
-        self.assertFalse([one for made in said for _, one in made.out if isinstance(one, Have)])
+        self.assertFalse([one for made in said for _, one in made.out if isinstance(one, AppliedAck)])
         self.assertEqual((self.acting, self.driver.acting.revision, self.driver.leased()), ([1], 1, False))
-        self.assertIsInstance(self.driver.fault, NoDisk)
-        again = Folder(self.path, "m", "x")
+        self.assertIsInstance(self.driver.fault, StorageError)
+        again = SettingsDirectory(self.path, "m", "x")
         self.addCleanup(again.close)
         self.assertEqual(again.store.revision, 1)
 
@@ -110,12 +112,14 @@
         with mock.patch("pathsaddle.settings.driver.encode", side_effect=lambda said, key: said):
             self.commits()
             await self.until(self.driver.ended.is_set)
-        self.assertEqual([one for one in self.said if isinstance(one, Have)], [])
+        self.assertEqual([one for one in self.said if isinstance(one, AppliedAck)], [])
         self.assertIn("revision 2 could not be taken into service", str(self.driver.fault))
         self.assertFalse(self.driver.leased())
 
     async def test_all_that_it_sends_is_paid_by_its_purse(self):
-        self.driver.purse = self.driver.core.purse = Purse(100, 1, steady())  # half of it: not one asking
+        self.driver.rate_limiter = self.driver.core.rate_limiter = RateLimiter(
+            100, 1, monotonic_ticks()
+        )  # half of it: not one asking
         self.said.clear()
         for _ in range(5):
             self.driver._turn(lambda core, now: core.asks(now) or now)
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -25,8 +25,8 @@
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.errors import Error
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.settings.control_client import ask
-from pathsaddle.settings.documents import hashed
+from pathsaddle.settings.control_client import query
+from pathsaddle.settings.documents import content_hash
 from tests.ports import tcp_port
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -270,7 +270,7 @@
     def status(self, name):
         """Of a process that may not be there, or not yet."""
         try:
-            return ask(self.control[name], "status", 2.0)
+            return query(self.control[name], "status", 2.0)
         except Error as fault:
             return {"proved_ms": None, "revision": None, "force": None, "leased": None, "error": str(fault)}
 
@@ -327,7 +327,11 @@
                     else:
                         values[key] = value.encode()
                 told.append(
-                    Event(row.at, "set", {**row.more, "whole": hashed(repr(sorted(values.items())).encode())})
+                    Event(
+                        row.at,
+                        "set",
+                        {**row.more, "whole": content_hash(repr(sorted(values.items())).encode())},
+                    )
                 )
             elif row.what in ("force", "acts"):
                 told.append(Event(row.at, row.what, {**row.more, "name": row.more["who"]}))
@@ -435,7 +439,7 @@
     def test_without_a_majority_of_voters_it_is_said_and_nothing_is_left(self):
         self.signals(signal.SIGSTOP, "k1", "k2")
         with self.assertRaises(Error) as caught:
-            ask(self.control["k0"], "apply", 20.0, rows={"customers.c3": {"allowance": 1}}, within=2.0)
+            query(self.control["k0"], "apply", 20.0, rows={"customers.c3": {"allowance": 1}}, within=2.0)
         self.assertEqual((caught.exception.name, caught.exception.code), ("settings.no-majority", 1))
         self.assertIn("nothing was committed", str(caught.exception))
         self.until(lambda: not any(self.status(name)["leased"] for name in MEMBERS), "all go on alone")
@@ -451,7 +455,7 @@
         )
         self.assertEqual(done.returncode, 0, done)
         self.acts(2, *MEMBERS)
-        told = ask(self.control["k2"], "get", key="customers")
+        told = query(self.control["k2"], "get", key="customers")
         self.assertEqual([told["rows"][f"customers.c{i}"]["allowance"] for i in (3, 4)], [100, 7])
         self.assertEqual(
             {
@@ -480,7 +484,7 @@
         ]
         self.assertEqual((began["revision"], began["rows"]), (2, 10))
         self.assertGreater(began["age_ms"], 0)
-        rows = ask(self.control["m0"], "get", key="customers.c5")["rows"]
+        rows = query(self.control["m0"], "get", key="customers.c5")["rows"]
         self.assertEqual(rows, {"customers.c5": {"allowance": 3}})
         done = self.cli("status", "--at", str(self.ground))
         self.assertEqual((done.returncode, "[settings.unreached]" in done.stderr), (1, True), done)
@@ -503,7 +507,7 @@
 
         def author(one):
             try:
-                told[one["reason"]] = ask(self.control["k0"], "apply", 40.0, within=30.0, **one)
+                told[one["reason"]] = query(self.control["k0"], "apply", 40.0, within=30.0, **one)
             except Error as fault:
                 told[one["reason"]] = fault
 
@@ -518,7 +522,7 @@
         )
         self.assertEqual(sorted(told[f"n{i}"]["revision"] for i in range(6)), list(range(2, 8)))
         self.acts(7, *MEMBERS)
-        rows = ask(self.control["k2"], "get", key="customers")["rows"]
+        rows = query(self.control["k2"], "get", key="customers")["rows"]
         self.assertEqual([rows[f"customers.c{i}"]["allowance"] for i in range(6)], list(range(10, 16)))
         groups = {row.more["revision"]: row.more["reason"] for row in self.good() if row.what == "group"}
         self.assertEqual(
@@ -533,7 +537,7 @@
     voters_relayed = True
 
     def changes(self, at, revision, key, most, within=30.0):
-        told = ask(self.control[at], "apply", within + 10.0, rows={key: {"allowance": most}}, within=within)
+        told = query(self.control[at], "apply", within + 10.0, rows={key: {"allowance": most}}, within=within)
         self.assertEqual((told["revision"], told["changed"]), (revision, True))
 
     def test_one_voter_of_three_hears_nobody_or_is_heard_by_nobody_and_changes_go_on(self):
@@ -554,19 +558,19 @@
 
     def test_no_voter_hears_who_commits_nothing_is_committed_and_members_go_on(self):
         with self.voters.cut(*(("", name) for name in KEEPERS)), self.assertRaises(Error) as caught:
-            ask(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=2.0)
+            query(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=2.0)
         self.assertEqual(caught.exception.name, "settings.no-majority")
         self.assertEqual({self.status(name)["revision"] for name in MEMBERS}, {1})
         self.changes("k1", 2, "customers.c1", 2)
         self.acts(2, *MEMBERS)
-        rows = ask(self.control["m0"], "get", key="customers")["rows"]
+        rows = query(self.control["m0"], "get", key="customers")["rows"]
         self.assertEqual([rows[f"customers.c{i}"]["allowance"] for i in (0, 1)], [100, 2])
         self.good()
 
     def test_who_commits_hears_no_voter_and_what_may_have_been_taken_is_told_as_such_or_never_was(self):
         """The answers are lost, not the askings: a change may stand in the register while its author hears nothing."""
         with self.voters.cut(*((name, "") for name in KEEPERS)), self.assertRaises(Error) as caught:
-            ask(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=2.0)
+            query(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=2.0)
         self.assertEqual(caught.exception.name, "settings.no-majority")
         self.changes("k1", 2, "customers.c1", 2)  # nobody owned the key, so nothing had been taken
         self.acts(2, *MEMBERS)
@@ -575,9 +579,9 @@
     def test_each_voter_hears_one_of_the_two_others_and_a_change_may_stand_though_nobody_can_tell(self):
         """No pair has both its ways, so no keeper has a majority that answers; who commits reaches all three."""
         with self.voters.cut(("k0", "k1"), ("k1", "k2"), ("k2", "k0")), self.assertRaises(Error) as caught:
-            ask(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=3.0)
+            query(self.control["k0"], "apply", 20.0, rows={"customers.c0": {"allowance": 1}}, within=3.0)
         self.assertEqual(caught.exception.name, "settings.no-majority")
-        told = ask(self.control["k1"], "apply", 40.0, rows={"customers.c0": {"allowance": 1}}, within=30.0)
+        told = query(self.control["k1"], "apply", 40.0, rows={"customers.c0": {"allowance": 1}}, within=30.0)
         self.assertEqual(
             told["revision"], 2, "applied again it is the same change, whether the first stood or not"
         )
@@ -614,7 +618,7 @@
 
     def changes(self, at, revision, **rows):
         """Committed at that keeper as that revision."""
-        told = ask(
+        told = query(
             self.control[at],
             "apply",
             40.0,
@@ -675,7 +679,7 @@
 
         def author(i):
             with self.assertRaises(Error) as caught:
-                ask(
+                query(
                     self.control["k0"],
                     "apply",
                     40.0,
@@ -695,14 +699,14 @@
         self.assertEqual(told, ["settings.unreached"] * 3)
         for cut in cuts:
             self.ways.mend(cut)
-        held = ask(self.control["m0"], "get", key="customers")
+        held = query(self.control["m0"], "get", key="customers")
         self.assertEqual(
             (held["revision"], sorted(row["allowance"] for row in held["rows"].values())[1:]), (1, [100] * 5)
         )
         self.assertEqual({self.status(name)["known"] for name in ("k1", "k2")}, {1})
         self.changes("k1", 2, c4=7)  # what it may do until then is what both allow
         self.acts(2, *MEMBERS)
-        rows = ask(self.control["m0"], "get", key="customers")["rows"]
+        rows = query(self.control["m0"], "get", key="customers")["rows"]
         self.assertEqual(
             [rows[f"customers.c{i}"]["allowance"] for i in range(6)], [100, 100, 100, 100, 7, 100]
         )
@@ -724,7 +728,7 @@
         def author(number, moment, at, key, most):
             pause.wait(max(0.0, began + moment - time.monotonic()))
             try:
-                told[number] = ask(
+                told[number] = query(
                     self.control[at],
                     "apply",
                     40.0,
--- a/tests/test_settings_serve.py
+++ b/tests/test_settings_serve.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import ClassVar
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.errors import Error
-from pathsaddle.settings.configuration import fitting
-from pathsaddle.settings.control_client import ask
+from pathsaddle.settings.configuration import check_consistency
+from pathsaddle.settings.control_client import query
 from tests.test_program import ROOT
 from tests.test_settings_processes import free
 from tests.test_shutdown import READY, Shutdown, job
@@ -113,7 +113,7 @@
 
     async def status(self, name: str) -> dict:
         try:
-            return await asyncio.to_thread(ask, self.control[name], "status", 2.0)
+            return await asyncio.to_thread(query, self.control[name], "status", 2.0)
         except Error as fault:
             return {"error": str(fault)}
 
@@ -275,29 +275,29 @@
 
     def test_what_fits_in_some_charter_fits_and_what_only_a_members_charter_tells_is_not_judged(self) -> None:
         for rows in (self.ROWS, {}, {"members.d0": b'{"region":"north"}'}):
-            charter, judged = fitting(rows)
+            charter, judged = check_consistency(rows)
             self.assertLessEqual(rows.items(), judged.items())
         self.assertEqual([one.name for one in charter.schemes], ["any"])
 
     def test_what_was_judged_before_is_not_read_again_and_never_stands_for_a_row_that_went(self) -> None:
-        before = fitting(self.ROWS)
+        before = check_consistency(self.ROWS)
         changed = {**self.ROWS, "customers.nova": b'{"allowance":7}'}
         del changed["rules"], changed["zones"], changed["budgets.gpu"]
-        charter, _ = fitting(changed, before)
-        anew, _ = fitting(changed)
+        charter, _ = check_consistency(changed, before)
+        anew, _ = check_consistency(changed)
         self.assertEqual(charter, anew)
         self.assertIs(charter.customers[0], before[0].customers[0])
 
     def test_what_fits_in_no_charter_is_named_a_line_each(self) -> None:
-        before = fitting(self.ROWS)
+        before = check_consistency(self.ROWS)
         for more, keys in (
             ({"zones": b'["a","a"]'}, ["zones"]),
             ({f"budgets.b{i}": b"1" for i in range(16)}, ["budgets"]),
             ({"budgets.gpu": b"2000000", "budgets.tpu": b"0"}, ["budgets.gpu", "budgets.tpu"]),
         ):
             for known in (None, before):
-                with self.assertRaises(Faulty) as caught:
-                    fitting({**self.ROWS, **more}, known)
+                with self.assertRaises(InvalidConfigError) as caught:
+                    check_consistency({**self.ROWS, **more}, known)
                 self.assertEqual([key for key in keys if key in str(caught.exception)], keys)
                 self.assertEqual(len(caught.exception.faults), len(keys))
 
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.hollow import settings as hollow
 from pathsaddle.emulator.settings import smoke
@@ -148,7 +148,7 @@
             'ground = "settings"\nname = "x"\nseed = 3\n',
         ):
             wrong.write_text(text)
-            with self.assertRaises(Faulty):
+            with self.assertRaises(InvalidConfigError):
                 smoke.read(wrong)
 
     def test_a_finding_is_an_exit_of_one(self) -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,14 +6,14 @@
 from unittest import mock
 
 from pathsaddle.fleet.quota import model_checker
-from pathsaddle.fleet.quota.leases import Loan, State, born
+from pathsaddle.fleet.quota.leases import Lease, QuotaLedger, new_ledger
 
 LEASE = 10_000
 
 
 class SharesStory(unittest.TestCase):
     def two(self):
-        return born("a", 1, 10, LEASE, -9 * LEASE), born("b", 1, 10, LEASE, -9 * LEASE)
+        return new_ledger("a", 1, 10, LEASE, -9 * LEASE), new_ledger("b", 1, 10, LEASE, -9 * LEASE)
 
     def test_what_is_lent_is_out_of_its_owners_use_before_it_is_in_the_takers(self):
         a, b = self.two()
@@ -41,12 +41,12 @@
         self.assertEqual(a.asked_by(want, 9, 100)[1], None)
         hour = 3600 * 10_000
         self.assertEqual(b.lent_by(lend, hour).usable(hour), 10)
-        again = born("b", 2, 10, LEASE, 300)
+        again = new_ledger("b", 2, 10, LEASE, 300)
         self.assertEqual(again.lent_by(lend, 300).usable(300 + 2 * LEASE), 10)
         self.assertEqual(again.lent_by(lend, 300).held, ())
 
     def test_an_owner_that_begins_anew_does_not_use_what_its_old_life_may_have_lent(self):
-        a = born("a", 2, 10, LEASE, 0)
+        a = new_ledger("a", 2, 10, LEASE, 0)
         self.assertEqual((a.usable(1), a.usable(2 * LEASE)), (5, 10))
         self.assertIsNone(a.asked_by(self.two()[1].want(4, 0)[1], 9, 1)[1])
 
@@ -84,7 +84,7 @@
     def test_two_hundred_members_of_a_budget_of_ten_never_use_more_under_loss_restarts_and_drift(self):
         chance = Random(3)
         names = [f"m{i}" for i in range(200)]
-        members = {name: born(name, 1, int(i < 10), LEASE, -9 * LEASE) for i, name in enumerate(names)}
+        members = {name: new_ledger(name, 1, int(i < 10), LEASE, -9 * LEASE) for i, name in enumerate(names)}
         members["m0"] = replace(members["m0"], part=3)  # one with something to lend
         budget = sum(m.part for m in members.values())
         rates = {name: 1 + 0.02 * (chance.random() - 0.5) for name in names}
@@ -98,7 +98,7 @@
                 members[name], want = members[name].want(2, mine)
                 air.append(want)
             elif what < 0.45:
-                members[name] = born(name, members[name].life + 1, members[name].part, LEASE, mine)
+                members[name] = new_ledger(name, members[name].life + 1, members[name].part, LEASE, mine)
             elif air:
                 message = chance.choice(air[-400:])
                 if hasattr(message, "owner"):
@@ -129,21 +129,24 @@
         count = model_checker.check(7, parts=(2, 0), uses=True)
         print(f"uses: {count} worlds to depth 7", flush=True)
         self.assertGreater(count, 100_000)
-        with mock.patch.object(model_checker, "WINDOW", 0), self.assertRaises(model_checker.Exceeded):
+        with (
+            mock.patch.object(model_checker, "WINDOW", 0),
+            self.assertRaises(model_checker.InvariantViolationError),
+        ):
             model_checker.check(4, parts=(1, 1), uses=True)
 
     def test_what_breaks_the_bound_is_found(self):
         """A lease counted from its arrival, a loan credited twice,
         one that the owner's new life has forgotten.
         """
-        lent_by, surely = State.lent_by, State._surely
+        lent_by, surely = QuotaLedger.lent_by, QuotaLedger._surely
 
         def by_arrival(self, lend, now):
             after = lent_by(self, lend, now)
             return replace(
                 after,
                 held=tuple(
-                    (*row[:3], Loan(row[3].units, now + self.lease)) if row not in self.held else row
+                    (*row[:3], Lease(row[3].units, now + self.lease)) if row not in self.held else row
                     for row in after.held
                 ),
             )
@@ -160,13 +163,13 @@
 
         depths = {"by arrival": 8, "life ignored": 9}
         for name, patch in {
-            "life ignored": mock.patch.object(State, "lent_by", any_life),
-            "by arrival": mock.patch.object(State, "lent_by", by_arrival),
-            "twice": mock.patch.object(State, "lent_by", twice),
-            "forgets": mock.patch.object(State, "own", forgets),
-            "owner's short": mock.patch.object(State, "_surely", lambda self: surely(self) // 2),
+            "life ignored": mock.patch.object(QuotaLedger, "lent_by", any_life),
+            "by arrival": mock.patch.object(QuotaLedger, "lent_by", by_arrival),
+            "twice": mock.patch.object(QuotaLedger, "lent_by", twice),
+            "forgets": mock.patch.object(QuotaLedger, "own", forgets),
+            "owner's short": mock.patch.object(QuotaLedger, "_surely", lambda self: surely(self) // 2),
         }.items():
-            with self.subTest(name), patch, self.assertRaises(model_checker.Exceeded):
+            with self.subTest(name), patch, self.assertRaises(model_checker.InvariantViolationError):
                 model_checker.check(depths.get(name, 6), parts=(2, 0))
 
 
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.config.validation import Faulty
+from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.emulator import plan as plans
 from pathsaddle.emulator.federation import smoke
 from pathsaddle.emulator.steps import Steps
@@ -126,7 +126,7 @@
 
     def test_the_key_that_stood_for_time_is_refused(self):
         for read, text in ((smoke.read, 'name = "t"\nground = "federation"\n'), (plans.read, SMALL)):
-            with self.assertRaises(Faulty) as caught:
+            with self.assertRaises(InvalidConfigError) as caught:
                 read(self.file(f"{text}[bounds]\nseconds = 40\n"))
             self.assertIn("bounds.seconds", str(caught.exception))
             self.assertIn("charter.unknown-key", str(caught.exception))
