--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -97,7 +97,7 @@
     for name, core in cores.items():
         for other in names:
             if other != name:
-                core.joined(other, 1, other)
+                core.on_member_joined(other, 1, other)
     rest = int(1.02 * (lease + 1.02 * SECOND)) + 2 * SECOND  # a new life lends nothing before that
     end, step, way = (
         rest + int(setting.seconds * SECOND),
@@ -122,7 +122,7 @@
         before = time.process_time()
         if heap and heap[0][0] == now:
             name, gram = heapq.heappop(heap)[2:]
-            cores[name].heard(gram, now)
+            cores[name].on_datagram(gram, now)
             fed = [name]
         elif due[name] == now:
             cores[name].wake(now)
--- a/pathsaddle/emulator/hollow/changes.py
+++ b/pathsaddle/emulator/hollow/changes.py
@@ -302,7 +302,7 @@
     for name, core in cores.items():
         for other in names:
             if other != name:
-                core.joined(other, 1, other)
+                core.on_member_joined(other, 1, other)
     first = cores[names[0]]
     digest = first.keep(Random(seed).randbytes(setting.document))
     first.put("settings", digest, 0)
@@ -316,7 +316,7 @@
         now, _, name, data = heapq.heappop(heap)
         core = cores[name]
         if data is not None:
-            core.heard(data, now)
+            core.on_datagram(data, now)
         elif due[name] == now:
             core.wake(now)
         else:
--- a/pathsaddle/emulator/state/mutants.py
+++ b/pathsaddle/emulator/state/mutants.py
@@ -22,11 +22,11 @@
     QuotaLimiter._fallback,
     Gossip._take,
     Gossip._life,
-    Gossip.claimed,
+    Gossip.on_new_incarnation,
     Gossip._row,
     QuotaLedger.returns,
     QuotaLimiter._fallback,
-    Gossip.ended,
+    Gossip.on_member_left,
 )
 
 
@@ -142,7 +142,7 @@
     "lent though just used": ("spent-over-budget", [(QuotaLimiter, "asked", _used_before)]),
     "counted by the second's border": ("spent-over-budget", [(QuotaLimiter, "_clear", _by_the_border)]),
     "an old life's records live on": ("old-life", [(Gossip, "_life", _all_lives)]),
-    "a dead member's records stay": ("old-life", [(Gossip, "ended", _no_end)]),
+    "a dead member's records stay": ("old-life", [(Gossip, "on_member_left", _no_end)]),
     "sure by arrival": ("sure-outside", [(Gossip, "_row", _sure_by_arrival)]),
 }
 
--- a/pathsaddle/fleet/gossip/gossip.py
+++ b/pathsaddle/fleet/gossip/gossip.py
@@ -246,14 +246,14 @@
 
     # Who is there, as membership sees it.
 
-    def joined(self, name: str, life: int, address: str) -> None:
+    def on_member_joined(self, name: str, life: int, address: str) -> None:
         """Also: back, after it was taken for dead."""
         if name == self.name or life < self.lives.get(name, 0):
             return
         self._life(name, life)
         self.peers[name] = Peer(life, address)
 
-    def ended(self, name: str, life: int) -> None:
+    def on_member_left(self, name: str, life: int) -> None:
         """Its records count no more; told once."""
         if name == self.name:
             return
@@ -284,7 +284,7 @@
         for key in [key for key in self.news if key[0] == name]:
             del self.news[key]
 
-    def claimed(self, life: int, now: int) -> None:
+    def on_new_incarnation(self, life: int, now: int) -> None:
         """We have another life: all that we have put is put anew in it."""
         old = self.mine
         self.mine = self.origins[self.name] = Origin(life)
@@ -435,7 +435,7 @@
 
     # Hearing.
 
-    def heard(self, data: bytes, now: int) -> Packet | None:
+    def on_datagram(self, data: bytes, now: int) -> Packet | None:
         """A datagram has come; what of it is for others than this layer is theirs to read.
         None: it was refused, counted.
         """
--- a/pathsaddle/fleet/gossip/model_checker.py
+++ b/pathsaddle/fleet/gossip/model_checker.py
@@ -100,7 +100,7 @@
 def _carry(name: str, life: int) -> Gossip:
     one = Gossip(name, life, "f", b"k" * 16, _Purse(), 10, _Chance(), 0)  # type: ignore[arg-type]
     for other in NAMES:
-        one.joined(other, 1, other)
+        one.on_member_joined(other, 1, other)
     return one
 
 
@@ -138,7 +138,7 @@
         if world.told[name] < life:
 
             def tell(made: World, name: str = name) -> None:
-                made.members[name].joined("a", life, "a")
+                made.members[name].on_member_joined("a", life, "a")
                 made.told[name] = life
 
             after(f"{name} is told of a/{life}", tell)
@@ -152,7 +152,7 @@
                     lambda made, name=name, to=to: made.members[name]._compare(0, to, ""),
                 )
     for to, data in world.air:
-        after(f"{to} takes a message", lambda made, to=to, data=data: made.members[to].heard(data, 0))
+        after(f"{to} takes a message", lambda made, to=to, data=data: made.members[to].on_datagram(data, 0))
     return found
 
 
--- a/pathsaddle/fleet/membership.py
+++ b/pathsaddle/fleet/membership.py
@@ -707,7 +707,7 @@
         some = self.chance.sample(list(lately.values()), min(HEARD, len(lately)))
         return [(m.row.name, m.row.life, int((now - m.last_heard) * (1 + 2 * DRIFT)) + 1) for m in some]
 
-    def heard(self, data: bytes, now: int) -> None:
+    def on_datagram(self, data: bytes, now: int) -> None:
         """A datagram has come. What can't be used is counted by its reason and changes nothing."""
         if self.silent or self.gone:
             return
--- a/pathsaddle/fleet/quota/quota_limiter.py
+++ b/pathsaddle/fleet/quota/quota_limiter.py
@@ -311,7 +311,7 @@
         free = state.lendable - sum(loan.units for loan in state.lent)
         return max(0, min(free, state.own(now), state.usable(now) - max(one.sum, self._needed(one, now))))
 
-    def claimed(self, life: int) -> None:
+    def on_new_incarnation(self, life: int) -> None:
         """We have another life: askings of the old one are answered to nobody;
         what is lent and held stays as it is.
         """
--- a/pathsaddle/fleet/quota/shared_state.py
+++ b/pathsaddle/fleet/quota/shared_state.py
@@ -51,11 +51,11 @@
         self.meter = NullMeter()
 
     def on_member_joined(self, name: str, life: int, address: str) -> None:
-        self.carry.joined(name, life, address)
+        self.carry.on_member_joined(name, life, address)
         self._there()
 
     def on_member_left(self, name: str, life: int) -> None:
-        self.carry.ended(name, life)
+        self.carry.on_member_left(name, life)
         self._there()
 
     def _there(self) -> None:
@@ -65,8 +65,8 @@
                 del spares[name]
 
     def on_new_incarnation(self, life: int, now: int) -> None:
-        self.carry.claimed(life, now)
-        self.limiter.claimed(life)
+        self.carry.on_new_incarnation(life, now)
+        self.limiter.on_new_incarnation(life)
 
     def leave(self, now: int) -> None:
         """We end: what is held goes back."""
@@ -74,7 +74,7 @@
         self.say(now)
 
     def on_datagram(self, data: bytes, now: int) -> None:
-        packet = self.carry.heard(data, now)
+        packet = self.carry.on_datagram(data, now)
         if packet is None:
             return
         self.limiter.heard_at = now
--- a/pathsaddle/fleet/udp_driver.py
+++ b/pathsaddle/fleet/udp_driver.py
@@ -247,7 +247,7 @@
             )
             purpose: Purpose = "membership" if hears is self.core else "carrying"
             self.meter.came(purpose, len(data))
-            self.meter.runs(purpose, lambda: hears.heard(data, self.clock.now()))
+            self.meter.runs(purpose, lambda: hears.on_datagram(data, self.clock.now()))
         except Exception as fault:  # noqa: BLE001  # a defect of ours, whatever it is
             self._fault("a datagram", fault, "it is dropped, the next is read")
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -34,7 +34,7 @@
         }
         for one in self.all.values():
             for name in names:
-                one.joined(name, 7, name)
+                one.on_member_joined(name, 7, name)
         self.lost = lambda sender, taker: False
         self.sent = dict.fromkeys(names, 0)
 
@@ -49,7 +49,7 @@
                 for taker, data in out:
                     self.sent[name] += len(data)
                     if taker in self.all and not self.lost(name, taker):
-                        self.all[taker].heard(data, self.now)
+                        self.all[taker].on_datagram(data, self.now)
 
     def seen(self, name, topic="t"):
         return {shown.member: shown.body for shown in self.all[name].records(topic, self.now)}
@@ -103,14 +103,14 @@
         late = [data for taker, data in few.all["a"].out if taker == "b"]
         few.plays(3)
         b = few.all["b"]
-        b.joined("a", 9, "a")
-        b.joined("a", 9, "a")
-        b.ended("a", 7)
+        b.on_member_joined("a", 9, "a")
+        b.on_member_joined("a", 9, "a")
+        b.on_member_left("a", 7)
         self.assertEqual(b.over, [("a", 7)])
         self.assertEqual(b.records("t", few.now), [])
         self.assertTrue(late)
         for data in late:
-            b.heard(data, few.now)
+            b.on_datagram(data, few.now)
         few.plays(5)  # c still believes in the old one, and tells of it
         self.assertEqual(few.seen("c"), {"a": b"old"})
         self.assertEqual(b.records("t", few.now), [])
@@ -119,9 +119,9 @@
         few = Few("a", "b")
         few.all["a"].put("t", b"one", few.now)
         few.plays(3)
-        few.all["b"].ended("a", 7)
+        few.all["b"].on_member_left("a", 7)
         self.assertEqual(few.seen("b"), {})
-        few.all["b"].joined("a", 7, "a")
+        few.all["b"].on_member_joined("a", 7, "a")
         few.plays(4)
         self.assertEqual(few.seen("b"), {"a": b"one"})
 
@@ -129,8 +129,8 @@
         few = Few("a", "b")
         few.all["a"].put("t", b"one", few.now)
         few.plays(3)
-        few.all["a"].claimed(12, few.now)
-        few.all["b"].joined("a", 12, "a")
+        few.all["a"].on_new_incarnation(12, few.now)
+        few.all["b"].on_member_joined("a", 12, "a")
         few.plays(4)
         [shown] = few.all["b"].records("t", few.now)
         self.assertEqual((shown.life, shown.body), (12, b"one"))
@@ -142,10 +142,10 @@
         b.wake(0)
         [data] = {data for _, data in b.out}
         for wrong, reason in ((data[:-1] + b"?", "stranger"), (data[:10], "cut"), (data, "misdirected")):
-            b.heard(wrong, 1)
+            b.on_datagram(wrong, 1)
             self.assertEqual(b.counts.pop(f"refused {reason}"), 1)
-        few.all["a"].ended("b", 7)
-        few.all["a"].heard(data, 1)
+        few.all["a"].on_member_left("b", 7)
+        few.all["a"].on_datagram(data, 1)
         self.assertEqual(few.all["a"].counts, {"refused unknown": 1})
         with self.assertRaises(ValueError):
             b.put("t", bytes(401), 0)
@@ -159,7 +159,7 @@
     def setUp(self):
         self.one = Gossip("m25", 7, "f", KEY, RateLimiter(24_000, 60, 0), SECOND, Random(5), 0)
         for name in self.NAMES:
-            self.one.joined(name, 7, name)
+            self.one.on_member_joined(name, 7, name)
             self.one.origins.setdefault(name, Origin(7, seen=1))
 
     def compared(self, beats):
@@ -192,7 +192,9 @@
 
     def test_names_that_end_or_come_between_two_pages_take_nobodys_turn(self):
         self.compared(1)
-        self.one.ended(self.one.compared or self.NAMES[-1], 7)  # that which the next page begins behind
+        self.one.on_member_left(
+            self.one.compared or self.NAMES[-1], 7
+        )  # that which the next page begins behind
         times, _ = self.compared(8)
         there = [times[name] for name in self.NAMES if name in self.one.origins]
         self.assertEqual(len(there), 49)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -177,7 +177,7 @@
                     core.out = []
                 for address, data in sent:
                     if address in self.at:
-                        self.at[address].heard(data, self.now)
+                        self.at[address].on_datagram(data, self.now)
             self.now += 100
 
 
@@ -231,13 +231,13 @@
             "misdirected": messages.encode(Message("f", other.me, 1, "z", messages.PING), KEY),
         }
         for reason, data in cases.items():
-            core.heard(data, 1)
+            core.on_datagram(data, 1)
             self.assertEqual(core.counts.get(f"refused {reason}"), 1, reason)
         self.assertEqual((core.members, core.out), ({}, []))
-        core.heard(good, 1)
+        core.on_datagram(good, 1)
         self.assertEqual(len(core.out), 1)
-        core.heard(good, 2)
-        core.heard(good, 2)
+        core.on_datagram(good, 2)
+        core.on_datagram(good, 2)
         self.assertEqual(core.counts["refused repeated"], 1 + (len(core.out) == 1))
 
     def test_an_answer_from_long_ago_is_no_sign_of_life(self):
@@ -255,7 +255,7 @@
         del between.at[b.me.address]
         heard = a.members["b"].heard
         between.run(5 * SECOND)
-        a.heard(kept[0][1], between.now)
+        a.on_datagram(kept[0][1], between.now)
         self.assertEqual(a.members["b"].heard, heard)
         self.assertFalse(a.heard_within("b", life, 4 * SECOND, between.now))
         self.assertFalse(a.heard_within("b", life + 1, 100 * SECOND, between.now))
@@ -282,7 +282,7 @@
         self.meet(core, asker, gone)
         asked = messages.encode(Message("f", asker.me, 1, "a", messages.ASK, 7, "c"), KEY)
         core.wake(0)
-        core.heard(asked, 50)
+        core.on_datagram(asked, 50)
         self.assertLessEqual(core.due(50), 50 + core.ways.patience)
         core.out = []
         core.wake(50 + core.ways.patience)
@@ -322,7 +322,7 @@
                 core.gossip.clear()
                 carry = Gossip("a", core.me.life, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
                 for one in others:
-                    carry.joined(one.me.name, one.me.life, one.me.address)
+                    carry.on_member_joined(one.me.name, one.me.life, one.me.address)
                 sent = -1
                 while len(carry.out) > sent:
                     sent = len(carry.out)
@@ -418,13 +418,13 @@
                 address, data = air[which % len(air)]
                 for _ in range(more):
                     if address in by_address:
-                        by_address[address].heard(data, now)
+                        by_address[address].on_datagram(data, now)
             elif what == "drop" and air:
                 air.pop(which % len(air))
             elif what == "says":
-                cores[which].heard(messages.encode(more, KEY), now)
+                cores[which].on_datagram(messages.encode(more, KEY), now)
             elif what == "noise":
-                cores[which].heard(more, now)
+                cores[which].on_datagram(more, now)
             elif what == "leave":
                 cores[which].leave(now)
             for core in cores:
