--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -793,7 +793,7 @@
 
         self.fellows.begin()
         with (
-            mock.patch.object(self.fellows.core, "heard", heard),
+            mock.patch.object(self.fellows.core, "on_datagram", heard),
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock,
         ):
             for data in (b"bad", b"good"):
@@ -814,7 +814,7 @@
                 all_.set()
 
         with (
-            mock.patch.object(self.fellows.core, "heard", hear),
+            mock.patch.object(self.fellows.core, "on_datagram", hear),
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock,
         ):
             for n in range(200):
