--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -15,10 +15,11 @@
 from unittest import mock
 
 from pathsaddle.choice import Choice
-from pathsaddle.fleet.overload import retry_budgets
 from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
 from pathsaddle.fleet.overload.load_summary import decode_summary
-from pathsaddle.fleet.overload.scheduler_gate import MAX_QUEUED, SchedulerAdmissionGate
+from pathsaddle.fleet.overload.peer_summaries import PeerSummary
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind
+from pathsaddle.fleet.overload.scheduler_gate import WORKER_GROUPS, SchedulerAdmissionGate
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
 from pathsaddle.trade import SECOND, Txn
@@ -43,15 +44,15 @@
         self.inbox: deque[tuple[int, str, int, int, bytes]] = deque()
         self.tell_at, self.version = 0, 0
 
-    def turn(self, choice: Choice) -> None:
+    def update_if_due(self, choice: Choice) -> None:
         now = choice.now
         while self.inbox and self.inbox[0][0] + LATE <= now:
             at, name, life, version, body = self.inbox.popleft()
-            self.core.hears_read(name, life, version, decode_summary(body), at)
-        super().turn(choice)
+            self.core.store_summary(name, PeerSummary(life, version, decode_summary(body), at))
+        super().update_if_due(choice)
         if now >= self.tell_at:
             self.tell_at, self.version = now + TELLS, self.version + 1
-            body = self.core.word(now)
+            body = self.core.encoded_summary(now)
             for name, other in self.mail.members.items():
                 if name != self.core.name:
                     other.inbox.append((now, self.core.name, self.limiter.life, self.version, body))
@@ -90,15 +91,15 @@
     def made(self: Choice, terms: Any, seed: int, now: int, door: Any, gate: Any = None) -> None:
         begin(self, terms, seed, now, door, gate)
         name = f"d{terms.number}"
-        wholes = {
-            retry_budgets.REPEAT: rate / 5,
-            retry_budgets.TRIAL: rate / 20,
-            retry_budgets.LOOK: 6 * rate,
+        wholes: dict[str, float] = {
+            BudgetKind.REPEAT: rate / 5,
+            BudgetKind.TRIAL: rate / 20,
+            BudgetKind.LOOK: 6 * rate,
         }
         wholes |= {
-            f"{kind}.w{place}": 2 * whole / MAX_QUEUED
+            f"{kind}.w{place}": 2 * whole / WORKER_GROUPS
             for kind, whole in wholes.items()
-            for place in range(MAX_QUEUED)
+            for place in range(WORKER_GROUPS)
         }
         dealt = {}
         for budget, whole in wholes.items():
@@ -131,7 +132,7 @@
 
     def kept(self: Choice) -> int:
         if isinstance(self.gate, Told):
-            self.gate.turn(self)
+            self.gate.update_if_due(self)
         return keeps(self)
 
     with mock.patch.object(Choice, "__init__", made), mock.patch.object(Choice, "housekeeping", kept):
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -18,8 +18,8 @@
 
 from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.overload.plan import Plan, Trouble
-from pathsaddle.emulator.overload.policies import Decided, Policy, fleet, policy, ways_of
-from pathsaddle.fleet.overload import retry_budgets
+from pathsaddle.emulator.overload.policies import Decided, Policy, fleet, gate_options, policy
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.trade import MILLISECOND, SECOND
@@ -180,9 +180,7 @@
             for _, _, w in rooms:
                 if not left or self.purse < 1.0:
                     break
-                if now - self.told[w] > SECOND // 10 and self.policy.goes_out(
-                    retry_budgets.LOOK, f"w{w}", now
-                ):
+                if now - self.told[w] > SECOND // 10 and self.policy.goes_out(BudgetKind.LOOK, f"w{w}", now):
                     left -= 1
                     self.purse -= 1.0
                     ground.events.add(now, "look", who=self.name, worker=f"w{w}")
@@ -194,7 +192,7 @@
             if room < 0.3:
                 return False
             # What a budget refuses at one worker may have a place at the next.
-            kind = retry_budgets.TRIAL if self.failed[best] else retry_budgets.REPEAT if one.postings else ""
+            kind = budget_kind(bool(one.postings), bool(self.failed[best]))
             if kind and not self.policy.goes_out(kind, f"w{best}", now):
                 continue
             if not self.policy.posts(now):
@@ -296,8 +294,8 @@
             load=plan.load,
             surge=plan.surge,
             back_within=plan.back_within,
-            returns=ways_of(plan).returns,
-            allowance=min(ways_of(plan).allowances.values()),
+            returns=gate_options(plan).returns_per_second,
+            allowance=min(gate_options(plan).tenant_quotas.values()),
         )
         for member in self.members:
             self.events.add(0, "member.began", who=member.name)
@@ -357,7 +355,7 @@
             float(job.run),
             left,
             job.run,
-            back=job.tries > 1,
+            is_retry=job.tries > 1,
         )
         one = Try(job, member, self.now, f"{job.number}/{job.tries}", ask)
         job.current = one
@@ -421,15 +419,15 @@
             "shed.in",
             who=member.name,
             txn=one.name,
-            customer=ask.customer,
+            customer=ask.tenant,
             key=ask.key,
-            scheme=ask.scheme,
+            scheme=ask.request_class,
             period=decided.period,
             standing=decided.stands,
             level=decided.level,
             over=decided.over,
-            left=ask.left,
-            work=ask.work,
+            left=ask.time_left_ticks,
+            work=ask.work_slot_ticks,
         )
 
     def declined(self, member: Member, one: Try, decided: Decided) -> None:
@@ -439,16 +437,16 @@
             "shed.out",
             who=member.name,
             txn=one.name,
-            customer=ask.customer,
+            customer=ask.tenant,
             key=ask.key,
-            scheme=ask.scheme,
+            scheme=ask.request_class,
             period=decided.period,
             standing=decided.stands,
             level=decided.level,
             wait=decided.come_back,
             why=decided.why,
             over=decided.over,
-            work=ask.work,
+            work=ask.work_slot_ticks,
         )
         self.after(WAY, lambda: None if one.job.over else self.again(one, decided.come_back, decided.period))
 
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -21,9 +21,9 @@
 from pathsaddle.emulator.events import Event
 from pathsaddle.fleet.incarnation_store import IncarnationStore
 from pathsaddle.fleet.membership import MembershipOptions as FleetWays
-from pathsaddle.fleet.overload import retry_budgets
 from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
 from pathsaddle.fleet.overload.driver import ShedLevelDriver
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
 from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
@@ -83,10 +83,10 @@
 
     def before(self) -> None:
         # Nothing here runs: slots are as the plan says, all of them busy.
-        self.gate.sees(self.told["could"], 0.0, 0.0)
+        self.gate.observe_workers(self.told["could"], 0.0, 0.0)
 
     def after(self) -> None:
-        self.log(self.gate.now, "shed.level", level=self.gate.level.stands)
+        self.log(self.gate.updated_at, "shed.level", level=self.gate.level.value)
 
     def offers(self) -> None:
         now, chance = self.fellows.clock.now(), self.chance
@@ -100,32 +100,32 @@
         ask = AdmissionRequest(
             f"c{chance.randrange(4)}", key, f"s{scheme}", VALUES[scheme], 0.3, float(run), 2 * SECOND, run
         )
-        woken = self.gate.now
-        given = self.gate.lets_in(ask, now)
-        if self.gate.now != woken:
+        woken = self.gate.updated_at
+        given = self.gate.admit(ask, now)
+        if self.gate.updated_at != woken:
             self.after()
         txn = f"{self.name}/{self.count}"
         self.log(
             now,
-            "shed.in" if given.let else "shed.out",
+            "shed.in" if given.is_admitted else "shed.out",
             txn=txn,
-            customer=ask.customer,
+            customer=ask.tenant,
             key=key,
-            scheme=ask.scheme,
+            scheme=ask.request_class,
             period=given.period,
-            standing=given.stands,
-            level=given.level,
-            over=given.over,
-            work=ask.work,
-            wait=given.come_back,
-            why=given.why,
+            standing=given.shed_rank,
+            level=given.shed_level,
+            over=given.is_over_quota,
+            work=ask.work_slot_ticks,
+            wait=given.retry_after_ticks,
+            why=given.reason.value,
         )
-        if given.let:
+        if given.is_admitted:
             worker = f"w{chance.randrange(4)}"
-            if self.gate.goes_out(retry_budgets.LOOK, worker, now):
+            if self.gate.try_acquire(BudgetKind.LOOK, worker, now):
                 self.log(now, "look", worker=worker)
             self.log(now, "post.sent", post=f"{txn}/1", txn=txn, worker=worker, kind="first")
-            if chance.random() < FAILS and self.gate.goes_out(retry_budgets.REPEAT, worker, now):
+            if chance.random() < FAILS and self.gate.try_acquire(BudgetKind.REPEAT, worker, now):
                 self.log(now, "post.sent", post=f"{txn}/2", txn=txn, worker=worker, kind="repeat")
 
     async def trials(self) -> None:
@@ -135,7 +135,7 @@
         while True:
             await asyncio.sleep((SECOND - self.fellows.clock.now() % SECOND) / SECOND)
             now = self.fellows.clock.now()
-            if self.gate.goes_out(retry_budgets.TRIAL, "w1", now):
+            if self.gate.try_acquire(BudgetKind.TRIAL, "w1", now):
                 self.count += 1
                 self.log(
                     now,
@@ -150,14 +150,14 @@
         loop = asyncio.get_running_loop()
         loop.add_reader(sys.stdin.fileno(), self.told_more)
         self.fellows.begin()
-        self.levels.begin()
+        self.levels.start()
         self.log(self.fellows.clock.now(), "member.began", life=self.fellows.life)
         trials = loop.create_task(self.trials())
         while self.rate > 0:
             await asyncio.sleep(self.chance.expovariate(self.rate))
             self.offers()
         trials.cancel()
-        self.levels.end()
+        self.levels.stop()
         self.fellows.end()
 
     def told_more(self) -> None:
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -27,8 +27,10 @@
 from pathsaddle.emulator.overload.around import Member
 from pathsaddle.emulator.overload.leases import Leases
 from pathsaddle.emulator.overload.plan import Plan
-from pathsaddle.fleet.overload import load_summary, retry_budgets
+from pathsaddle.fleet.overload import load_summary
 from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, GateOptions, OverloadGate
+from pathsaddle.fleet.overload.peer_summaries import PeerSummary
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind
 from pathsaddle.fleet.overload.shed_level import ShedLevel
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest, rank_band, rank_hash
 from pathsaddle.trade import MILLISECOND, SECOND
@@ -66,7 +68,7 @@
     def gives_up(self, ask: AdmissionRequest, now: int) -> Decided:
         return Decided(False)
 
-    def goes_out(self, kind: str, worker: str, now: int) -> bool:
+    def goes_out(self, kind: BudgetKind, worker: str, now: int) -> bool:
         return True
 
     def posts(self, now: int) -> bool:
@@ -77,7 +79,7 @@
     def tick(self, now: int) -> None: ...
 
 
-def ways_of(plan: Plan) -> GateOptions:
+def gate_options(plan: Plan) -> GateOptions:
     slots = plan.workers * plan.slots
     share = slots / plan.customers
     return GateOptions(
@@ -96,16 +98,16 @@
     trials a handful.
     """
     rate = plan.workers * plan.slots * SECOND // RUN
-    units = {
-        retry_budgets.REPEAT: rate // 5,
-        retry_budgets.LOOK: 3 * rate,
-        retry_budgets.TRIAL: max(4, rate // 20),
+    units: dict[str, int] = {
+        BudgetKind.REPEAT: rate // 5,
+        BudgetKind.LOOK: 3 * rate,
+        BudgetKind.TRIAL: max(4, rate // 20),
     }
     for w in range(plan.workers):
         units |= {
-            f"{retry_budgets.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
-            f"{retry_budgets.LOOK}.w{w}": max(4, rate * 6 // plan.workers),
-            f"{retry_budgets.TRIAL}.w{w}": 4,
+            f"{BudgetKind.REPEAT}.w{w}": max(4, rate // 5 * 2 // plan.workers),
+            f"{BudgetKind.LOOK}.w{w}": max(4, rate * 6 // plan.workers),
+            f"{BudgetKind.TRIAL}.w{w}": 4,
         }
     return units
 
@@ -121,9 +123,9 @@
         self.leases = Leases(member, units, plan.members, self.chance)
         for budget, whole in units.items() if number == 0 else ():
             ground.events.add(0, "share.budget", who=member.name, budget=budget, units=whole)
-        self.gate = OverloadGate(ways_of(plan), member.name, number, self.leases, 0)
+        self.gate = OverloadGate(gate_options(plan), member.name, number, self.leases, 0)
         self.version = 0
-        self.counted: deque[tuple[int, str]] = deque()  # of the mutant that counts by arrival
+        self.counted: deque[tuple[int, BudgetKind]] = deque()  # of the mutant that counts by arrival
         # Two hundred tell once a second, few twice: bytes stay what they are.
         self.tell_every = SECOND // 2 if plan.members < 100 else SECOND
         self.tell_at = self.chance.randrange(self.tell_every)
@@ -132,18 +134,18 @@
             self.gate.level = Jumpy(0)
 
     def asks(self, ask: AdmissionRequest, now: int) -> Decided:
-        given = self.gate.lets_in(ask, now)
+        given = self.gate.admit(ask, now)
         if self.plan.mutant == "dice":
-            given.stands = int(given.stands) + self.chance.random()
-            given.let = given.stands >= given.level
-        elif self.plan.mutant == "unspread" and not given.let:
-            given.come_back = COME_BACK
+            given.shed_rank = int(given.shed_rank) + self.chance.random()
+            given.is_admitted = given.shed_rank >= given.shed_level
+        elif self.plan.mutant == "unspread" and not given.is_admitted:
+            given.retry_after_ticks = COME_BACK
         return of(given)
 
     def gives_up(self, ask: AdmissionRequest, now: int) -> Decided:
-        return Decided(False, come_back=self.gate.advises(ask, now))
+        return Decided(False, come_back=self.gate.advise_retry(ask, now))
 
-    def goes_out(self, kind: str, worker: str, now: int) -> bool:
+    def goes_out(self, kind: BudgetKind, worker: str, now: int) -> bool:
         if self.plan.mutant == "arrival":
             # Each goes by what it counts itself to have come over all: the whole budget, whoever came first.
             while self.counted and self.counted[0][0] <= now - SECOND:
@@ -154,25 +156,25 @@
             self.leases.spent(kind, 1)
             self.leases.spent(f"{kind}.{worker}", 1)
             return True
-        return self.gate.goes_out(kind, worker, now)
+        return self.gate.try_acquire(kind, worker, now)
 
     def came_of(self, what: str, waited: int, now: int) -> None:
-        self.gate.came_of(what == "full")
+        self.gate.record_attempt(what == "full")
 
     def tick(self, now: int) -> None:
         member, gate, ground = self.member, self.gate, self.member.ground
         if now >= self.wake_at:
-            gate.sees(*member.sees())
-            self.wake_at = gate.wake(now)
-            ground.events.add(now, "shed.level", who=member.name, level=gate.level.stands)
+            gate.observe_workers(*member.sees())
+            self.wake_at = gate.update(now)
+            ground.events.add(now, "shed.level", who=member.name, level=gate.level.value)
         if now >= self.tell_at and self.tells > 0.0:
             self.tell_at = now + self.tell_every
             self.version += 1
-            version, told = self.version, gate.own(now)
+            version, told = self.version, gate.own_summary(now)
             if self.tells != 1.0:
-                told.offered = [part * self.tells for part in told.offered]
-                told.could *= self.tells
-                told.steady *= self.tells
+                told.offered_slots = [slots * self.tells for slots in told.offered_slots]
+                told.capacity_slots *= self.tells
+                told.sustained_slots *= self.tells
             body = load_summary.encode_summary(told)
             read = load_summary.decode_summary(body)
             name = member.name
@@ -180,7 +182,7 @@
         self.leases.tick(now)
 
     def hears(self, name: str, version: int, told: load_summary.LoadSummary, at: int) -> None:
-        self.gate.hears_read(name, 1, version, told, at)
+        self.gate.store_summary(name, PeerSummary(1, version, told, at))
 
 
 def fleet(member: Member) -> Fleet:
@@ -191,13 +193,21 @@
 class Jumpy(ShedLevel):
     """The mutant: it stands wherever the sums say, at once."""
 
-    def moves(self, target: float, heard: float, now: int) -> float:
-        self.stands = target
+    def update(self, target: float, visible_share: float, now: int) -> float:
+        self.value = target
         return target
 
 
 def of(given: AdmissionVerdict) -> Decided:
-    return Decided(given.let, given.stands, given.level, given.come_back, given.why, given.over, given.period)
+    return Decided(
+        given.is_admitted,
+        given.shed_rank,
+        given.shed_level,
+        given.retry_after_ticks,
+        given.reason.value,
+        given.is_over_quota,
+        given.period,
+    )
 
 
 class Dagor(Policy):
@@ -294,8 +304,8 @@
         self.calls.append(now)
         return LET
 
-    def goes_out(self, kind: str, worker: str, now: int) -> bool:
-        if kind == retry_budgets.LOOK:
+    def goes_out(self, kind: BudgetKind, worker: str, now: int) -> bool:
+        if kind == BudgetKind.LOOK:
             return True
         for row in (self.calls, self.again):
             while row and row[0] < now - 10 * SECOND:
@@ -311,8 +321,8 @@
         super().__init__(plan, member, number)
         self.again: deque[int] = deque()
 
-    def goes_out(self, kind: str, worker: str, now: int) -> bool:
-        if kind == retry_budgets.LOOK:
+    def goes_out(self, kind: BudgetKind, worker: str, now: int) -> bool:
+        if kind == BudgetKind.LOOK:
             return True
         while self.again and self.again[0] < now - RUN:  # a retry is active for about a run
             self.again.popleft()
--- a/pathsaddle/fleet/overload/admission_gate.py
+++ b/pathsaddle/fleet/overload/admission_gate.py
@@ -1,283 +1,280 @@
-"""One member's gate: whether a txn is let in, whether a posting may go out, what it tells the others.
+"""The admission gate of one member: which requests and retries it admits, and what it tells the others.
 
-Free of I/O: it is fed moments, what this member saw and the others' records; `word` says what to tell. Where
-nothing is heard it goes by its own part of what can be served and by what its own postings meet, and every
-bound of the package holds all the same (docs/overload.md).
+The gate is free of I/O. It is handed the moments, what this member saw, and the others' records;
+`encoded_summary` is what to tell the others. A member that hears nothing goes by its own share of the
+capacity and by what its own attempts meet, and every bound of the package holds all the same
+(docs/overload.md).
 
-Out of it again. Nothing waits for a fixed time: the level falls as the sums do, and past the sums a trim
-rises while slots are seen idle and falls while lines are seen. What a trigger leaves behind (returns, held
-txns, repeats) is offered work like any other: it stands in its bands, its repeats in a budget,
-and so can't keep up what it feeds on.
+Recovery waits for no fixed time: the shed level falls as the totals do, and beyond the totals the capacity
+factor rises while idle slots are seen and falls while queues are seen. What a trigger leaves behind (returns,
+held requests, retries) is offered load like any other. It has its bands, and its retries come out of a
+budget, so that it cannot sustain the overload that it comes from.
+
+The driver, the scheduler's gate and the emulators call the gate. It never sends, sets no timer and draws no
+random number.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from math import exp
-
-from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.errors import InvalidSummaryError
-from pathsaddle.fleet.overload.load_summary import (
-    PUBLISH_INTERVAL,
-    LoadSummary,
-    decode_summary,
-    encode_summary,
-    rounded_figure,
-)
+from enum import StrEnum
+from typing import NamedTuple
+
+from pathsaddle.fleet.overload.capacity_factor import CapacityFactor
+from pathsaddle.fleet.overload.load_summary import LoadSummary, encode_summary, tenant_hash
+from pathsaddle.fleet.overload.offered_load import OfferedLoad
+from pathsaddle.fleet.overload.peer_summaries import PeerRecord, PeerSummaries, PeerSummary
 from pathsaddle.fleet.overload.retry_advice import RetryAdvice
-from pathsaddle.fleet.overload.retry_budgets import Budgets, Limiter
-from pathsaddle.fleet.overload.shed_level import STALE, LoadTotals, ShedLevel, middle
-from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest, rank_band, rank_hash
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind, Budgets, Limiter
+from pathsaddle.fleet.overload.shed_level import LoadTotals, ShedLevel
+from pathsaddle.fleet.overload.shed_rank import AdmissionRequest, rank_band, rank_hash
+from pathsaddle.fleet.overload.tenant_excess import excess_shares
 from pathsaddle.trade import SECOND
 
-# name, life, version, body, age at the least, at most
-Row = tuple[str, int, int, bytes, tuple[int, int | None]]
-REMEMBERS = SECOND  # over what time offered work is averaged, by band
-STEADY = 4 * SECOND  # and all of it, against bursts
-WAKES = SECOND // 10
-# between which a trim stays; the mechanism may know workers to be smaller than they are
-LEAST, MOST = 0.5, 1.5
-LINE, IDLE = 0.25, 0.06  # waiting jobs a slot that are a line; free slots that are idle
-# of a trim, a wake: as the line or the idle slots are long; four times that wound down to a half while a
-# line of three seconds was worked off, and a fifth of all slots stood idle for ten
-STEP = 0.01
-HEARD = 0.9  # of all parts: less is a fleet cut in two, or half of it dead, which nobody can tell apart
-MORE = 1.25  # over its share by less than that is what chance brings in a second
-KNOWN = 2048  # declined txns that are remembered
+UPDATE_INTERVAL_TICKS = SECOND // 10
+# Two hundred summaries each tenth of a second would take a fortieth of a core; three updates a second are
+# enough.
+MEMBERS_AT_FULL_PACE = 64  # with more of them updates are rarer
+MAX_MISSED_UPDATES = 5  # after so many the level is updated before the next decision
+REJECTION_WEIGHT = 0.05  # of the latest attempt in the rejection rate
+MAX_REMEMBERED_WAITS = 2048  # rejected requests whose advised wait is remembered
+MIN_CAPACITY_SLOTS = 1e-9  # keeps the idle share finite
 
 
 @dataclass(frozen=True)
 class GateOptions:
-    """What the charter says, alike at every member.
-
-    secret: keys the draw. unit: value for a slot-tick in the middle of the scale. allowances: slots that each
-    customer may keep busy over the fleet. returns: advised returns in any second, over all members. longest,
-    soonest: of an advice, ticks.
+    """What the configuration says, alike at every member.
+
+    Attributes:
+        secret: The key of the rank hash.
+        members: The number of members.
+        middle_value: The value for a slot-tick in the middle of the scale.
+        tenant_quotas: Slots that each tenant may keep busy over the fleet.
+        returns_per_second: Advised returns in any second, over all members.
+        min_wait_ticks: The shortest wait that is advised.
+        max_wait_ticks: The longest wait that is advised.
     """
 
     secret: bytes
     members: int
-    unit: float
-    allowances: dict[str, float]
-    returns: float
-    soonest: int
-    longest: int
+    middle_value: float
+    tenant_quotas: dict[str, float]
+    returns_per_second: float
+    min_wait_ticks: int
+    max_wait_ticks: int
+
+
+class Reason(StrEnum):
+    """Why a request was rejected; the values stand in logs."""
+
+    ADMITTED = ""
+    BELOW_LEVEL = "level"
+    TOO_EARLY = "early"  # it came back before its advised time
+    TOO_LATE = "late"  # it can't be answered in time
 
 
 @dataclass(slots=True)
 class AdmissionVerdict:
-    let: bool
-    stands: float  # the txn's standing
-    level: float
-    over: bool = False  # beyond its customer's share
-    come_back: int = 0  # ticks; 0: no advice
-    why: str = ""
-    period: int = 0  # of its draw
-
+    """The gate's answer to one request.
+
+    Attributes:
+        is_admitted: Whether it is admitted.
+        shed_rank: Its rank.
+        shed_level: The level that it was held against.
+        is_over_quota: Whether it was taken to exceed its tenant's quota.
+        retry_after_ticks: The wait that its client is advised; 0 where there is no advice.
+        reason: Why it was rejected.
+        period: The period of its rank hash.
+    """
 
-class Fading:
-    """A rate, of what is added, averaged over some time with the latest first."""
+    is_admitted: bool
+    shed_rank: float
+    shed_level: float
+    is_over_quota: bool = False
+    retry_after_ticks: int = 0
+    reason: Reason = Reason.ADMITTED
+    period: int = 0
 
-    __slots__ = ("at", "over", "sum")
 
-    def __init__(self, now: int, over: int = REMEMBERS) -> None:
-        self.sum, self.at, self.over = 0.0, now, over
+class RequestIdentity(NamedTuple):
+    """By what a later try of the same request is recognized."""
 
-    def add(self, amount: float, now: int) -> None:
-        self.sum = self.sum * exp((self.at - now) / self.over) + amount
-        self.at = now
+    tenant: str
+    key: str
+    request_class: str
 
-    def rate(self, now: int) -> float:
-        return self.sum * exp((self.at - now) / self.over) / self.over
+    @classmethod
+    def of(cls, request: AdmissionRequest) -> RequestIdentity:
+        """Return the identity of a request."""
+        return cls(request.tenant, request.key, request.request_class)
 
 
 class OverloadGate:
-    """name: its own, as the records' rows name it. number: its place among the members by the charter,
-    from 0.
+    """The gate of one member.
+
+    Args:
+        options: The fleet's options.
+        name: This member's name, as the records carry it.
+        number: Its number among the members by configuration, from 0.
+        limiter: The quota limiter that holds the retry budgets.
+        now: The current tick.
+
+    Attributes:
+        level: The shed level.
+        capacity_factor: The correction of the capacity by own experience.
+        offered: The load that clients offer to this member.
+        peers: The summaries of the others.
+        totals: What all fresh summaries add up to, as of the last update.
+        excess_shares: By tenant, the share of its requests that is beyond its quota.
+        advised: The ticks at which rejected requests were told to come back.
+        updated_at: The tick of the last update.
     """
 
-    def __init__(self, ways: GateOptions, name: str, number: int, limiter: Limiter, now: int) -> None:
-        self.ways, self.name, self.now = ways, name, now
-        self.part = 1.0 / ways.members
+    def __init__(self, options: GateOptions, name: str, number: int, limiter: Limiter, now: int) -> None:
+        self.options, self.name, self.updated_at = options, name, now
+        self.member_share = 1.0 / options.members
         self.budgets = Budgets(limiter)
-        self.returns = RetryAdvice(ways.returns, self.part, number / ways.members, ways.longest)
+        phase = number / options.members
+        self.retry_advice = RetryAdvice(
+            options.returns_per_second, self.member_share, phase, options.max_wait_ticks
+        )
         self.level = ShedLevel(now)
-        self.offered = [Fading(now) for _ in range(RANK_BANDS)]
-        self.steady = Fading(now, STEADY)
-        self.customers: dict[str, Fading] = {}
-        self.shorts_of = {who: rounded_figure(who) for who in ways.allowances}
-        self.could = 0.0
-        self.trim = 1.0
-        # of the slots seen lately: free, and jobs waiting for each of our part
-        self.idle, self.line = 0.0, 0.0
-        self.turned = 0.0  # of the last postings, how many were turned away
-        # (life, version, word, told at, the latest by our clock)
-        self.heard: dict[str, tuple[int, int, LoadSummary, int]] = {}
-        self.sums = LoadTotals([self.own(now)], self.part)
-        self.overs: dict[str, float] = {}  # by customer: what part is beyond its share
-        self.known: dict[tuple[str, str, str], int] = {}  # declined with advice: not before
-        # Two hundred records each tenth of a second would be a fortieth of a core;
-        # three times in a second is enough.
-        self.every = max(WAKES, WAKES * ways.members // 64)
+        self.capacity_factor = CapacityFactor()
+        self.offered = OfferedLoad(options.tenant_quotas, now)
+        self.tenant_hashes = {tenant: tenant_hash(tenant) for tenant in options.tenant_quotas}
+        self.capacity_slots = self.idle_share = self.queue_per_slot = 0.0
+        self.rejection_rate = 0.0
+        self.peers = PeerSummaries()
+        self.totals = LoadTotals([self.own_summary(now)], self.member_share)
+        self.excess_shares: dict[str, float] = {}
+        self.advised: dict[RequestIdentity, int] = {}
+        self.update_interval_ticks = max(
+            UPDATE_INTERVAL_TICKS, UPDATE_INTERVAL_TICKS * options.members // MEMBERS_AT_FULL_PACE
+        )
 
     # What this member saw.
 
-    def sees(self, could: float, idle: float, line: float) -> None:
-        """Of the workers as this member knows them now. could: slots that can be kept busy, pace included;
-        idle: what part is free; line: jobs that wait, there and with us, for each slot of our part.
+    def observe_workers(self, capacity_slots: float, idle_share: float, queue_per_slot: float) -> None:
+        """Take what this member knows of the workers now.
+
+        Args:
+            capacity_slots: Slots that can be kept busy, the workers' pace included.
+            idle_share: The share of them that is idle.
+            queue_per_slot: Requests that wait, at the workers and here, for each slot of this member's share.
         """
-        self.could, self.idle, self.line = could, idle, line
+        self.capacity_slots, self.idle_share, self.queue_per_slot = capacity_slots, idle_share, queue_per_slot
 
-    def came_of(self, turned_away: bool) -> None:
-        self.turned += 0.05 * (turned_away - self.turned)
+    def record_attempt(self, was_refused: bool) -> None:
+        """Count the outcome of one attempt: whether the worker refused it as full."""
+        self.rejection_rate += REJECTION_WEIGHT * (was_refused - self.rejection_rate)
 
-    # What others told.
+    # What the others told.
 
-    def hears(self, rows: Iterable[Row], now: int) -> None:
-        """The others' records as the fleet's layer has them. A record counts for STALE from when it was
-        written at the earliest, or from when it came where nobody answers for that: who is not heard has its
-        part, and nothing said of it is taken for word. An age too low makes a level older,
-        and breaks no bound.
-        """
-        for name, life, version, body, (youngest, oldest) in rows:
-            held = self.heard.get(name)
-            if name == self.name or (held is not None and (life, version) <= held[:2]):
-                continue
-            try:
-                self.heard[name] = (
-                    life,
-                    version,
-                    decode_summary(body),
-                    now - (youngest if oldest is None else oldest),
-                )
-            except InvalidSummaryError:
-                continue
-
-    def hears_read(self, name: str, life: int, version: int, word: LoadSummary, told: int) -> None:
-        """The same, of one record that is read."""
-        held = self.heard.get(name)
-        if held is None or (life, version) > held[:2]:
-            self.heard[name] = (life, version, word, told)
-
-    # What it tells.
-
-    def own(self, now: int) -> LoadSummary:
-        rates = {who: rate for who, fading in self.customers.items() if (rate := fading.rate(now)) > 0.0}
-        if len(rates) > PUBLISH_INTERVAL:
-            rates = {
-                who: rates[who]
-                for who in sorted(rates, key=lambda who: (-rates[who], who))[:PUBLISH_INTERVAL]
-            }
+    def store_records(self, records: Iterable[PeerRecord], now: int) -> None:
+        """Take the others' records, as the gossip layer has them; this member's own is skipped."""
+        for record in records:
+            if record.member != self.name:
+                self.peers.store_record(record, now)
+
+    def store_summary(self, member: str, summary: PeerSummary) -> None:
+        """Take one peer's summary that is decoded already."""
+        self.peers.store_summary(member, summary)
+
+    # What the others are told.
+
+    def own_summary(self, now: int) -> LoadSummary:
+        """Return this member's load."""
+        tenants = self.offered.busiest_tenants(now)
         return LoadSummary(
-            self.could,
-            self.trim,
-            self.idle,
-            self.line,
-            self.steady.rate(now),
-            [fading.rate(now) for fading in self.offered],
-            {rounded_figure(who): rate for who, rate in rates.items()},
+            self.capacity_slots,
+            self.capacity_factor.value,
+            self.idle_share,
+            self.queue_per_slot,
+            self.offered.sustained.rate(now),
+            [rate.rate(now) for rate in self.offered.by_band],
+            {tenant_hash(tenant): slots for tenant, slots in tenants.items()},
         )
 
-    def word(self, now: int) -> bytes:
-        return encode_summary(self.own(now))
-
-    def wake(self, now: int) -> int:
-        """Works out the level anew; when it wants to be called again."""
-        self.now = now
-        words = [self.own(now)]
-        words += [word for _, _, word, told in self.heard.values() if now - told < STALE]
-        self.sums = sums = LoadTotals(words, self.part)
-        self.learns(sums)
-        self.level.moves(sums.target(), sums.heard, now)
-        self.shares(sums)
-        self.returns.passes(now)
-        return now + self.every
-
-    def shares(self, sums: LoadTotals) -> None:
-        """What part of each customer's txns is beyond its share. Where the middle customer is over its own,
-        all shares grow by as much: a surge of everybody's is for the level to judge by value, and a flood of
-        one does not move the middle. Heard in part, a customer has that part of its share,
-        and more as trims tell of room.
-        """
-        ratios = {}
-        for who, allowance in self.ways.allowances.items():
-            rate = sums.customers.get(self.shorts_of[who], 0.0)
-            ratios[who] = rate / (allowance * min(1.0, sums.heard * max(1.0, sums.trim)))
-        scale = max(1.0, middle(ratios.values()))
-        most = MORE * scale
-        self.overs = {who: 1.0 - most / ratio for who, ratio in ratios.items() if ratio > most}
-
-    def learns(self, sums: LoadTotals) -> None:
-        """The trim: what its own postings meet, against what the sums said. It moves by steps, and up only
-        while it is what binds: a trim that grew in quiet times would let all in when trouble comes.
+    def encoded_summary(self, now: int) -> bytes:
+        """Return the record that the others are to be told."""
+        return encode_summary(self.own_summary(now))
+
+    # Updates.
+
+    def update(self, now: int) -> int:
+        """Derive the level anew and return the tick at which the next update is due."""
+        self.updated_at = now
+        totals = LoadTotals([self.own_summary(now), *self.peers.fresh(now)], self.member_share)
+        self.totals = totals
+        self.capacity_factor.update(totals, self.rejection_rate, self.level.value > 0.0)
+        # The totals hold the factors as they were told; the level follows the totals.
+        self.level.update(totals.target_level(), totals.visible_share, now)
+        self.excess_shares = excess_shares(self.options.tenant_quotas, self.tenant_hashes, totals)
+        self.retry_advice.forget_past(now)
+        return now + self.update_interval_ticks
+
+    # Decisions.
+
+    def admit(self, request: AdmissionRequest, now: int) -> AdmissionVerdict:
+        """Decide on a request; called once for each try, before its first attempt.
+
+        After a pause of this process the level is updated first: the summaries have aged meanwhile.
         """
-        if sums.line > LINE or self.turned > 0.2:
-            self.trim *= 1.0 - STEP * min(3.0, max(1.0, sums.line / LINE))
-        elif sums.idle > IDLE and sums.line < LINE / 2 and (self.level.stands > 0.0 or sums.heard < HEARD):
-            # Cut off, idle slots are others' part that they do not want: learnt before it is missed.
-            self.trim *= 1.0 + STEP * min(5.0, sums.idle / IDLE)
-        elif self.level.stands == 0.0:
-            self.trim += 0.05 * (1.0 - self.trim)
-        # Ours follows the others': alone in its opinion it would only be clipped.
-        if sums.heard > HEARD:
-            self.trim += 0.05 * (sums.trim - self.trim)
-        self.trim = min(MOST / sums.heard, max(LEAST, self.trim))
-
-    # The question, and its answer.
-
-    def lets_in(self, ask: AdmissionRequest, now: int) -> AdmissionVerdict:
-        """Asked once for each try, before its first posting. Who stood still goes by what it knows now, not
-        by what it worked out before: words have aged meanwhile.
+        if now - self.updated_at > MAX_MISSED_UPDATES * self.update_interval_ticks:
+            self.update(now)
+        fraction, period = rank_hash(self.options.secret, request, now)
+        is_over_quota = self._is_over_quota(request, now)
+        band = rank_band(request, self.options.middle_value, is_over_quota)
+        shed_rank, level = band + fraction, self.level.value
+        identity = RequestIdentity.of(request)
+        is_early = now < self.advised.get(identity, 0)
+        if not is_early:
+            # Offered is what comes for the first time, or at its advised time: not what comes again at once.
+            self.offered.record(request, band, now)
+        if self._may_enter(request, shed_rank, is_early):
+            self.advised.pop(identity, None)
+            return AdmissionVerdict(True, shed_rank, level, is_over_quota, period=period)
+        if shed_rank < level:
+            reason = Reason.BELOW_LEVEL
+        else:
+            reason = Reason.TOO_EARLY if is_early else Reason.TOO_LATE
+        wait_ticks = self.advised[identity] - now if is_early else self.advise_retry(request, now)
+        return AdmissionVerdict(False, shed_rank, level, is_over_quota, wait_ticks, reason, period)
+
+    def _is_over_quota(self, request: AdmissionRequest, now: int) -> bool:
+        """Return whether the request is among those beyond its tenant's quota, by a hash of its own."""
+        excess = self.excess_shares.get(request.tenant)
+        return excess is not None and rank_hash(self.options.secret, request, now, b"over").fraction < excess
+
+    def _may_enter(self, request: AdmissionRequest, shed_rank: float, is_early: bool) -> bool:
+        """Return whether the request is admitted.
+
+        While the fleet sheds, what can't be in time is rejected first, also where late answers earn
+        something: at twice the capacity it took the room of what could be (0.81 of the value for 0.84, one
+            that sees all, emulated). Else the mechanism decides. A request that
+        comes before its advised time while a level stands waits for the rest of it: advice that need not be
+        kept bunches.
         """
-        if now - self.now > 5 * self.every:
-            self.wake(now)
-        place, period = rank_hash(self.ways.secret, ask, now)
-        over = False
-        if ask.customer in self.overs:
-            over = rank_hash(self.ways.secret, ask, now, b"over")[0] < self.overs[ask.customer]
-        in_band = rank_band(ask, self.ways.unit, over)
-        stands, level = in_band + place, self.level.stands
-        # Offered is what comes for the first time, or when it was told to: not what comes again at once.
-        mark = (ask.customer, ask.key, ask.scheme)
-        early = now < self.known.get(mark, 0)
-        if not early:
-            self.offered[in_band].add(ask.work, now)
-            self.steady.add(ask.work, now)
-            if ask.customer in self.ways.allowances:
-                self.customers.setdefault(ask.customer, Fading(now)).add(ask.work, now)
-        # While the fleet sheds, what can't be in time goes first, also where late answers earn something: at
-        # 2x it took the room of what could be (0.81 of the value for 0.84, one that sees all, emulated). Else
-        # the mechanism decides. Who comes before its time while a level stands waits out what it was told:
-        # advice that need not be kept bunches.
-        if (
-            stands >= level
-            and ((level == 0.0 and ask.late > 0.0) or ask.left >= ask.run)
-            and not (early and level > 0.0)
-        ):
-            self.known.pop(mark, None)
-            return AdmissionVerdict(True, stands, level, over, period=period)
-        why = "level" if stands < level else "early" if early else "late"
-        if early:
-            return AdmissionVerdict(False, stands, level, over, self.known[mark] - now, why, period)
-        wait = self.advises(ask, now)
-        return AdmissionVerdict(False, stands, level, over, wait, why, period)
-
-    def advises(self, ask: AdmissionRequest, now: int) -> int:
-        """What the client of a txn that is declined now, whyever, is told: ticks to wait, 0: nothing."""
-        free = self.sums.free() / max(1e-9, self.sums.could)
-        wait = self.returns.advise(rank_hash(self.ways.secret, ask, now)[0], free, self.ways.soonest, now)
-        if wait:
-            self.known[ask.customer, ask.key, ask.scheme] = now + wait
-            if len(self.known) > KNOWN:
-                del self.known[next(iter(self.known))]
-        return wait
-
-    def goes_out(self, kind: str, worker: str | None, now: int) -> bool:
-        """Whether a posting beyond the first, a trial, a look, a list call, a new connection may go."""
-        return self.budgets.try_acquire(kind, worker, now)
-
-
-def kind_of(again: bool, suspect: bool) -> str:
-    """Which budget a posting asks: a first posting at a worker in good standing asks none."""
-    return retry_budgets.TRIAL if suspect else retry_budgets.REPEAT if again else ""
+        level = self.level.value
+        if shed_rank < level:
+            return False
+        is_shedding = level != 0.0
+        if not request.can_be_in_time and (is_shedding or request.late_share <= 0.0):
+            return False
+        return not (is_early and level > 0.0)
+
+    def advise_retry(self, request: AdmissionRequest, now: int) -> int:
+        """Return the ticks that the client of a rejected request is told to wait; 0: no advice."""
+        idle_share = self.totals.unused_slots() / max(MIN_CAPACITY_SLOTS, self.totals.capacity_slots)
+        fraction = rank_hash(self.options.secret, request, now).fraction
+        wait_ticks = self.retry_advice.advise(fraction, idle_share, self.options.min_wait_ticks, now)
+        if wait_ticks:
+            self.advised[RequestIdentity.of(request)] = now + wait_ticks
+            if len(self.advised) > MAX_REMEMBERED_WAITS:
+                del self.advised[next(iter(self.advised))]
+        return wait_ticks
+
+    def try_acquire(self, kind: BudgetKind, worker_group: str | None, now: int) -> bool:
+        """Return whether something other than a first attempt may go out now; if so, it counts as sent."""
+        return self.budgets.try_acquire(kind, worker_group, now)
--- a/pathsaddle/fleet/overload/errors.py
+++ b/pathsaddle/fleet/overload/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a record, and what with a plan."""
+"""The errors of overload control."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class InvalidSummaryError(Exception):
-    """A fellow's record is none: it is passed over. It steers our own code and never leaves it."""
+    """The bytes are no load summary. The gate skips such a record; the error never leaves this package."""
 
 
 class InvalidPlanError(Error):
-    """a plan of overload to emulate can't be used"""
+    """A plan of overload to emulate can't be used. Whoever raises it hands in both sentences whole."""
 
     name = "overload.plan"
+    what = "a plan of overload to emulate can't be used"
+    do = "as it says"
--- a/pathsaddle/fleet/overload/load_summary.py
+++ b/pathsaddle/fleet/overload/load_summary.py
@@ -1,8 +1,9 @@
-"""What a member tells of its load: one record of at most 200 bytes, whatever its size or trouble.
+"""The load summary: what one dispatcher tells the others of its load, in one record of at most 200 bytes.
 
-Form: version, what it could serve, trim, what stood idle, what waited, all offered work over some seconds,
-offered work by band, then the customers that offer most, each by a short hash. Rates are slot-ticks a tick,
-that is, slots kept busy. A record that is none raises BadWord and is passed over.
+The record holds, in this order: format version, number of tenants, capacity, capacity factor, idle share,
+queue, sustained load, offered load by band, then the tenants that offer most, each by a short hash. Loads are
+slot-ticks a tick, that is, slots kept busy. All numbers are big-endian; the last two kinds are half floats.
+This module owns the format and keeps no state; the gate calls it.
 """
 
 from __future__ import annotations
@@ -11,64 +12,86 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 from math import isfinite
+from typing import TypeAlias
 
 from pathsaddle.fleet.overload.errors import InvalidSummaryError
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS
 
-FORM = 1  # grows with the form
-MAX_SUMMARY_BYTES = 200
-PUBLISH_INTERVAL = 32  # customers
-HEAD = struct.Struct(f"!BBfffff{RANK_BANDS}e")
-CUSTOMER = struct.Struct("!He")
-HIGHEST = 60_000.0  # what a half float holds
+TenantHash: TypeAlias = int  # two bytes of a tenant's name
+
+FORMAT_VERSION = 1  # the first byte; a new form gets the next number
+MAX_SUMMARY_BYTES = 200  # what the gossip layer can carry for each member
+MAX_TENANTS = 32  # the busiest ones; more do not fit into MAX_SUMMARY_BYTES
+HEADER = struct.Struct(f"!BBfffff{RANK_BANDS}e")
+TENANT_LOAD = struct.Struct("!He")
+MAX_HALF_FLOAT = 60_000.0  # below the largest finite half float
 
 
 @dataclass(slots=True)
 class LoadSummary:
-    could: float  # slots of the whole fleet that it believes can be kept busy
-    trim: float  # by how much its own experience corrects that
-    free: float  # share of the slots it saw lately that stood idle
-    line: float  # jobs that wait, for each slot of its part
-    steady: float  # all offered work, over some seconds
-    offered: list[float]  # by band, over the last one or so
-    customers: dict[int, float] = field(default_factory=dict)
+    """One member's load and its view of the workers.
+
+    Attributes:
+        capacity_slots: Slots of the whole fleet that the member believes can be kept busy.
+        capacity_factor: By how much the member's own experience corrects that.
+        idle_share: Share of the slots that it saw lately that were idle.
+        queue_per_slot: Requests that wait, for each slot of the member's share.
+        sustained_slots: All offered load, averaged over some seconds.
+        offered_slots: Offered load by band, averaged over about one second.
+        tenant_slots: Offered load by tenant.
+    """
+
+    capacity_slots: float
+    capacity_factor: float
+    idle_share: float
+    queue_per_slot: float
+    sustained_slots: float
+    offered_slots: list[float]
+    tenant_slots: dict[TenantHash, float] = field(default_factory=dict)
 
     @property
-    def total(self) -> float:
-        return sum(self.offered)
+    def total_slots(self) -> float:
+        """The offered load of all bands."""
+        return sum(self.offered_slots)
 
 
-def rounded_figure(customer: str) -> int:
-    return int.from_bytes(blake2b(customer.encode(), digest_size=2).digest())
+def tenant_hash(tenant: str) -> TenantHash:
+    """Return the short hash by which summaries name a tenant."""
+    return int.from_bytes(blake2b(tenant.encode(), digest_size=2).digest())
 
 
-def encode_summary(word: LoadSummary) -> bytes:
-    rows = sorted(word.customers.items(), key=lambda row: (-row[1], row[0]))[:PUBLISH_INTERVAL]
-    head = HEAD.pack(
-        FORM,
-        len(rows),
-        word.could,
-        word.trim,
-        word.free,
-        word.line,
-        word.steady,
-        *(min(HIGHEST, part) for part in word.offered),
+def encode_summary(summary: LoadSummary) -> bytes:
+    """Return the record; only the `MAX_TENANTS` busiest tenants are in it."""
+    tenants = sorted(summary.tenant_slots.items(), key=lambda row: (-row[1], row[0]))[:MAX_TENANTS]
+    header = HEADER.pack(
+        FORMAT_VERSION,
+        len(tenants),
+        summary.capacity_slots,
+        summary.capacity_factor,
+        summary.idle_share,
+        summary.queue_per_slot,
+        summary.sustained_slots,
+        *(min(MAX_HALF_FLOAT, slots) for slots in summary.offered_slots),
+    )
+    return header + b"".join(
+        TENANT_LOAD.pack(tenant, min(MAX_HALF_FLOAT, slots)) for tenant, slots in tenants
     )
-    return head + b"".join(CUSTOMER.pack(who, min(HIGHEST, rate)) for who, rate in rows)
 
 
 def decode_summary(body: bytes) -> LoadSummary:
-    """Raises BadWord."""
+    """Return the summary that a record holds.
+
+    Raises:
+        InvalidSummaryError: The record has another format, is too short or too long, or holds a number that
+        is negative or not finite.
+    """
     try:
-        form, count, could, trim, free, line, steady, *offered = HEAD.unpack_from(body)
-        rows = [CUSTOMER.unpack_from(body, HEAD.size + CUSTOMER.size * i) for i in range(count)]
-    except struct.error as fault:
-        raise InvalidSummaryError(f"{len(body)} bytes are no record ({fault})") from None
-    figures = [could, trim, free, line, steady, *offered, *(rate for _, rate in rows)]
-    if (
-        form != FORM
-        or len(body) > MAX_SUMMARY_BYTES
-        or not all(isfinite(part) and part >= 0.0 for part in figures)
-    ):
-        raise InvalidSummaryError(f"a record of form {form} with figures that are none")
-    return LoadSummary(could, trim, free, line, steady, list(offered), dict(rows))
+        version, count, capacity, factor, idle, queue, sustained, *offered = HEADER.unpack_from(body)
+        tenants = [TENANT_LOAD.unpack_from(body, HEADER.size + TENANT_LOAD.size * i) for i in range(count)]
+    except struct.error as error:
+        raise InvalidSummaryError(f"{len(body)} bytes are no load summary ({error})") from None
+    numbers = [capacity, factor, idle, queue, sustained, *offered, *(slots for _, slots in tenants)]
+    is_valid = all(isfinite(number) and number >= 0.0 for number in numbers)
+    if version != FORMAT_VERSION or len(body) > MAX_SUMMARY_BYTES or not is_valid:
+        raise InvalidSummaryError(f"a load summary of format {version} with invalid numbers")
+    return LoadSummary(capacity, factor, idle, queue, sustained, list(offered), dict(tenants))
--- a/pathsaddle/fleet/overload/retry_advice.py
+++ b/pathsaddle/fleet/overload/retry_advice.py
@@ -1,46 +1,71 @@
-"""When those that were declined are told to come back: spread so that who returns in any second fits what is
-free then.
-
-Bound: of the returns that all members advised, no second holds more than the budget, with nothing told among
-them. Each member's part of half the budget is dealt out over whole seconds, members' odd ones at phases of
-their own; any second touches two whole ones, so that halves add up to the budget also where clocks disagree
-on where a second begins. What finds no place within the longest advice is advised nothing. What will be free
-is not known ahead: so much of a second's places is used as is free now, at least a tenth, so that somebody
-tries; and each is let in by the level as all are.
+"""Retry advice: when the clients of rejected requests should come back.
+
+The returns are spread so that those of any second fit what is idle then.
+
+Bound: of the returns that all members advised, no second holds more than the budget, with no message among
+the members (`Spreads.test_all_members_advice_together_fits_any_second` breaks it). Each member's share of
+half the budget is dealt out over whole seconds, and the fractions of the members have phases of their own.
+Any second overlaps two whole ones, so that the halves add up to the budget also where clocks disagree on
+where a second begins. Where no second within the longest wait has a return left, there is no advice.
+
+What will be idle cannot be known ahead. The share of a second's returns that is used is the share of slots
+that is idle now, and at least a tenth, so that some clients try; each of them is then subject to the shed
+level like every request.
+
+The admission gate owns the one instance of a member.
 """
 
 from __future__ import annotations
 
 from pathsaddle.trade import SECOND
 
+MIN_IDLE_SHARE = 0.1  # used also where nothing is idle, so that some clients try
+GOLDEN_RATIO = 0.618  # spreads the rounding of a partly used second evenly over the seconds
+
 
 class RetryAdvice:
-    """most: returns in any second that all may advise; part: ours of them. phase: 0 to 1, spread evenly over
-    the members. longest: the longest advice, ticks.
+    """One member's advice.
+
+    Args:
+        fleet_returns: Returns in any second that all members together may advise.
+        member_share: This member's share of them, from 0 to 1.
+        phase: From 0 to 1, spread evenly over the members.
+        max_wait_ticks: The longest wait that is advised.
     """
 
-    def __init__(self, most: float, part: float, phase: float, longest: int) -> None:
-        self.each, self.phase, self.longest = most * part / 2, phase, longest
-        self.seconds: dict[int, int] = {}  # returns advised, by second
+    def __init__(self, fleet_returns: float, member_share: float, phase: float, max_wait_ticks: int) -> None:
+        self.returns_per_second = fleet_returns * member_share / 2
+        self.phase, self.max_wait_ticks = phase, max_wait_ticks
+        self.advised_by_second: dict[int, int] = {}
+
+    def allowed_returns(self, second: int, idle_share: float) -> int:
+        """Return how many returns this member may advise for a second.
+
+        A member whose share is less than one return a second has one every so many seconds.
+        """
+        rate, phase = self.returns_per_second, self.phase
+        allowed = int(rate * (second + 1) + phase) - int(rate * second + phase)
+        used_share = max(MIN_IDLE_SHARE, min(1.0, idle_share))
+        return int(allowed * used_share + (second * GOLDEN_RATIO + phase) % 1.0)
 
-    def holds(self, second: int, free: float) -> int:
-        """Returns that a second holds for us; a part of less than one has one every so many seconds."""
-        whole = int(self.each * (second + 1) + self.phase) - int(self.each * second + self.phase)
-        used = max(0.1, min(1.0, free))
-        return int(whole * used + (second * 0.618 + self.phase) % 1.0)
+    def advise(self, fraction: float, idle_share: float, min_wait_ticks: int, now: int) -> int:
+        """Reserve one return and give the ticks to wait, or 0 where no second has one left.
 
-    def advise(self, place: float, free: float, soonest: int, now: int) -> int:
-        """Ticks to wait; 0: no advice. place: the txn's draw, 0 to 1.
-        free: what part of all slots is free now.
+        Args:
+            fraction: The request's hash, from 0 to 1; it selects the moment within the second.
+            idle_share: The share of all slots that is idle now.
+            min_wait_ticks: The shortest wait that is advised.
+            now: Ticks of Unix time.
         """
-        for second in range((now + soonest) // SECOND + 1, (now + self.longest) // SECOND):
-            taken = self.seconds.get(second, 0)
-            if taken < min(self.holds(second, free), self.holds(second, 1.0)):
-                self.seconds[second] = taken + 1
-                return second * SECOND + int(place * (SECOND - 1)) - now
+        first, end = (now + min_wait_ticks) // SECOND + 1, (now + self.max_wait_ticks) // SECOND
+        for second in range(first, end):
+            taken = self.advised_by_second.get(second, 0)
+            if taken < min(self.allowed_returns(second, idle_share), self.allowed_returns(second, 1.0)):
+                self.advised_by_second[second] = taken + 1
+                return second * SECOND + int(fraction * (SECOND - 1)) - now
         return 0
 
-    def passes(self, now: int) -> None:
-        """What is over is let go."""
-        for second in [second for second in self.seconds if second < now // SECOND]:
-            del self.seconds[second]
+    def forget_past(self, now: int) -> None:
+        """Drop the counts of seconds that are over."""
+        for second in [second for second in self.advised_by_second if second < now // SECOND]:
+            del self.advised_by_second[second]
--- a/pathsaddle/fleet/overload/scheduler_gate.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -1,114 +1,137 @@
-"""The gate beside a real Choice: what it is asked in trade's words, put in the fleet's.
+"""The gate beside a real `Choice`: it translates the scheduler's calls (`trade.Gate`) into the fleet's terms.
 
-It reads the mechanism's books, and writes but one thing: a suspect whose trial is refused is shut for a
-moment. What identifies a txn to all is its customer, its key (its hint and size where it has none) and its
-scheme, by the charter's numbers; workers share a few budgets by the lot drawn from their name. List calls ask
-none: rule 3 needs no other dispatcher.
+It reads the scheduler's state and writes one thing only: a suspect worker whose trial is refused is closed
+for a moment. A request is identified everywhere by its tenant, its affinity key (its hint and size where it
+has none) and its class, by the numbers of the configuration. Workers share a few budgets by the lot that is
+drawn from their names. List calls take from no budget: rule 3 needs no other dispatcher.
+
+`choice.py` calls the four methods of `trade.Gate`, whose names are that protocol's.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from pathsaddle.fleet.overload import retry_budgets
-from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, OverloadGate, kind_of
+from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, OverloadGate
+from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.trade import SECOND, Standing, Txn, Worker
 
 if TYPE_CHECKING:
     from pathsaddle.choice import Choice
 
-VERDICTS = 4096  # of txns that are open
-MAX_QUEUED = (
-    4  # budgets that workers have of each kind: a charter deals them by name before it knows any worker
-)
+MAX_OPEN_VERDICTS = 4096  # rejections whose advice was not yet asked for
+# Groups of workers, each with budgets of its own: a configuration names budgets before it knows any worker.
+WORKER_GROUPS = 4
+REFUSED_TRIAL_PAUSE_TICKS = SECOND // 10  # the worker would rank first again at once
+LOST_WORK_SHARE = 0.5  # of a run: what an attempt that may have run is taken to have spent
+
 
+def worker_group(worker: Worker) -> str:
+    """Return whose budgets a worker uses, alike at all members.
 
-def place(worker: Worker) -> str:
-    """Whose budget it is, alike at all members; workers that share one are together bound by what bounds
-    each.
+    Workers of one group are together limited by what limits each of them.
     """
-    return f"w{worker.lot % MAX_QUEUED}"
+    return f"w{worker.lot % WORKER_GROUPS}"
 
 
 class SchedulerAdmissionGate:
-    """Implements trade.Gate. `core`: this member's; whoever carries records feeds and asks it directly."""
+    """Implements `trade.Gate`.
+
+    Attributes:
+        core: This member's gate; whoever carries records feeds and asks it directly.
+        update_due: The tick of the next update.
+        verdicts: Rejections by request, until the advice is asked for.
+    """
 
     def __init__(self, core: OverloadGate) -> None:
         self.core = core
-        self.due = 0
+        self.update_due = 0
         self.verdicts: dict[Txn, AdmissionVerdict] = {}
 
-    def ask_of(self, txn: Txn, choice: Choice) -> AdmissionRequest:
-        run = choice.run_of(txn)
+    def admission_request(self, txn: Txn, choice: Choice) -> AdmissionRequest:
+        """Return what the gate has to know of a request."""
+        run_ticks = choice.run_of(txn)
         key = txn.key if txn.key is not None else f"{txn.hint} {txn.slots} {txn.memory}"
-        customer = str(txn.customer.index) if txn.customer is not None else ""
-        spent = sum(run * txn.slots * 0.5 for posting in txn.postings if posting.may_have_run)
+        lost_slot_ticks = run_ticks * txn.slots * LOST_WORK_SHARE
         return AdmissionRequest(
-            customer,
-            key,
-            str(txn.scheme.index),
-            choice.worth(txn),
-            txn.scheme.late_value,
-            run * txn.slots,
-            choice.in_time_until(txn) + int(run) - choice.now,
-            int(run),
-            spent,
-            txn.repeat,
+            tenant=str(txn.customer.index) if txn.customer is not None else "",
+            key=key,
+            request_class=str(txn.scheme.index),
+            value=choice.worth(txn),
+            late_share=txn.scheme.late_value,
+            work_slot_ticks=run_ticks * txn.slots,
+            time_left_ticks=choice.in_time_until(txn) + int(run_ticks) - choice.now,
+            run_ticks=int(run_ticks),
+            spent_slot_ticks=sum(lost_slot_ticks for attempt in txn.postings if attempt.may_have_run),
+            is_retry=txn.repeat,
         )
 
-    def looks_at(self, choice: Choice) -> None:
-        """What the mechanism believes of the workers, in the gate's figures."""
-        books = [book for book in choice.books.values() if book.worker.standing is Standing.READY]
-        sizes = {book: book.size or choice.least_slots for book in books}
-        # Whom we alone can't reach counts whole: others serve by it, and lines tell when the sum is too high.
-        could = sum(size / book.pace for book, size in sizes.items())
-        fresh = [(sizes[book], choice.room(book)) for book in books if choice.now - book.reported < SECOND]
-        whole = sum(size for size, _ in fresh)
-        idle = sum(min(size, max(0.0, room)) for size, room in fresh) / whole if whole else 0.0
-        line = sum(max(0.0, -room) for _, room in fresh) / whole if whole else 0.0
-        line += len(choice.waiting) / max(1.0, sum(sizes.values()) * self.core.part)
-        self.core.sees(could, idle, line)
-        self.core.turned = min(1.0, choice.doubt())
-
-    def turn(self, choice: Choice) -> None:
-        if choice.now >= self.due:
-            self.looks_at(choice)
-            self.due = self.core.wake(choice.now)
+    def observe_workers(self, choice: Choice) -> None:
+        """Hand the core what the scheduler believes of the workers."""
+        states = [state for state in choice.books.values() if state.worker.standing is Standing.READY]
+        slots = {state: state.size or choice.least_slots for state in states}
+        # A worker that only this member can't reach counts whole: the others are served by it, and queues
+        # show a sum that is too high.
+        capacity_slots = sum(size / state.pace for state, size in slots.items())
+        fresh = [
+            (slots[state], choice.room(state)) for state in states if choice.now - state.reported < SECOND
+        ]
+        fresh_slots = sum(size for size, _ in fresh)
+        idle_share = queue_per_slot = 0.0
+        if fresh_slots:
+            idle_share = sum(min(size, max(0.0, free)) for size, free in fresh) / fresh_slots
+            queue_per_slot = sum(max(0.0, -free) for _, free in fresh) / fresh_slots
+        queue_per_slot += len(choice.waiting) / max(1.0, sum(slots.values()) * self.core.member_share)
+        self.core.observe_workers(capacity_slots, idle_share, queue_per_slot)
+        self.core.rejection_rate = min(1.0, choice.doubt())
+
+    def update_if_due(self, choice: Choice) -> None:
+        """Update the core where its next update is due."""
+        if choice.now >= self.update_due:
+            self.observe_workers(choice)
+            self.update_due = self.core.update(choice.now)
 
     # trade.Gate.
 
     def lets_in(self, txn: Txn, choice: Choice) -> bool:
-        """Rule 2 comes first: what was posted may have run, and is the mechanism's alone from then on."""
+        """Return whether the request may have its first attempt.
+
+        Rule 2 comes first: a request that has been sent may have run, and is the scheduler's alone from then
+        on.
+        """
         if txn.postings:
             return True
-        self.turn(choice)
-        verdict = self.core.lets_in(self.ask_of(txn, choice), choice.now)
-        if not verdict.let:
+        self.update_if_due(choice)
+        verdict = self.core.admit(self.admission_request(txn, choice), choice.now)
+        if not verdict.is_admitted:
             self.verdicts[txn] = verdict
-            if len(self.verdicts) > VERDICTS:
+            if len(self.verdicts) > MAX_OPEN_VERDICTS:
                 del self.verdicts[next(iter(self.verdicts))]
-        return verdict.let
+        return verdict.is_admitted
 
     def goes_out(self, txn: Txn, worker: Worker, choice: Choice) -> bool:
-        kind = kind_of(bool(txn.postings), choice.books[worker].suspect)
-        if not kind or self.core.goes_out(kind, place(worker), choice.now):
+        """Return whether this attempt may go to this worker now; if so, it counts as sent."""
+        kind = budget_kind(bool(txn.postings), choice.books[worker].suspect)
+        if kind is None or self.core.try_acquire(kind, worker_group(worker), choice.now):
             return True
-        if kind == retry_budgets.TRIAL:  # it would be the least again: for a moment the next one is
-            choice.books[worker].shut_until = choice.now + SECOND // 10
+        if kind is BudgetKind.TRIAL:
+            choice.books[worker].shut_until = choice.now + REFUSED_TRIAL_PAUSE_TICKS
         return False
 
     def may_look(self, worker: Worker, choice: Choice) -> bool:
-        return self.core.goes_out(retry_budgets.LOOK, place(worker), choice.now)
+        """Return whether this worker may be probed now; if so, it counts as sent."""
+        return self.core.try_acquire(BudgetKind.LOOK, worker_group(worker), choice.now)
 
     def come_back(self, txn: Txn, choice: Choice) -> int:
-        """None where clients take none; what lies past the longest that the deployment allows is not said
-        either, for cut down to it all would be told the same.
+        """Return the ticks that the client of a rejected request is told to wait; 0: no advice.
+
+        A wait beyond the longest that the deployment allows is not told either: cut down to it, all would be
+        told the same.
         """
         verdict = self.verdicts.pop(txn, None)
-        wait = (
-            verdict.come_back
-            if verdict is not None
-            else self.core.advises(self.ask_of(txn, choice), choice.now)
-        )
-        return wait if wait <= choice.come_back else 0
+        if verdict is not None:
+            wait_ticks = verdict.retry_after_ticks
+        else:
+            wait_ticks = self.core.advise_retry(self.admission_request(txn, choice), choice.now)
+        return wait_ticks if wait_ticks <= choice.come_back else 0
--- a/pathsaddle/fleet/overload/shed_level.py
+++ b/pathsaddle/fleet/overload/shed_level.py
@@ -1,116 +1,175 @@
-"""The level: what stands below it is declined at once,
-by every member that knows the same sums at the same place.
-
-Bound (differ): two members whose sums lead to levels t and u differ at most by |t - u| + 2 DEAD, once each
-has had |t - u| / FALLS seconds; sums that differ by a part e of what could be served, where marginal bands
-hold at least a part m of it, lead to levels that differ by e / m bands.
-Bound (part): one member's word, whatever it says, counts in offered work as at most TWICE times what the
-middle member offers, or its own part of what could be served where that is more, and in what could be served
-as one of n voices of a mean clipped to half and twice the middle one.
-Bound (pace): in any second a level rises by at most RISES and falls by at most FALLS bands.
-Bound (turns): while the sums call for a level within DEAD of the one that stands, it stands; within DEAD over
-the root of the part heard, where that is not the whole: ten times as far where it is a hundredth. It moves
-slower by that root as well, to a quarter.
-
-Whoever is not heard keeps its part of what can be served: the rest share theirs,
-and what trims teach them above it.
+"""The shed level, below whose rank requests are rejected at once.
+
+Every member that knows the same totals derives the same level.
+
+Invariants, each with the test of `tests/test_overload.py` that breaks it where it does not hold:
+
+- Difference: two members whose totals lead to levels t and u differ at most by |t - u| + 2 x
+  `DEADBAND_BANDS`, once each has had |t - u| / `MAX_FALL_BANDS_PER_SECOND` seconds. Totals that differ by a
+  share e of the capacity, where marginal bands hold at least a share m of it, lead to levels that differ by e
+  / m bands (`Gates.test_the_same_txn_is_shed_by_each_member_that_knows_the_same`).
+- Influence: whatever one member's summary says, it counts in the offered load as at most `MAX_LOAD_TO_MEDIAN`
+  times what the median member offers, or as that member's share of the capacity where that is more; in the
+  capacity it counts as one of n values of a mean, clipped to half and twice the median
+  (`Levels.test_one_that_tells_a_hundred_times_its_load_moves_little`).
+- Pace: in any second a level rises by at most `MAX_RISE_BANDS_PER_SECOND` and falls by at most
+  `MAX_FALL_BANDS_PER_SECOND` (`Levels.test_a_level_keeps_its_pace_and_a_stall_is_no_licence_to_leap`).
+- Deadband: while the target is within `DEADBAND_BANDS` of the level, the level stays. Where only a share of
+  the fleet is visible, the deadband is divided by the root of that share (ten times as wide at a hundredth),
+  and the level moves slower by that root, down to a quarter (`Levels.test_sums_that_tremble_do_not_move_it`).
+
+A member that is not heard keeps its share of the capacity: the others divide theirs among themselves, and
+what their capacity factors teach them above it.
+
+The admission gate calls this module with fresh summaries; it reads no clock and sends nothing.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 
-from pathsaddle.fleet.overload.load_summary import LoadSummary
+from pathsaddle.fleet.overload.load_summary import LoadSummary, TenantHash
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS
 from pathsaddle.trade import SECOND
 
-TIGHTEN_INTERVAL = 12.0  # bands a second: harm comes quickly
-RELAX_INTERVAL = 4.0  # and trust slowly: the whole scale in four seconds
-DEAD = 0.1  # bands
-TWICE = 2.0
-LONG = 8.0  # the longest line that one may tell of
-STALE = 4 * SECOND  # a word of this age at the least is as good as none
+MAX_RISE_BANDS_PER_SECOND = 12.0  # harm comes quickly
+MAX_FALL_BANDS_PER_SECOND = 4.0  # the whole scale in four seconds: trust comes back slowly
+DEADBAND_BANDS = 0.1
+MIN_VISIBLE_SHARE = 0.001  # keeps the deadband finite
+MIN_PACE = 0.25  # of the whole pace, however little of the fleet is visible
+MAX_LOAD_TO_MEDIAN = 2.0
+MAX_QUEUE_PER_SLOT = 8.0  # the longest queue that a summary may claim
+SUMMARY_TTL_TICKS = 4 * SECOND  # an older summary is ignored
 
 
-def middle(figures: Iterable[float]) -> float:
-    rows = sorted(figures)
+def median(values: Iterable[float]) -> float:
+    """Return the median; 0.0 of no values."""
+    rows = sorted(values)
     return (rows[(len(rows) - 1) // 2] + rows[len(rows) // 2]) / 2 if rows else 0.0
 
 
 class LoadTotals:
-    """What the words add up to, for one member at one moment.
-
-    words: those that are heard, its own included. part: of each member, by the charter.
+    """What the summaries add up to, for one member at one moment.
+
+    Args:
+        summaries: All fresh summaries, the member's own included.
+        member_share: The share of the fleet that each member is, by configuration.
+
+    Attributes:
+        visible_share: The share of the fleet that the totals come from, from 0 to 1.
+        capacity_slots: Slots of the whole fleet, a clipped mean.
+        capacity_factor: The clipped mean of the members' factors.
+        queue_per_slot: The mean queue.
+        idle_share: The mean idle share.
+        offered_slots: Offered load by band.
+        tenant_slots: Offered load by tenant.
     """
 
-    def __init__(self, words: Sequence[LoadSummary], part: float) -> None:
-        self.heard = min(1.0, part * len(words))
-        mid = middle(word.could for word in words)
-        coulds = [min(2.0 * mid, max(0.5 * mid, word.could)) for word in words]
-        self.could = sum(coulds) / max(1, len(words))
-        mid = middle(word.trim for word in words)
-        trims = [min(1.5 * mid, max(0.67 * mid, word.trim)) for word in words]
-        self.trim = sum(trims) / max(1, len(words))
-        # Of a member with few txns one that waits is a long line: the mean of all is what tells.
-        self.line = sum(min(LONG, word.line) for word in words) / max(1, len(words))
-        self.idle = sum(min(1.0, word.free) for word in words) / max(1, len(words))
-        # What nobody else vouches for: a member that tells a hundred times its load is counted as a busy one.
-        most = max(TWICE * middle(word.total for word in words), part * self.could)
-        scales = [min(1.0, most / word.total) if word.total > most else 1.0 for word in words]
-        if all(scale == 1.0 for scale in scales):
-            rows: list[list[float]] = [word.offered for word in words]
-        else:
-            rows = [
-                [one * scale for one in word.offered] if scale < 1.0 else word.offered
-                for word, scale in zip(words, scales)
-            ]
-        self.offered = [sum(column) for column in zip(*rows)] if rows else [0.0] * RANK_BANDS
-        # A burst of a second is not overload: lines take it up. A second that is quieter than those before it
-        # counts at once. The lesser of both is taken of the sum: of each member's own few txns it would be
-        # far under the truth.
-        whole = sum(self.offered)
-        steady = sum(word.steady * scale for word, scale in zip(words, scales))
-        if 0.0 < steady < whole:
-            self.offered = [part * steady / whole for part in self.offered]
-        self.customers: dict[int, float] = {}
-        for word, scale in zip(words, scales):
-            for who, rate in word.customers.items():
-                self.customers[who] = self.customers.get(who, 0.0) + rate * scale
+    def __init__(self, summaries: Sequence[LoadSummary], member_share: float) -> None:
+        count = max(1, len(summaries))
+        self.visible_share = min(1.0, member_share * len(summaries))
+        middle = median(summary.capacity_slots for summary in summaries)
+        capacities = [min(2.0 * middle, max(0.5 * middle, summary.capacity_slots)) for summary in summaries]
+        self.capacity_slots = sum(capacities) / count
+        middle = median(summary.capacity_factor for summary in summaries)
+        factors = [min(1.5 * middle, max(0.67 * middle, summary.capacity_factor)) for summary in summaries]
+        self.capacity_factor = sum(factors) / count
+        # At a member with few requests a single one that waits is a long queue: only the mean of all is
+        # meaningful.
+        self.queue_per_slot = (
+            sum(min(MAX_QUEUE_PER_SLOT, summary.queue_per_slot) for summary in summaries) / count
+        )
+        self.idle_share = sum(min(1.0, summary.idle_share) for summary in summaries) / count
+        scales = self._credible_scales(summaries, member_share)
+        self.offered_slots = _offered_slots(summaries, scales)
+        self.tenant_slots: dict[TenantHash, float] = {}
+        for summary, scale in zip(summaries, scales, strict=True):
+            for tenant, slots in summary.tenant_slots.items():
+                self.tenant_slots[tenant] = self.tenant_slots.get(tenant, 0.0) + slots * scale
+
+    def _credible_scales(self, summaries: Sequence[LoadSummary], member_share: float) -> list[float]:
+        """Return the factor of each summary's load.
+
+        A member that claims a hundred times its load counts as a busy one.
+        """
+        most = max(
+            MAX_LOAD_TO_MEDIAN * median(summary.total_slots for summary in summaries),
+            member_share * self.capacity_slots,
+        )
+        return [
+            min(1.0, most / summary.total_slots) if summary.total_slots > most else 1.0
+            for summary in summaries
+        ]
 
     @property
-    def supply(self) -> float:
-        """Slots for those that are heard, as far as trims go."""
-        return self.could * self.heard * self.trim
-
-    def target(self) -> float:
-        """The least level above which what is offered fits; 0: all of it does."""
-        left = self.supply
-        for place in reversed(range(RANK_BANDS)):
-            offered = self.offered[place]
-            if offered > left:
-                return place + 1.0 - max(0.0, left) / offered
-            left -= offered
+    def usable_slots(self) -> float:
+        """Slots for the visible members, corrected by the capacity factor."""
+        return self.capacity_slots * self.visible_share * self.capacity_factor
+
+    def target_level(self) -> float:
+        """Return the lowest level above which the offered load fits; 0.0 where all of it does."""
+        left_slots = self.usable_slots
+        for band in reversed(range(RANK_BANDS)):
+            offered = self.offered_slots[band]
+            if offered > left_slots:
+                return band + 1.0 - max(0.0, left_slots) / offered
+            left_slots -= offered
         return 0.0
 
-    def free(self) -> float:
-        """Slots that what is offered leaves idle."""
-        return max(0.0, self.supply - sum(self.offered))
+    def unused_slots(self) -> float:
+        """Return the slots that the offered load leaves idle."""
+        return max(0.0, self.usable_slots - sum(self.offered_slots))
+
+
+def _offered_slots(summaries: Sequence[LoadSummary], scales: Sequence[float]) -> list[float]:
+    """Return the offered load by band.
+
+    A burst of a second is no overload, since queues take it up, and a second that is quieter than those
+    before it counts at once. So the lesser of the last second's and the sustained load is taken, of the
+    total: taken of each member's own few requests it would be far below the truth.
+    """
+    if all(scale == 1.0 for scale in scales):
+        rows: list[list[float]] = [summary.offered_slots for summary in summaries]
+    else:
+        rows = [
+            [slots * scale for slots in summary.offered_slots] if scale < 1.0 else summary.offered_slots
+            for summary, scale in zip(summaries, scales, strict=True)
+        ]
+    offered = [sum(column) for column in zip(*rows, strict=False)] if rows else [0.0] * RANK_BANDS
+    total = sum(offered)
+    sustained = sum(summary.sustained_slots * scale for summary, scale in zip(summaries, scales, strict=True))
+    if 0.0 < sustained < total:
+        return [slots * sustained / total for slots in offered]
+    return offered
 
 
 class ShedLevel:
-    def __init__(self, now: int) -> None:
-        self.stands = 0.0
-        self.at = now
+    """The level of one member, which follows its target at a limited pace.
 
-    def moves(self, target: float, heard: float, now: int) -> float:
-        """Towards the target at its pace. A small step only where the target is the floor: there it must not
-        hang. heard: part of the fleet that the sums are from; few txns jump about more than many,
-        by the root.
+    Attributes:
+        value: The level, in bands: from 0.0, where nothing is shed.
+        updated_at: The tick of the last update.
+    """
+
+    def __init__(self, now: int) -> None:
+        self.value = 0.0
+        self.updated_at = now
+
+    def update(self, target: float, visible_share: float, now: int) -> float:
+        """Move towards the target and return the level.
+
+        Args:
+            target: The level that the totals call for. A target of 0.0 is reached whatever the deadband, so
+                that the level does not stay just above it.
+            visible_share: The share of the fleet that the totals come from. Few requests fluctuate more than
+                many, by the root.
+            now: The current tick. A pause of this process counts as one second at most.
         """
-        spent = min(SECOND, max(0, now - self.at)) / SECOND  # a stall of our own is no licence to leap
-        self.at = max(self.at, now)
-        off = target - self.stands
-        if abs(off) > DEAD / max(0.001, heard) ** 0.5 or target == 0.0:
-            spent *= max(0.25, heard**0.5)
-            self.stands += min(TIGHTEN_INTERVAL * spent, max(-RELAX_INTERVAL * spent, off))
-        return self.stands
+        pace = min(SECOND, max(0, now - self.updated_at)) / SECOND
+        self.updated_at = max(self.updated_at, now)
+        distance = target - self.value
+        if abs(distance) > DEADBAND_BANDS / max(MIN_VISIBLE_SHARE, visible_share) ** 0.5 or target == 0.0:
+            pace *= max(MIN_PACE, visible_share**0.5)
+            step = max(-MAX_FALL_BANDS_PER_SECOND * pace, distance)
+            self.value += min(MAX_RISE_BANDS_PER_SECOND * pace, step)
+        return self.value
