--- a/pathsaddle/control_metrics.py
+++ b/pathsaddle/control_metrics.py
@@ -1,20 +1,26 @@
-"""What control costs a dispatcher, apart from its txns: processor time and bytes, by what they were for.
+"""What control costs a dispatcher, apart from its requests: processor time and bytes, by purpose.
 
-Free of I/O but for the clock that is handed in. A meter stands around the calls by which the drivers of control are
-entered; what such a call enters in turn for another purpose counts for that one alone, so that the sum of all purposes
-is spent once. Memory: a dozen counters a purpose, whatever the size of the fleet; a meter grows with nothing.
+A meter stands around the calls by which the drivers of control are entered (membership, gossip, quotas,
+consensus, settings, overload, discovery). What such a call enters in turn for another purpose counts for that
+purpose alone, so that each nanosecond is counted once. The module is free of I/O but for the clocks that are
+handed in. Memory: a dozen counters a purpose, whatever the size of the fleet.
 
-The time is that of the thread (`time.thread_time_ns`): what others on the machine take isn't in it, what the kernel does
-for our calls is. Not in it: the event loop's own turns, and what disk threads do. Weighed: sampling the stack (a thread
-more, and a purpose of 0.1% of a core wants minutes), a profiler (a factor of two), running with and without (tells the
-sum alone; `emulator/hollow/control.py` holds the meter against it).
+The time is that of the thread (`time.thread_time_ns`): what other processes on the machine take is not in it,
+what the kernel does for this thread's calls is. Not in it: the event loop's own turns, and what disk threads
+do. Alternatives weighed: sampling the stack (one more thread, and a purpose of 0.1% of a core needs minutes),
+a profiler (a factor of two), and running with and without (shows the sum alone;
+`emulator/hollow/control.py` compares the meter with it).
+
+`config/metering.py` owns the meter of a real dispatcher; every driver has a `NullMeter` until it is given
+one.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Awaitable, Callable, Generator
-from typing import Any, Literal, TypeVar
+from functools import partial
+from typing import Any, Literal, NamedTuple, TypedDict, TypeVar, get_args
 
 Purpose = Literal[
     "list",
@@ -29,63 +35,158 @@
     "looks",
     "log",
 ]
-PURPOSES: tuple[Purpose, ...] = (
-    "list",
-    "membership",
-    "carrying",
-    "shares",
-    "owners",
-    "spec",
-    "settings",
-    "level",
-    "reports",
-    "looks",
-    "log",
-)
-WITH_TXNS: tuple[Purpose, ...] = (
-    "reports",
-    "looks",
-    "log",
-)  # that grow with txns: no budget of control binds them
+PURPOSES: tuple[Purpose, ...] = get_args(Purpose)
+# They grow with the requests, so that no budget of control limits them.
+REQUEST_PURPOSES: tuple[Purpose, ...] = ("reports", "looks", "log")
+NS_PER_SECOND = 1_000_000_000
+NS_PER_US = 1000
+MIN_SECONDS = 1e-9  # keeps rates finite at the very begin
 T = TypeVar("T")
 
 
 class NullMeter:
-    """What drivers have where nobody meters them; its calls are those of `ControlMeter`."""
+    """What drivers have where nobody meters them. Its calls are those of `ControlMeter`."""
 
     def runs(self, purpose: Purpose, call: Callable[[], T]) -> T:
+        """Make the call and return its result."""
         return call()
 
     def came(self, purpose: Purpose, size: int) -> None:
-        """So many bytes."""
+        """Count bytes that were received."""
 
     def went(self, purpose: Purpose, size: int) -> None:
-        """So many bytes."""
+        """Count bytes that were sent."""
+
+
+class SecondCost(NamedTuple):
+    """What one whole second cost."""
+
+    ns: int = 0
+    bytes_in: int = 0
+    bytes_out: int = 0
 
 
 class PurposeCost:
-    """Of one purpose, since the meter began: calls, nanoseconds, bytes; and the most bytes of any whole second."""
+    """What one purpose cost since the meter's start, and the highest cost of any whole second.
+
+    Attributes:
+        calls: Metered calls.
+        ns: Processor time, nanoseconds.
+        got: Bytes received.
+        said: Bytes sent.
+        last: The cost of the last whole second.
+        most_ns: The most processor time of any whole second.
+        most_bytes_in: The most bytes received in any whole second.
+        most_bytes_out: The most bytes sent in any whole second.
+    """
 
-    __slots__ = ("calls", "got", "last", "most_got", "most_ns", "most_said", "ns", "said", "second")
+    __slots__ = (
+        "calls",
+        "got",
+        "last",
+        "most_bytes_in",
+        "most_bytes_out",
+        "most_ns",
+        "ns",
+        "said",
+        "second_bytes_in",
+        "second_bytes_out",
+        "second_ns",
+    )
 
     def __init__(self) -> None:
         self.calls = self.ns = self.got = self.said = 0
-        self.second = [0, 0, 0]  # of the running one: nanoseconds, bytes in, bytes out
-        self.last = [0, 0, 0]  # of the one before it
-        self.most_ns = self.most_got = self.most_said = 0
+        self.second_ns = self.second_bytes_in = self.second_bytes_out = 0  # of the current second
+        self.last = SecondCost()
+        self.most_ns = self.most_bytes_in = self.most_bytes_out = 0
+
+    def add(self, ns: int, bytes_in: int, bytes_out: int) -> None:
+        """Count a cost in the current second."""
+        self.ns += ns
+        self.got += bytes_in
+        self.said += bytes_out
+        self.second_ns += ns
+        self.second_bytes_in += bytes_in
+        self.second_bytes_out += bytes_out
+
+    def end_second(self) -> None:
+        """Close the current second."""
+        self.most_ns = max(self.most_ns, self.second_ns)
+        self.most_bytes_in = max(self.most_bytes_in, self.second_bytes_in)
+        self.most_bytes_out = max(self.most_bytes_out, self.second_bytes_out)
+        self.last = SecondCost(self.second_ns, self.second_bytes_in, self.second_bytes_out)
+        self.second_ns = self.second_bytes_in = self.second_bytes_out = 0
+
+    def view(self, seconds: float) -> CostView:
+        """Return the cost as `fleet show control` has it.
+
+        Args:
+            seconds: Since the meter's start; rates are means over all of it.
+        """
+        return {
+            "us": self.ns // NS_PER_US,
+            "core": round(self.ns / 1e9 / seconds, 7),
+            "in": self.got,
+            "out": self.said,
+            "in_s": round(self.got / seconds, 1),
+            "out_s": round(self.said / seconds, 1),
+            "most_us": max(self.most_ns, self.second_ns) // NS_PER_US,
+            "most_in": max(self.most_bytes_in, self.second_bytes_in),
+            "most_out": max(self.most_bytes_out, self.second_bytes_out),
+        }
+
+
+# The members of the JSON document of `fleet show control`; one of them is a keyword of Python.
+CostView = TypedDict(
+    "CostView",
+    {
+        "us": int,
+        "core": float,
+        "in": int,
+        "out": int,
+        "in_s": float,
+        "out_s": float,
+        "most_us": int,
+        "most_in": int,
+        "most_out": int,
+    },
+)
+
+
+class PurposeView(CostView):
+    """The cost of one purpose in that document; txns: whether it grows with the requests."""
+
+    calls: int
+    txns: bool
+
+
+class MeterView(TypedDict):
+    """The meter's part of that document."""
+
+    seconds: float
+    control: CostView
+    purposes: dict[Purpose, PurposeView]
+
 
-    def ends_second(self) -> None:
-        self.most_ns = max(self.most_ns, self.second[0])
-        self.most_got = max(self.most_got, self.second[1])
-        self.most_said = max(self.most_said, self.second[2])
-        self.last, self.second = self.second, [0, 0, 0]
+def _ignore() -> None:
+    """Do nothing."""
 
 
 class ControlMeter(NullMeter):
-    """Seconds are those of the clock handed in, from the meter's begin on: a most is of one such second, so that bytes
-    which fall on both sides of its end may be twice a most within a second of their own.
+    """Counts what each purpose cost.
 
-    `thread_ns`: processor time of this thread; `steady_ns`: a clock that never goes back.
+    Seconds are those of `steady_ns`, from the meter's start on. A highest cost is that of one such second, so
+    that bytes which fall on both sides of its end may be twice as many within one second of another clock.
+
+    Args:
+        thread_ns: Processor time of this thread, nanoseconds.
+        steady_ns: A clock that never goes back, nanoseconds.
+
+    Attributes:
+        spent: The cost by purpose.
+        all: The cost of all purposes that a budget limits.
+        second: The number of the current second, from 0.
+        second_ended: Called when a second has ended, in the first count of a later one.
     """
 
     def __init__(
@@ -95,106 +196,94 @@
     ) -> None:
         self.thread_ns, self.steady_ns = thread_ns, steady_ns
         self.spent: dict[Purpose, PurposeCost] = {purpose: PurposeCost() for purpose in PURPOSES}
-        self.all = PurposeCost()  # of those that a budget binds
-        self.begun = steady_ns()
-        self.second = 0  # the running one
-        self._inner: list[
-            int
-        ] = []  # a frame for each call that is out: nanoseconds that calls within it have taken
-        self._outer: list[Purpose] = []  # what each of them is for
-        self.second_ended: Callable[[], None] = lambda: (
-            None
-        )  # told when a second has ended, in the next one's first call
+        self.all = PurposeCost()
+        self.started_ns = steady_ns()
+        self.second = 0
+        self.second_ended: Callable[[], None] = _ignore
+        # A frame for each metered call that has not returned: its purpose, and the time that calls in it
+        # took.
+        self._purposes: list[Purpose] = []
+        self._nested_ns: list[int] = []
 
     # Bytes.
 
     def came(self, purpose: Purpose, size: int) -> None:
-        self._adds(purpose, 0, size, 0)
+        """Count bytes that were received."""
+        self._add(purpose, 0, size, 0)
 
     def went(self, purpose: Purpose, size: int) -> None:
-        self._adds(purpose, 0, 0, size)
+        """Count bytes that were sent."""
+        self._add(purpose, 0, 0, size)
 
-    def _adds(self, purpose: Purpose, ns: int, got: int, said: int) -> None:
-        second = (self.steady_ns() - self.begun) // 1_000_000_000
+    def _add(self, purpose: Purpose, ns: int, bytes_in: int, bytes_out: int) -> None:
+        second = (self.steady_ns() - self.started_ns) // NS_PER_SECOND
         if second != self.second:
             self.second = second
-            for one in (*self.spent.values(), self.all):
-                one.ends_second()
+            for cost in (*self.spent.values(), self.all):
+                cost.end_second()
             self.second_ended()
-        for one in (self.spent[purpose],) if purpose in WITH_TXNS else (self.spent[purpose], self.all):
-            one.ns += ns
-            one.got += got
-            one.said += said
-            one.second[0] += ns
-            one.second[1] += got
-            one.second[2] += said
+        self.spent[purpose].add(ns, bytes_in, bytes_out)
+        if purpose not in REQUEST_PURPOSES:
+            self.all.add(ns, bytes_in, bytes_out)
 
     # Time.
 
     def runs(self, purpose: Purpose, call: Callable[[], T]) -> T:
-        """The call's own time, less what is metered within it."""
-        self._inner.append(0)
-        self._outer.append(purpose)
-        begun = self.thread_ns()
+        """Make the call, count its time less what is metered within it, and return its result."""
+        self._nested_ns.append(0)
+        self._purposes.append(purpose)
+        started_ns = self.thread_ns()
         try:
             return call()
         finally:
-            took = self.thread_ns() - begun
-            inner = self._inner.pop()
-            self._outer.pop()
-            if self._inner:
-                self._inner[-1] += took
+            took_ns = self.thread_ns() - started_ns
+            nested_ns = self._nested_ns.pop()
+            self._purposes.pop()
+            if self._nested_ns:
+                self._nested_ns[-1] += took_ns
             self.spent[purpose].calls += 1
-            self._adds(purpose, max(0, took - inner), 0, 0)
+            self._add(purpose, max(0, took_ns - nested_ns), 0, 0)
+
+    async def steps(self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = _ignore) -> T:
+        """Await a coroutine and meter each of its steps, from one wait to the next.
 
-    async def steps(
-        self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = lambda: None
-    ) -> T:
-        """A coroutine whose every step, from one wait to the next, is metered; what is thrown into it, such as its
-        cancellation, reaches it. `after` each step.
+        What is thrown into it, such as its cancellation, reaches the coroutine.
+
+        Args:
+            purpose: What the steps count for.
+            work: The coroutine.
+            after: Called after each step.
         """
-        return await _Steps(self, purpose, work, after)
+        return await _MeteredSteps(self, purpose, work, after)
 
     def within(self, purpose: Purpose) -> bool:
-        """Whether a call for that is out."""
-        return purpose in self._outer
+        """Return whether a call for this purpose is running."""
+        return purpose in self._purposes
 
     def bound(self) -> list[tuple[Purpose, PurposeCost]]:
-        """Those that a budget binds."""
-        return [(purpose, one) for purpose, one in self.spent.items() if purpose not in WITH_TXNS]
-
-    # What it tells.
-
-    def view(self) -> dict[str, Any]:
-        """Since its begin, each purpose that has come about; a rate is a mean over all that time."""
-        self._adds("list", 0, 0, 0)  # a second that has ended counts
-        seconds = max(1e-9, (self.steady_ns() - self.begun) / 1e9)
-
-        def told(one: PurposeCost) -> dict[str, Any]:
-            return {
-                "us": one.ns // 1000,
-                "core": round(one.ns / 1e9 / seconds, 7),
-                "in": one.got,
-                "out": one.said,
-                "in_s": round(one.got / seconds, 1),
-                "out_s": round(one.said / seconds, 1),
-                "most_us": max(one.most_ns, one.second[0]) // 1000,
-                "most_in": max(one.most_got, one.second[1]),
-                "most_out": max(one.most_said, one.second[2]),
-            }
+        """Return the purposes that a budget limits, with their costs."""
+        return [(purpose, cost) for purpose, cost in self.spent.items() if purpose not in REQUEST_PURPOSES]
+
+    # The view of operators.
 
+    def view(self) -> MeterView:
+        """Return the cost since the start: of all, and of each purpose that cost anything."""
+        self._add("list", 0, 0, 0)  # so that a second that has ended counts
+        seconds = max(MIN_SECONDS, (self.steady_ns() - self.started_ns) / 1e9)
         return {
             "seconds": round(seconds, 3),
-            "control": told(self.all),
+            "control": self.all.view(seconds),
             "purposes": {
-                purpose: {"calls": one.calls, **told(one), "txns": purpose in WITH_TXNS}
-                for purpose, one in self.spent.items()
-                if one.calls or one.got or one.said
+                purpose: {"calls": cost.calls, **cost.view(seconds), "txns": purpose in REQUEST_PURPOSES}
+                for purpose, cost in self.spent.items()
+                if cost.calls or cost.got or cost.said
             },
         }
 
 
-class _Steps(Awaitable[T]):
+class _MeteredSteps(Awaitable[T]):
+    """Awaits `work` step by step through a meter."""
+
     def __init__(
         self, meter: ControlMeter, purpose: Purpose, work: Awaitable[T], after: Callable[[], None]
     ) -> None:
@@ -202,29 +291,22 @@
 
     def __await__(self) -> Generator[Any, Any, T]:
         inner = self.work.__await__()
-        step: Callable[[], Any] = lambda: next(inner)
+        step: Callable[[], Any] = partial(next, inner)
         while True:
             try:
-                waits_for = self.meter.runs(self.purpose, step)
+                awaited = self.meter.runs(self.purpose, step)
             except StopIteration as ended:
                 result: T = ended.value
                 return result
             finally:
                 self.after()
             try:
-                sent = yield waits_for
+                sent = yield awaited
             except GeneratorExit:
                 inner.close()
                 raise
-            except BaseException as fault:  # noqa: BLE001  # whatever is thrown in is the inner one's
-                step = _throws(inner, fault)
+            except BaseException as error:  # noqa: BLE001
+                # Whatever is thrown in is meant for the inner coroutine.
+                step = partial(inner.throw, error)
             else:
-                step = _sends(inner, sent)
-
-
-def _sends(inner: Any, sent: Any) -> Callable[[], Any]:
-    return lambda: inner.send(sent)
-
-
-def _throws(inner: Any, fault: BaseException) -> Callable[[], Any]:
-    return lambda: inner.throw(fault)
+                step = partial(inner.send, sent)
--- a/tests/test_metering.py
+++ b/tests/test_control_metrics.py
@@ -10,7 +10,7 @@
 from pathsaddle.config.loader import platform_settings
 from pathsaddle.config.metering import MINUTE, DispatcherMetering, MeteredWatch, MeteredWords
 from pathsaddle.config.schema import Control
-from pathsaddle.control_metrics import PURPOSES, WITH_TXNS, ControlMeter, NullMeter
+from pathsaddle.control_metrics import PURPOSES, REQUEST_PURPOSES, ControlMeter, NullMeter
 from pathsaddle.emulator.hollow import control
 from pathsaddle.emulator.hollow.workers import charter
 from pathsaddle.net.memory.counters import Counters
@@ -87,7 +87,7 @@
             self.clocks.steady = n * S // 7
             self.meter.came("list", n)
         self.assertEqual(len(self.meter.spent), len(PURPOSES))
-        self.assertEqual((self.meter._inner, self.meter._outer), ([], []))
+        self.assertEqual((self.meter._nested_ns, self.meter._purposes), ([], []))
 
     def test_a_driver_that_nobody_meters_does_what_it_did(self) -> None:
         none = NullMeter()
@@ -303,7 +303,7 @@
             self.assertGreater(found[figure], 0, figure)
 
     def test_what_grows_with_txns_is_named(self) -> None:
-        self.assertEqual(WITH_TXNS, ("reports", "looks", "log"))
+        self.assertEqual(REQUEST_PURPOSES, ("reports", "looks", "log"))
 
 
 if __name__ == "__main__":
