--- a/pathsaddle/fleet/overload/retry_advice.py
+++ b/pathsaddle/fleet/overload/retry_advice.py
@@ -3,10 +3,11 @@
 The returns are spread so that those of any second fit what is idle then.
 
 Bound: of the returns that all members advised, no second holds more than the budget, with no message among
-the members (`Spreads.test_all_members_advice_together_fits_any_second` breaks it). Each member's share of
-half the budget is dealt out over whole seconds, and the fractions of the members have phases of their own.
-Any second overlaps two whole ones, so that the halves add up to the budget also where clocks disagree on
-where a second begins. Where no second within the longest wait has a return left, there is no advice.
+the members (`RetryAdviceSpread.test_all_members_advice_together_fits_any_second` breaks it). Each member's
+share of half the budget is dealt out over whole seconds, and the fractions of the members have phases of
+their own. Any second overlaps two whole ones, so that the halves add up to the budget also where clocks
+disagree on where a second begins. Where no second within the longest wait has a return left, there is no
+advice.
 
 What will be idle cannot be known ahead. The share of a second's returns that is used is the share of slots
 that is idle now, and at least a tenth, so that some clients try; each of them is then subject to the shed
--- a/pathsaddle/fleet/overload/shed_level.py
+++ b/pathsaddle/fleet/overload/shed_level.py
@@ -7,16 +7,17 @@
 - Difference: two members whose totals lead to levels t and u differ at most by |t - u| + 2 x
   `DEADBAND_BANDS`, once each has had |t - u| / `MAX_FALL_BANDS_PER_SECOND` seconds. Totals that differ by a
   share e of the capacity, where marginal bands hold at least a share m of it, lead to levels that differ by e
-  / m bands (`Gates.test_the_same_txn_is_shed_by_each_member_that_knows_the_same`).
+  / m bands (`AdmissionGate.test_the_same_request_is_shed_by_each_member_with_the_same_totals`).
 - Influence: whatever one member's summary says, it counts in the offered load as at most `MAX_LOAD_TO_MEDIAN`
   times what the median member offers, or as that member's share of the capacity where that is more; in the
   capacity it counts as one of n values of a mean, clipped to half and twice the median
-  (`Levels.test_one_that_tells_a_hundred_times_its_load_moves_little`).
+  (`Levels.test_a_member_that_claims_a_hundred_times_its_load_has_little_influence`).
 - Pace: in any second a level rises by at most `MAX_RISE_BANDS_PER_SECOND` and falls by at most
-  `MAX_FALL_BANDS_PER_SECOND` (`Levels.test_a_level_keeps_its_pace_and_a_stall_is_no_licence_to_leap`).
+  `MAX_FALL_BANDS_PER_SECOND` (`Levels.test_a_level_keeps_its_pace_also_after_a_pause`).
 - Deadband: while the target is within `DEADBAND_BANDS` of the level, the level stays. Where only a share of
   the fleet is visible, the deadband is divided by the root of that share (ten times as wide at a hundredth),
-  and the level moves slower by that root, down to a quarter (`Levels.test_sums_that_tremble_do_not_move_it`).
+  and the level moves slower by that root, down to a quarter
+  (`Levels.test_totals_that_fluctuate_within_the_deadband_do_not_move_the_level`).
 
 A member that is not heard keeps its share of the capacity: the others divide theirs among themselves, and
 what their capacity factors teach them above it.
