--- a/tests/test_control_metrics.py
+++ b/tests/test_control_metrics.py
@@ -1,4 +1,4 @@
-"""Stories of control's meter: what each purpose cost is counted once, and told where an operator asks."""
+"""The meter of control: what each purpose cost is counted once, and shown where an operator asks."""
 
 import asyncio
 import json
@@ -22,14 +22,14 @@
 S = 1_000_000_000
 
 
-class Clocks:
-    """Processor time and steady time, moved by hand."""
+class FakeClocks:
+    """Processor time and steady time, advanced by hand."""
 
     def __init__(self) -> None:
         self.thread = self.steady = 0
         self.meter = ControlMeter(lambda: self.thread, lambda: self.steady)
 
-    def works(self, ns: int) -> None:
+    def advance(self, ns: int) -> None:
         self.thread += ns
         self.steady += ns
 
@@ -37,35 +37,35 @@
         return {purpose: one.ns for purpose, one in self.meter.spent.items() if one.ns}
 
 
-class TheMeter(unittest.TestCase):
+class Meter(unittest.TestCase):
     def setUp(self) -> None:
-        self.clocks = Clocks()
+        self.clocks = FakeClocks()
         self.meter = self.clocks.meter
 
-    def test_what_is_metered_within_counts_for_that_alone(self) -> None:
-        def carries() -> None:
-            self.clocks.works(30)
-            self.meter.runs("shares", lambda: self.clocks.works(50))
-            self.clocks.works(20)
+    def test_a_nested_call_counts_for_its_own_purpose_alone(self) -> None:
+        def carry() -> None:
+            self.clocks.advance(30)
+            self.meter.runs("shares", lambda: self.clocks.advance(50))
+            self.clocks.advance(20)
 
-        def wakes() -> None:
-            self.clocks.works(100)
-            self.meter.runs("carrying", carries)
-            self.meter.runs("log", lambda: self.clocks.works(7))
+        def wake() -> None:
+            self.clocks.advance(100)
+            self.meter.runs("carrying", carry)
+            self.meter.runs("log", lambda: self.clocks.advance(7))
 
-        self.meter.runs("membership", wakes)
+        self.meter.runs("membership", wake)
         self.assertEqual(self.clocks.spent(), {"membership": 100, "carrying": 50, "shares": 50, "log": 7})
-        self.assertEqual(self.meter.all.ns, 200, "what grows with txns is no part of control's own")
+        self.assertEqual(self.meter.all.ns, 200, "what grows with txns is no part of control")
 
     def test_a_call_that_raises_is_counted_and_leaves_no_frame(self) -> None:
-        def fails() -> None:
-            self.clocks.works(10)
+        def fail() -> None:
+            self.clocks.advance(10)
             raise ValueError
 
         for _ in range(2):
             with self.assertRaises(ValueError):
-                self.meter.runs("list", fails)
-        self.meter.runs("owners", lambda: self.clocks.works(5))
+                self.meter.runs("list", fail)
+        self.meter.runs("owners", lambda: self.clocks.advance(5))
         self.assertEqual(self.clocks.spent(), {"list": 20, "owners": 5})
         self.assertFalse(self.meter.within("list"))
 
@@ -74,22 +74,22 @@
             self.clocks.steady = second * S
             self.meter.came("list", size)
             self.meter.went("membership", size)
-        told = self.meter.view()
-        self.assertEqual((told["purposes"]["list"]["in"], told["purposes"]["list"]["most_in"]), (560, 300))
-        self.assertEqual((told["control"]["out"], told["control"]["most_out"]), (560, 300))
-        self.assertEqual(told["control"]["in_s"], round(560 / 3, 1))
+        view = self.meter.view()
+        self.assertEqual((view["purposes"]["list"]["in"], view["purposes"]["list"]["most_in"]), (560, 300))
+        self.assertEqual((view["control"]["out"], view["control"]["most_out"]), (560, 300))
+        self.assertEqual(view["control"]["in_s"], round(560 / 3, 1))
 
-    def test_what_nobody_has_done_is_not_told(self) -> None:
+    def test_a_purpose_that_cost_nothing_is_not_shown(self) -> None:
         self.assertEqual(self.meter.view()["purposes"], {})
 
-    def test_it_grows_with_nothing(self) -> None:
+    def test_its_memory_does_not_grow(self) -> None:
         for n in range(10_000):
             self.clocks.steady = n * S // 7
             self.meter.came("list", n)
         self.assertEqual(len(self.meter.spent), len(PURPOSES))
         self.assertEqual((self.meter._nested_ns, self.meter._purposes), ([], []))
 
-    def test_a_driver_that_nobody_meters_does_what_it_did(self) -> None:
+    def test_the_null_meter_makes_the_call_and_counts_nothing(self) -> None:
         none = NullMeter()
         none.came("list", 5)
         none.went("list", 5)
@@ -98,38 +98,40 @@
 
 class Steps(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.clocks = Clocks()
+        self.clocks = FakeClocks()
         self.meter = self.clocks.meter
-        self.after = 0
+        self.steps_counted = 0
 
-    def stepped(self) -> None:
-        self.after += 1
+    def count_step(self) -> None:
+        self.steps_counted += 1
 
     async def test_each_step_counts_and_waiting_does_not(self) -> None:
         gate: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
         async def work() -> int:
-            self.clocks.works(10)
+            self.clocks.advance(10)
             got = await gate
-            self.clocks.works(20)
+            self.clocks.advance(20)
             return got
 
-        task = asyncio.create_task(self.meter.steps("list", work(), self.stepped))
+        task = asyncio.create_task(self.meter.steps("list", work(), self.count_step))
         await asyncio.sleep(0)
-        self.clocks.works(1000)  # others'
+        self.clocks.advance(1000)  # of others
         gate.set_result(3)
         self.assertEqual(await task, 3)
-        self.assertEqual((self.clocks.spent(), self.after), ({"list": 30}, 2))
+        self.assertEqual((self.clocks.spent(), self.steps_counted), ({"list": 30}, 2))
 
-    async def test_a_cancel_reaches_it_with_its_word_and_its_last_step_counts(self) -> None:
-        heard = []
+    async def test_a_cancellation_reaches_the_coroutine_with_its_message_and_the_last_step_counts(
+        self,
+    ) -> None:
+        reasons = []
 
         async def work() -> None:
             try:
                 await asyncio.get_running_loop().create_future()
-            except asyncio.CancelledError as why:
-                heard.append(str(why))
-                self.clocks.works(40)
+            except asyncio.CancelledError as cancelled:
+                reasons.append(str(cancelled))
+                self.clocks.advance(40)
                 raise
 
         task = asyncio.create_task(self.meter.steps("looks", work()))
@@ -137,9 +139,9 @@
         task.cancel("replaced")
         with self.assertRaises(asyncio.CancelledError):
             await task
-        self.assertEqual((heard, self.clocks.spent()), (["replaced"], {"looks": 40}))
+        self.assertEqual((reasons, self.clocks.spent()), (["replaced"], {"looks": 40}))
 
-    async def test_a_timeout_within_it_ends_what_it_bounds_and_no_more(self) -> None:
+    async def test_a_timeout_within_the_coroutine_ends_its_own_block_alone(self) -> None:
         async def work() -> str:
             try:
                 async with asyncio.timeout(0):
@@ -150,21 +152,21 @@
 
         self.assertEqual(await asyncio.create_task(self.meter.steps("list", work())), "late")
 
-    async def test_what_it_raises_comes_out(self) -> None:
+    async def test_an_exception_of_the_coroutine_is_raised(self) -> None:
         async def work() -> None:
             await asyncio.sleep(0)
             raise OSError("gone")
 
         with self.assertRaises(OSError):
-            await self.meter.steps("list", work(), self.stepped)
-        self.assertEqual(self.after, 2)
+            await self.meter.steps("list", work(), self.count_step)
+        self.assertEqual(self.steps_counted, 2)
 
 
-class TheBudget(unittest.TestCase):
-    """Beyond it a line says so, and what took most: once a minute, counted each time."""
+class Budget(unittest.TestCase):
+    """A budget that is exceeded is logged with what took most: once a minute, and counted each time."""
 
     def setUp(self) -> None:
-        self.clocks = Clocks()
+        self.clocks = FakeClocks()
         self.counters = Counters()
         with mock.patch("pathsaddle.config.metering.ControlMeter", lambda: self.clocks.meter):
             self.metered = DispatcherMetering(Control(core=0.036, bytes=1000), self.counters, lambda: 30.0)
@@ -173,50 +175,50 @@
         patched.start()
         self.addCleanup(patched.stop)
 
-    def second(self, second: int, got: int, said: int = 0, us: int = 0) -> None:
+    def count_second(self, second: int, bytes_in: int, bytes_out: int = 0, us: int = 0) -> None:
         self.clocks.steady = second * S
-        self.clocks.meter.came("list", got)
-        self.clocks.meter.went("membership", said)
+        self.clocks.meter.came("list", bytes_in)
+        self.clocks.meter.went("membership", bytes_out)
         self.clocks.meter.runs(
             "carrying", lambda: setattr(self.clocks, "thread", self.clocks.thread + us * 1000)
         )
 
-    def test_a_second_beyond_the_bytes_is_told_once_a_minute_and_counted_each_time(self) -> None:
+    def test_a_second_over_the_bytes_is_logged_once_a_minute_and_counted_each_time(self) -> None:
         for second in range(70):
-            self.second(second, 1001 if second in (3, 4, 65) else 1000)
+            self.count_second(second, 1001 if second in (3, 4, 65) else 1000)
         self.assertEqual(
             [line["how"] for line in self.lines], ["1001 bytes received in one second of 1000"] * 2
         )
         self.assertEqual({line["most"] for line in self.lines}, {"list"})
         self.assertEqual(self.counters["control.over.received"], 3)
 
-    def test_what_is_sent_has_the_same_bound(self) -> None:
-        self.second(0, 0, 1500)
-        self.second(1, 0)
+    def test_sent_bytes_have_the_same_budget(self) -> None:
+        self.count_second(0, 0, 1500)
+        self.count_second(1, 0)
         self.assertEqual(
             [(line["how"], line["most"]) for line in self.lines],
             [("1500 bytes sent in one second of 1000", "membership")],
         )
 
-    def test_a_minute_beyond_its_part_of_a_core_is_told(self) -> None:
+    def test_a_minute_over_its_share_of_a_core_is_logged(self) -> None:
         for second in range(2 * MINUTE + 1):
-            self.second(second, 0, 0, 35_000 if second < MINUTE else 37_000)
+            self.count_second(second, 0, 0, 35_000 if second < MINUTE else 37_000)
         self.assertEqual([line["most"] for line in self.lines], ["carrying"])
         self.assertIn("0.0370 of a core over a minute of 0.036", self.lines[0]["how"])
 
-    def test_what_took_most_of_a_minute_is_of_that_minute_and_not_of_the_whole_life(self) -> None:
+    def test_what_took_most_is_of_that_minute_and_not_of_the_whole_run(self) -> None:
         self.clocks.meter.runs(
             "list", lambda: setattr(self.clocks, "thread", 9 * S)
         )  # long ago, and never since
-        self.second(MINUTE, 0)
+        self.count_second(MINUTE, 0)
         self.lines.clear()
         for second in range(MINUTE, 3 * MINUTE + 1):
-            self.second(second, 0, 0, 40_000)
+            self.count_second(second, 0, 0, 40_000)
         self.assertEqual({line["most"] for line in self.lines}, {"carrying"})
 
     def test_the_counters_have_each_purpose(self) -> None:
-        self.second(0, 700, 300, 50)
-        self.second(1, 0)
+        self.count_second(0, 700, 300, 50)
+        self.count_second(1, 0)
         self.assertEqual(
             (
                 self.counters["control.list.in"],
@@ -226,14 +228,14 @@
             (700, 300, 50),
         )
 
-    def test_another_budget_binds_from_the_next_second_on(self) -> None:
-        self.second(0, 900)
+    def test_a_changed_budget_applies_from_the_next_second_on(self) -> None:
+        self.count_second(0, 900)
         self.metered.budget = Control(bytes=800)
-        self.second(1, 0)
+        self.count_second(1, 0)
         self.assertEqual(len(self.lines), 1)
 
-    def test_the_table_that_an_operator_sees_has_a_row_a_purpose_and_the_sum(self) -> None:
-        self.second(0, 900, 10, 50)
+    def test_the_operators_table_has_a_row_for_each_purpose_and_the_sum(self) -> None:
+        self.count_second(0, 900, 10, 50)
         text = _control({"name": "n0", "life": 1, **json.loads(json.dumps(self.metered.view()))})
         for word in (
             "list",
@@ -246,13 +248,13 @@
             self.assertIn(word, text)
 
 
-class WhatHangsOnIt(unittest.TestCase):
+class MeteredParts(unittest.TestCase):
     def setUp(self) -> None:
         self.meter = ControlMeter()
-        given = platform_settings(charter(control.Setting(), "127.0.0.1:1", "127.0.0.1:1"))
-        self.words = MeteredWords.of(Words(given, terms.terms(given)), self.meter)
+        settings = platform_settings(charter(control.Setting(), "127.0.0.1:1", "127.0.0.1:1"))
+        self.words = MeteredWords.of(Words(settings, terms.terms(settings)), self.meter)
 
-    def test_words_read_as_before_and_stay_metered_when_terms_change(self) -> None:
+    def test_reports_are_read_and_stay_metered_when_terms_change(self) -> None:
         changed = self.words.retuned({}, {})
         self.assertIsInstance(changed, MeteredWords)
         report = changed.report({"x0": 2.0, "queue": 1})
@@ -262,7 +264,7 @@
             (1, len('{"x0": 2.0, "queue": 1}')),
         )
 
-    def test_an_answer_to_a_look_counts_for_looks_and_one_to_a_posting_does_not(self) -> None:
+    def test_an_answer_to_a_probe_counts_for_looks_and_one_to_an_attempt_does_not(self) -> None:
         answer = Message(
             status=200, lines=[(b"srv-load", b"x0=2,queue=1")], headers={b"srv-load": b"x0=2,queue=1"}
         )
@@ -290,8 +292,8 @@
         self.assertEqual((self.meter.spent["list"].got, self.meter.spent["list"].said), (137, 40))
 
 
-class ARealDispatcher(unittest.TestCase):
-    def test_its_list_is_told_to_the_byte_and_no_more_time_than_the_process_took(self) -> None:
+class RealDispatcher(unittest.TestCase):
+    def test_its_list_is_counted_to_the_byte_and_no_more_time_than_the_process_took(self) -> None:
         """One play of the measure: a real `serve` with hollow peers, asked at its control address."""
         found = control.measure(60, 1, control.Setting(rest=0.5, steady=1.0, changes=10, changes_rate=50.0))
         self.assertEqual(found["faults"], 0)
@@ -302,7 +304,7 @@
         for figure in ("list_us", "membership_us", "log_us"):
             self.assertGreater(found[figure], 0, figure)
 
-    def test_what_grows_with_txns_is_named(self) -> None:
+    def test_the_purposes_that_grow_with_requests_are_named(self) -> None:
         self.assertEqual(REQUEST_PURPOSES, ("reports", "looks", "log"))
 
 
