--- a/pathsaddle/config/dispatcher.py
+++ b/pathsaddle/config/dispatcher.py
@@ -100,15 +100,17 @@
             return FederatedRequestHandler(*told, member=member, doors=regions.doors, room=regions.room)
         if self.charter.jobs is None:
             return TxnService(*told)
+        from pathsaddle.jobs.errors import StoreUnusableError
         from pathsaddle.jobs.job_service import JobService, JobServiceOptions
-        from pathsaddle.jobs.store import Store, StoreUnusableError, ThreadWriter
+        from pathsaddle.jobs.store import Store
+        from pathsaddle.jobs.store_writer import ThreadWriter
 
         jobs = self.charter.jobs
         try:
             return JobService(
                 *told,
                 store=Store(Path(jobs.path), ThreadWriter()),
-                ways=JobServiceOptions(
+                options=JobServiceOptions(
                     jobs.lease,
                     jobs.retention,
                     jobs.longest_poll,
@@ -117,7 +119,7 @@
                     self.charter.limits.memory // ENDED_PART,
                     self.charter.limits.memory // OPEN_PART,
                 ),
-                chance=Random(self.charter.seed),
+                rng=Random(self.charter.seed),
             )
         except StoreUnusableError as fault:  # the store knows its file alone
             raise type(fault)(f"{self.path}: jobs.path: {fault.what}", fault.do) from None
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -23,8 +23,10 @@
 
 import msgspec
 
-from pathsaddle.jobs.state_machine import End, JobRecord, Kind
-from pathsaddle.jobs.store import Accepted, DiskWriter, Forget, Store, Write
+from pathsaddle.jobs.state_machine import JobEnded, JobOutcome, LeaseIntended
+from pathsaddle.jobs.store import Store
+from pathsaddle.jobs.store_rows import DeleteEndedJobs, JobRecord, StoreWrite
+from pathsaddle.jobs.store_writer import EmulatedDiskWriter
 from pathsaddle.trade import SECOND, Semantics
 
 DAY = 24 * 3600 * SECOND
@@ -85,12 +87,12 @@
     return 2, 500.0 + 0.006 * min(point, setting.open)
 
 
-def writes(count: int, seed: int, setting: Setting, now: int) -> list[list[Write]]:
+def writes(count: int, seed: int, setting: Setting, now: int) -> list[list[StoreWrite]]:
     """Each job's records, by `written`."""
     return list(written(count, seed, setting, now))
 
 
-def written(count: int, seed: int, setting: Setting, now: int) -> Iterator[list[Write]]:
+def written(count: int, seed: int, setting: Setting, now: int) -> Iterator[list[StoreWrite]]:
     """Each job's records; ended ones ended evenly over the last 30 days, the open ones came last."""
     chance = Random(f"{seed} jobs")
     head = (
@@ -111,8 +113,8 @@
         at = now - 30 * DAY + int(29.9 * DAY * i / count)
         tag = f"{chance.getrandbits(128):032x}"
         ended = i < count - setting.open
-        rows: list[Write] = [
-            Accepted(
+        rows: list[StoreWrite] = [
+            JobRecord(
                 tag,
                 f"team-{i % 750:03}",
                 f"key-{seed}-{i}",
@@ -124,13 +126,12 @@
             )
         ]
         if ended:
-            rows.append(JobRecord(Kind.INTENT, tag, at + 100, 1, f"worker-{i % 1900:04}"))
+            rows.append(LeaseIntended(tag, at + 100, 1, f"worker-{i % 1900:04}"))
             rows.append(
-                JobRecord(
-                    Kind.FINAL,
+                JobEnded(
                     tag,
                     at + 41 * SECOND,
-                    end=End.SETTLED,
+                    outcome=JobOutcome.SUCCEEDED,
                     status=200,
                     result=chance.randbytes(setting.result),
                 )
@@ -140,7 +141,9 @@
 
 def store_at(path: Path) -> Store:
     """Without syncs: what they cost is the disk's, not a matter of how much is kept."""
-    return Store(path, DiskWriter(asyncio.new_event_loop(), Random(1), 0.0), lock=False, sync="OFF")
+    return Store(
+        path, EmulatedDiskWriter(asyncio.new_event_loop(), Random(1), 0.0), use_lock=False, synchronous="OFF"
+    )
 
 
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
@@ -154,11 +157,11 @@
         chance = Random(f"{seed} looks")
         ended = max(0, point - setting.open)
         looked = {chance.randrange(ended): True for _ in range(LOOKED_AT if ended else 0)}
-        tags: list[Accepted] = []
+        tags: list[JobRecord] = []
         store = store_at(path)
         store.open()
-        assert store._db is not None
-        store._db.execute("PRAGMA cache_size = -200000")
+        assert store._database is not None
+        store._database.execute("PRAGMA cache_size = -200000")
         for group in batched(islice(enumerate(rows), point - timed), PLANTED):
             store._commit([write for _, job in group for write in job])
             tags += [accepted(job) for i, job in group if i in looked]
@@ -166,7 +169,7 @@
         last = list(rows)
         tags += [accepted(job) for i, job in enumerate(last, point - timed) if i in looked]
         store = store_at(path)
-        store.open(ended=False)
+        store.open(include_ended=False)
         begun = time.process_time()
         for i in range(0, timed, setting.group):
             store._commit([write for job in last[i : i + setting.group] for write in job])
@@ -176,16 +179,16 @@
         size = path.stat().st_size
         store = store_at(path)
         begun = time.process_time()
-        found = store.open(ended=False)
+        found = store.open(include_ended=False)
         opened = time.process_time() - begun
-        reads = [spent(store.ended, one.job) for one in tags]
-        keys = [spent(store.under, one.owner, one.key) for one in tags]
+        reads = [spent(store.find_ended, one.job_id) for one in tags]
+        keys = [spent(store.find_by_key, one.owner, one.key) for one in tags]
         close(store)
         del found
         store = store_at(path)
         tracemalloc.start()
         try:
-            found = store.open(ended=False)
+            found = store.open(include_ended=False)
             held = tracemalloc.get_traced_memory()[0]
         finally:
             tracemalloc.stop()
@@ -195,13 +198,13 @@
             serve(path, setting) if setting.serves else {"ready_s": 0.0, "rss_mib": 0.0, "most_rss_mib": 0.0}
         )
         store = store_at(path)
-        store.open(ended=False)
+        store.open(include_ended=False)
         begun = time.perf_counter()
-        store._commit([Forget(now - 30 * DAY + int(29.9 * DAY * setting.forgets))])
+        store._commit([DeleteEndedJobs(now - 30 * DAY + int(29.9 * DAY * setting.forgets))])
         forgot = time.perf_counter() - begun
         close(store)
         store = store_at(path)
-        left = len(store.open(ended=False)) + store.ended_count()
+        left = len(store.open(include_ended=False)) + store.count_ended()
         close(store)
     return {
         "file_bytes": size,
@@ -219,9 +222,9 @@
     }
 
 
-def accepted(job: list[Write]) -> Accepted:
+def accepted(job: list[StoreWrite]) -> JobRecord:
     first = job[0]
-    assert isinstance(first, Accepted)
+    assert isinstance(first, JobRecord)
     return first
 
 
@@ -247,7 +250,7 @@
 
 def close(store: Store) -> None:
     store.close()
-    store.writer.loop.close()  # type: ignore[attr-defined]
+    store.writer.event_loop.close()  # type: ignore[attr-defined]
 
 
 def serve(path: Path, setting: Setting) -> dict[str, float]:
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -17,11 +17,12 @@
 from pathsaddle.fleet.membership import Membership
 from pathsaddle.fleet.messages import MemberRecord
 from pathsaddle.fleet.rate_limiter import RateLimiter
-from pathsaddle.jobs import job_service, state_machine
-from pathsaddle.jobs.job_service import JobService
-from pathsaddle.jobs.state_machine import JobRecord, Kind, Next, Word, after_restart
-from pathsaddle.jobs.store import Accepted
-from pathsaddle.jobs.submitted_call import key_of
+from pathsaddle.jobs import admission, state_machine
+from pathsaddle.jobs.completion import JobCompletion
+from pathsaddle.jobs.state_machine import LeaseDecision, LeaseIntended, LeaseReport, decide_after_restart
+from pathsaddle.jobs.store_commits import StoreCommits
+from pathsaddle.jobs.store_rows import JobRecord
+from pathsaddle.jobs.submitted_call import idempotency_key_of
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.trade import SECOND, Outcome, Posting, Semantics, Standing, Txn
 
@@ -179,55 +180,63 @@
 
 def _records_after_sending() -> Patches:
     """The intent is written while the posting is on its way already."""
-    put = JobService._surely
+    put = StoreCommits.put_until
+    tasks: set[asyncio.Task[bool]] = set()
 
-    async def later(self: JobService, until: int, *writes: Any) -> bool:
-        if isinstance(writes[0], JobRecord) and writes[0].kind is Kind.INTENT:
-            self._events.call_later(1.0, lambda: self._start(put(self, FAR, *writes)))
+    async def later(self: StoreCommits, deadline: int, *writes: Any) -> bool:
+        if isinstance(writes[0], LeaseIntended):
+            loop = asyncio.get_running_loop()
+            loop.call_later(1.0, lambda: tasks.add(loop.create_task(put(self, FAR, *writes))))
             return True
-        return await put(self, until, *writes)
+        return await put(self, deadline, *writes)
 
-    return [mock.patch.object(JobService, "_surely", later)]
+    return [mock.patch.object(StoreCommits, "put_until", later)]
 
 
 def _answers_before_recording() -> Patches:
     """The final answer is told, and written a second later."""
-    ending = JobService._ending
+    record_end = JobCompletion._record_end
 
-    async def told_first(self: JobService, kept: Any, record: Any, pending: Any, tell: Any) -> None:
-        kept.pending = None
-        tell(True)
-        self._changed(kept)
-        pending.set_result(None)
+    async def told_first(self: JobCompletion, job: Any, ended: Any, end_commit: Any, notify: Any) -> None:
+        job.end_commit = None
+        notify(True)
+        self._polling.answer_polls(job)
+        end_commit.set_result(None)
         await asyncio.sleep(1.0)
-        await ending(self, kept, record, pending, lambda fine: None)
+        await record_end(self, job, ended, end_commit, lambda is_recorded: None)
 
-    return [mock.patch.object(JobService, "_ending", told_first)]
+    return [mock.patch.object(JobCompletion, "_record_end", told_first)]
 
 
 def _checks_no_lease() -> Patches:
     """After a restart a lease whose worker can't say is taken never to have run."""
 
-    def clear(word: Word, now: int, expires: int) -> Next:
-        return Next.CLEAR if word is Word.NONE else after_restart(word, now, expires)
+    def clear(report: LeaseReport, now: int, expires_at: int) -> LeaseDecision:
+        if report is LeaseReport.UNKNOWN:
+            return LeaseDecision.CLEAR
+        return decide_after_restart(report, now, expires_at)
 
-    return [mock.patch.object(state_machine, "after_restart", clear)]
+    return [mock.patch.object(state_machine, "decide_after_restart", clear)]
 
 
 def _forgets_keys() -> Patches:
     """A submission under a known key is another job."""
     count = itertools.count()
-    return [mock.patch.object(job_service, "key_of", lambda call: f"{key_of(call)}-{next(count)}")]
+    return [
+        mock.patch.object(
+            admission, "idempotency_key_of", lambda call: f"{idempotency_key_of(call)}-{next(count)}"
+        )
+    ]
 
 
 def _loses_the_accepted() -> Patches:
     """The client is told that its job is taken on, and nothing of it is on disk."""
-    put = JobService._put
+    put = StoreCommits.put
 
-    def nothing(self: JobService, *writes: Any) -> Any:
-        return put(self, *(write for write in writes if not isinstance(write, Accepted)))
+    def nothing(self: StoreCommits, *writes: Any) -> Any:
+        return put(self, *(write for write in writes if not isinstance(write, JobRecord)))
 
-    return [mock.patch.object(JobService, "_put", nothing)]
+    return [mock.patch.object(StoreCommits, "put", nothing)]
 
 
 def _forgets_the_others() -> Patches:
--- a/pathsaddle/emulator/stage.py
+++ b/pathsaddle/emulator/stage.py
@@ -33,7 +33,8 @@
     from pathsaddle.emulator.membership.stage import MembersStage
     from pathsaddle.emulator.served.members import Fleet
     from pathsaddle.fleet.udp_driver import MembershipDriver
-    from pathsaddle.jobs.store import DiskWriter, Store
+    from pathsaddle.jobs.store import Store
+    from pathsaddle.jobs.store_writer import EmulatedDiskWriter
     from pathsaddle.net.memory.counters import Counters
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -51,7 +52,7 @@
         self.numbers = list(range(plan.fleet.dispatchers))
         self.told: dict[int, dict[str, Any]] = {}
         self.workers: dict[str, Worker] = {}
-        self.disks: dict[int, DiskWriter] = {}  # of dispatchers with a store, on the virtual ground
+        self.disks: dict[int, EmulatedDiskWriter] = {}  # of dispatchers with a store, on the virtual ground
         self.air = Air(world.chance("air"), lambda one, other: 0.0)
 
     async def start(self, dispatcher: int, again: bool = False) -> None:
@@ -250,19 +251,22 @@
         if jobs is None:
             return TxnService(*told)
         from pathsaddle.jobs.job_service import JobService, JobServiceOptions
-        from pathsaddle.jobs.store import DiskWriter, Store
+        from pathsaddle.jobs.store import Store
+        from pathsaddle.jobs.store_writer import EmulatedDiskWriter
 
         self.lives += 1
         chance = self.world.chance(f"disk {dispatcher} {self.lives}")
-        disk = self.disks[dispatcher] = DiskWriter(self.net.loop, chance, self.world.plan.fleet.sync / TICKS)
+        disk = self.disks[dispatcher] = EmulatedDiskWriter(
+            self.net.loop, chance, self.world.plan.fleet.sync / TICKS
+        )
         store = self.stores[dispatcher] = Store(
-            Path(self.folder.name) / f"d{dispatcher}.db", disk, lock=False, sync="OFF"
+            Path(self.folder.name) / f"d{dispatcher}.db", disk, use_lock=False, synchronous="OFF"
         )
         return JobService(
             *told,
             store=store,
-            chance=chance,
-            ways=JobServiceOptions(
+            rng=chance,
+            options=JobServiceOptions(
                 jobs.lease, jobs.retention, jobs.longest_poll, jobs.recover_within, jobs.margin
             ),
         )
--- a/pathsaddle/experiment/throughput.py
+++ b/pathsaddle/experiment/throughput.py
@@ -410,19 +410,23 @@
 
 def recover(plan: Plan, jobs: int) -> dict[str, float]:
     """How long a dispatcher takes over a store of so many open jobs that were never posted."""
-    from pathsaddle.jobs.store import Accepted, DiskWriter, Store
+    from pathsaddle.jobs.store import Store
+    from pathsaddle.jobs.store_rows import JobRecord
+    from pathsaddle.jobs.store_writer import EmulatedDiskWriter
     from pathsaddle.trade import SECOND, Semantics
 
     with tempfile.TemporaryDirectory() as space:
         folder = Path(space)
-        store = Store(folder / "jobs.db", DiskWriter(asyncio.new_event_loop(), Random(1), 0.0), lock=False)
+        store = Store(
+            folder / "jobs.db", EmulatedDiskWriter(asyncio.new_event_loop(), Random(1), 0.0), use_lock=False
+        )
         store.open()
         now = int(time.time() * SECOND)
         scheme = plan.charter["schemes"][0]["name"]
         head = json.dumps([f"/{scheme}", [["Req-Id", "%s"], ["Req-Cost", "1000"]]])
         store._commit(
             [
-                Accepted(
+                JobRecord(
                     f"j{i}",
                     "",
                     f"k{i}",
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -51,7 +51,9 @@
 from pathsaddle.fleet.udp_driver import MAX_TIMER_FAILURES, MembershipConfig, MembershipDriver
 from pathsaddle.histories.logs import write
 from pathsaddle.histories.planted import wrong
-from pathsaddle.jobs import store as jobs
+from pathsaddle.jobs.errors import StoreSchemaTooNewError
+from pathsaddle.jobs.store import Store as JobStore
+from pathsaddle.jobs.store_writer import ThreadWriter
 from pathsaddle.leased_versions import Version
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
@@ -464,7 +466,7 @@
 class StoreStory(Reading):
     def test_stores(self) -> None:
         path, none = self.folder / "jobs.db", str(self.folder / "none.db")
-        held = jobs.Store(path, jobs.ThreadWriter())
+        held = JobStore(path, ThreadWriter())
         held.open()
         self.addCleanup(held.close)
         for word in (("list",), ("verify",), ("show",), ("backup",), ("restore",)):
@@ -486,8 +488,8 @@
         path = self.folder / "new.db"
         with contextlib.closing(sqlite3.connect(path)) as db:
             db.execute("PRAGMA user_version = 99")
-        with self.assertRaises(jobs.Newer) as caught:
-            jobs.Store(path, jobs.ThreadWriter()).open()
+        with self.assertRaises(StoreSchemaTooNewError) as caught:
+            JobStore(path, ThreadWriter()).open()
         self.reads(str(caught.exception), "store.newer", path, "99", "the release that wrote")
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -25,7 +25,8 @@
 from pathsaddle.fleet.quota.quota_limiter import WINDOW, QuotaConfig, QuotaLimiter
 from pathsaddle.fleet.rate_limiter import SECOND as TICKS
 from pathsaddle.jobs.job_service import JobService, JobServiceOptions
-from pathsaddle.jobs.store import Store, ThreadWriter
+from pathsaddle.jobs.store import Store
+from pathsaddle.jobs.store_writer import ThreadWriter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.wire.birth import birth
@@ -213,18 +214,18 @@
             lambda *told: JobService(
                 *told,
                 store=Store(path, ThreadWriter()),
-                ways=JobServiceOptions(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
-                chance=Random(1),
+                options=JobServiceOptions(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
+                rng=Random(1),
             )
         )
-        self.service.recovered = True
+        self.service.recovery.is_done = True
         said = {b"req-kind": b"charge", b"req-owner": b"zeta", b"idempotency-key": b"k"}
         call = Message(b"POST", b"/jobs/charge", headers=said, lines=list(said.items()))
         self.service.take(call, lambda *answer: self.answers.append(answer[:2]))
-        kept = next(iter(self.service.jobs.values()))
+        job = next(iter(self.service.registry.jobs.values()))
         self.tells(customers=BASE["customers"][:1], schemes=BASE["schemes"][:1])
-        self.assertEqual(self.service._entry(kept).txn.scheme.expiry, 10 * SECOND)
-        self.assertIsNone(kept.words, "old words are not kept with what has ended")
+        self.assertEqual(self.service.run_queue.open_entry(job).txn.scheme.expiry, 10 * SECOND)
+        self.assertIsNone(job.request_parser, "old words are not kept with what has ended")
         async with asyncio.timeout(20.0):
             await asyncio.gather(*self.service._tasks)
 
