--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -145,7 +145,7 @@
         for row in rows:
             if row.name != core.me.name:
                 core.learn(row, now, "the play")
-        core.gossip.clear()
+        core.dissemination.pending.clear()
         if fellows.shared is not None:
             fellows.shared.told_due = now + int((1.1 * lease + GUARD) * SECOND)
 
@@ -203,18 +203,18 @@
             )
             fellows.quiet = True
             fellows.on_change.append(self._changed)
-            self.spent.around("members", fellows.core, "heard", "wake", "due", "leave")
+            self.spent.around("members", fellows.core, "on_datagram", "wake", "due", "leave")
             if fellows.shared is not None:
                 self.spent.around(
                     "shared",
                     fellows.shared,
-                    "heard",
+                    "on_datagram",
                     "wake",
                     "due",
                     "say",
-                    "joined",
-                    "ended",
-                    "claimed",
+                    "on_member_joined",
+                    "on_member_left",
+                    "on_new_incarnation",
                     "leave",
                 )
             fellows.begin()
@@ -235,7 +235,7 @@
             and change.state == DEAD
             and about is not None
             and about.fellows is not None
-            and about.fellows.life == change.life
+            and about.fellows.life == change.incarnation
         ):
             self.wrong += 1
 
@@ -254,7 +254,7 @@
     @staticmethod
     def _held(fellows: MembershipDriver) -> int:
         shared = fellows.shared.carry.counts.get("held back", 0) if fellows.shared is not None else 0
-        return fellows.core.counts.get("held back", 0) + shared
+        return fellows.core.counters.get("held back", 0) + shared
 
     def held_back(self) -> int:
         return self.held + sum(map(self._held, self.running()))
@@ -269,12 +269,12 @@
         running = self.running()
         if any(fellows.core.size() != len(running) for fellows in running):
             return False
-        lives = {fellows.core.me.name: fellows.core.me.life for fellows in running}
+        lives = {fellows.core.me.name: fellows.core.me.incarnation for fellows in running}
         for fellows in running:
             for name, life in lives.items():
                 member = fellows.core.members.get(name)
                 if name != fellows.core.me.name and (
-                    member is None or not member.here or member.row.life != life
+                    member is None or not member.is_present or member.record.incarnation != life
                 ):
                     return False
             if fellows.shared is not None and len(fellows.shared.carry.peers) != len(running) - 1:
@@ -284,7 +284,7 @@
     def knows_dead(self, name: str, life: int) -> bool:
         for fellows in self.running():
             member = fellows.core.members.get(name)
-            if member is not None and member.here and member.row.life <= life:
+            if member is not None and member.is_present and member.record.incarnation <= life:
                 return False
         return True
 
@@ -302,7 +302,7 @@
         count = len(self.running())
         for fellows in self.running():
             carry = fellows.shared.carry if fellows.shared is not None else None
-            if fellows.core.gossip or carry is None or carry.news:
+            if fellows.core.dissemination.pending or carry is None or carry.news:
                 return False
             if sum(SPARE_TOPIC in origin.records for origin in carry.origins.values()) != count:
                 return False
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from pathsaddle.choice import Choice
-from pathsaddle.fleet import membership
+from pathsaddle.fleet import anti_entropy
 from pathsaddle.fleet.membership import Membership
 from pathsaddle.fleet.messages import MemberRecord
 from pathsaddle.fleet.rate_limiter import RateLimiter
@@ -275,19 +275,19 @@
 
 def _blind_to_stalls() -> Patches:
     """Who stood still judges the others by that time."""
-    return [mock.patch.object(Membership, "_stalled", lambda self, now: None)]
+    return [mock.patch.object(Membership, "_detect_stall", lambda self, now: None)]
 
 
 def _credits_old_lives() -> Patches:
     """A new life is taken to have been heard when the old one was."""
     learn = Membership.learn
 
-    def credited(self: Membership, row: MemberRecord, now: int, who: str, compared: bool = False) -> None:
-        old = self.members.get(row.name)
-        learn(self, row, now, who, compared)
-        new = self.members.get(row.name)
+    def credited(self: Membership, record: MemberRecord, now: int, source: str, is_page: bool = False) -> None:
+        old = self.members.get(record.name)
+        learn(self, record, now, source, is_page)
+        new = self.members.get(record.name)
         if old is not None and new is not None and new is not old:
-            new.heard, new.heard_by = old.heard, old.heard_by
+            new.seen_at, new.seen_by_others_at = old.seen_at, old.seen_by_others_at
 
     return [mock.patch.object(Membership, "learn", credited)]
 
@@ -296,8 +296,8 @@
     """Nothing bounds what is sent, and pages are sent as fast as they come."""
     return [
         mock.patch.object(RateLimiter, "try_consume", lambda self, size, now, spare=0.0: True),
-        mock.patch.object(membership, "ROWS_APART", 0.02),
-        mock.patch.object(membership, "ROWS", 1e9),
+        mock.patch.object(anti_entropy, "COMPARE_PROBE_INTERVALS", 0.02),
+        mock.patch.object(anti_entropy, "RECORDS_PER_PAGE", 1e9),
     ]
 
 
--- a/pathsaddle/emulator/membership/stage.py
+++ b/pathsaddle/emulator/membership/stage.py
@@ -1,4 +1,4 @@
-"""A run of members alone, from its start to its end."""
+"""A run of members alone, from its start to its end, with the faults of its plan."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MembersStage(Hosts):
-    """A run of members alone, each a host with its own driver."""
+    """A run of members alone, each a host with its own driver; faults act on it as `Hosts`."""
 
     def __init__(self, world: World, net: Net) -> None:
         self.world, self.net = world, net
@@ -34,47 +34,53 @@
         self.faults = Faults(world, self.start_task, self, self.air)
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Starts a task of the run, which `play` cancels at its end."""
         task = self.world.loop.create_task(work)
         self.tasks[task] = None
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
         return task
 
     async def start(self, dispatcher: int, again: bool = False) -> None:
+        """Starts a member on a new host; its wall clock keeps the error of the host before."""
         off = self.hosts[dispatcher].wall_off if dispatcher in self.hosts else 0.0
         host = Host(self.net, f"d{dispatcher}", self.zones[f"d{dispatcher}"])
         host.wall_off = off
         self.hosts[dispatcher] = host
         self.world.add("started", dispatcher=dispatcher)
-        host.run(lambda: self._life(host, dispatcher))
+        host.run(lambda: self._run_member(host, dispatcher))
 
-    async def _life(self, host: Host, dispatcher: int) -> None:
-        ground = VirtualGround(host)
-        fellows = self.fleet.fellows(dispatcher, ground, Counters(), host.zone)
+    async def _run_member(self, host: Host, dispatcher: int) -> None:
+        driver = self.fleet.fellows(dispatcher, VirtualGround(host), Counters(), host.zone)
         ended = asyncio.Event()
         self.world.loop.add_signal_handler(signal.SIGTERM, ended.set)
-        fellows.begin()
+        driver.begin()
         await ended.wait()
-        fellows.leave()
-        fellows.end()
+        driver.leave()
+        driver.end()
         self.world.add("ended_itself", dispatcher=dispatcher)
         self.fleet.gone(dispatcher)
 
     def kill(self, dispatcher: int) -> None:
+        """Ends a member at once, as SIGKILL does."""
         self.world.add("killed", dispatcher=dispatcher)
         self.hosts[dispatcher].kill()
         self.fleet.gone(dispatcher)
 
     def lose(self, dispatcher: int, how: str) -> None:
+        """Loses what the disk holds: `empty` all, `old` all but the first incarnation."""
         self.fleet.disks[dispatcher].lose(how)
 
     def signal(self, dispatcher: int, sig: int) -> None:
+        """Sends a signal to a member."""
         self.hosts[dispatcher].signal(sig)
 
     async def gone(self, dispatcher: int) -> None:
+        """Kills the host of a member that has ended, a second later."""
         await asyncio.sleep(1.0)
         self.hosts[dispatcher].kill()
 
     async def play(self) -> None:
+        """Runs the plan from its start to its end."""
         world, plan = self.world, self.world.plan
         world.begun = self.net.loop.true_time()
         self.faults.begin()
--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -79,7 +79,7 @@
             "view",
             who=f"d{dispatcher}",
             about=change.name,
-            life=change.life,
+            life=change.incarnation,
             state=STATES[change.state],
             why=change.why,
         )
@@ -98,9 +98,9 @@
                 # By its own clock, which may not run as the run's does.
                 now = self.hosts[d].context.run(self.now[d].clock.now)
                 told = [
-                    (name, m.row.life, now - m.last_heard)
+                    (name, m.record.incarnation, now - m.last_seen)
                     for name, m in core.members.items()
-                    if m.last_heard > 0
+                    if m.last_seen > 0
                 ]
                 if len(told) > MANY:
                     told = chance.sample(told, MANY)
--- a/pathsaddle/fleet/__init__.py
+++ b/pathsaddle/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Who is in the fleet of dispatchers, as each member sees it; off where the charter has no `[fleet]`."""
+"""The fleet of dispatchers: who is in it as each member sees it, and how members are asked.
+
+Nothing of this package is loaded where the configuration file has no `[fleet]`.
+"""
--- a/pathsaddle/fleet/incarnation_store.py
+++ b/pathsaddle/fleet/incarnation_store.py
@@ -1,4 +1,10 @@
-"""Where a member keeps the number of its last life: a small file, synced before the life is told to anybody."""
+"""Where a process stores the number of its last incarnation.
+
+It is a small file that is synced before the number is told to anybody.
+
+Membership, consensus and shared settings each have a file of their own. The file's suffix, `.life`, is the
+term by which operators know it.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +15,26 @@
 
 
 class IncarnationStoreError(Error):
+    """The directory of `fleet.folder` can't be written at the start."""
+
     name = "fleet.no-folder"
     what = "{file}: fleet.folder: the number of our life can't be kept in {folder}: {why}"
 
 
 class IncarnationStore:
-    """A folder of the operator's; none: lives go by the clock alone, and one that is stale is refuted by others."""
+    """A file in a directory of the operator's.
 
-    def __init__(self, folder: Path | None, name: str) -> None:
-        self.path = folder / f"{name}.life" if folder is not None else None
+    Without a directory incarnations go by the clock alone, and one that is stale is refuted by other members.
+
+    Attributes:
+        path: The file; None: nothing is stored.
+    """
+
+    def __init__(self, directory: Path | None, name: str) -> None:
+        self.path = directory / f"{name}.life" if directory is not None else None
 
     def last(self) -> int:
-        """0 where nothing is kept, or what is kept is not readable: then the clock alone goes."""
+        """Returns the stored number; 0 where none can be read, so that the clock alone decides."""
         if self.path is None:
             return 0
         try:
@@ -28,18 +42,22 @@
         except (OSError, ValueError):
             return 0
 
-    def keep(self, life: int) -> None:
-        """Raises OSError."""
+    def keep(self, incarnation: int) -> None:
+        """Stores a number; it is on disk when this returns.
+
+        Raises:
+            OSError: It can't be stored.
+        """
         if self.path is None:
             return
-        other = self.path.with_suffix(".new")
-        with other.open("w", encoding="ascii") as file:
-            file.write(f"{life}\n")
+        replacement = self.path.with_suffix(".new")
+        with replacement.open("w", encoding="ascii") as file:
+            file.write(f"{incarnation}\n")
             file.flush()
             os.fsync(file.fileno())
-        other.replace(self.path)
-        folder = os.open(self.path.parent, os.O_RDONLY)
+        replacement.replace(self.path)
+        directory = os.open(self.path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -838,13 +838,13 @@
         with mock.patch.object(self.fellows.core, "wake", once):
             self.fellows.begin()
             self.assertIn("tried again", str((await self.logged())["then"]))
-            self.fellows._set(0)  # as datagrams in a burst would
-            self.assertGreaterEqual(self.fellows._alarm_at, begun + self.fellows.told.ways.beat)
+            self.fellows.timer.schedule(0)  # as datagrams in a burst would
+            self.assertGreaterEqual(self.fellows.timer.due_at, begun + self.fellows.told.options.probe_interval)
             await asyncio.wait_for(woke.wait(), 10.0)
         self.assertEqual((self.fellows.ended, self.unheard), ("", []))
 
     async def test_a_timer_that_always_fails_ends_the_membership_visibly(self) -> None:
-        self.fellows.told.ways.beat = 10  # a millisecond
+        self.fellows.told.options.probe_interval = 10  # a millisecond
         with mock.patch.object(self.fellows.core, "wake", side_effect=ZeroDivisionError("of ours")):
             self.fellows.begin()
             async with asyncio.timeout(10.0):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet: the hard cases, each a story on the virtual ground, and what no order of datagrams may do."""
+"""Membership: the hard cases in emulated runs, and what no order of datagrams may lead to."""
 
 import unittest
 from pathlib import Path
@@ -14,7 +14,16 @@
 from pathsaddle.fleet import messages
 from pathsaddle.fleet.gossip.gossip import Gossip
 from pathsaddle.fleet.membership import MAX_MEMBERS, Membership, MembershipOptions, next_incarnation
-from pathsaddle.fleet.messages import ALIVE, DEAD, LEFT, SUSPECT, DatagramRejectedError, MemberRecord, Message
+from pathsaddle.fleet.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    DatagramRejectedError,
+    MemberRecord,
+    Message,
+    MessageKind,
+)
 from pathsaddle.fleet.rate_limiter import RateLimiter
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -151,11 +160,11 @@
                 self.assertTrue([rule for rule in rules if rule in broken], broken)
 
 
-def member(name, life=0, seed=0, now=0, **ways):
-    row = MemberRecord(
-        name, life or next_incarnation(1000, 0, Random(seed)), 0, ALIVE, f"10.0.0.1:{name}", "here"
+def member(name, incarnation=0, seed=0, now=0, **options):
+    record = MemberRecord(
+        name, incarnation or next_incarnation(1000, 0, Random(seed)), 0, ALIVE, f"10.0.0.1:{name}", "here"
     )
-    return Membership(row, MembershipOptions("f", KEY, **ways), [], Random(seed), now)
+    return Membership(record, MembershipOptions("f", KEY, **options), [], Random(seed), now)
 
 
 class Between:
@@ -169,12 +178,12 @@
         end = self.now + ticks
         while self.now < end:
             for core in list(self.at.values()):
-                if core.promised <= self.now:
+                if core.next_wake_at <= self.now:
                     core.wake(self.now)
             for _ in range(50):
-                sent = [one for core in self.at.values() for one in core.out]
+                sent = [one for core in self.at.values() for one in core.sender.out]
                 for core in self.at.values():
-                    core.out = []
+                    core.sender.out = []
                 for address, data in sent:
                     if address in self.at:
                         self.at[address].on_datagram(data, self.now)
@@ -191,74 +200,77 @@
 
     def test_of_two_processes_under_one_name_one_falls_silent_and_the_other_stays(self):
         old, new, third = member("a", 5 << 10, 1), member("a", 6 << 10, 2), member("c", seed=3)
-        new.me = MemberRecord("a", new.me.life, 0, ALIVE, "10.0.0.9:a", "here")
+        new.table.me = MemberRecord("a", new.me.incarnation, 0, ALIVE, "10.0.0.9:a", "here")
         between = self.meet(old, third)
         between.run(5 * SECOND)
         between.at["10.0.0.9:a"] = new
         new.learn(third.me, between.now, "told")
-        new.promised = between.now
+        new.next_wake_at = between.now
         between.run(20 * SECOND)
-        self.assertEqual((old.silent, new.silent), (True, False))
-        self.assertEqual(third.members["a"].row.address, "10.0.0.9:a")
+        self.assertEqual((old.is_silent, new.is_silent), (True, False))
+        self.assertEqual(third.members["a"].record.address, "10.0.0.9:a")
 
     def test_two_that_changed_places_are_found_where_they_are(self):
         a, b, c = member("a"), member("b", seed=1), member("c", seed=2)
         between = self.meet(a, b, c)
         between.run(5 * SECOND)
-        again = [member("a", a.me.life + 1024, 3, between.now), member("b", b.me.life + 1024, 4, between.now)]
+        again = [
+            member("a", a.me.incarnation + 1024, 3, between.now),
+            member("b", b.me.incarnation + 1024, 4, between.now),
+        ]
         for core, address in zip(again, (b.me.address, a.me.address), strict=True):
-            core.me = MemberRecord(core.me.name, core.me.life, 0, ALIVE, address, "here")
-            core.seeds = [c.me.address]
+            core.table.me = MemberRecord(core.me.name, core.me.incarnation, 0, ALIVE, address, "here")
+            core.anti_entropy.seeds = [c.me.address]
             between.at[address] = core
         between.run(20 * SECOND)
-        self.assertEqual([c.members[name].row.address for name in "ab"], [b.me.address, a.me.address])
+        self.assertEqual([c.members[name].record.address for name in "ab"], [b.me.address, a.me.address])
         self.assertTrue(
-            all(c.heard_within(core.me.name, core.me.life, 5 * SECOND, between.now) for core in again)
+            all(c.seen_within(core.me.name, core.me.incarnation, 5 * SECOND, between.now) for core in again)
         )
 
-    def test_what_is_not_a_fellows_is_counted_by_its_reason_and_changes_nothing(self):
+    def test_what_is_not_a_peers_is_counted_by_its_reason_and_changes_nothing(self):
         core = member("a")
         other = member("b", seed=1)
-        said = Message("f", other.me, 1, "a", messages.PING, 7)
-        good = messages.encode(said, KEY)
+        message = Message("f", other.me, 1, "a", MessageKind.PROBE, 7)
+        good = messages.encode(message, KEY)
         newer = bytes((messages.FORM + 1,)) + good[1:-16]
         newer += messages.hmac.digest(KEY, newer, "sha256")[:16]
         cases = {
             "cut": good[:10],
-            "stranger": messages.encode(said, b"another key, as long as it"),
+            "stranger": messages.encode(message, b"another key, as long as it"),
             "newer": newer,
-            "fleet": messages.encode(Message("g", other.me, 1, "a", messages.PING), KEY),
-            "misdirected": messages.encode(Message("f", other.me, 1, "z", messages.PING), KEY),
+            "fleet": messages.encode(Message("g", other.me, 1, "a", MessageKind.PROBE), KEY),
+            "misdirected": messages.encode(Message("f", other.me, 1, "z", MessageKind.PROBE), KEY),
         }
         for reason, data in cases.items():
             core.on_datagram(data, 1)
-            self.assertEqual(core.counts.get(f"refused {reason}"), 1, reason)
-        self.assertEqual((core.members, core.out), ({}, []))
+            self.assertEqual(core.counters.get(f"refused {reason}"), 1, reason)
+        self.assertEqual((core.members, core.sender.out), ({}, []))
         core.on_datagram(good, 1)
-        self.assertEqual(len(core.out), 1)
+        self.assertEqual(len(core.sender.out), 1)
         core.on_datagram(good, 2)
         core.on_datagram(good, 2)
-        self.assertEqual(core.counts["refused repeated"], 1 + (len(core.out) == 1))
+        self.assertEqual(core.counters["refused repeated"], 1 + (len(core.sender.out) == 1))
 
     def test_an_answer_from_long_ago_is_no_sign_of_life(self):
         a, b = member("a"), member("b", seed=1)
         between = self.meet(a, b)
         between.run(3 * SECOND)
-        life = b.me.life
-        self.assertTrue(a.heard_within("b", life, 2 * SECOND, between.now))
+        life = b.me.incarnation
+        self.assertTrue(a.seen_within("b", life, 2 * SECOND, between.now))
         kept = [
             (address, data)
             for address, data in [
-                (a.me.address, messages.encode(Message("f", b.me, 1 << 40, "a", messages.ACK, 1), KEY))
+                (a.me.address, messages.encode(Message("f", b.me, 1 << 40, "a", MessageKind.ACK, 1), KEY))
             ]
         ]
         del between.at[b.me.address]
-        heard = a.members["b"].heard
+        heard = a.members["b"].seen_at
         between.run(5 * SECOND)
         a.on_datagram(kept[0][1], between.now)
-        self.assertEqual(a.members["b"].heard, heard)
-        self.assertFalse(a.heard_within("b", life, 4 * SECOND, between.now))
-        self.assertFalse(a.heard_within("b", life + 1, 100 * SECOND, between.now))
+        self.assertEqual(a.members["b"].seen_at, heard)
+        self.assertFalse(a.seen_within("b", life, 4 * SECOND, between.now))
+        self.assertFalse(a.seen_within("b", life + 1, 100 * SECOND, between.now))
 
     def test_each_further_witness_is_told_of_as_one_and_shortens_the_suspicion(self):
         core, others = member("a"), [member(name, seed=ord(name)) for name in "bcdef"]
@@ -266,27 +278,31 @@
         until, told = [], []
         for by in "bcd":
             core.learn(
-                MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by=by), 10, by
+                MemberRecord("f", others[4].me.incarnation, 0, SUSPECT, others[4].me.address, "here", by=by),
+                10,
+                by,
             )
-            until.append(core.members["f"].until)
-            told.append(core.members["f"].row.by)
+            until.append(core.members["f"].suspicion_ends_at)
+            told.append(core.members["f"].record.by)
         self.assertEqual(told, ["b", "c", "d"])
         self.assertTrue(until[0] > until[1] > until[2])
         core.learn(
-            MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"), 20, "b"
+            MemberRecord("f", others[4].me.incarnation, 0, SUSPECT, others[4].me.address, "here", by="b"),
+            20,
+            "b",
         )
-        self.assertEqual(core.members["f"].until, until[2])
+        self.assertEqual(core.members["f"].suspicion_ends_at, until[2])
 
     def test_a_helper_without_an_answer_says_so_in_time_for_who_asked(self):
         core, asker, gone = member("a"), member("b", seed=1), member("c", seed=2)
         self.meet(core, asker, gone)
-        asked = messages.encode(Message("f", asker.me, 1, "a", messages.ASK, 7, "c"), KEY)
+        asked = messages.encode(Message("f", asker.me, 1, "a", MessageKind.INDIRECT_PROBE, 7, "c"), KEY)
         core.wake(0)
         core.on_datagram(asked, 50)
-        self.assertLessEqual(core.due(50), 50 + core.ways.patience)
-        core.out = []
-        core.wake(50 + core.ways.patience)
-        self.assertIn(messages.MISSED, [messages.decode(data, KEY, "f").kind for _, data in core.out])
+        self.assertLessEqual(core.due(50), 50 + core.options.probe_timeout)
+        core.sender.out = []
+        core.wake(50 + core.options.probe_timeout)
+        self.assertIn(MessageKind.NACK, [messages.decode(data, KEY, "f").kind for _, data in core.sender.out])
 
     def test_a_member_whom_nobody_answers_tells_its_doubts_to_nobody(self):
         a, others = member("a"), [member(name, seed=ord(name)) for name in "bcde"]
@@ -297,16 +313,16 @@
         sent = []
         for _ in range(600):
             between.now += 1000
-            a.wake(between.now) if a.promised <= between.now else None
-            sent += [row for _, data in a.out for row in messages.decode(data, KEY, "f").rows]
-            a.out = []
-        self.assertEqual(a.alone(), True)
+            a.wake(between.now) if a.next_wake_at <= between.now else None
+            sent += [row for _, data in a.sender.out for row in messages.decode(data, KEY, "f").records]
+            a.sender.out = []
+        self.assertEqual(a.is_alone(), True)
         self.assertLessEqual(len({row.name for row in sent if row.state in (SUSPECT, DEAD)}), 2)
         between.at = {core.me.address: core for core in (a, *others)}
         for core in others:
-            core.promised = between.now
+            core.next_wake_at = between.now
         between.run(60 * SECOND)
-        self.assertEqual({m.row.state for m in a.members.values()}, {ALIVE})
+        self.assertEqual({m.record.state for m in a.members.values()}, {ALIVE})
 
     def test_an_accusation_is_told_also_when_carrying_has_spent_all_that_it_may(self):
         """25 members that told of their load twice a second: two in three of membership's datagrams went without
@@ -319,10 +335,10 @@
                     [member(name, seed=ord(name)) for name in "bcdef"],
                 )
                 self.meet(core, *others)
-                core.gossip.clear()
-                carry = Gossip("a", core.me.life, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
+                core.dissemination.pending.clear()
+                carry = Gossip("a", core.me.incarnation, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
                 for one in others:
-                    carry.on_member_joined(one.me.name, one.me.life, one.me.address)
+                    carry.on_member_joined(one.me.name, one.me.incarnation, one.me.address)
                 sent = -1
                 while len(carry.out) > sent:
                     sent = len(carry.out)
@@ -332,13 +348,17 @@
                     carry.wake(0)
                 self.assertGreater(carry.counts["held back"], 0)
                 core.learn(
-                    MemberRecord("f", others[4].me.life, 0, SUSPECT, others[4].me.address, "here", by="b"),
+                    MemberRecord(
+                        "f", others[4].me.incarnation, 0, SUSPECT, others[4].me.address, "here", by="b"
+                    ),
                     0,
                     "b",
                 )
-                core.beat_due = 0
+                core.detector.next_probe_at = 0
                 core.wake(0)
-                told = [row.name for _, data in core.out for row in messages.decode(data, KEY, "f").rows]
+                told = [
+                    row.name for _, data in core.sender.out for row in messages.decode(data, KEY, "f").records
+                ]
                 self.assertIn("f", told)
 
     def test_the_dead_are_remembered_up_to_a_bound_and_a_name_that_comes_and_goes_takes_one_place(self):
@@ -350,12 +370,12 @@
         for life in range(200):
             core.learn(MemberRecord("comes", life, 0, ALIVE, "10.0.0.2:2", ""), 300_000, "b")
             core.learn(MemberRecord("comes", life, 0, LEFT, "10.0.0.2:2", ""), 300_000, "b")
-        self.assertLessEqual(sum(not m.here for m in core.members.values()), 8)
+        self.assertLessEqual(sum(not m.is_present for m in core.members.values()), 8)
 
-    def test_no_second_holds_more_than_the_purse_says(self):
-        chance, rate_limiter, paid = Random(5), RateLimiter(6000, 20, 0), []
-        for now in sorted(chance.randrange(10 * SECOND) for _ in range(4000)):
-            if rate_limiter.try_consume(size := chance.randrange(60, 1200), now):
+    def test_no_second_holds_more_than_the_rate_limiter_allows(self):
+        rng, rate_limiter, paid = Random(5), RateLimiter(6000, 20, 0), []
+        for now in sorted(rng.randrange(10 * SECOND) for _ in range(4000)):
+            if rate_limiter.try_consume(size := rng.randrange(60, 1200), now):
                 paid.append((now, size))
         for now, _ in paid:
             inside = [size for at, size in paid if now <= at < now + SECOND]
@@ -408,7 +428,7 @@
         cores = [member(name, 1024 * (i + 1), i) for i, name in enumerate(NAMES)]
         by_address = {core.me.address: core for core in cores}
         for core in cores[1:]:
-            core.seeds = [cores[0].me.address]
+            core.anti_entropy.seeds = [cores[0].me.address]
         air = []
         for what, which, more in steps:
             if what == "wake":
@@ -429,32 +449,37 @@
                 cores[which].leave(now)
             for core in cores:
                 self.valid(core, now)
-                air += core.out
-                core.out, core.changes = [], []
+                air += core.sender.out
+                core.sender.out, core.table.changes = [], []
 
     def valid(self, core, now):
-        self.assertTrue(all(len(data) <= messages.MAX_DATAGRAM_BYTES for _, data in core.out))
-        for _, data in core.out:
+        self.assertTrue(all(len(data) <= messages.MAX_DATAGRAM_BYTES for _, data in core.sender.out))
+        for _, data in core.sender.out:
             messages.decode(data, KEY, "f")
         self.assertLess(len(core.members), MAX_MEMBERS)
         self.assertNotIn(core.me.name, core.members)
-        self.assertLessEqual(set(core.gossip), set(core.members))
-        self.assertLessEqual({m.row.name for m in core.accused.values()}, set(core.members))
-        self.assertTrue(all(m.until < 1 << 60 and m.row.state == SUSPECT for m in core.accused.values()))
-        self.assertTrue(all(max(m.heard, m.heard_by) <= now for m in core.members.values()))
-        self.assertEqual(core.size(), 1 + sum(m.here for m in core.members.values()))
-        self.assertLessEqual(len(core.indirect_probes), 256)
+        self.assertLessEqual(set(core.dissemination.pending), set(core.members))
+        self.assertLessEqual({m.record.name for m in core.suspicions.accused.values()}, set(core.members))
+        self.assertTrue(
+            all(
+                m.suspicion_ends_at < 1 << 60 and m.record.state == SUSPECT
+                for m in core.suspicions.accused.values()
+            )
+        )
+        self.assertTrue(all(max(m.seen_at, m.seen_by_others_at) <= now for m in core.members.values()))
+        self.assertEqual(core.size(), 1 + sum(m.is_present for m in core.members.values()))
+        self.assertLessEqual(len(core.detector.indirect_probes), 256)
         self.assertIn(core.health, range(9))
 
 
 class RefusalStory(unittest.TestCase):
     def test_no_bytes_but_a_fellows_are_read(self):
-        chance = Random(9)
+        rng = Random(9)
         good = messages.encode(
-            Message("f", MemberRecord("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", messages.PING), KEY
+            Message("f", MemberRecord("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", MessageKind.PROBE), KEY
         )
         for _ in range(500):
             bad = bytearray(good)
-            bad[chance.randrange(len(bad))] ^= 1 << chance.randrange(8)
+            bad[rng.randrange(len(bad))] ^= 1 << rng.randrange(8)
             with self.assertRaises(DatagramRejectedError):
                 messages.decode(bytes(bad), KEY, "f")
