--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -1,4 +1,8 @@
-"""Dispatchers' places in a fleet on the virtual ground: their disks, their events."""
+"""The members of a fleet on the emulated network: their disks, their changes in the event log, their samples.
+
+`emulator/stage.py` and `emulator/membership/stage.py` start the members; this module makes their drivers and logs what they
+believe. It judges nothing: `emulator/judges/fleet_judge.py` reads the log.
+"""
 
 from __future__ import annotations
 
@@ -15,66 +19,80 @@
 from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 
-SAMPLE = 1.0  # seconds between looks at what members claim to have heard; a quarter of it among few
-FEW, MANY = 10, 40  # members; of more than many only some are looked at
+SAMPLE_SECONDS = 1.0  # between samples of when members claim to have seen others; a quarter of it among few
+FEW_MEMBERS = 10
+MAX_SAMPLED = 40  # members, and others of each, in one sample; of more some are drawn
+MAX_SEEDS = 3  # that a plan's fleet has where it names none
 
 
 class Disk(IncarnationStore):
-    """A folder's last life: kept at once, since the file is synced before anything is told."""
+    """The incarnations on an emulated disk: on it at once, since the file is synced before anything is told."""
 
     def __init__(self) -> None:
         super().__init__(None, "")
-        self.kept: list[int] = []
+        self.incarnations: list[int] = []
 
     def last(self) -> int:
-        return self.kept[-1] if self.kept else 0
+        """Returns the last incarnation; 0 where none is on the disk."""
+        return self.incarnations[-1] if self.incarnations else 0
 
-    def keep(self, life: int) -> None:
-        self.kept.append(life)
+    def keep(self, incarnation: int) -> None:
+        """Stores an incarnation."""
+        self.incarnations.append(incarnation)
 
     def lose(self, how: str) -> None:
+        """Loses what the disk holds: `empty` all, `old` all but the first incarnation."""
         if how == "empty":
-            self.kept.clear()
+            self.incarnations.clear()
         elif how == "old":
-            del self.kept[1:]
+            del self.incarnations[1:]
 
 
 class Fleet:
-    """All members of one run, whoever runs them."""
+    """All members of one run, whichever simulation runs them.
+
+    Attributes:
+        disks: By the dispatcher's number; a disk outlives its processes.
+        drivers: Those that run.
+        start_counts: How often each dispatcher was started.
+        hosts: The host of each driver.
+    """
 
     def __init__(self, world: World, net: Net, air: Air) -> None:
         self.world, self.net, self.air = world, net, air
         net.datagram = Datagrams(net.loop, air).socket
         self.disks: dict[int, Disk] = {}
-        self.now: dict[int, MembershipDriver] = {}  # who runs
-        self.begun: dict[int, int] = {}
+        self.drivers: dict[int, MembershipDriver] = {}
+        self.start_counts: dict[int, int] = {}
         self.hosts: dict[int, Host] = {}
 
     def address(self, dispatcher: int) -> str:
+        """Returns where a dispatcher takes datagrams."""
         return f"10.3.{dispatcher >> 8}.{dispatcher & 255}:7100"
 
     def fellows(
-        self, dispatcher: int, ground: VirtualGround, counters: Counters, zone: str
+        self, dispatcher: int, environment: VirtualGround, counters: Counters, zone: str
     ) -> MembershipDriver:
-        from pathsaddle.config.fleet import membership_config as fellow
+        """Returns the driver of a new process of a dispatcher, with a random generator of its own."""
+        from pathsaddle.config.fleet import membership_config
 
         plan = self.world.plan
-        charter = charter_of(plan, name=f"d{dispatcher}", zone=zone)
-        assert charter.fleet is not None
-        charter.fleet.listen = self.address(dispatcher)
-        if not charter.fleet.seeds:
-            few = [0, 1, 2] if plan.fleet.dispatchers > 3 else range(plan.fleet.dispatchers)
-            charter.fleet.seeds = [self.address(d) for d in few]
-        count = self.begun[dispatcher] = self.begun.get(dispatcher, 0) + 1
-        chance = self.world.chance(f"member {dispatcher} {count}")
+        config = charter_of(plan, name=f"d{dispatcher}", zone=zone)
+        assert config.fleet is not None
+        config.fleet.listen = self.address(dispatcher)
+        if not config.fleet.seeds:
+            seeds = range(min(plan.fleet.dispatchers, MAX_SEEDS))
+            config.fleet.seeds = [self.address(number) for number in seeds]
+        count = self.start_counts[dispatcher] = self.start_counts.get(dispatcher, 0) + 1
+        rng = self.world.chance(f"member {dispatcher} {count}")
         disk = self.disks.setdefault(dispatcher, Disk())
-        made = MembershipDriver(fellow(charter), ground, disk, chance, counters)
-        made.quiet = True
-        made.on_change.append(lambda change: self._tell(dispatcher, change))
-        self.now[dispatcher], self.hosts[dispatcher] = made, ground.host
-        return made
+        driver = MembershipDriver(membership_config(config), environment, disk, rng, counters)
+        driver.quiet = True
+        driver.on_change.append(lambda change: self._log_change(dispatcher, change))
+        self.drivers[dispatcher], self.hosts[dispatcher] = driver, environment.host
+        return driver
 
-    def _tell(self, dispatcher: int, change: MembershipChange) -> None:
+    def _log_change(self, dispatcher: int, change: MembershipChange) -> None:
         self.world.add(
             "view",
             who=f"d{dispatcher}",
@@ -85,28 +103,34 @@
         )
 
     def gone(self, dispatcher: int) -> None:
-        self.now.pop(dispatcher, None)
+        """Forgets the driver of a process that has ended."""
+        self.drivers.pop(dispatcher, None)
 
     async def sample(self) -> None:
-        """What members claim to have heard, by the run's own time: the judge holds it against who was there."""
-        chance = self.world.chance("samples")
+        """Logs when members claim to have seen others; the judge compares it with which of them ran."""
+        rng = self.world.chance("samples")
         while True:
-            await asyncio.sleep(SAMPLE / 4 if len(self.disks) <= FEW else SAMPLE)
-            running = sorted(self.now)
-            for d in running if len(running) <= MANY else chance.sample(running, MANY):
-                core = self.now[d].core
-                # By its own clock, which may not run as the run's does.
-                now = self.hosts[d].context.run(self.now[d].clock.now)
-                told = [
-                    (name, m.record.incarnation, now - m.last_seen)
-                    for name, m in core.members.items()
-                    if m.last_seen > 0
-                ]
-                if len(told) > MANY:
-                    told = chance.sample(told, MANY)
-                self.world.add("heard", who=f"d{d}", of=told)
+            is_small = len(self.disks) <= FEW_MEMBERS
+            await asyncio.sleep(SAMPLE_SECONDS / 4 if is_small else SAMPLE_SECONDS)
+            running = sorted(self.drivers)
+            for number in running if len(running) <= MAX_SAMPLED else rng.sample(running, MAX_SAMPLED):
+                ages = self._ages(number)
+                if len(ages) > MAX_SAMPLED:
+                    ages = rng.sample(ages, MAX_SAMPLED)
+                self.world.add("heard", who=f"d{number}", of=ages)
+
+    def _ages(self, number: int) -> list[tuple[str, int, int]]:
+        """Returns (name, incarnation, ticks since it was last seen) by the member's own clock, which may drift."""
+        driver = self.drivers[number]
+        now = self.hosts[number].context.run(driver.clock.now)
+        return [
+            (name, member.record.incarnation, now - member.last_seen)
+            for name, member in driver.core.members.items()
+            if member.last_seen > 0
+        ]
 
     def end(self) -> None:
+        """Logs what each member has sent."""
         for name, meter in self.air.meters.items():
             self.world.add(
                 "traffic",
