--- a/pathsaddle/emulator/hollow/fleet_ground.py
+++ b/pathsaddle/emulator/hollow/fleet_ground.py
@@ -8,27 +8,25 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any, Generic, TypeVar
+from typing import Generic, TypeVar
 
 import msgspec
 
-from pathsaddle.emulator.ground.air import BINS, Air, Blight
-from pathsaddle.emulator.ground.datagrams import Datagrams
+from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.links import Host, Net, VirtualGround
 from pathsaddle.emulator.ground.moments import Moments
+from pathsaddle.emulator.hollow.fleet_tally import Metered, Spent, most
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.served.members import Disk
 from pathsaddle.fleet.membership import MembershipChange, MembershipOptions
-from pathsaddle.fleet.messages import CARRIED, DEAD, MemberRecord
+from pathsaddle.fleet.messages import DEAD, MemberRecord
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
 from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC
 from pathsaddle.fleet.rate_limiter import SECOND
 from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.wire.terms import Peer
 
 KEY = b"the hollow fleet's own secret"
 GUARD = 2.0  # seconds behind a first lease after which a new life lends (shares.py), and some more
@@ -51,109 +49,33 @@
     patience: float = 90.0
 
 
-class Tally:
-    """What one member sent and took, by tenths of a second since the last `clear` of the fleet."""
-
-    def __init__(self) -> None:
-        self.out: dict[int, int] = {}
-        self.into: dict[int, int] = {}
-        self.carried = self.datagrams = 0
-
-    def clear(self) -> None:
-        self.out.clear()
-        self.into.clear()
-        self.carried = self.datagrams = 0
-
-
-def most(bins: dict[int, int]) -> int:
-    """Over any second that begins with a tenth."""
-    return max((sum(bins.get(first + i, 0) for i in range(BINS)) for first in bins), default=0)
-
-
-class Metered(Datagrams):
-    """Counts for each host what it sends and what reaches it."""
-
-    def __init__(self, loop: Moments, air: Air) -> None:
-        super().__init__(loop, air)
-        self.tallies: dict[str, Tally] = {}
-
-    def tally(self, name: str) -> Tally:
-        return self.tallies.setdefault(name, Tally())
-
-    def carry(self, sender: Host, data: bytes, address: Peer) -> None:
-        tally, at = self.tally(sender.name), int(self.loop.true_time() * BINS)
-        tally.out[at] = tally.out.get(at, 0) + len(data)
-        tally.datagrams += 1
-        if data[0] == CARRIED:
-            tally.carried += len(data)
-        there = self.bound.get(address)
-        if there is not None:
-            for delay in self.air.copies(sender.name, there.host.name):
-                self.loop.call_later(delay, self._arrive, address, data, context=self.context)
-
-    def _arrive(self, address: Peer, data: bytes) -> None:
-        there = self.bound.get(address)
-        if there is not None:
-            tally, at = self.tally(there.host.name), int(self.loop.true_time() * BINS)
-            tally.into[at] = tally.into.get(at, 0) + len(data)
-            there.arrives(data)
-
-
-class Spent:
-    """Processor time inside the cores' calls, the outermost alone: what one core calls of itself counts once."""
-
-    def __init__(self, *whose: str) -> None:
-        self.ns = dict.fromkeys(whose, 0)
-        self.inside = False
-
-    def around(self, whose: str, core: object, *calls: str) -> None:
-        for name in calls:
-            setattr(core, name, self._timed(whose, getattr(core, name)))
-
-    def _timed(self, whose: str, call: Callable[..., Any]) -> Callable[..., Any]:
-        def timed(*told: Any) -> Any:
-            if self.inside:
-                return call(*told)
-            self.inside, begun = True, time.thread_time_ns()
-            try:
-                return call(*told)
-            finally:
-                self.ns[whose] += time.thread_time_ns() - begun
-                self.inside = False
-
-        return timed
-
-    def clear(self) -> None:
-        self.ns = dict.fromkeys(self.ns, 0)
-
-
 class Member:
     """A hollow member's place: its disk, and the process that runs there now, if one does."""
 
     def __init__(self, place: Place) -> None:
-        self.place, self.disk, self.lives = place, Disk(), 0
+        self.place, self.disk, self.start_count = place, Disk(), 0
         self.host: Host | None = None
-        self.fellows: MembershipDriver | None = None
+        self.driver: MembershipDriver | None = None
 
 
 def introduced(some: list[MembershipDriver], rows: list[MemberRecord], lease: float) -> None:
     """They know all of these, as if they had met long ago; nothing of that is news. What each would lend is told
     once, when the first lease has ended.
     """
-    for fellows in some:
-        core, now = fellows.core, fellows.clock.now()
+    for driver in some:
+        core, now = driver.core, driver.clock.now()
         for row in rows:
             if row.name != core.me.name:
                 core.learn(row, now, "the play")
         core.dissemination.pending.clear()
-        if fellows.shared is not None:
-            fellows.shared.told_due = now + int((1.1 * lease + GUARD) * SECOND)
+        if driver.shared is not None:
+            driver.shared.told_due = now + int((1.1 * lease + GUARD) * SECOND)
 
 
 class HollowFleet:
     def __init__(self, count: int, seed: int, setting: FleetSetting, loop: Moments) -> None:
         self.setting, self.seed, self.loop = setting, seed, loop
-        self.chance = Random(f"{seed}/hollow")
+        self.rng = Random(f"{seed}/hollow")
         self.members = [Member(place) for place in places(count)]
         self.by_name = {member.place.name: member for member in self.members}
         self.net = Net(loop)
@@ -174,9 +96,9 @@
 
     def begin(self, member: Member) -> None:
         setting, place = self.setting, member.place
-        member.lives += 1
+        member.start_count += 1
         host = member.host = Host(self.net, place.name, place.zone)
-        ways = MembershipOptions(
+        options = MembershipOptions(
             "hollow",
             KEY,
             int(setting.beat * SECOND),
@@ -184,30 +106,30 @@
             setting.most_bytes,
         )
         count = len(self.members)
-        dealt = {
+        quotas = {
             f"budget-{n:03}": QuotaConfig(10 * count, 10, int(setting.lease * SECOND))
             for n in range(setting.budgets)
         }
         seeds = [one.place.address for one in self.members[:3]]
-        told = MembershipConfig(
-            place.name, place.zone, place.address, place.address, seeds, "", ways, budgets=dealt
+        config = MembershipConfig(
+            place.name, place.zone, place.address, place.address, seeds, "", options, budgets=quotas
         )
 
-        def begun() -> MembershipDriver:
-            fellows = MembershipDriver(
-                told,
+        def begin_driver() -> MembershipDriver:
+            driver = MembershipDriver(
+                config,
                 VirtualGround(host),
                 member.disk,
-                Random(f"{self.seed}/{place.name}/{member.lives}"),
+                Random(f"{self.seed}/{place.name}/{member.start_count}"),
                 Counters(),
             )
-            fellows.quiet = True
-            fellows.on_change.append(self._changed)
-            self.spent.around("members", fellows.core, "on_datagram", "wake", "due", "leave")
-            if fellows.shared is not None:
+            driver.quiet = True
+            driver.on_change.append(self._changed)
+            self.spent.around("members", driver.core, "on_datagram", "wake", "due", "leave")
+            if driver.shared is not None:
                 self.spent.around(
                     "shared",
-                    fellows.shared,
+                    driver.shared,
                     "on_datagram",
                     "wake",
                     "due",
@@ -217,16 +139,16 @@
                     "on_new_incarnation",
                     "leave",
                 )
-            fellows.begin()
-            return fellows
+            driver.begin()
+            return driver
 
-        member.fellows = host.context.run(begun)
+        member.driver = host.context.run(begin_driver)
 
     def introduce(self) -> None:
         """All begin and know all, as if they had met long ago; nothing of that is news."""
         for member in self.members:
             self.begin(member)
-        introduced(self.running(), [fellows.core.me for fellows in self.running()], self.setting.lease)
+        introduced(self.running(), [driver.core.me for driver in self.running()], self.setting.lease)
 
     def _changed(self, change: MembershipChange) -> None:
         about = self.by_name.get(change.name)
@@ -234,64 +156,64 @@
             self.blame
             and change.state == DEAD
             and about is not None
-            and about.fellows is not None
-            and about.fellows.life == change.incarnation
+            and about.driver is not None
+            and about.driver.life == change.incarnation
         ):
             self.wrong += 1
 
     def end(self, member: Member, leaves: bool) -> None:
         """As by SIGKILL, or with the word that it leaves."""
-        host, fellows = member.host, member.fellows
-        if host is None or fellows is None:
+        host, driver = member.host, member.driver
+        if host is None or driver is None:
             return
         if leaves:
-            host.context.run(fellows.leave)
-            host.context.run(fellows.end)
-        self.held += self._held(fellows)
+            host.context.run(driver.leave)
+            host.context.run(driver.end)
+        self.held += self._held(driver)
         host.kill()
-        member.host = member.fellows = None
+        member.host = member.driver = None
 
     @staticmethod
-    def _held(fellows: MembershipDriver) -> int:
-        shared = fellows.shared.carry.counts.get("held back", 0) if fellows.shared is not None else 0
-        return fellows.core.counters.get("held back", 0) + shared
+    def _held(driver: MembershipDriver) -> int:
+        shared = driver.shared.carry.counts.get("held back", 0) if driver.shared is not None else 0
+        return driver.core.counters.get("held back", 0) + shared
 
     def held_back(self) -> int:
         return self.held + sum(map(self._held, self.running()))
 
     def running(self) -> list[MembershipDriver]:
-        return [member.fellows for member in self.members if member.fellows is not None]
+        return [member.driver for member in self.members if member.driver is not None]
 
     # What all know.
 
     def whole(self) -> bool:
         """Whether each knows each that runs, in its life, nobody else as there, and whom it may carry for."""
         running = self.running()
-        if any(fellows.core.size() != len(running) for fellows in running):
+        if any(driver.core.size() != len(running) for driver in running):
             return False
-        lives = {fellows.core.me.name: fellows.core.me.incarnation for fellows in running}
-        for fellows in running:
-            for name, life in lives.items():
-                member = fellows.core.members.get(name)
-                if name != fellows.core.me.name and (
-                    member is None or not member.is_present or member.record.incarnation != life
+        incarnations = {driver.core.me.name: driver.core.me.incarnation for driver in running}
+        for driver in running:
+            for name, incarnation in incarnations.items():
+                member = driver.core.members.get(name)
+                if name != driver.core.me.name and (
+                    member is None or not member.is_present or member.record.incarnation != incarnation
                 ):
                     return False
-            if fellows.shared is not None and len(fellows.shared.carry.peers) != len(running) - 1:
+            if driver.shared is not None and len(driver.shared.carry.peers) != len(running) - 1:
                 return False
         return True
 
-    def knows_dead(self, name: str, life: int) -> bool:
-        for fellows in self.running():
-            member = fellows.core.members.get(name)
-            if member is not None and member.is_present and member.record.incarnation <= life:
+    def knows_dead(self, name: str, incarnation: int) -> bool:
+        for driver in self.running():
+            member = driver.core.members.get(name)
+            if member is not None and member.is_present and member.record.incarnation <= incarnation:
                 return False
         return True
 
     def has_record(self, name: str, topic: str, body: bytes) -> bool:
-        for fellows in self.running():
-            assert fellows.shared is not None
-            origin = fellows.shared.carry.origins.get(name)
+        for driver in self.running():
+            assert driver.shared is not None
+            origin = driver.shared.carry.origins.get(name)
             record = origin.records.get(topic) if origin is not None else None
             if record is None or record.body != body:
                 return False
@@ -300,9 +222,9 @@
     def carried(self) -> bool:
         """Whether each has of each other what it would lend, and nothing is passed on any more."""
         count = len(self.running())
-        for fellows in self.running():
-            carry = fellows.shared.carry if fellows.shared is not None else None
-            if fellows.core.dissemination.pending or carry is None or carry.news:
+        for driver in self.running():
+            carry = driver.shared.carry if driver.shared is not None else None
+            if driver.core.dissemination.pending or carry is None or carry.news:
                 return False
             if sum(SPARE_TOPIC in origin.records for origin in carry.origins.values()) != count:
                 return False
@@ -349,10 +271,10 @@
 
     def puts(self, member: Member, topic: str, body: bytes) -> None:
         """As a user of carrying does: the driver passes it on at its next moment."""
-        host, fellows = member.host, member.fellows
-        if host is not None and fellows is not None and fellows.shared is not None:
-            carry = fellows.shared.carry
-            host.context.run(lambda: carry.put(topic, body, fellows.clock.now()))
+        host, driver = member.host, member.driver
+        if host is not None and driver is not None and driver.shared is not None:
+            carry = driver.shared.carry
+            host.context.run(lambda: carry.put(topic, body, driver.clock.now()))
 
     def close(self) -> None:
         for member in self.members:
@@ -385,36 +307,3 @@
         if fleet.loop.faults:
             raise RuntimeError(f"a fault that nobody caught: {fleet.loop.faults[0]}")
         return {name: self.figures[name] for name in names}
-
-
-def counted(figures: Iterable[str]) -> frozenset[str]:
-    """All but processor times."""
-    return frozenset(name for name in figures if not name.endswith("us_s"))
-
-
-def peaked(costs: dict[str, float], name: str) -> dict[str, float]:
-    return {
-        f"{name}_out_s": costs["out_s"],
-        f"{name}_most_out": costs["most_out"],
-        f"{name}_most_in": costs["most_in"],
-        f"{name}_us_s": costs["members_us"] + costs["shared_us"],
-    }
-
-
-def peak_figures(peaks: dict[str, str]) -> dict[str, tuple[str, str]]:
-    """`peaks`: what happens in each, by its name."""
-    return {
-        f"{peak}_{figure}": (unit, f"{text}: {what} (hollow, emulated)")
-        for peak, text in peaks.items()
-        for figure, unit, what in (
-            ("out_s", "bytes/s", "sent by a member, on the mean"),
-            ("most_out", "bytes", "the most that any sends in any second"),
-            ("most_in", "bytes", "the most that any takes in any second"),
-            ("us_s", "us/s", "processor time of the cores per member"),
-        )
-    }
-
-
-def needed(point: int, setting: FleetSetting) -> tuple[int, float]:
-    """One process; measured 31 MiB at 10 members, 149 MiB at 200."""
-    return 1, 40 + point * 0.3 + point * point * 0.002
--- a/pathsaddle/emulator/hollow/members.py
+++ b/pathsaddle/emulator/hollow/members.py
@@ -12,15 +12,8 @@
 from functools import partial
 from statistics import median
 
-from pathsaddle.emulator.hollow.fleet_ground import (
-    FleetSetting,
-    Member,
-    Play,
-    counted,
-    needed,
-    peak_figures,
-    peaked,
-)
+from pathsaddle.emulator.hollow.fleet_figures import counted, needed, peak_figures, peaked
+from pathsaddle.emulator.hollow.fleet_ground import FleetSetting, Member, Play
 
 TOPIC = "told"
 FEW = 10  # members of whom one is killed; five of fifty and more
@@ -73,13 +66,13 @@
         await self.rest()
         await self.records()
         running, count = fleet.running(), len(fleet.members)
-        self.figures["rows_kept"] = sum(len(fellows.core.members) for fellows in running) / count
+        self.figures["rows_kept"] = sum(len(driver.core.members) for driver in running) / count
         self.figures["records_kept"] = (
             sum(
                 len(origin.records)
-                for fellows in running
-                if fellows.shared is not None
-                for origin in fellows.shared.carry.origins.values()
+                for driver in running
+                if driver.shared is not None
+                for origin in driver.shared.carry.origins.values()
             )
             / count
         )
@@ -106,7 +99,7 @@
         fleet = self.fleet
         spans: list[float] = []
         for number in range(self.setting.records):
-            member, body = fleet.chance.choice(fleet.members), b"%d" % number
+            member, body = fleet.rng.choice(fleet.members), b"%d" % number
             fleet.puts(member, TOPIC, body)
             spans.append(await fleet.until(partial(fleet.has_record, member.place.name, TOPIC, body)))
         self.figures["record_known_p50_s"], self.figures["record_known_most_s"] = median(spans), max(spans)
@@ -114,14 +107,14 @@
     async def deaths(self) -> None:
         fleet = self.fleet
         spans: list[float] = []
-        some = fleet.chance.sample(fleet.members, max(1, min(self.setting.deaths, len(fleet.members) // FEW)))
+        some = fleet.rng.sample(fleet.members, max(1, min(self.setting.deaths, len(fleet.members) // FEW)))
 
         async def death(member: Member, after: float) -> None:
             await asyncio.sleep(after)
-            assert member.fellows is not None
-            name, life = member.place.name, member.fellows.life
+            assert member.driver is not None
+            name, incarnation = member.place.name, member.driver.life
             fleet.end(member, leaves=False)
-            spans.append(await fleet.until(partial(fleet.knows_dead, name, life)))
+            spans.append(await fleet.until(partial(fleet.knows_dead, name, incarnation)))
 
         begun = fleet.mark()
         await asyncio.gather(*(death(member, 2.0 * n) for n, member in enumerate(some)))
--- a/pathsaddle/emulator/hollow/members_load.py
+++ b/pathsaddle/emulator/hollow/members_load.py
@@ -12,15 +12,8 @@
 from functools import partial
 from statistics import median
 
-from pathsaddle.emulator.hollow.fleet_ground import (
-    LOOK,
-    FleetSetting,
-    Play,
-    counted,
-    needed,
-    peak_figures,
-    peaked,
-)
+from pathsaddle.emulator.hollow.fleet_figures import counted, needed, peak_figures, peaked
+from pathsaddle.emulator.hollow.fleet_ground import LOOK, FleetSetting, Play
 
 TOPIC = "load"
 TELLS = 0.5  # seconds: as fleet/overload/driver.py, rarer among many
@@ -79,13 +72,13 @@
         fleet = self.fleet
         between = max(TELLS, TELLS * len(fleet.members) / 64)
         begun = fleet.loop.true_time()
-        due = {member: begun + fleet.chance.random() * between for member in fleet.members}
+        due = {member: begun + fleet.rng.random() * between for member in fleet.members}
         while True:
             at = fleet.loop.true_time()
             for member, when in due.items():
                 if at >= when:
                     due[member] = when + between
-                    body = fleet.chance.randbytes(self.setting.load_bytes)
+                    body = fleet.rng.randbytes(self.setting.load_bytes)
                     self.written[member.place.name, body] = at
                     fleet.puts(member, TOPIC, body)
             await asyncio.sleep(LOOK)
@@ -93,22 +86,22 @@
     def late(self, begun: float) -> list[float]:
         """Of each of each other: how long ago it wrote what is known of it; since the begin where nothing is."""
         now, spans = self.fleet.loop.true_time(), []
-        for fellows in self.fleet.running():
-            assert fellows.shared is not None
+        for driver in self.fleet.running():
+            assert driver.shared is not None
             for name in self.fleet.by_name:
-                origin = fellows.shared.carry.origins.get(name)
+                origin = driver.shared.carry.origins.get(name)
                 record = origin.records.get(TOPIC) if origin is not None else None
-                if name != fellows.core.me.name:
+                if name != driver.core.me.name:
                     spans.append(now - (self.written[name, record.body] if record is not None else begun))
         return spans
 
     async def death(self) -> None:
         fleet = self.fleet
-        member = fleet.chance.choice(fleet.members)
-        assert member.fellows is not None
-        name, life = member.place.name, member.fellows.life
+        member = fleet.rng.choice(fleet.members)
+        assert member.driver is not None
+        name, incarnation = member.place.name, member.driver.life
         fleet.end(member, leaves=False)
-        self.figures["load_death_known_s"] = await fleet.until(partial(fleet.knows_dead, name, life))
+        self.figures["load_death_known_s"] = await fleet.until(partial(fleet.knows_dead, name, incarnation))
 
 
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
--- a/pathsaddle/emulator/hollow/members_peaks.py
+++ b/pathsaddle/emulator/hollow/members_peaks.py
@@ -11,15 +11,8 @@
 from collections.abc import Awaitable, Callable
 
 from pathsaddle.emulator.ground.air import Blight
-from pathsaddle.emulator.hollow.fleet_ground import (
-    FleetSetting,
-    Member,
-    Play,
-    counted,
-    needed,
-    peak_figures,
-    peaked,
-)
+from pathsaddle.emulator.hollow.fleet_figures import counted, needed, peak_figures, peaked
+from pathsaddle.emulator.hollow.fleet_ground import FleetSetting, Member, Play
 
 
 class Setting(FleetSetting, forbid_unknown_fields=True):
@@ -76,7 +69,7 @@
 
     async def start(self) -> None:
         fleet = self.fleet
-        order = fleet.chance.sample(fleet.members, len(fleet.members))
+        order = fleet.rng.sample(fleet.members, len(fleet.members))
         for member in order:
             fleet.begin(member)
             await asyncio.sleep(1.0 / len(order))
@@ -93,7 +86,7 @@
 
     async def release(self) -> None:
         fleet, span = self.fleet, self.setting.away
-        some = fleet.chance.sample(fleet.members, max(1, len(fleet.members) // 10))
+        some = fleet.rng.sample(fleet.members, max(1, len(fleet.members) // 10))
         self.figures["release_known_s"] = span + await self.away(some, True, span)
 
     async def zone(self) -> None:
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pathsaddle.consensus.messages import Envelope, Message, group_checksum, pack_datagrams
-from pathsaddle.emulator.hollow.fleet_ground import Spent, Tally, most
+from pathsaddle.emulator.hollow.fleet_tally import Spent, Tally, most
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.ownership.ground import Ground, Host, MemberHost, VoterHost
 from pathsaddle.trade import SECOND
--- a/pathsaddle/emulator/hollow/owners_peaks.py
+++ b/pathsaddle/emulator/hollow/owners_peaks.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from pathsaddle.emulator.hollow.fleet_ground import most
+from pathsaddle.emulator.hollow.fleet_tally import most
 from pathsaddle.emulator.hollow.owners import TENTH, OwnersGround, part, sizes
 from pathsaddle.emulator.hollow.owners import Setting as Rest
 from pathsaddle.emulator.ownership.ground import MemberHost, VoterHost
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -96,21 +96,21 @@
     before, counters, some = pss_kib("self"), Counters(), []
     addresses: list[str] = told["addresses"]
     count = len(addresses) + setting.real
-    dealt = {f"budget-{n:03}": QuotaConfig(10 * count, 10, LEASE * SECOND) for n in range(setting.budgets)}
+    quotas = {f"budget-{n:03}": QuotaConfig(10 * count, 10, LEASE * SECOND) for n in range(setting.budgets)}
     for place in places(len(addresses))[told["first"] : told["first"] + setting.shard]:
         address = addresses[place.number]
-        ways = MembershipOptions("hollow", KEY)
-        fellows = MembershipDriver(
+        options = MembershipOptions("hollow", KEY)
+        driver = MembershipDriver(
             MembershipConfig(
-                place.name, place.zone, address, address, addresses[:3], "", ways, budgets=dealt
+                place.name, place.zone, address, address, addresses[:3], "", options, budgets=quotas
             ),
             Ground(),
             IncarnationStore(None, place.name),
             Random(f"{told['seed']}/{place.name}"),
             counters,
         )
-        fellows.quiet = True
-        some.append(fellows)
+        driver.quiet = True
+        some.append(driver)
 
     def say(what: Any) -> None:
         print(msgspec.json.encode(what).decode(), flush=True)
@@ -118,13 +118,13 @@
     async def line() -> str:
         return await events.run_in_executor(None, sys.stdin.readline)
 
-    say([fellows.core.me for fellows in some])
+    say([driver.core.me for driver in some])
     rows = await line()
     if not rows:  # nobody speaks to us any more
         return
     introduced(some, msgspec.json.decode(rows, type=list[MemberRecord]), LEASE)
-    for fellows in some:
-        fellows.begin()
+    for driver in some:
+        driver.begin()
     say("begun")
     while await line():
         used = resource.getrusage(resource.RUSAGE_SELF)
@@ -136,8 +136,8 @@
                 "pss_kib": pss_kib("self") - before,
             }
         )
-    for fellows in some:
-        fellows.end()
+    for driver in some:
+        driver.end()
 
 
 def pss_kib(process: int | str) -> int:
