--- a/tests/test_golden_membership.py
+++ b/tests/test_golden_membership.py
@@ -73,7 +73,7 @@
     return Message("f", record, count, recipient, number, echo, subject, after, up_to, seen, records)
 
 
-class GoldenMembershipStory(unittest.TestCase):
+class GoldenMembershipTest(unittest.TestCase):
     def test_each_kind_of_message_is_encoded_and_decoded_as_before(self):
         self.assertEqual(len(GOLDEN["datagrams"]), len(MessageKind) * len(FIELDS))
         for number, kind in enumerate(KINDS):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,7 +73,7 @@
         ]
 
 
-class FleetStory(unittest.TestCase):
+class FleetTest(unittest.TestCase):
     """Every story's views are whole in the end, every bound holds (the judge's `apart`, `believed`, ...)."""
 
     def play(self, *args, seed=1, **more):
@@ -102,10 +102,10 @@
         self.assertTrue(play.views("dead", about="d3"))
         self.assertEqual(play.views("dead", who="d3"), [])
 
-    def test_a_process_killed_and_back_at_once_is_another_life(self):
+    def test_a_process_killed_and_back_at_once_is_another_incarnation(self):
         play = self.play(40, kill={"of": "d2", "at": "5s", "for": "100ms"})
-        lives = {row.more["life"] for row in play.views("alive", "d5", "d2")}
-        self.assertEqual(len(lives), 2)
+        incarnations = {row.more["life"] for row in play.views("alive", "d5", "d2")}
+        self.assertEqual(len(incarnations), 2)
         self.assertEqual(play.verdict.fleet["false"], 0)
 
     def test_a_clock_stepped_back_by_an_hour_on_an_empty_disk_is_refuted_and_comes_back_above(self):
@@ -190,7 +190,7 @@
             self.now += 100
 
 
-class CoreStory(unittest.TestCase):
+class CoreTest(unittest.TestCase):
     def meet(self, *cores):
         for one in cores:
             for other in cores:
@@ -228,7 +228,7 @@
             all(c.seen_within(core.me.name, core.me.incarnation, 5 * SECOND, between.now) for core in again)
         )
 
-    def test_what_is_not_a_peers_is_counted_by_its_reason_and_changes_nothing(self):
+    def test_a_rejected_datagram_is_counted_by_its_reason_and_changes_nothing(self):
         core = member("a")
         other = member("b", seed=1)
         message = Message("f", other.me, 1, "a", MessageKind.PROBE, 7)
@@ -252,12 +252,12 @@
         core.on_datagram(good, 2)
         self.assertEqual(core.counters["refused repeated"], 1 + (len(core.sender.out) == 1))
 
-    def test_an_answer_from_long_ago_is_no_sign_of_life(self):
+    def test_an_answer_from_long_ago_makes_nobody_seen(self):
         a, b = member("a"), member("b", seed=1)
         between = self.meet(a, b)
         between.run(3 * SECOND)
-        life = b.me.incarnation
-        self.assertTrue(a.seen_within("b", life, 2 * SECOND, between.now))
+        incarnation = b.me.incarnation
+        self.assertTrue(a.seen_within("b", incarnation, 2 * SECOND, between.now))
         kept = [
             (address, data)
             for address, data in [
@@ -269,10 +269,10 @@
         between.run(5 * SECOND)
         a.on_datagram(kept[0][1], between.now)
         self.assertEqual(a.members["b"].seen_at, heard)
-        self.assertFalse(a.seen_within("b", life, 4 * SECOND, between.now))
-        self.assertFalse(a.seen_within("b", life + 1, 100 * SECOND, between.now))
+        self.assertFalse(a.seen_within("b", incarnation, 4 * SECOND, between.now))
+        self.assertFalse(a.seen_within("b", incarnation + 1, 100 * SECOND, between.now))
 
-    def test_each_further_witness_is_told_of_as_one_and_shortens_the_suspicion(self):
+    def test_each_further_accuser_is_disseminated_as_one_and_shortens_the_suspicion(self):
         core, others = member("a"), [member(name, seed=ord(name)) for name in "bcdef"]
         self.meet(core, *others)
         until, told = [], []
@@ -293,7 +293,7 @@
         )
         self.assertEqual(core.members["f"].suspicion_ends_at, until[2])
 
-    def test_a_helper_without_an_answer_says_so_in_time_for_who_asked(self):
+    def test_a_helper_without_an_answer_sends_a_nack_before_the_requesters_probe_ends(self):
         core, asker, gone = member("a"), member("b", seed=1), member("c", seed=2)
         self.meet(core, asker, gone)
         asked = messages.encode(Message("f", asker.me, 1, "a", MessageKind.INDIRECT_PROBE, 7, "c"), KEY)
@@ -304,7 +304,7 @@
         core.wake(50 + core.options.probe_timeout)
         self.assertIn(MessageKind.NACK, [messages.decode(data, KEY, "f").kind for _, data in core.sender.out])
 
-    def test_a_member_whom_nobody_answers_tells_its_doubts_to_nobody(self):
+    def test_a_member_that_nobody_answers_keeps_its_suspicions_local(self):
         a, others = member("a"), [member(name, seed=ord(name)) for name in "bcde"]
         between = self.meet(a, *others)
         between.run(3 * SECOND)
@@ -324,7 +324,7 @@
         between.run(60 * SECOND)
         self.assertEqual({m.record.state for m in a.members.values()}, {ALIVE})
 
-    def test_an_accusation_is_told_also_when_carrying_has_spent_all_that_it_may(self):
+    def test_an_accusation_is_disseminated_also_when_gossip_has_used_all_that_it_may(self):
         """25 members that told of their load twice a second: two in three of membership's datagrams went without
         news, nobody heard a second accuser, and a death was known after 27 s instead of 10.
         """
@@ -336,17 +336,17 @@
                 )
                 self.meet(core, *others)
                 core.dissemination.pending.clear()
-                carry = Gossip("a", core.me.incarnation, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
+                gossip = Gossip("a", core.me.incarnation, "f", KEY, core.rate_limiter, SECOND, Random(1), 0)
                 for one in others:
-                    carry.on_member_joined(one.me.name, one.me.incarnation, one.me.address)
+                    gossip.on_member_joined(one.me.name, one.me.incarnation, one.me.address)
                 sent = -1
-                while len(carry.out) > sent:
-                    sent = len(carry.out)
+                while len(gossip.out) > sent:
+                    sent = len(gossip.out)
                     for n in range(8):
-                        carry.put(f"t{n}", bytes([sent % 256]) * 300, 0)
-                    carry.compare_due = carry.news_due = 0
-                    carry.wake(0)
-                self.assertGreater(carry.counts["held back"], 0)
+                        gossip.put(f"t{n}", bytes([sent % 256]) * 300, 0)
+                    gossip.compare_due = gossip.news_due = 0
+                    gossip.wake(0)
+                self.assertGreater(gossip.counts["held back"], 0)
                 core.learn(
                     MemberRecord(
                         "f", others[4].me.incarnation, 0, SUSPECT, others[4].me.address, "here", by="b"
@@ -367,9 +367,9 @@
             core.learn(MemberRecord(f"x{i}", 5, 0, ALIVE, "10.0.0.2:1", ""), i, "b")
             core.learn(MemberRecord(f"x{i}", 5, 0, DEAD, "10.0.0.2:1", ""), i, "b")
             core.wake(i * SECOND)
-        for life in range(200):
-            core.learn(MemberRecord("comes", life, 0, ALIVE, "10.0.0.2:2", ""), 300_000, "b")
-            core.learn(MemberRecord("comes", life, 0, LEFT, "10.0.0.2:2", ""), 300_000, "b")
+        for incarnation in range(200):
+            core.learn(MemberRecord("comes", incarnation, 0, ALIVE, "10.0.0.2:2", ""), 300_000, "b")
+            core.learn(MemberRecord("comes", incarnation, 0, LEFT, "10.0.0.2:2", ""), 300_000, "b")
         self.assertLessEqual(sum(not m.is_present for m in core.members.values()), 8)
 
     def test_no_second_holds_more_than_the_rate_limiter_allows(self):
@@ -384,7 +384,7 @@
 
 
 NAMES = [f"m{i}" for i in range(5)]
-ROWS = st.builds(
+RECORDS = st.builds(
     MemberRecord,
     st.sampled_from([*NAMES, "x", "y"]),
     st.integers(0, 4000),
@@ -403,7 +403,7 @@
         st.builds(
             Message,
             st.just("f"),
-            ROWS,
+            RECORDS,
             st.integers(0, 200),
             st.sampled_from([*NAMES, ""]),
             st.integers(-1, 8),
@@ -412,7 +412,7 @@
             st.sampled_from(["", "m2"]),
             st.sampled_from(["", "m3"]),
             st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 9), st.integers(-9, 99)), max_size=3),
-            st.lists(ROWS, max_size=5),
+            st.lists(RECORDS, max_size=5),
         ),
     ),
     st.tuples(st.just("noise"), st.integers(0, 4), st.binary(max_size=1300)),
@@ -420,7 +420,7 @@
 )
 
 
-class AnyOrderStory(unittest.TestCase):
+class AnyOrderTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
     @given(st.lists(STEPS, max_size=60))
     def test_any_order_and_number_of_any_datagrams_leaves_a_member_valid_and_bounded(self, steps):
@@ -472,8 +472,8 @@
         self.assertIn(core.health, range(9))
 
 
-class RefusalStory(unittest.TestCase):
-    def test_no_bytes_but_a_fellows_are_read(self):
+class RejectionTest(unittest.TestCase):
+    def test_no_bytes_but_a_peers_are_decoded(self):
         rng = Random(9)
         good = messages.encode(
             Message("f", MemberRecord("b", 1, 0, ALIVE, "h:1", "z"), 1, "a", MessageKind.PROBE), KEY
