--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -282,7 +282,9 @@
     """A new life is taken to have been heard when the old one was."""
     learn = Membership.learn
 
-    def credited(self: Membership, record: MemberRecord, now: int, source: str, is_page: bool = False) -> None:
+    def credited(
+        self: Membership, record: MemberRecord, now: int, source: str, is_page: bool = False
+    ) -> None:
         old = self.members.get(record.name)
         learn(self, record, now, source, is_page)
         new = self.members.get(record.name)
