--- a/pathsaddle/config/display.py
+++ b/pathsaddle/config/display.py
@@ -31,7 +31,7 @@
 
 
 def escape_unprintable(text: str) -> str:
-    """Replaces each character that can't be printed by its code point, such as `\\u000a`."""
+    """Replaces each character that can't be printed by a backslash, `u` and its code point in hexadecimal."""
     return "".join(character if character.isprintable() else f"\\u{ord(character):04x}" for character in text)
 
 
--- a/pathsaddle/config/register_schema.py
+++ b/pathsaddle/config/register_schema.py
@@ -1,4 +1,7 @@
-"""What may stand at `[fleet.owners]`: who votes, and what this process stands for."""
+"""What may stand at `[fleet.owners]`: the acceptors of the fleet's registers, and the keys that this process campaigns for.
+
+`config/member_tables.py` has the table; `pathsaddle/consensus` is what it configures.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,10 @@
 
 from pathsaddle.config.units import Duration
 
+ACCEPTOR_COUNTS = (3, 5)  # a majority of them stays when one, or two, are gone
+MAX_NAME_BYTES = 64  # of an acceptor or a key: they go into datagrams
+MIN_LEASE = Duration(5000)  # 500 ms: a renewal must be able to come too late twice
+
 
 class Owners(Struct, kw_only=True, forbid_unknown_fields=True):
     """One owner at a time for a key of the fleet's work; off where the table is missing.
@@ -33,23 +40,32 @@
     datagrams: Annotated[int, Meta(ge=60)] = 600
 
     def __post_init__(self) -> None:
-        from pathsaddle.net.wire.terms import peer_of
+        """Checks the keys against each other.
 
-        if len(self.voters) not in (3, 5):
+        Raises:
+            ValueError: The first contradiction, as `key: what`.
+        """
+        if len(self.voters) not in ACCEPTOR_COUNTS:
             raise ValueError(
                 f"voters: {len(self.voters)} stand there; 3 or 5 may, since a majority of them keeps each key"
             )
-        for key, told in (
-            ("listen", self.listen),
-            *((f"voters.{name}", told) for name, told in self.voters.items()),
-        ):
-            try:
-                if ":" in peer_of(told)[0]:
-                    raise ValueError
-            except ValueError:
-                raise ValueError(f'{key}: "{told}" stands there; host:port of IPv4 may') from None
-        for key in (*self.voters, *self.keys):
-            if not 0 < len(key.encode()) <= 64:
-                raise ValueError(f'"{key}" stands there; a name of 1 to 64 bytes may')
-        if self.lease < 5000:
+        _check_ipv4("listen", self.listen)
+        for name, address in self.voters.items():
+            _check_ipv4(f"voters.{name}", address)
+        for name in (*self.voters, *self.keys):
+            if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+                raise ValueError(f'"{name}" stands there; a name of 1 to 64 bytes may')
+        if self.lease < MIN_LEASE:
             raise ValueError("lease: 500ms at least: a renewal must be able to come too late twice")
+
+
+def _check_ipv4(key: str, address: str) -> None:
+    """Raises ValueError where the address is none, or is one of IPv6."""
+    from pathsaddle.net.wire.terms import peer_of
+
+    try:
+        is_ipv6 = ":" in peer_of(address)[0]
+    except ValueError:
+        is_ipv6 = True
+    if is_ipv6:
+        raise ValueError(f'{key}: "{address}" stands there; host:port of IPv4 may')
