--- a/pathsaddle/config/addresses.py
+++ b/pathsaddle/config/addresses.py
@@ -1,6 +1,7 @@
 """Whether a text is an address of the form host:port.
 
-`config/validation.py` calls it for each key that is declared as an address. It resolves no names and opens no sockets.
+`config/validation.py` calls it for each key that is declared as an address. It resolves no names and opens no
+sockets.
 """
 
 from __future__ import annotations
--- a/pathsaddle/config/checks.py
+++ b/pathsaddle/config/checks.py
@@ -1,7 +1,8 @@
 """Checks of a dispatcher's keys against each other.
 
-`config/schema.py` and `config/serving_tables.py` call them once each key has its own type, in the order in which the
-operator reads the errors. A check takes the values that it compares, and yields what contradicts itself.
+`config/schema.py` and `config/serving_tables.py` call them once each key has its own type, in the order in
+which the operator reads the errors. A check takes the values that it compares, and yields what contradicts
+itself.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 # Of a member, its zone and its fleet: they go into names of files and into each datagram.
 MEMBER_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-MEMBER_NAME_WORDS = "1 to 64 letters, digits and ._-"
+MEMBER_NAME_RULE = "1 to 64 letters, digits and ._-"
 REQUEST_CLASS_NAME = re.compile(r"[A-Za-z0-9._~-]+")
 RESERVED_PATHS = ("ready", "callback")  # first parts of a call's path that the dispatcher answers itself
 JOBS_PATH = "jobs"  # the same, where durable jobs are on
@@ -117,7 +118,7 @@
     for key, value in (("name", name), ("zone", zone)):
         if not MEMBER_NAME.fullmatch(value):
             yield InvalidValueError(
-                key, NotAllowedValueError, shown=display_value(value), may=MEMBER_NAME_WORDS
+                key, NotAllowedValueError, shown=display_value(value), may=MEMBER_NAME_RULE
             )
 
 
--- a/pathsaddle/config/display.py
+++ b/pathsaddle/config/display.py
@@ -1,7 +1,7 @@
 """How keys and values of a configuration file are shown to an operator.
 
-The error classes (`config/errors.py`), the checks and `check --explain` call these functions. They only format text: they
-neither read files nor judge values.
+The error classes (`config/errors.py`), the checks and `check --explain` call these functions. They only
+format text: they neither read files nor judge values.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
         value: A value as TOML or JSON decodes it, or a `Duration` or `Size`.
 
     Returns:
-        The value as it would be written in the file, shortened to fewer than 60 characters, with characters that
-        can't be printed replaced by their code point. A table is only named as such.
+        The value as it would be written in the file, shortened to fewer than 60 characters, with characters
+        that can't be printed replaced by their code point. A table is only named as such.
     """
     if isinstance(value, dict):
         return "a table"
--- a/pathsaddle/config/errors.py
+++ b/pathsaddle/config/errors.py
@@ -1,7 +1,8 @@
-"""The errors of a configuration file: one class for each kind of thing that may be wrong, and the list of all of them.
+"""The errors of a configuration file: a class for each kind of error, and one that holds all of a file.
 
-The validation (`config/validation.py`), the tables and the readers of plans, specs and shared settings raise them.
-docs/errors.md lists their names and texts; `tests/test_errors.py` compares it with this module. Nothing here reads a file.
+The validation (`config/validation.py`), the tables and the readers of plans, specs and shared settings raise
+them. docs/errors.md lists their names and texts; `tests/test_errors.py` compares it with this module. Nothing
+here reads a file.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from pathsaddle.errors import Error
 
 MAX_PATH_CHARACTERS = 200  # of a key's path in a line of a log; keys of a file may be of any length
-WHOLE_FILE = "-"  # in place of a key's path, where the error is about the file as a whole
+NO_KEY = "-"  # in place of a key's path, where the error is about the file as a whole
 
 
 class ConfigKeyError(Error):
@@ -18,7 +19,8 @@
 
     Attributes:
         file: The file's name, as the operator gave it.
-        path: The path of the key, such as `schemes[0].expiry`; "-" where the error is about the file as a whole.
+        path: The path of the key, such as `schemes[0].expiry`; "-" where the error is about the file as a
+            whole.
     """
 
     name = "charter.wrong"
@@ -31,8 +33,8 @@
         Args:
             file: The file's name.
             path: The key's path.
-            what: What is wrong, instead of the class's own text. Where `do` is empty, `what` may hold both, as
-                "X stands there; Y may".
+            what: What is wrong, instead of the class's own text. Where `do` is empty, `what` may hold both,
+                as "X stands there; Y may".
             do: What the operator can do, instead of the class's own text.
             **fields: The values of the fields in the class's texts.
         """
@@ -50,7 +52,7 @@
         return f"{self.what}; {self.do}"
 
     def __str__(self) -> str:
-        where = "" if self.path == WHOLE_FILE else f"{self.path}: "
+        where = "" if self.path == NO_KEY else f"{self.path}: "
         return f"{self.file}: {where}{super().__str__()}"
 
 
@@ -215,7 +217,7 @@
 
 
 class InvalidValueError(Exception):
-    """A contradiction within a table, as the table itself describes it: it knows neither its file nor its path.
+    """A contradiction within a table, as the table describes it, which knows neither its file nor its path.
 
     Attributes:
         key: The key within the table; empty where the table as a whole is wrong.
@@ -233,6 +235,4 @@
 
     def of(self, file: str, path: str) -> ConfigKeyError:
         """Makes the error for a table that stands at `path` of `file`."""
-        return self.error_type(
-            file, join_key(path, self.key) or WHOLE_FILE, self.what, self.do, **self.fields
-        )
+        return self.error_type(file, join_key(path, self.key) or NO_KEY, self.what, self.do, **self.fields)
--- a/pathsaddle/config/explanation.py
+++ b/pathsaddle/config/explanation.py
@@ -1,7 +1,8 @@
 """Describes the keys of a table: what may stand there, the default and the meaning.
 
-Errors use `allowed_values` for their remedy. `pathsaddle check --explain` and the tables in docs/ are the rows of
-`explain_keys`; the meanings are the docstrings of the tables. `tests/test_config.py` compares them with the pages.
+Errors use `allowed_values` for their remedy. `pathsaddle check --explain` and the tables in docs/ are the
+rows of `explain_keys`; the meanings are the docstrings of the tables. `tests/test_config.py` compares them
+with the pages.
 """
 
 from __future__ import annotations
@@ -55,38 +56,41 @@
         return _annotated_values(hint)
     if origin_of(hint) is Literal:
         return " or ".join(f'"{value}"' for value in get_args(hint))
-    if origin_of(hint) is list:
-        return (
-            "a list of tables" if listed_table(hint) else f"a list, each {allowed_values(get_args(hint)[0])}"
-        )
-    if origin_of(hint) is dict:
-        inner = get_args(hint)[1]
-        return "a table" if inner is Any else f"a table, each {allowed_values(inner)}"
+    if origin_of(hint) in (list, dict):
+        return _container_values(hint)
     if is_table(hint):
         return "a table"
     return TYPE_NAMES.get(hint, getattr(hint, "__name__", str(hint)))
 
 
+def _container_values(hint: TypeHint) -> str:
+    """Of a list, or a dictionary by name, which is a table in the file."""
+    inner = get_args(hint)[-1]
+    if origin_of(hint) is list:
+        return "a list of tables" if is_table(inner) else f"a list, each {allowed_values(inner)}"
+    return "a table" if inner is Any else f"a table, each {allowed_values(inner)}"
+
+
 def _annotated_values(hint: TypeHint) -> str:
     """Of a type with bounds: its own words, its length or its range, whichever is the first that it has."""
     inner, metas = get_args(hint)[0], metas_of(hint)
-    if words := extras_of(hint).get("words"):
-        return words
+    if wording := extras_of(hint).get("wording"):
+        return wording
     for meta in metas:
         if meta.min_length and meta.min_length == meta.max_length:
             return f"{allowed_values(inner)}, {meta.min_length} of them"
     if lengths := [
-        f"{word} {length}"
+        f"{bound} {length}"
         for meta in metas
-        for word, length in (("at least", meta.min_length), ("at most", meta.max_length))
+        for bound, length in (("at least", meta.min_length), ("at most", meta.max_length))
         if length is not None
     ]:
         unit = "characters" if inner is str else "values"
         return f"{allowed_values(inner)}, {' and '.join(lengths)} {unit}"
     bounds = [
-        f"{word} {value:g}"
+        f"{bound} {value:g}"
         for meta in metas
-        for word, value in (
+        for bound, value in (
             ("at least", meta.ge),
             ("above", meta.gt),
             ("at most", meta.le),
--- a/pathsaddle/config/field_types.py
+++ b/pathsaddle/config/field_types.py
@@ -16,12 +16,12 @@
 Part = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
 NonNegative = Annotated[float, Meta(ge=0)]
-Address = Annotated[str, Meta(extra={"address": "any", "words": 'an address such as "127.0.0.1:8080"'})]
+Address = Annotated[str, Meta(extra={"address": "any", "wording": 'an address such as "127.0.0.1:8080"'})]
 Ipv4Address = Annotated[
-    str, Meta(extra={"address": "IPv4", "words": 'host:port of IPv4, such as "127.0.0.1:7100"'})
+    str, Meta(extra={"address": "IPv4", "wording": 'host:port of IPv4, such as "127.0.0.1:7100"'})
 ]
-FilePath = Annotated[str, Meta(extra={"path": "file", "words": "the path of a file"})]
-DirectoryPath = Annotated[str, Meta(extra={"path": "folder", "words": "the path of a folder"})]
+FilePath = Annotated[str, Meta(extra={"path": "file", "wording": "the path of a file"})]
+DirectoryPath = Annotated[str, Meta(extra={"path": "folder", "wording": "the path of a folder"})]
 Secret = Annotated[str, Meta(min_length=16, extra={"secret": True})]
 
 # Durations in ticks, tenths of a millisecond; sizes in bytes.
@@ -30,7 +30,10 @@
 
 
 class ConfigTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """A table of the file. Its docstring says of each key, as `key: meaning`, what `check --explain` prints."""
+    """A table of the file.
+
+    Its docstring says of each key, as `key: meaning`, what `check --explain` prints.
+    """
 
     def amiss(self) -> Iterator[InvalidValueError]:
         """What contradicts itself in the table, beyond each key's own type.
--- a/pathsaddle/config/fleet_checks.py
+++ b/pathsaddle/config/fleet_checks.py
@@ -1,6 +1,7 @@
 """Checks of the keys of `[fleet]` against each other.
 
-`config/member_tables.py` calls them once each key has its own type, in the order in which the operator reads the errors.
+`config/member_tables.py` calls them once each key has its own type, in the order in which the operator reads
+the errors.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 import re
 from collections.abc import Iterator, Mapping, Sequence
 
-from pathsaddle.config.checks import MEMBER_NAME, MEMBER_NAME_WORDS
+from pathsaddle.config.checks import MEMBER_NAME, MEMBER_NAME_RULE
 from pathsaddle.config.display import display_value
 from pathsaddle.config.errors import (
     InvalidValueError,
@@ -39,9 +40,7 @@
 def check_fleet_name(name: str) -> Iterator[InvalidValueError]:
     """The fleet's name must fit a datagram."""
     if not MEMBER_NAME.fullmatch(name):
-        yield InvalidValueError(
-            "name", NotAllowedValueError, shown=display_value(name), may=MEMBER_NAME_WORDS
-        )
+        yield InvalidValueError("name", NotAllowedValueError, shown=display_value(name), may=MEMBER_NAME_RULE)
 
 
 def check_control_port(control: str) -> Iterator[InvalidValueError]:
--- a/pathsaddle/config/member_tables.py
+++ b/pathsaddle/config/member_tables.py
@@ -1,6 +1,7 @@
 """The tables of a dispatcher among others: its fleet, other regions, and shared settings.
 
-`config/schema.py` puts them together. The docstrings are printed by `check --explain` and stand in docs/charter.md.
+`config/schema.py` puts them together. The docstrings are printed by `check --explain` and stand in
+docs/charter.md.
 """
 
 from __future__ import annotations
@@ -44,17 +45,20 @@
     key: the secret that all members share, 16 characters at least; whoever has it can speak as any member.
     listen: where datagrams come, host:port (UDP).
     address: where other members send them, if that is not `listen`.
-    seeds: addresses of other members, by which a fleet is found at the start; none: whoever names us finds us.
-    folder: where the number of the last life is kept, on a disk that lasts; none: the clock alone numbers lives.
+    seeds: addresses of other members, by which a fleet is found at the start; none: whoever names us finds
+      us.
+    folder: where the number of the last life is kept, on a disk that lasts; none: the clock alone numbers
+      lives.
     control: where `pathsaddle fleet` asks, host:port, on the loopback; none: nowhere.
     beat: between two probes of this member; the shorter, the sooner a death is known and the more is sent.
-    patience: how long a direct answer is waited for before others are asked; over the usual way there and back.
+    patience: how long a direct answer is waited for before others are asked; over the usual way there and
+      back.
     bytes: that this member sends in any second at most.
     datagrams: that it sends in any second at most.
     lifeguard: own health, witnesses and the word to the accused; off only to measure what they bring.
     budgets: rates in units a second that all members together keep, by name; none: nothing is shared.
-    parts: this member's units of a budget, where they are not equal parts by `number` of `dispatchers`; all members'
-      parts together must not pass the budget.
+    parts: this member's units of a budget, where they are not equal parts by `number` of `dispatchers`; all
+      members' parts together must not pass the budget.
     lease: for how long units that are not wanted are lent to others.
     owners: one owner at a time for a key of the fleet's work; off where the table is missing.
     """
--- a/pathsaddle/config/metering.py
+++ b/pathsaddle/config/metering.py
@@ -1,14 +1,18 @@
-"""Control's cost where an operator serves: what hangs on the meter, and the budget that it is held against.
+"""Measures what control traffic costs a configured dispatcher, and compares it with the budget.
 
-The platform's program has none of it. Metered here is what `net` does for control; membership, carrying, shares, owners,
-settings and the spec are metered in their own drivers. Left out, since it can't be told from a txn's own cost for less than
-itself: the look at the watch before each posting, and reading a look's answer off its connection.
+`config/dispatcher.py` makes it where `control.meter` is on; the platform's program has none of it. Measured
+here is what `net` does for control. Membership, gossip, quotas, leases, settings and the spec are measured in
+their own drivers.
+
+Left out, since measuring it would cost more than it does: the look at the watch before each attempt, and
+reading the answer of a worker probe off its connection.
 """
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable, Coroutine, Mapping
+from enum import StrEnum
 from typing import Any
 
 from pathsaddle.config.schema import Control
@@ -23,145 +27,210 @@
 from pathsaddle.net.wire.terms import Peer
 from pathsaddle.trade import Report, Worker
 
-MINUTE = (
-    60  # seconds whose mean of processor time is held against the budget, and between two lines of one kind
-)
-STATUS_LINE = len("HTTP/1.1 200 OK\r\n\r\n")  # of a look's answer: its phrase isn't kept
+# In seconds: over so long the mean of processor time is compared with the budget, and so far apart are two
+# lines of one kind.
+MINUTE = 60
+STATUS_LINE_BYTES = len("HTTP/1.1 200 OK\r\n\r\n")  # of a probe's answer: its reason phrase isn't kept
+HEADER_OVERHEAD_BYTES = len(": \r\n")
+NANOSECONDS = 1e9  # in a second
+MAX_NAMED_PURPOSES = 3  # that a line names as those that took most
+
+
+class BudgetItem(StrEnum):
+    """What may be over budget; the value is a part of a counter's name, `control.over.*`."""
+
+    CORE = "core"
+    RECEIVED = "received"
+    SENT = "sent"
+
+
+LAST_SECOND_INDEX = {BudgetItem.RECEIVED: 1, BudgetItem.SENT: 2}  # of `PurposeCost.last`
+
+
+class MeteredStream:
+    """Opens the sockets of one client, one after the other, and measures their bytes.
+
+    Attributes:
+        meter: What measures.
+    """
+
+    def __init__(self, meter: ControlMeter, open_stream: Opening) -> None:
+        """Opens nothing yet; `open_stream` opens a TCP socket to an address."""
+        self.meter, self._open_stream = meter, open_stream
+        self._socket: Tallied | None = None
+        self._received_bytes = self._sent_bytes = 0  # of the present socket, as far as they are in the meter
+
+    def open(self, address: str) -> tuple[Tallied, Peer]:
+        """Opens the next socket, as `net` asks for one."""
+        self.count_bytes()  # what the socket before has transferred since
+        self._socket, peer = self._open_stream(address)
+        self._received_bytes = self._sent_bytes = 0
+        return self._socket, peer
+
+    def count_bytes(self) -> None:
+        """Adds to the meter what the socket has transferred since the last call."""
+        if self._socket is None:
+            return
+        received, sent = self._socket.taken, self._socket.given
+        if (received, sent) != (self._received_bytes, self._sent_bytes):
+            new_received, new_sent = received - self._received_bytes, sent - self._sent_bytes
+            self._received_bytes, self._sent_bytes = received, sent
+            self.meter.came("list", new_received)
+            self.meter.went("list", new_sent)
 
 
 class MeteredWatch(DiscoveryWatch):
-    """The list: each step of its reader, from the socket's bytes to the decisions' own part, and what crosses there."""
+    """The watch on the endpoint list, with its processor time and bytes measured.
+
+    Measured is each step of its reader, from the socket's bytes to what the decisions do with them.
+    """
 
     def __init__(
-        self,
-        meter: ControlMeter,
-        address: str,
-        index: int,
-        service: TxnService,
-        counters: Counters,
-        opening: Opening,
+        self, stream: MeteredStream, address: str, index: int, service: TxnService, counters: Counters
     ) -> None:
-        super().__init__(address, index, service, counters, self._opens)
-        self.meter, self._real_opening = meter, opening
-        self._sock: Tallied | None = None
-        self._counted = (0, 0)
-
-    def _opens(self, address: str) -> tuple[Tallied, Peer]:
-        self._tallies()  # what the one before has brought since
-        self._sock, peer = self._real_opening(address)
-        self._counted = (0, 0)
-        return self._sock, peer
-
-    def _tallies(self) -> None:
-        if self._sock is not None:
-            (got, said), now = self._counted, (self._sock.taken, self._sock.given)
-            self._counted = now
-            if now != (got, said):
-                self.meter.came("list", now[0] - got)
-                self.meter.went("list", now[1] - said)
+        """Begins no connection yet.
+
+        Args:
+            stream: Opens the sockets, and measures.
+            address: Of discovery, host:port.
+            index: The index of the list that is known already.
+            service: What is given the changes of the list.
+            counters: The process's counters.
+        """
+        super().__init__(address, index, service, counters, stream.open)
+        self._stream = stream
 
     async def _follow(self) -> None:
-        await self.meter.steps("list", super()._follow(), self._tallies)
+        await self._stream.meter.steps("list", super()._follow(), self._stream.count_bytes)
 
 
 class MeteredWords(Words):
-    """Reports, wherever they come; and the bytes of looks' answers."""
+    """Reads the wire's names; measures the reading of load reports and the bytes of probes' answers."""
 
     meter: ControlMeter
 
     @classmethod
     def of(cls, words: Words, meter: ControlMeter) -> MeteredWords:
-        made = cls.__new__(cls)
-        made.__dict__.update(words.__dict__)
-        made.meter = meter
-        return made
+        """Makes a measured reader of the same names."""
+        metered = cls.__new__(cls)
+        metered.__dict__.update(words.__dict__)
+        metered.meter = meter
+        return metered
 
     def report(self, load: Any) -> Report | None:
+        """Reads a worker's load report, wherever it stood."""
         self.meter.came("reports", len(load if isinstance(load, str) else str(load)))
         return self.meter.runs("reports", lambda: Words.report(self, load))
 
     def report_in(self, answer: Message) -> Report | None:
+        """Reads the load report in an answer; that of a probe counts with all its bytes."""
         if self.meter.within("looks"):
-            self.meter.came(
-                "looks",
-                STATUS_LINE
-                + len(answer.body)
-                + sum(len(name) + len(value) + 4 for name, value in answer.lines),
+            headers_bytes = sum(
+                len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in answer.lines
             )
+            self.meter.came("looks", STATUS_LINE_BYTES + len(answer.body) + headers_bytes)
         return super().report_in(answer)
 
 
 class DispatcherMetering:
-    """One dispatcher's meter, its budget, and what others are told of it. `memory_mb`: the process's own."""
+    """One dispatcher's meter, the budget for control, and what the control address answers about both.
+
+    Attributes:
+        budget: The table `[control]`; another one applies from the next second on.
+        meter: What measures.
+    """
 
     def __init__(self, budget: Control, counters: Counters, memory_mb: Callable[[], float]) -> None:
+        """Begins the first second and minute.
+
+        Args:
+            budget: The table `[control]`.
+            counters: The process's counters.
+            memory_mb: The process's own memory, in megabytes.
+        """
         self.budget, self.counters, self.memory_mb = budget, counters, memory_mb
         self.meter = ControlMeter()
-        self.meter.second_ended = self._second_ended
-        self.bare_mb = memory_mb()
-        self._counted = dict.fromkeys(PURPOSES, (0, 0, 0))
-        self._minute = 0  # the second at which it began
-        self._spent_by = dict.fromkeys(PURPOSES, 0)  # processor time by then, ns
-        self._said: dict[str, int] = {}  # by what was over: the second of its last line
-
-    def begins(self) -> None:
+        self.meter.second_ended = self._on_second_ended
+        self._memory_at_start_mb = memory_mb()
+        # By purpose, what is in the counters: microseconds of processor time, bytes received, bytes sent.
+        self._counted: dict[Purpose, tuple[int, int, int]] = dict.fromkeys(PURPOSES, (0, 0, 0))
+        self._minute_start = 0  # the second at which the running minute began
+        self._minute_start_ns = dict.fromkeys(PURPOSES, 0)  # processor time by then
+        self._last_line: dict[BudgetItem, int] = {}  # the second of the last line about it
+
+    def meter_log(self) -> None:
+        """Measures the writing of each line of the log."""
         logbook.METERED[:] = [lambda write: self.meter.runs("log", write)]
 
-    def writes(self, line: Any) -> None:
-        """The log's sink."""
+    def write_log_line(self, line: str) -> None:
+        """Writes a line of the log to standard error, and counts its characters."""
         self.meter.went("log", len(line))
         sys.stderr.write(line)
         sys.stderr.flush()
 
-    def service(self, service: TxnService) -> None:
-        look, workers, request = service.looks, service.workers, Calling()
+    def meter_worker_probes(self, service: TxnService) -> None:
+        """Measures each probe of a worker, and the bytes of its request."""
+        probe, workers, request = service.looks, service.workers, Calling()
 
-        def looks(worker: Worker) -> Coroutine[Any, Any, None]:
-            self.meter.went(
-                "looks",
-                len(request.ask("GET", service.look_target, workers.addresses.get(worker.tag, ""), [])),
-            )
-            return self.meter.steps("looks", look(worker))
+        def metered_probe(worker: Worker) -> Coroutine[Any, Any, None]:
+            """The probe of one worker, measured."""
+            host = workers.addresses.get(worker.tag, "")
+            self.meter.went("looks", len(request.ask("GET", service.look_target, host, [])))
+            return self.meter.steps("looks", probe(worker))
 
-        service.looks = looks
+        service.looks = metered_probe
 
     def view(self) -> dict[str, Any]:
+        """What the control address answers about the cost of control, as JSON."""
         return {
             **self.meter.view(),
             "memory_mb": round(self.memory_mb(), 1),
-            "memory_mb_at_start": round(self.bare_mb, 1),
+            "memory_mb_at_start": round(self._memory_at_start_mb, 1),
             "budget": {"core": self.budget.core, "bytes": self.budget.bytes},
         }
 
-    # Each second.
+    def _on_second_ended(self) -> None:
+        self._update_counters()
+        self._check_bytes(BudgetItem.RECEIVED)
+        self._check_bytes(BudgetItem.SENT)
+        if self.meter.second >= self._minute_start + MINUTE:
+            self._check_core()
 
-    def _second_ended(self) -> None:
-        for purpose, spent in self.meter.spent.items():
-            now, before = (spent.ns // 1000, spent.got, spent.said), self._counted[purpose]
+    def _update_counters(self) -> None:
+        for purpose, cost in self.meter.spent.items():
+            now, before = (cost.ns // 1000, cost.got, cost.said), self._counted[purpose]
             self._counted[purpose] = now
-            for name, count, had in zip(("us", "in", "out"), now, before, strict=True):
-                if count != had:
-                    self.counters.add(f"control.{purpose}.{name}", count - had)
-        for at, way in ((1, "received"), (2, "sent")):
-            if self.budget.bytes is not None and (took := self.meter.all.last[at]) > self.budget.bytes:
-                self._over(
-                    way,
-                    f"{took} bytes {way} in one second of {self.budget.bytes}",
-                    {purpose: one.last[at] for purpose, one in self.meter.bound()},
-                )
-        if self.meter.second >= self._minute + MINUTE:
-            took_ns = {purpose: one.ns - self._spent_by[purpose] for purpose, one in self.meter.bound()}
-            core = sum(took_ns.values()) / 1e9 / (self.meter.second - self._minute)
-            self._minute = self.meter.second
-            self._spent_by = {purpose: one.ns for purpose, one in self.meter.spent.items()}
-            if self.budget.core is not None and core > self.budget.core:
-                self._over("core", f"{core:.4f} of a core over a minute of {self.budget.core:g}", took_ns)
-
-    def _over(self, what: str, how: str, parts: Mapping[Purpose, int]) -> None:
-        self.counters.add(f"control.over.{what}")
-        if self.meter.second >= self._said.get(what, -MINUTE) + MINUTE:
-            self._said[what] = self.meter.second
-            most = sorted(
-                (purpose for purpose, size in parts.items() if size), key=lambda purpose: -parts[purpose]
+            for name, total, counted in zip(("us", "in", "out"), now, before, strict=True):
+                if total != counted:
+                    self.counters.add(f"control.{purpose}.{name}", total - counted)
+
+    def _check_bytes(self, item: BudgetItem) -> None:
+        """Compares the bytes of the last whole second with the budget."""
+        index, limit = LAST_SECOND_INDEX[item], self.budget.bytes
+        if limit is None:
+            return
+        transferred = self.meter.all.last[index]
+        if transferred > limit:
+            by_purpose = {purpose: cost.last[index] for purpose, cost in self.meter.bound()}
+            self._report_over(item, f"{transferred} bytes {item} in one second of {limit}", by_purpose)
+
+    def _check_core(self) -> None:
+        """Compares the processor time of the minute that has ended with the budget; begins the next one."""
+        spent_ns = {purpose: cost.ns - self._minute_start_ns[purpose] for purpose, cost in self.meter.bound()}
+        core = sum(spent_ns.values()) / NANOSECONDS / (self.meter.second - self._minute_start)
+        self._minute_start = self.meter.second
+        self._minute_start_ns = {purpose: cost.ns for purpose, cost in self.meter.spent.items()}
+        limit = self.budget.core
+        if limit is not None and core > limit:
+            self._report_over(BudgetItem.CORE, f"{core:.4f} of a core over a minute of {limit:g}", spent_ns)
+
+    def _report_over(self, item: BudgetItem, how: str, by_purpose: Mapping[Purpose, int]) -> None:
+        """Counts that something was over budget; once a minute, logs it with the purposes that took most."""
+        self.counters.add(f"control.over.{item}")
+        if self.meter.second >= self._last_line.get(item, -MINUTE) + MINUTE:
+            self._last_line[item] = self.meter.second
+            purposes = sorted(
+                (purpose for purpose, size in by_purpose.items() if size),
+                key=lambda purpose: -by_purpose[purpose],
             )
-            logbook.control_over(how=how, most=", ".join(most[:3]))
+            logbook.control_over(how=how, most=", ".join(purposes[:MAX_NAMED_PURPOSES]))
--- a/pathsaddle/config/register_schema.py
+++ b/pathsaddle/config/register_schema.py
@@ -1,4 +1,4 @@
-"""What may stand at `[fleet.owners]`: the acceptors of the fleet's registers, and the keys that this process campaigns for.
+"""What may stand at `[fleet.owners]`: the acceptors, and the keys that this process campaigns for.
 
 `config/member_tables.py` has the table; `pathsaddle/consensus` is what it configures.
 """
@@ -19,8 +19,8 @@
 class Owners(Struct, kw_only=True, forbid_unknown_fields=True):
     """One owner at a time for a key of the fleet's work; off where the table is missing.
 
-    voters: 3 or 5 names, each with the address (UDP) where it is asked; the same at all members. Whose `name` is among
-      them votes.
+    voters: 3 or 5 names, each with the address (UDP) where it is asked; the same at all members. Whose `name`
+      is among them votes.
     listen: where this process takes datagrams of owners and voters, host:port (UDP).
     folder: where a voter keeps its register and each its last life, on a disk that lasts.
     lease: how long an owner that says nothing stays owner; it renews at a third.
--- a/pathsaddle/config/reload.py
+++ b/pathsaddle/config/reload.py
@@ -1,38 +1,34 @@
-"""What of a charter may change while its dispatcher serves, and how it comes into service.
+"""What of a configuration may change while its dispatcher serves, and how it comes into service.
 
-Two charters are compared by key. What may change does, between two events of the running dispatcher; what may not is
-named with the reason. A txn that was taken goes to its end by the scheme under which it was taken. Lowered or raised, a
-quota and a rule's figure bind from the next decision on, a budget as `fleet/quota/quota_limiter.py` has it.
+Two configurations are compared by key. What may change does so between two events of the running dispatcher;
+a key that may not is named with the reason. A request that was accepted ends by the request class under which
+it was accepted. A quota and a figure of the rules bind from the next decision on, whether lowered or raised;
+a quota of the fleet binds as `fleet/quota/quota_limiter.py` describes.
 
-An operator's file read again and rows of shared settings (`settings/configuration.py`) go this one road, which ends in the road
-that a start takes (`config/loader.py`): no value is read in two ways. What it costs grows with what has changed, but for
-one look at each name.
+The operator's file read again and the entries of shared settings (`settings/configuration.py`) both come
+here, and end in the translation that a start uses (`config/loader.py`): no value is read in two ways. The
+cost grows with what has changed, except for one look at each name.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from dataclasses import replace as replaced
-from typing import TypeVar
+import dataclasses
+from collections.abc import Iterator, Sequence
+from typing import NamedTuple, TypeVar
 
 from msgspec.structs import replace
 
+from pathsaddle.config.errors import InvalidValueError
 from pathsaddle.config.loader import platform_settings
-from pathsaddle.config.schema import (
-    RELOADABLE_KEYS,
-    Configuration,
-    RequestClassTable,
-    TenantTable,
-    changed_keys,
-)
-from pathsaddle.config.validation import InvalidValueError
+from pathsaddle.config.reloadable_keys import RELOADABLE_KEYS, changed_keys
+from pathsaddle.config.schema import Configuration, RequestClassTable, TenantTable
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import terms
-from pathsaddle.trade import Customer as Known
-from pathsaddle.trade import Scheme as Kind
+from pathsaddle.trade import Customer, Scheme
 
-Row = TypeVar("Row", RequestClassTable, TenantTable)
-RESTART_REASONS = {  # by table or key, the longest that fits
+NamedTable = TypeVar("NamedTable", RequestClassTable, TenantTable)
+V = TypeVar("V")
+RESTART_REASONS = {  # by table or key; the longest one that is the key, or begins its path, counts
     "listen": "the address is had at the start",
     "name": "others and the log know the process by it",
     "seed": "all chance was drawn from it at the start",
@@ -55,115 +51,140 @@
     "federation": "other regions know this member by it",
     "settings": "keepers know this member by it",
 }
+# What changes even where the rest of a configuration does not fit the keys that need a restart: it fits any
+# of them.
+ALWAYS_RELOADABLE_KEYS = ("discovery", "log.level")
+
+
+class ReloadResult(NamedTuple):
+    """What a reload comes to.
+
+    Attributes:
+        configuration: What the dispatcher serves by from now on.
+        unchanged_keys: The keys that stay as they were, each with the reason.
+    """
+
+    configuration: Configuration
+    unchanged_keys: dict[str, str]
+
+
+def reloaded(before: Configuration, after: Configuration) -> ReloadResult:
+    """Decides what can be taken over without a restart.
+
+    Args:
+        before: What the dispatcher serves by.
+        after: What it should serve by.
+
+    Returns:
+        What it can serve by, and the keys that stay: those that ask for a restart, and those that do not fit
+        them.
+    """
+    unchanged = restart_reasons(before, after)
+    differing = changed_keys(before, after)
+    merged = _with_keys(before, after, [key for key in differing if key not in unchanged])
+    contradictions = list(_contradictions(merged))
+    if contradictions:
+        reason = f"beside what stays: {contradictions[0].of('the charter', '')}"
+        for key in differing:
+            if key not in ALWAYS_RELOADABLE_KEYS and key not in unchanged:
+                unchanged[key] = reason
+        merged = _with_keys(before, after, ALWAYS_RELOADABLE_KEYS)
+    return ReloadResult(merged, unchanged)
 
 
 def restart_reasons(before: Configuration, after: Configuration) -> dict[str, str]:
     """The keys that differ and ask for a restart, each with the reason."""
-    found = {}
-    for key in changed_keys(before, after):
-        if key not in RELOADABLE_KEYS:
-            parts = key.split(".")
-            found[key] = next(
-                RESTART_REASONS[at]
-                for n in range(len(parts), 0, -1)
-                if (at := ".".join(parts[:n])) in RESTART_REASONS
-            )
+    found = {key: _restart_reason(key) for key in changed_keys(before, after) if key not in RELOADABLE_KEYS}
     if bool(before.customers) != bool(after.customers):
         found["customers"] = (
             "without any customer anybody may send, with one nobody else: calls under way can't be told which"
         )
-    if home_zone(before) != home_zone(after):
+    if before.home_zone() != after.home_zone():
         found["zone" if before.zone != after.zone else "zones"] = RESTART_REASONS["zone"]
-    if before.federation is not None and _kinds(before) != _kinds(after):
+    if before.federation is not None and _semantics_by_name(before) != _semantics_by_name(after):
         found["schemes"] = (
             "names and semantics stand in the federation's spec too, which is held against them at the start"
         )
     if before.fleet is not None and after.fleet is not None:
-        if bool(before.fleet.budgets) < bool(after.fleet.budgets):
+        if after.fleet.budgets and not before.fleet.budgets:
             found["fleet.budgets"] = "a member that began without any carries nothing shared"
-    elif (before.fleet is None) != (after.fleet is None):
-        # Its budgets as well: with the table itself they come and go, and there is nothing to take them into.
+    elif before.fleet is not None or after.fleet is not None:
+        # The quotas come and go with the table itself: there is no member to give them to.
         found["fleet"] = found["fleet.budgets"] = RESTART_REASONS["fleet"]
     return found
 
 
-def home_zone(charter: Configuration) -> str:
-    return charter.zone if charter.zone is not None else charter.zones[0]
+def _restart_reason(key: str) -> str:
+    """The reason of the key itself, else of the innermost table that has one."""
+    parts = key.split(".")
+    prefixes = (".".join(parts[:length]) for length in range(len(parts), 0, -1))
+    return next(RESTART_REASONS[prefix] for prefix in prefixes if prefix in RESTART_REASONS)
 
 
-def _kinds(charter: Configuration) -> dict[str, str]:
-    return {scheme.name: scheme.semantics for scheme in charter.schemes}
+def _semantics_by_name(configuration: Configuration) -> dict[str, str]:
+    return {request_class.name: request_class.semantics for request_class in configuration.schemes}
 
 
-def reloaded(before: Configuration, after: Configuration) -> tuple[Configuration, dict[str, str]]:
-    """What the dispatcher of `before` can serve by now that `after` is wanted, and the keys that stay, with the reason:
-    those that ask for a restart, and such as do not fit them.
-    """
-    stays = restart_reasons(before, after)
-    made = _of(before, after, [key for key in changed_keys(before, after) if key not in stays])
-    amiss = list(_amiss(made))
-    if amiss:
-        kept = ("discovery", "log.level")
-        for key in changed_keys(before, after):
-            if key not in kept and key not in stays:
-                stays[key] = f"beside what stays: {amiss[0].of('the charter', '')}"
-        made = _of(before, after, list(kept))
-    return made, stays
-
-
-def _amiss(charter: Configuration) -> Iterator[InvalidValueError]:
-    yield from charter.amiss()
-    if charter.fleet is not None:
-        yield from charter.fleet.amiss()
+def _contradictions(configuration: Configuration) -> Iterator[InvalidValueError]:
+    """The contradictions that a mixture of two configurations can bring about."""
+    yield from configuration.amiss()
+    if configuration.fleet is not None:
+        yield from configuration.fleet.amiss()
 
 
-def _of(before: Configuration, after: Configuration, keys: list[str]) -> Configuration:
+def _with_keys(before: Configuration, after: Configuration, keys: Sequence[str]) -> Configuration:
     """`before` with these keys of `after`."""
-    top: dict[str, object] = {}
-    tables: dict[str, dict[str, object]] = {}
+    changes: dict[str, object] = {}
+    changes_by_table: dict[str, dict[str, object]] = {}
     for key in keys:
         table, dot, name = key.partition(".")
         if dot:
-            tables.setdefault(table, {})[name] = getattr(getattr(after, table), name)
+            changes_by_table.setdefault(table, {})[name] = getattr(getattr(after, table), name)
         else:
-            top[key] = getattr(after, key)
-    for table, values in tables.items():
-        top[table] = replace(getattr(before, table), **values)
-    return replace(before, **top)
+            changes[key] = getattr(after, key)
+    for table, values in changes_by_table.items():
+        changes[table] = replace(getattr(before, table), **values)
+    return replace(before, **changes)
 
 
-def changed_rows(old: list[Row], new: list[Row]) -> dict[str, Row | None]:
-    """By name what is new or has changed, None for what is gone."""
-    had = {row.name: row for row in old}
-    found: dict[str, Row | None] = {row.name: row for row in new if had.get(row.name) != row}
-    names = {row.name for row in new}
-    return found | {name: None for name in had if name not in names}
+def changed_tables(old: list[NamedTable], new: list[NamedTable]) -> dict[str, NamedTable | None]:
+    """The tables that are new or have changed, by name, in the order of `new`; None for each that is gone."""
+    old_by_name = {table.name: table for table in old}
+    found: dict[str, NamedTable | None] = {
+        table.name: table for table in new if old_by_name.get(table.name) != table
+    }
+    names = {table.name for table in new}
+    return found | {name: None for name in old_by_name if name not in names}
 
 
 def apply_reload(service: TxnService, before: Configuration, after: Configuration) -> None:
-    """Takes `after` into service where txns are served by `before`: as `in_service` has made it, so that nothing
-    in it asks for a restart.
+    """Takes a configuration into service.
+
+    Args:
+        service: The service that decides requests by `before`.
+        before: What it serves by.
+        after: What it is to serve by, as `reloaded` made it, so that nothing in it asks for a restart.
     """
-    schemes, customers = (
-        changed_rows(before.schemes, after.schemes),
-        changed_rows(before.customers, after.customers),
-    )
-    made = terms.terms(
-        platform_settings(
-            replace(
-                after,
-                schemes=[one for one in schemes.values() if one is not None],
-                customers=[one for one in customers.values() if one is not None],
-            )
-        )
-    )
-    kinds: dict[str, Kind | None] = dict.fromkeys(schemes)
-    kinds |= dict(zip((name for name, one in schemes.items() if one is not None), made.schemes, strict=True))
-    owners: dict[str, Known | None] = dict.fromkeys(customers)
-    owners |= dict(
-        zip((name for name, one in customers.items() if one is not None), made.customers, strict=True)
+    request_classes = changed_tables(before.schemes, after.schemes)
+    tenants = changed_tables(before.customers, after.customers)
+    changed_only = replace(
+        after,
+        schemes=[table for table in request_classes.values() if table is not None],
+        customers=[table for table in tenants.values() if table is not None],
     )
-    words = service.words.retuned(kinds, owners, after.zones)
-    service.retune(
-        replaced(made, schemes=list(words.schemes.values()), customers=list(words.customers.values())), words
+    new_terms = terms.terms(platform_settings(changed_only))
+    schemes: dict[str, Scheme | None] = _replace_values(request_classes, new_terms.schemes)
+    customers: dict[str, Customer | None] = _replace_values(tenants, new_terms.customers)
+    words = service.words.retuned(schemes, customers, after.zones)
+    all_terms = dataclasses.replace(
+        new_terms, schemes=list(words.schemes.values()), customers=list(words.customers.values())
     )
+    service.retune(all_terms, words)
+
+
+def _replace_values(changed: dict[str, NamedTable | None], values: Sequence[V]) -> dict[str, V | None]:
+    """The same names, with these values in turn where there is a table, and None where it is gone."""
+    found: dict[str, V | None] = dict.fromkeys(changed)
+    present = (name for name, table in changed.items() if table is not None)
+    found.update(zip(present, values, strict=True))
+    return found
--- a/pathsaddle/config/reloadable_keys.py
+++ b/pathsaddle/config/reloadable_keys.py
@@ -1,6 +1,7 @@
 """Which keys may change while a dispatcher serves, and which keys differ between two configurations.
 
-`config/reload.py` decides with them what a reload takes over; `check --explain` prints the column "in service" from them.
+`config/reload.py` decides with them what a reload takes over; `check --explain` prints the column "in
+service" from them.
 """
 
 from __future__ import annotations
--- a/pathsaddle/config/schema.py
+++ b/pathsaddle/config/schema.py
@@ -1,8 +1,9 @@
 """The operator's configuration file as a whole: one field for each key and table at its top.
 
-The tables stand in `config/serving_tables.py`, `config/member_tables.py` and `config/register_schema.py`, checks of keys
-against each other in `config/checks.py` and `config/fleet_checks.py`. A later subsystem adds a table by adding a field to
-`Configuration`. `check --explain` and docs/charter.md are made from the docstrings.
+The tables stand in `config/serving_tables.py`, `config/member_tables.py` and `config/register_schema.py`,
+checks of keys against each other in `config/checks.py` and `config/fleet_checks.py`. A later subsystem adds a
+table by adding a field to `Configuration`. `check --explain` and docs/charter.md are made from the
+docstrings.
 
 Names of the other modules that packages import can be imported from here too.
 """
--- a/pathsaddle/config/serving_tables.py
+++ b/pathsaddle/config/serving_tables.py
@@ -1,6 +1,7 @@
 """The tables of a dispatcher by itself: what it serves, for whom, by which rules, and with what means.
 
-`config/schema.py` puts them together. The docstrings are printed by `check --explain` and stand in docs/charter.md.
+`config/schema.py` puts them together. The docstrings are printed by `check --explain` and stand in
+docs/charter.md.
 """
 
 from __future__ import annotations
@@ -211,9 +212,12 @@
 
 
 class Control(ConfigTable):
-    """What control may cost, apart from txns: the list, membership, what members share, owners, settings, the spec.
+    """What control may cost.
 
-    core: the part of a core that it may take, as a mean over a minute; beyond, a line says so; none: whatever it takes.
+    Control is all but the requests: the list, membership, what members share, owners, settings, the spec.
+
+    core: the part of a core that it may take, as a mean over a minute; beyond, a line says so; none: whatever
+      it takes.
     bytes: that it may send, and receive, in any second; likewise.
     meter: whether its cost is metered, by what it was for (docs/running.md).
     """
--- a/pathsaddle/config/toml_loader.py
+++ b/pathsaddle/config/toml_loader.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pathsaddle.config.errors import (
-    WHOLE_FILE,
+    NO_KEY,
     ConfigKeyError,
     InvalidConfigError,
     NotUtf8Error,
@@ -47,8 +47,8 @@
 def _loading_error(error: Exception, file: str) -> ConfigKeyError:
     """What the operator is told of an exception that reading or decoding raised."""
     if isinstance(error, UnicodeDecodeError):
-        return NotUtf8Error(file, WHOLE_FILE, at=error.start)
+        return NotUtf8Error(file, NO_KEY, at=error.start)
     if isinstance(error, OSError):
-        return UnreadableFileError(file, WHOLE_FILE, "", access(error, file), why=why(error))
+        return UnreadableFileError(file, NO_KEY, "", access(error, file), why=why(error))
     form = "TOML" if isinstance(error, tomllib.TOMLDecodeError) else "JSON"
-    return TomlSyntaxError(file, WHOLE_FILE, form=form, why=why(error))
+    return TomlSyntaxError(file, NO_KEY, form=form, why=why(error))
--- a/pathsaddle/config/type_hints.py
+++ b/pathsaddle/config/type_hints.py
@@ -1,7 +1,7 @@
 """What the type annotations of a configuration table say about its keys.
 
-`config/validation.py` and `config/explanation.py` ask these questions about the fields of a table (a msgspec Struct). A
-hint is whatever Python allows as an annotation, so its own type is `Any`.
+`config/validation.py` and `config/explanation.py` ask these questions about the fields of a table (a msgspec
+Struct). A hint is whatever Python allows as an annotation, so its own type is `Any`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     address: Literal["any", "IPv4"]  # the value is host:port
     path: Literal["file", "folder"]  # the value is the path of one
     secret: bool  # the value is never shown
-    words: str  # what may stand there, as the operator is told
+    wording: str  # what may stand there, as the operator is told
 
 
 def origin_of(hint: TypeHint) -> Any:
--- a/pathsaddle/config/units.py
+++ b/pathsaddle/config/units.py
@@ -1,6 +1,7 @@
 """Durations and sizes as an operator writes them: "250ms", "64MiB".
 
-The tables declare their keys as `Duration` and `Size`; `config/validation.py` decodes them with `decode_quantity`.
+The tables declare their keys as `Duration` and `Size`; `config/validation.py` decodes them with
+`decode_quantity`.
 """
 
 from __future__ import annotations
--- a/pathsaddle/config/validation.py
+++ b/pathsaddle/config/validation.py
@@ -1,11 +1,12 @@
 """Turns a decoded table into checked objects, and reports all that is wrong with it at once.
 
-Every reader of an operator's file calls `load_toml`, then `validate`. msgspec checks each single value; since it stops at
-the first error, the walk over the tables is ours. An error names the file, the key's path, what stands there, what may
-stand there, and, for an unknown key, the nearest known one. The values of secrets never appear in an error.
+Every reader of an operator's file calls `load_toml`, then `validate`. msgspec checks each single value; since
+it stops at the first error, the walk over the tables is ours. An error names the file, the key's path, what
+stands there, what may stand there, and, for an unknown key, the nearest known one. The values of secrets
+never appear in an error.
 
-The names of `config/errors.py`, `config/toml_loader.py` and `config/explanation.py` that other packages use can be imported
-from here too.
+The names of `config/errors.py`, `config/toml_loader.py` and `config/explanation.py` that other packages use
+can be imported from here too.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from pathsaddle.config.addresses import address_problem
 from pathsaddle.config.display import display_value, join_key
 from pathsaddle.config.errors import (
-    WHOLE_FILE,
+    NO_KEY,
     ConfigKeyError,
     DuplicateError,
     InvalidAddressError,
@@ -141,7 +142,7 @@
             return []
         return [self._read_table(table, item, f"{path}[{i}]") for i, item in enumerate(value)]
 
-    def _read_mapped_tables(self, table: TypeHint, value: object, path: str) -> dict[str, Any]:
+    def _read_mapped_tables(self, table: TypeHint, value: object, path: str) -> dict[str, object]:
         if not isinstance(value, dict):
             self._add_wrong_type(path, value, "a table of tables")
             return {}
@@ -149,7 +150,7 @@
 
     def _read_table(self, table: TypeHint, value: object, path: str) -> Any:
         if not isinstance(value, dict):
-            self._add_wrong_type(path or WHOLE_FILE, value, "a table")
+            self._add_wrong_type(path or NO_KEY, value, "a table")
             return None
         errors_before = len(self.errors)
         fields = fields_of(table)
@@ -169,16 +170,16 @@
     def _construct(self, table: TypeHint, arguments: dict[str, object], path: str) -> Any:
         """Makes the object of keys that are right by themselves, and checks them against each other."""
         try:
-            made = table(**arguments)
+            instance = table(**arguments)
         except ValueError as error:  # of `__post_init__`: `key: what` names the key itself
             key, colon, text = str(error).partition(": ")
             if not (colon and key in fields_of(table)):
                 key, text = "", str(error)
-            self.errors.append(ConfigKeyError(self.file, join_key(path, key) or WHOLE_FILE, text))
+            self.errors.append(ConfigKeyError(self.file, join_key(path, key) or NO_KEY, text))
             return None
-        found = list(made.amiss()) if hasattr(made, "amiss") else []
-        self.errors += [problem.of(self.file, path) for problem in found]
-        return None if found else made
+        contradictions = list(instance.amiss()) if hasattr(instance, "amiss") else []
+        self.errors += [problem.of(self.file, path) for problem in contradictions]
+        return None if contradictions else instance
 
     def _check_text(self, hint: TypeHint, text: object, path: str) -> None:
         """Checks what a hint demands of a text beyond its type: to be a path, or an address."""
@@ -225,26 +226,27 @@
         file: The file's name.
 
     Returns:
-        The most specific error: a wrong length, a value out of bounds, one that is not allowed, or a wrong type.
+        The most specific error: a wrong length, a value out of bounds, one that is not allowed, or a wrong
+        type.
     """
     plain = without_none(hint)
     inner = without_none(get_args(plain)[0]) if metas_of(plain) else plain
     # A secret is not shown: errors go to logs, and are pasted where help is asked for.
     is_hidden = extras_of(hint).get("secret") and isinstance(value, str)
-    shown = "a text" if is_hidden else display_value(value)
-    if wrong_length := _length_error(hint, inner, value, path, file, shown):
-        return wrong_length
+    displayed = "a text" if is_hidden else display_value(value)
+    if wrong_length := _length_problem(hint, inner, value, displayed):
+        return wrong_length.of(file, path)
     if _is_number_of(inner, value):
-        return OutOfBoundsError(file, path, shown=shown, may=allowed_values(hint))
+        return OutOfBoundsError(file, path, shown=displayed, may=allowed_values(hint))
     if origin_of(plain) is Literal and type(value) in {type(allowed) for allowed in get_args(plain)}:
-        return NotAllowedValueError(file, path, shown=shown, may=allowed_values(hint))
-    return WrongTypeError(file, path, shown=shown, may=allowed_values(hint))
+        return NotAllowedValueError(file, path, shown=displayed, may=allowed_values(hint))
+    return WrongTypeError(file, path, shown=displayed, may=allowed_values(hint))
 
 
-def _length_error(
-    hint: TypeHint, inner: TypeHint, value: object, path: str, file: str, shown: str
-) -> ConfigKeyError | None:
-    """The error of a text or list of the right type that is too short or too long."""
+def _length_problem(
+    hint: TypeHint, inner: TypeHint, value: object, displayed: str
+) -> InvalidValueError | None:
+    """The problem of a text or list of the right type that is too short or too long."""
     if isinstance(value, str) and inner is str:
         unit = "characters"
     elif isinstance(value, list) and origin_of(inner) is list:
@@ -254,9 +256,13 @@
     count = len(value)
     for meta in metas_of(hint):
         if meta.min_length is not None and count < meta.min_length:
-            return TooShortError(file, path, shown=shown, count=count, unit=unit, least=meta.min_length)
+            return InvalidValueError(
+                "", TooShortError, shown=displayed, count=count, unit=unit, least=meta.min_length
+            )
         if meta.max_length is not None and count > meta.max_length:
-            return TooLongError(file, path, shown=shown, count=count, unit=unit, most=meta.max_length)
+            return InvalidValueError(
+                "", TooLongError, shown=displayed, count=count, unit=unit, most=meta.max_length
+            )
     return None
 
 
--- a/tests/test_charter.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Stories of the operator's file: every fault told at once, one road with the platform's, what a reload changes."""
+"""The operator's file: all errors reported together, the translation to the platform's JSON, and a reload."""
 
 import json
 import tempfile
@@ -31,20 +31,20 @@
 """
 
 
-class CharterStory(unittest.TestCase):
+class OperatorsFile(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "charter.toml"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "charter.toml"
 
-    def faults(self, text: str) -> list[str]:
+    def errors_of(self, text: str) -> list[str]:
         self.path.write_text(text)
         with self.assertRaises(InvalidConfigError) as caught:
             read_configuration(self.path)
         return [f"{fault.path}: {fault.text}" for fault in caught.exception.faults]
 
-    def test_all_faults_are_told_at_once_with_the_nearest_key(self) -> None:
-        found = self.faults(
+    def test_all_errors_are_reported_at_once_with_the_nearest_key(self) -> None:
+        found = self.errors_of(
             GOOD.replace('"400ms"', '"400"') + "vlaue = 3\n[limits]\nsockets = 3\nmemory = 7\n"
         )
         self.assertEqual(len(found), 4)
@@ -61,31 +61,31 @@
         )
         self.assertIn('limits.memory: 7 stands there; write a size such as "64MiB" at limits.memory', found)
 
-    def test_what_is_missing_or_no_toml_or_not_there(self) -> None:
+    def test_a_missing_key_invalid_toml_and_an_absent_file(self) -> None:
         self.assertIn(
             'discovery: is missing; write an address such as "127.0.0.1:8080" at discovery',
-            self.faults('listen = "a:1"\n'),
+            self.errors_of('listen = "a:1"\n'),
         )
-        self.assertIn("is not TOML: ", self.faults("listen = ")[0])
+        self.assertIn("is not TOML: ", self.errors_of("listen = ")[0])
         self.path.unlink()
         with self.assertRaises(InvalidConfigError):
             read_configuration(self.path)
 
-    def test_dropped_workers_stay_open_goes_the_whole_road(self) -> None:
-        for text, open_ in (("", False), ("[rules]\ndropped_stay_open = true\n", True)):
+    def test_dropped_stay_open_reaches_the_terms(self) -> None:
+        for text, is_open in (("", False), ("[rules]\ndropped_stay_open = true\n", True)):
             self.path.write_text(GOOD + text)
             self.assertIs(
                 birth(json.dumps(platform_config(read_configuration(self.path)))).terms.dropped_stay_open,
-                open_,
+                is_open,
             )
 
-    def test_what_contradicts_itself(self) -> None:
+    def test_contradictions_are_reported(self) -> None:
         self.assertIn(
-            "a referenced scheme needs a window", self.faults(GOOD.replace("once-only", "referenced"))[0]
+            "a referenced scheme needs a window", self.errors_of(GOOD.replace("once-only", "referenced"))[0]
         )
-        self.assertIn("less than dispatchers", self.faults("number = 1\n" + GOOD)[0])
-        self.assertIn("it names no port", self.faults(GOOD.replace("127.0.0.1:8080", "here"))[0])
-        self.assertIn("stands there twice", self.faults(GOOD + GOOD[GOOD.index("[[") :])[0])
+        self.assertIn("less than dispatchers", self.errors_of("number = 1\n" + GOOD)[0])
+        self.assertIn("it names no port", self.errors_of(GOOD.replace("127.0.0.1:8080", "here"))[0])
+        self.assertIn("stands there twice", self.errors_of(GOOD + GOOD[GOOD.index("[[") :])[0])
 
     def test_units(self) -> None:
         for text, ticks in (("250ms", 2500), ("1.5s", 15_000), ("2min", 1_200_000), ("1h", 36_000_000)):
@@ -96,7 +96,7 @@
             with self.assertRaises(ValueError):
                 parse_duration(bad)
 
-    def test_both_roads_lead_to_the_same_birth(self) -> None:
+    def test_the_file_and_the_platforms_json_give_the_same_terms(self) -> None:
         self.path.write_text(GOOD)
         one = birth(json.dumps(platform_config(read_configuration(self.path))))
         settings = {
@@ -122,39 +122,47 @@
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (b.semantics, b.sla_time, b.expiry))
         self.assertTrue(one.terms.must_ask and other.terms.must_ask)
 
-    def test_reread_takes_over_what_may_change_and_names_what_stays(self) -> None:
+    def test_a_reload_takes_over_what_may_change_and_names_the_keys_that_stay(self) -> None:
         self.path.write_text(GOOD)
-        ground = ConfiguredDispatcher(self.path)
-        with mock.patch.object(logbook, "stays") as stays, mock.patch.object(logbook, "open_log") as opened:
+        dispatcher = ConfiguredDispatcher(self.path)
+        with (
+            mock.patch.object(logbook, "stays") as unchanged,
+            mock.patch.object(logbook, "open_log") as opened,
+        ):
             self.path.write_text('[log]\nlevel = "WARNING"\n[limits]\nsockets = 128\n')
             with self.assertRaises(InvalidConfigError):
-                ground.moved()
-            self.assertEqual(ground.charter.discovery, "127.0.0.1:9090", "a broken file changes nothing")
+                dispatcher.moved()
+            self.assertEqual(
+                dispatcher.configuration.discovery, "127.0.0.1:9090", "a broken file changes nothing"
+            )
             self.path.write_text(
                 GOOD.replace("9090", "9091").replace("8080", "8081").replace("400ms", "401ms")
                 + '[log]\nlevel = "WARNING"\n[limits]\nsockets = 128\n'
             )
-            self.assertEqual(ground.moved(), "127.0.0.1:9091")
+            self.assertEqual(dispatcher.moved(), "127.0.0.1:9091")
+            self.assertEqual(
+                [call.kwargs["key"] for call in unchanged.call_args_list], ["listen", "limits.sockets"]
+            )
             self.assertEqual(
-                [call.kwargs["key"] for call in stays.call_args_list], ["listen", "limits.sockets"]
+                (dispatcher.configuration.schemes[0].sla, dispatcher.configuration.limits.sockets),
+                (4010, 1024),
             )
-            self.assertEqual((ground.charter.schemes[0].sla, ground.charter.limits.sockets), (4010, 1024))
             opened.assert_called_once_with("WARNING", "text")
-        self.assertIn('"127.0.0.1:8080"', ground.told())
+        self.assertIn('"127.0.0.1:8080"', dispatcher.told())
 
-    def test_the_pages_are_what_explain_prints(self) -> None:
-        for said, page in (
+    def test_the_pages_hold_what_explain_prints(self) -> None:
+        for explanation, page in (
             (explained(explain_keys(Configuration), RELOADABLE_KEYS), "charter.md"),
             (explained(explain_keys(plan.Plan)), "plan.md"),
             (explained(explain_keys(scale.Plan)), "plan.md"),
             (explained(explain_keys(capacity.Target)), "scale.md"),
         ):
-            self.assertIn(said, (ROOT / "docs" / page).read_text(), f"docs/{page} is old")
+            self.assertIn(explanation, (ROOT / "docs" / page).read_text(), f"docs/{page} is old")
 
-    def test_the_example_is_good(self) -> None:
+    def test_the_example_is_valid(self) -> None:
         read_configuration(ROOT / "deploy/charter.example.toml")
 
-    def test_the_catalogue_of_log_lines_and_the_page_for_those_on_call_agree(self) -> None:
+    def test_the_catalogue_of_log_lines_and_the_on_call_page_agree(self) -> None:
         page = (ROOT / "docs/on-call.md").read_text().partition("## The log")[2].partition("###")[0]
         rows = {
             line.split("|")[1].strip().strip("`"): line.split("|")[2].strip()
@@ -169,36 +177,36 @@
                 self.assertIn(line.level.lower(), rows[name], name)
 
 
-class PlanStory(unittest.TestCase):
+class PlanFile(unittest.TestCase):
     GOOD: ClassVar[dict[str, Any]] = {
         "name": "p",
         "seconds": 1,
         "charter": {"schemes": [{"name": "a", "semantics": "repeatable", "expiry": "5s"}]},
     }
 
-    def faults(self, **more: object) -> str:
+    def errors_of(self, **more: object) -> str:
         with self.assertRaises(InvalidConfigError) as caught:
             plan.of({**self.GOOD, **more}, "p.toml")
         return "\n".join(map(str, caught.exception.faults))
 
-    def test_bad_plans_end_before_anything_starts(self) -> None:
+    def test_a_wrong_plan_is_refused_before_anything_starts(self) -> None:
         self.assertIn(
             'faults[0].at: "-3s" stands there; write a duration',
-            self.faults(faults=[{"kind": "freeze", "at": "-3s"}]),
+            self.errors_of(faults=[{"kind": "freeze", "at": "-3s"}]),
         )
         self.assertIn(
-            "no worker is called so", self.faults(faults=[{"kind": "freeze", "at": "1s", "of": "nobody"}])
+            "no worker is called so", self.errors_of(faults=[{"kind": "freeze", "at": "1s", "of": "nobody"}])
         )
-        self.assertIn("one of freeze, crash", self.faults(faults=[{"kind": "frees", "at": "1s"}]))
-        self.assertIn("either at or rate", self.faults(faults=[{"kind": "freeze"}]))
-        self.assertIn("load.jobs.b: no such scheme", self.faults(load={"jobs": {"b": {}}}))
+        self.assertIn("one of freeze, crash", self.errors_of(faults=[{"kind": "frees", "at": "1s"}]))
+        self.assertIn("either at or rate", self.errors_of(faults=[{"kind": "freeze"}]))
+        self.assertIn("load.jobs.b: no such scheme", self.errors_of(load={"jobs": {"b": {}}}))
         self.assertIn(
             "variants[0]: reach.conect: no such key; the nearest known key is connect",
-            self.faults(variants=[{"name": "v", "charter": {"reach": {"conect": "1s"}}}]),
+            self.errors_of(variants=[{"name": "v", "charter": {"reach": {"conect": "1s"}}}]),
         )
-        self.assertIn("seeds", self.faults(seeds="9..3"))
+        self.assertIn("seeds", self.errors_of(seeds="9..3"))
 
-    def test_plans_that_are_here_are_good(self) -> None:
+    def test_the_plans_of_the_repository_are_valid(self) -> None:
         for path in (ROOT / "experiments").glob("*.toml"):
             if "charter" in load_toml(
                 path
--- a/tests/test_retune.py
+++ b/tests/test_config_reload.py
@@ -1,4 +1,4 @@
-"""Stories of changes in service: what comes into force at once, what open txns keep, what asks for a restart."""
+"""Changes in service: what takes effect at once, what open requests keep, and what asks for a restart."""
 
 import asyncio
 import contextlib
@@ -52,34 +52,34 @@
 FLEET = {"name": "f", "key": "sixteen bytes or more", "listen": "127.0.0.1:7199", "budgets": {"gpu": 30}}
 
 
-def charter(**more: Any) -> Configuration:
+def configuration_of(**more: Any) -> Configuration:
     return validate(Configuration, {**BASE, **more}, "the charter")
 
 
-class ServiceStory(unittest.IsolatedAsyncioTestCase):
-    """A charter's ground with a txn service, no socket open."""
+class ReloadInService(unittest.IsolatedAsyncioTestCase):
+    """A configured dispatcher with a service, without any socket."""
 
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "charter.json"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "charter.json"
 
-    def begin(self, made: Callable[..., Any] | None = None, **more: Any) -> None:
+    def begin(self, build: Callable[..., Any] | None = None, **more: Any) -> None:
         self.path.write_text(json.dumps({**BASE, **more}))
-        self.ground = ConfiguredDispatcher(self.path)
-        self.ground.open_log = lambda: None  # type: ignore[method-assign]
-        if made is not None:
-            self.ground._made = made  # type: ignore[method-assign]
-        born = birth(self.ground.told())
+        self.dispatcher = ConfiguredDispatcher(self.path)
+        self.dispatcher.open_log = lambda: None  # type: ignore[method-assign]
+        if build is not None:
+            self.dispatcher._build_service = build  # type: ignore[method-assign]
+        born = birth(self.dispatcher.told())
         self.played: Any = PlayedWorkers()
         self.answers: list[tuple[int, bytes]] = []
-        self.service = self.ground.service(
+        self.service = self.dispatcher.service(
             born.terms, born.words, 7, Clock(), self.played, Counters(), lambda: None
         )
         self.service.listed(ListNews.WHOLE, [Row(Worker(f"w{n}"), "x:1") for n in range(4)])
 
-    def tells(self, **more: Any) -> dict[str, str]:
-        return self.ground.retune(charter(**more))
+    def reload(self, **more: Any) -> dict[str, str]:
+        return self.dispatcher.reload(configuration_of(**more))
 
     def ask(self, tag: str, kind: str = "render", owner: str = "acme") -> Any:
         call = Message(
@@ -112,26 +112,26 @@
         )
         await self.settle()
 
-    async def test_a_team_comes_and_goes_with_open_txns_that_end_by_their_terms(self) -> None:
+    async def test_a_tenant_is_added_and_removed_while_its_open_requests_end_by_their_terms(self) -> None:
         self.begin()
         self.assertEqual(self.refused("a", owner="nova"), 403)
-        self.tells(customers=[*BASE["customers"], {"name": "nova", "allowance": 9.0}])
+        self.reload(customers=[*BASE["customers"], {"name": "nova", "allowance": 9.0}])
         entry = self.ask("b", owner="nova")
         await self.settle()
-        self.tells()
+        self.reload()
         self.assertEqual(self.refused("c", owner="nova"), 403)
         await self.done("b")
         self.assertEqual((self.answers, entry.txn.postings[0].outcome), ([(200, b"well")], Outcome.SETTLED))
         self.ask("d")
 
-    async def test_a_scheme_changed_and_taken_out_under_open_txns(self) -> None:
+    async def test_a_request_class_is_changed_and_removed_under_open_requests(self) -> None:
         self.begin()
         old, gone = self.ask("a"), self.ask("b", "charge")
         await self.settle()
         expires, was = old.txn.expires, old.txn.scheme
         changed = {**BASE["schemes"][0], "expiry": "1s", "sla": "500ms", "value": 3.0}
-        self.tells(schemes=[changed])
-        self.tells(
+        self.reload(schemes=[changed])
+        self.reload(
             schemes=[changed, {"name": "sign", "semantics": "referenced", "window": "3s", "expiry": "4s"}]
         )
         self.assertEqual(self.refused("c", "charge"), 404)
@@ -148,13 +148,13 @@
         self.assertEqual(self.answers, [(200, b"well")] * 4)
         runs = self.service.loop.choice.runs
         self.assertEqual(list(runs[young.txn.scheme]), list(runs[was]))
-        self.tells(schemes=BASE["schemes"][:1])
+        self.reload(schemes=BASE["schemes"][:1])
         self.assertEqual(len(self.service.loop.choice.runs), 1, "what nobody goes by any more is forgotten")
 
-    async def test_unchanged_schemes_and_teams_stay_the_same_objects(self) -> None:
+    async def test_unchanged_request_classes_and_tenants_stay_the_same_objects(self) -> None:
         self.begin()
         words = self.service.words
-        self.tells(
+        self.reload(
             customers=[{"name": "acme", "allowance": 1.0}, BASE["customers"][1]], rules={"cold_share": 0.5}
         )
         self.assertIs(self.service.words.schemes["render"], words.schemes["render"])
@@ -162,9 +162,9 @@
         self.assertEqual(words.customers["acme"].allowance, 1.0)
         self.assertEqual(self.service.loop.choice.cold_share, 0.5)
 
-    async def test_a_wrong_file_leaves_all_as_it_was_and_says_every_fault(self) -> None:
+    async def test_a_wrong_file_changes_nothing_and_every_error_is_reported(self) -> None:
         self.begin()
-        words, served = self.service.words, self.ground.charter
+        words, served = self.service.words, self.dispatcher.configuration
         self.path.write_text(
             json.dumps(
                 {
@@ -175,44 +175,44 @@
             )
         )
         with self.assertRaises(InvalidConfigError) as caught:
-            self.ground.moved()
+            self.dispatcher.moved()
         self.assertEqual(
             [fault.path for fault in caught.exception.faults],
             ["schemes[0].semantics", "customers[0].allowance"],
         )
         self.assertIs(self.service.words, words)
-        self.assertIs(self.ground.charter, served)
+        self.assertIs(self.dispatcher.configuration, served)
 
-    async def test_what_does_not_fit_a_key_that_stays_stays_too(self) -> None:
+    async def test_a_key_that_does_not_fit_an_unchanged_one_stays_too(self) -> None:
         self.begin()
         wanted = [{**BASE["schemes"][0], "machine": "m9"}]
-        stays = self.tells(machines=["m9"], schemes=wanted, discovery="127.0.0.1:10")
-        self.assertEqual(sorted(stays), ["machines", "schemes"])
-        self.assertEqual(self.ground.charter.discovery, "127.0.0.1:10")
+        unchanged = self.reload(machines=["m9"], schemes=wanted, discovery="127.0.0.1:10")
+        self.assertEqual(sorted(unchanged), ["machines", "schemes"])
+        self.assertEqual(self.dispatcher.configuration.discovery, "127.0.0.1:10")
         self.ask("a", "charge")
 
-    async def test_budgets_of_a_reread_charter_come_to_the_member_with_its_part(self) -> None:
+    async def test_quotas_of_a_reloaded_file_reach_the_member_with_its_share(self) -> None:
         self.begin(fleet=FLEET)
         limiter = QuotaLimiter("d0", 1, {"gpu": QuotaConfig(30, 30, 10 * TICKS)}, Random(1), 0)
-        self.ground._fellows = mock.Mock(retune=lambda dealt: limiter.retune(dealt, 1))
-        self.tells(fleet={**FLEET, "budgets": {"gpu": 20, "cpu": 9}})
+        self.dispatcher._membership = mock.Mock(retune=lambda dealt: limiter.retune(dealt, 1))
+        self.reload(fleet={**FLEET, "budgets": {"gpu": 20, "cpu": 9}})
         self.assertEqual(
             {name: one.dealt for name, one in limiter.budgets.items()},
             {"gpu": QuotaConfig(20, 20, 10 * TICKS), "cpu": QuotaConfig(9, 9, 10 * TICKS)},
         )
         self.assertEqual(limiter.budgets["gpu"].state.part, 20)
 
-    async def test_a_first_fleet_table_stays_with_all_that_stands_in_it(self) -> None:
-        """Its budgets were taken for a change in service, into a table that was not there: a fault of ours at SIGHUP."""
+    async def test_a_first_fleet_table_asks_for_a_restart_with_all_its_keys(self) -> None:
+        """Its quotas were once taken over into a table that was not there, which failed at SIGHUP."""
         self.begin()
-        self.tells(fleet=FLEET, customers=[{"name": "acme", "allowance": 3.0}])
-        self.assertIsNone(self.ground.charter.fleet)
+        self.reload(fleet=FLEET, customers=[{"name": "acme", "allowance": 3.0}])
+        self.assertIsNone(self.dispatcher.configuration.fleet)
 
-    async def test_a_durable_job_that_waits_is_served_by_the_words_it_was_accepted_by(self) -> None:
+    async def test_a_waiting_durable_job_is_served_by_the_terms_under_which_it_was_accepted(self) -> None:
         path = self.path.with_name("jobs.db")
         self.begin(
-            lambda *told: JobService(
-                *told,
+            lambda arguments: JobService(
+                *arguments,
                 store=Store(path, ThreadWriter()),
                 options=JobServiceOptions(20 * SECOND, 3600 * SECOND, SECOND, SECOND, 500),
                 rng=Random(1),
@@ -223,14 +223,14 @@
         call = Message(b"POST", b"/jobs/charge", headers=said, lines=list(said.items()))
         self.service.take(call, lambda *answer: self.answers.append(answer[:2]))
         job = next(iter(self.service.registry.jobs.values()))
-        self.tells(customers=BASE["customers"][:1], schemes=BASE["schemes"][:1])
+        self.reload(customers=BASE["customers"][:1], schemes=BASE["schemes"][:1])
         self.assertEqual(self.service.run_queue.open_entry(job).txn.scheme.expiry, 10 * SECOND)
         self.assertIsNone(job.request_parser, "old words are not kept with what has ended")
         async with asyncio.timeout(20.0):
             await asyncio.gather(*self.service._tasks)
 
 
-class QuotaStory(unittest.TestCase):
+class TenantQuota(unittest.TestCase):
     def over(self, host: Any, customer: Any, rate: int, seconds: int) -> int:
         """How many of its txns were over its share."""
         found = 0
@@ -240,8 +240,8 @@
             host.passes(SECOND // rate)
         return found
 
-    def test_lowered_and_raised_under_load_it_binds_from_the_next_txn_on(self) -> None:
-        served = charter(customers=[{"name": "acme", "allowance": 20.0}])
+    def test_a_quota_changed_under_load_binds_from_the_next_request_on(self) -> None:
+        served = configuration_of(customers=[{"name": "acme", "allowance": 20.0}])
         made = birth(json.dumps(platform_config(served))).terms
         host = FakeHost(*made.schemes, customers=made.customers)
         acme = made.customers[0]
@@ -257,8 +257,8 @@
         host.passes(SECOND)
         self.assertEqual(self.over(host, acme, 10, 10), 0)
 
-    def test_a_longer_fall_time_sends_the_cold_nothing_until_it_has_passed(self) -> None:
-        made = birth(json.dumps(platform_config(charter()))).terms
+    def test_a_longer_fall_time_holds_back_from_workers_that_warm_up_until_it_has_passed(self) -> None:
+        made = birth(json.dumps(platform_config(configuration_of()))).terms
         host = FakeHost(scheme())
         choice = host.loop.choice
         host.passes(5 * SECOND)
@@ -273,12 +273,15 @@
         self.assertEqual(choice.born, host.now - SECOND)
 
 
-class RestartStory(unittest.TestCase):
+class KeysThatAskForARestart(unittest.TestCase):
     def named(self, before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-        found = configuration.restart_required(charter(**before), charter(**after))
+        found = configuration.restart_required(configuration_of(**before), configuration_of(**after))
         self.assertEqual(
             found,
-            [f"{key}: {why}" for key, why in restart_reasons(charter(**before), charter(**after)).items()],
+            [
+                f"{key}: {why}"
+                for key, why in restart_reasons(configuration_of(**before), configuration_of(**after)).items()
+            ],
         )
         for line in found:
             self.assertTrue(line.partition(": ")[2], line)
@@ -302,7 +305,7 @@
             self.named({"fleet": FLEET}, {"fleet": {**FLEET, "listen": "127.0.0.1:7198"}}), ["fleet.listen"]
         )
 
-    def test_what_may_change_asks_for_none(self) -> None:
+    def test_keys_that_may_change_ask_for_no_restart(self) -> None:
         self.assertEqual(
             self.named(
                 {"fleet": FLEET},
@@ -318,20 +321,22 @@
             [],
         )
 
-    def test_every_key_of_the_charter_may_change_or_has_its_reason(self) -> None:
+    def test_every_key_may_change_or_has_its_reason(self) -> None:
         for key, kind, _, _ in explain_keys(Configuration):
             if kind not in TABLES and key.partition("[]")[0] not in RELOADABLE_KEYS:
                 parts = key.split(".")
                 self.assertTrue(
                     any(".".join(parts[:n]) in RESTART_REASONS for n in range(1, len(parts) + 1)), key
                 )
-        before = charter(fleet=FLEET, name="d0")
+        before = configuration_of(fleet=FLEET, name="d0")
         self.assertEqual(reloaded(before, before), (before, {}))
 
 
-class RowsStory(unittest.TestCase):
-    def test_rows_there_and_back_are_the_same_charter(self) -> None:
-        one = charter(fleet=FLEET, name="d0", rules={"cold_time": "1234567.8ms"}, zones=["here", "b"])
+class SharedEntries(unittest.TestCase):
+    def test_entries_encoded_and_decoded_give_the_same_configuration(self) -> None:
+        one = configuration_of(
+            fleet=FLEET, name="d0", rules={"cold_time": "1234567.8ms"}, zones=["here", "b"]
+        )
         rows = configuration.entries_of(one)
         self.assertEqual(
             sorted(rows),
@@ -348,11 +353,11 @@
         back = configuration.configuration_with(one, rows)
         self.assertEqual(configuration.entries_of(back), rows)
         self.assertEqual(configuration.changed_entries(one, back), [])
-        anew = configuration.configuration_with(charter(fleet=FLEET, name="d0"), rows)
+        anew = configuration.configuration_with(configuration_of(fleet=FLEET, name="d0"), rows)
         self.assertEqual(anew.rules.cold_time, 12_345_678)
 
-    def test_all_faults_are_told_by_their_row_and_nothing_is_left_behind(self) -> None:
-        one = charter(fleet=FLEET, name="d0")
+    def test_all_errors_name_their_entry_and_nothing_is_changed(self) -> None:
+        one = configuration_of(fleet=FLEET, name="d0")
         rows = configuration.entries_of(one)
         bad = {
             **rows,
@@ -386,8 +391,8 @@
             )
         self.assertEqual([fault.path for fault in caught.exception.faults], ["schemes.render.machine"])
 
-    def test_what_did_not_change_is_not_read_again(self) -> None:
-        one = charter()
+    def test_an_unchanged_entry_is_not_decoded_again(self) -> None:
+        one = configuration_of()
         rows = configuration.entries_of(one)
         two = configuration.configuration_with(
             one, {**rows, "customers.acme": b'{"allowance":7,"portion":0}'}, rows
@@ -398,7 +403,7 @@
         )
 
 
-class BudgetStory(unittest.TestCase):
+class FleetQuota(unittest.TestCase):
     MEMBERS, LEASE = 5, 2 * TICKS
 
     def setUp(self) -> None:
@@ -438,7 +443,7 @@
             most = max(most, sum(loan.units for state in states for loan in state.lent))
         return most
 
-    def test_lowered_under_loans_the_old_rate_binds_until_the_last_is_over_then_the_new(self) -> None:
+    def test_lowered_under_leases_the_old_rate_binds_until_the_last_ends_then_the_new_one(self) -> None:
         self.assertGreater(self.passes(20 * TICKS, 100), 10)
         for n, limiter in enumerate(self.limiters):  # one after the other hears of it
             limiter.retune({"b": self.dealt(40, n)}, self.now)
@@ -450,7 +455,7 @@
             self.limiters[0].budgets["b"].state.usable(self.now), 10, "raised, it is had at once"
         )
 
-    def test_a_lowered_part_renews_no_more_than_itself_whatever_else_it_holds(self) -> None:
+    def test_a_lowered_share_renews_no_more_than_itself_whatever_else_it_holds(self) -> None:
         self.now = 10 * TICKS
         owner, taker = self.limiters[0], self.limiters[1]
         owner.asked("b", QuotaRequest(taker.name, 1, 1, 10), self.now)
@@ -461,7 +466,7 @@
         owner.asked("b", QuotaRequest(taker.name, 1, 2, 10, renews=1), self.now)
         self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Grant)], [10, 4])
 
-    def test_taken_out_and_put_in_again_it_uses_nothing_that_may_still_be_lent(self) -> None:
+    def test_removed_and_added_again_a_quota_uses_nothing_that_may_still_be_leased(self) -> None:
         self.passes(20 * TICKS, 100)
         asked = self.limiters[0].budgets["b"].state.asked
         for limiter in self.limiters:
@@ -475,10 +480,10 @@
         self.passes(20 * TICKS, 100)
 
 
-class RereadStory(Shutdown):
-    """The program by a charter, and SIGHUP."""
+class Sighup(Shutdown):
+    """The program with an operator's file, and SIGHUP."""
 
-    def charter(self, *customers: str, **more: Any) -> None:
+    def write_file(self, *customers: str, **more: Any) -> None:
         (self.folder / "charter.json").write_text(
             json.dumps(
                 {
@@ -494,7 +499,7 @@
     async def begins(self) -> None:
         self.listed = await self.workers(1)
         self.discovery = await self.listen(self.tells_list)
-        self.charter("acme")
+        self.write_file("acme")
         self.program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -514,7 +519,7 @@
                         return
                 await asyncio.sleep(0.02)
 
-    async def test_a_new_team_is_served_after_a_reread_and_connections_and_open_txns_stay(self) -> None:
+    async def test_a_new_tenant_is_served_after_sighup_and_connections_and_open_requests_stay(self) -> None:
         await self.begins()
         nova = job("n", within=9000).replace(b"acme", b"nova")
         self.assertEqual((await self.call(nova))[0], 403)
@@ -522,7 +527,7 @@
         writer.write(job("written-1", within=9000))
         async with asyncio.timeout(20.0):
             await self.event(self.came, "written-1").wait()
-        self.charter("nova")
+        self.write_file("nova")
         self.program.send_signal(signal.SIGHUP)
         await self.says(b"configuration read again")
         self.assertEqual(
@@ -535,7 +540,7 @@
             writer.write(nova.replace(b"Id: n", b"Id: n3"))
             self.assertEqual(await one_answer(reader), (200, b"HELLO"), "on the same connection")
         writer.close()
-        self.charter("acme", seed="ff")
+        self.write_file("acme", seed="ff")
         self.program.send_signal(signal.SIGHUP)
         await self.says(b"seed can't change in service")
         self.program.send_signal(signal.SIGTERM)
--- a/tests/test_control_metrics.py
+++ b/tests/test_control_metrics.py
@@ -8,7 +8,7 @@
 
 from pathsaddle.cli.fleet import _control
 from pathsaddle.config.loader import platform_settings
-from pathsaddle.config.metering import MINUTE, DispatcherMetering, MeteredWatch, MeteredWords
+from pathsaddle.config.metering import MINUTE, DispatcherMetering, MeteredStream, MeteredWatch, MeteredWords
 from pathsaddle.config.schema import Control
 from pathsaddle.control_metrics import PURPOSES, REQUEST_PURPOSES, ControlMeter, NullMeter
 from pathsaddle.emulator.hollow import control
@@ -278,17 +278,16 @@
     def test_bytes_of_each_connection_of_the_watch_are_counted_once(self) -> None:
         socks = [SimpleNamespace(taken=0, given=0) for _ in range(2)]
         opened = iter(socks)
-        watch = MeteredWatch(
-            self.meter, "a:1", 0, SimpleNamespace(), Counters(), lambda address: (next(opened), ("a", 1))
-        )
+        stream = MeteredStream(self.meter, lambda address: (next(opened), ("a", 1)))
+        watch = MeteredWatch(stream, "a:1", 0, SimpleNamespace(), Counters())
         watch.opening("a:1")
         socks[0].taken, socks[0].given = 100, 40
-        watch._tallies()
-        watch._tallies()
+        stream.count_bytes()
+        stream.count_bytes()
         socks[0].taken = 130
         watch.opening("a:1")
         socks[1].taken = 7
-        watch._tallies()
+        stream.count_bytes()
         self.assertEqual((self.meter.spent["list"].got, self.meter.spent["list"].said), (137, 40))
 
 
