--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -28,7 +28,7 @@
     "numpy",
     "matplotlib",
     "pathsaddle.cli",
-    "pathsaddle.charter",
+    "pathsaddle.config",
     "pathsaddle.emulator",
     "pathsaddle.experiment",
 )
