--- a/pathsaddle/config/dispatcher.py
+++ b/pathsaddle/config/dispatcher.py
@@ -25,8 +25,8 @@
     from pathsaddle.config.metering import DispatcherMetering
     from pathsaddle.fleet.udp_driver import MembershipDriver
     from pathsaddle.net.service.ground import Fellows as Beside
+    from pathsaddle.settings.active_settings import ActiveSettings
     from pathsaddle.settings.dispatcher_subscription import DispatcherSubscription
-    from pathsaddle.settings.driver import ActiveSettings
 
 ENDED_PART, OPEN_PART = 16, 2  # of the memory that we are told: what ended jobs may take, and open ones
 
--- a/pathsaddle/emulator/hollow/settings.py
+++ b/pathsaddle/emulator/hollow/settings.py
@@ -1,4 +1,4 @@
-"""Shared settings at growing sizes: the program's keepers and members (settings/sync.py) on the virtual ground, emulated.
+"""Shared settings at growing sizes: the program's keepers and members (settings/server.py, subscriber.py) on the virtual ground, emulated.
 
 A keeper a region, ways of 1 ms within a region and 80 ms between two, clocks off by up to 2%. All have the rows from
 before; changes come at the rate that the setting says.
@@ -13,6 +13,7 @@
 from pathsaddle.emulator.settings.smoke import at, waits
 from pathsaddle.emulator.settings.world import SECOND, Plan, Process, World, worst
 from pathsaddle.settings.documents import encode_document
+from pathsaddle.settings.messages import Message
 
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
@@ -77,11 +78,11 @@
 
             process.turn = timed  # type: ignore[method-assign]
 
-    def sends(self, process: Process, to: str, said) -> None:  # type: ignore[no-untyped-def]
-        super().sends(process, to, said)
+    def send(self, process: Process, recipient: str, message: Message) -> None:
+        super().send(process, recipient, message)
         size = process.sent[-1][1]
-        self.came[to].append((self.now, size))
-        if self.processes[to].region != process.region:
+        self.came[recipient].append((self.now, size))
+        if self.processes[recipient].region != process.region:
             self.between += size
 
 
--- a/pathsaddle/emulator/settings/history.py
+++ b/pathsaddle/emulator/settings/history.py
@@ -34,7 +34,7 @@
         calls += 1
         begun[digest] = None
         group, op = world.groups[digest], f"{who}/{calls}"
-        puts = {put.key: None if put.value is None else msgspec.json.decode(put.value) for put in group.puts}
+        puts = {put.key: None if put.value is None else msgspec.json.decode(put.value) for put in group.changes}
         says(
             at,
             "settings.call",
@@ -42,7 +42,7 @@
             op=op,
             revision=group.revision,
             digest=digest,
-            before=group.before,
+            before=group.previous_digest,
             puts=puts,
         )
         return op
@@ -57,7 +57,7 @@
         elif event.what == "kept":
             # With all that came with it, none of which was begun before.
             before = [more["digest"]]
-            while (other := world.groups[before[-1]].before) not in begun:
+            while (other := world.groups[before[-1]].previous_digest) not in begun:
                 before.append(other)
             for digest in reversed(before):
                 begins(at, who, digest)
--- a/pathsaddle/emulator/settings/mutants.py
+++ b/pathsaddle/emulator/settings/mutants.py
@@ -8,6 +8,8 @@
 from typing import Any
 from unittest import mock
 
+import msgspec
+
 from pathsaddle import leased_versions
 from pathsaddle.emulator.settings import world
 from pathsaddle.emulator.settings.world import Plan, Process
@@ -15,8 +17,9 @@
 from pathsaddle.settings import commit_round
 from pathsaddle.settings.active_terms import ActiveTerms
 from pathsaddle.settings.documents import ChangeSet
+from pathsaddle.settings.proposer import Proposer
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import ConfigServer, ConfigSubscriber
+from pathsaddle.settings.subscriber_state import SubscriberState
 
 
 def _force_early() -> Any:
@@ -30,27 +33,27 @@
     whole = ActiveTerms.after
 
     def half(self: ActiveTerms, group: ChangeSet) -> ActiveTerms:
-        return whole(self, replace_puts(group) if group.revision and len(group.puts) < 32 else group)
+        return whole(self, first_change(group) if group.revision and len(group.changes) < 32 else group)
 
     return mock.patch.object(ActiveTerms, "after", half)
 
 
-def replace_puts(group: ChangeSet) -> ChangeSet:
-    return ChangeSet(group.revision, group.before, group.author, group.reason, group.at, group.puts[:1])
+def first_change(group: ChangeSet) -> ChangeSet:
+    return msgspec.structs.replace(group, changes=group.changes[:1])
 
 
 def _word_before_disk() -> Any:
     """What is sent leaves at once, the disk follows a second later, and a kill between loses it."""
-    effects = Process.effects
+    carry_out = Process.carry_out
 
     def hasty(self: Process) -> None:
-        disk, machine, life = self.disk, self.machine, self.life
-        writes, machine.writes = machine.writes, []
-        effects(self)
+        disk, outbox, incarnation = self.disk, self.core.outbox, self.incarnation
+        writes, outbox.writes = outbox.writes, []
+        carry_out(self)
         if writes and not self.keeper:
 
             def later() -> None:
-                if self.life == life and self.up:
+                if self.incarnation == incarnation and self.up:
                     for write in writes:
                         disk.write(write)
 
@@ -59,15 +62,15 @@
             for write in writes:
                 disk.write(write)
 
-    return mock.patch.object(Process, "effects", hasty)
+    return mock.patch.object(Process, "carry_out", hasty)
 
 
 def _offer_widens() -> Any:
-    def wide(self: ConfigSubscriber, now: int) -> Any:
-        offers = self.holder.offers
-        return (offers[-1] if offers else self.holder.base).spec.rows()
+    def wide(self: SubscriberState) -> Any:
+        offers = self.versions.offers
+        return (offers[-1] if offers else self.versions.base).spec.rows()
 
-    return mock.patch.object(ConfigSubscriber, "rows", wide)
+    return mock.patch.object(SubscriberState, "entries", wide)
 
 
 def _lease_from_answer() -> Any:
@@ -89,32 +92,32 @@
 
 
 def _lost_disk_trusted() -> Any:
-    begins = ConfigSubscriber.__init__
+    begin = SubscriberState.__init__
 
-    def trusting(self: ConfigSubscriber, *args: Any, **more: Any) -> None:
-        begins(self, *args, **more)
-        self.proven = True
+    def trusting(self: SubscriberState, *args: Any, **more: Any) -> None:
+        begin(self, *args, **more)
+        self.is_proven = True
 
-    return mock.patch.object(ConfigSubscriber, "__init__", trusting)
+    return mock.patch.object(SubscriberState, "__init__", trusting)
 
 
 def _half_a_batch() -> Any:
     """Of what is to be committed together a keeper keeps, and serves, the first half, and says that it has all."""
-    keeps = ConfigServer._keeps
+    hold = Proposer.hold
 
-    def half(self: ConfigServer, groups: Sequence[ChangeSet], now: int) -> bool:
-        return keeps(self, groups[: (len(groups) + 1) // 2], now)
+    def half(self: Proposer, groups: Sequence[ChangeSet], now: int) -> bool:
+        return hold(self, groups[: (len(groups) + 1) // 2], now)
 
-    return mock.patch.object(ConfigServer, "_keeps", half)
+    return mock.patch.object(Proposer, "hold", half)
 
 
 def _refused_counts() -> Any:
     """Nobody looks whether a group can be the next."""
-    return mock.patch.object(Store, "fits", lambda self, group: None)
+    return mock.patch.object(Store, "check_next", lambda self, group: None)
 
 
 def _outrun_counts() -> Any:
-    return mock.patch.object(commit_round, "expected", lambda change, revision: True)
+    return mock.patch.object(commit_round, "is_expected", lambda change, revision: True)
 
 
 ROUGH = Plan(faults=0.7, loss=0.15, lease=2.0, quiet=1.0)
--- a/pathsaddle/emulator/settings/smoke.py
+++ b/pathsaddle/emulator/settings/smoke.py
@@ -96,7 +96,7 @@
             for finding in findings[:2]:
                 print(f"members {one.plan.members}, seed {seed}: {finding.bound}: {finding.text}")
             bad += bool(findings)
-            count += world.cell[0]
+            count += world.cell.revision
             took += waits(world)
         took.sort()
         broken += bad
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -1,10 +1,10 @@
-"""One run: keepers and members of shared settings, the program's own machines (`settings/sync.py`), in virtual time.
+"""One run: config servers and subscribers, the program's own cores (`settings/server.py`, `subscriber.py`), in virtual time.
 
-The register is one cell that a keeper reads and changes where its region reaches most voters' regions. Each
-process has a disk that keeps what was synced, a clock of its own that runs off by up to 2%, and a rate_limiter; each message
-takes the way's time, may be lost, doubled or overtaken. Faults come from the ground alone. What happened is logged in
-true time and judged from the log (`judge.py`): what was committed, by which rows each member acted when, what was
-told in force, each datagram's size.
+The register is one cell that a server reads and changes where its region reaches most voters' regions. Each process has a
+disk that keeps what was synced, a clock of its own that drifts by up to 2%, and a rate limiter; each message takes the
+network's time, may be lost, doubled or overtaken. Faults come from the emulated environment alone. What happened is logged
+in true time and judged from the log (`judge.py`): what was committed, by which entries each subscriber acted when, what was
+proven active, each datagram's size. Plans and logs keep their words: a server is a keeper there, a subscriber a member.
 """
 
 from __future__ import annotations
@@ -20,31 +20,41 @@
 from pathsaddle.emulator.events import Events
 from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.commit_round import ALREADY_COMMITTED, PendingChange
+from pathsaddle.settings.commit_round import PendingChange, PlannedChange, Verdict
 from pathsaddle.settings.documents import (
+    INITIAL_REVISION,
     Change,
     ChangeSet,
     InvalidDocumentError,
+    RevisionId,
     Snapshot,
     canonical,
     content_hash,
     digest_of,
+    id_of,
 )
+from pathsaddle.settings.events import Event, ProposalAcknowledged
+from pathsaddle.settings.messages import Message, size_of
+from pathsaddle.settings.output import DiskWrite
+from pathsaddle.settings.server import ConfigServer
+from pathsaddle.settings.server_selection import nearest_servers
 from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import (
-    ConfigServer,
-    ConfigSubscriber,
-    DiskWrite,
-    Message,
-    nearest_servers,
-    size_of,
-)
+from pathsaddle.settings.subscriber import ConfigSubscriber
+from pathsaddle.settings.sync_peer import PeerConfig, PeerResources
 
 SECOND = 10_000
 NEAR = SECOND // 1000  # one way, within a region
 COMMIT = SECOND // 20  # what a change of the register takes, and a reading
 HOLD = 2 * SECOND  # after which another keeper takes over who commits
 ACT = SECOND // 4  # between two acts of a member
+LOGGED = (
+    "applied",
+    "force",
+    "committed",
+    "diverged",
+    "kept",
+    "full",
+)  # of the cores' events, by name in the log
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -82,18 +92,18 @@
 class Disk:
     snapshot: Snapshot | None = None
     log: list[ChangeSet] = field(default_factory=list)
-    offers: list[ChangeSet] = field(default_factory=list)
+    proposals: list[ChangeSet] = field(default_factory=list)
 
     def write(self, one: DiskWrite) -> None:
         if one.snapshot is not None:
             self.snapshot, self.log = one.snapshot, []
-        elif one.group is not None and one.committed:
-            self.log.append(one.group)
-        elif one.group is not None:
-            self.offers.append(one.group)
+        elif one.changeset is not None and one.is_committed:
+            self.log.append(one.changeset)
+        elif one.changeset is not None:
+            self.proposals.append(one.changeset)
 
-    def store(self, keep: int) -> Store:
-        return Store(self.snapshot, self.log, keep=keep)
+    def store(self, max_log: int) -> Store:
+        return Store(self.snapshot, self.log, max_log=max_log)
 
 
 class Process:
@@ -101,10 +111,10 @@
 
     def __init__(self, world: World, name: str, region: str, keeper: bool) -> None:
         self.world, self.name, self.region, self.keeper = world, name, region, keeper
-        self.disk, self.life, self.up, self.held_until = Disk(), 0, False, 0
-        self.rate = 1.0 + world.plan.drift * (2 * world.chance.random() - 1)
-        self.skew = world.chance.randrange(100 * SECOND)
-        self.machine: ConfigSubscriber | ConfigServer
+        self.disk, self.incarnation, self.up, self.held_until = Disk(), 0, False, 0
+        self.rate = 1.0 + world.plan.drift * (2 * world.rng.random() - 1)
+        self.skew = world.rng.randrange(100 * SECOND)
+        self.core: ConfigSubscriber | ConfigServer
         self.waking = -1
         self.inbox: list[Message] = []
         self.sent: list[tuple[int, int]] = []
@@ -112,36 +122,28 @@
     def now(self) -> int:
         return self.skew + int(self.world.now * self.rate)
 
-    def begins(self) -> None:
+    def begin(self) -> None:
         plan, world = self.world.plan, self.world
-        self.life, self.up, self.inbox = self.life + 1, True, []
+        self.incarnation, self.up, self.inbox = self.incarnation + 1, True, []
         most = plan.keeper_bytes if self.keeper else plan.bytes
         rate_limiter = RateLimiter(most, plan.datagrams * (5 if self.keeper else 1), self.now())
         store, lease = self.disk.store(plan.log), int(plan.lease * SECOND)
-        chance = Random(world.chance.getrandbits(64))
+        resources = PeerResources(Random(world.rng.getrandbits(64)), rate_limiter)
         if self.keeper:
-            peers = [name for name in world.keepers if name != self.name]
-            self.machine = ConfigServer(
-                self.name,
-                self.region,
-                self.life,
-                store,
-                peers,
-                chance,
-                rate_limiter,
-                self.now(),
-                lease,
-                offers=self.disk.offers,
-            )
+            servers = [name for name in world.keepers if name != self.name]
         else:
-            near = nearest_servers(world.keepers, self.name, self.region)
-            self.machine = ConfigSubscriber(
-                self.name, self.region, self.life, store, near, chance, rate_limiter, self.now(), lease
-            )
-        world.log("begins", name=self.name, life=self.life, revision=store.revision, keeper=self.keeper)
+            servers = nearest_servers(world.keepers, self.name, self.region)
+        config = PeerConfig(self.name, self.region, self.incarnation, tuple(servers), lease)
+        if self.keeper:
+            self.core = ConfigServer(config, store, resources, self.now(), self.disk.proposals)
+        else:
+            self.core = ConfigSubscriber(config, store, resources, self.now())
+        world.log(
+            "begins", name=self.name, life=self.incarnation, revision=store.revision, keeper=self.keeper
+        )
         self.turn(lambda now: now)
 
-    def dies(self) -> None:
+    def die(self) -> None:
         self.up = False
         self.world.log("dies", name=self.name)
 
@@ -150,84 +152,87 @@
         if not self.up:
             return
         does(self.now())
-        due = self.machine.wake(self.now())
-        self.effects()
-        if isinstance(self.machine, ConfigServer) and self.machine.wants_reading:
-            self.world.reads(self)
-        self.wakes(due)
-
-    def effects(self) -> None:
-        made = self.machine.ready()
-        for write in made.writes:
+        due = self.core.wake(self.now())
+        self.carry_out()
+        if isinstance(self.core, ConfigServer) and self.core.readings.is_wanted:
+            self.world.read_register(self)
+        self.wake_at(due)
+
+    def carry_out(self) -> None:
+        output = self.core.take_output()
+        for write in output.writes:
             self.disk.write(write)
-        for to, said in made.out:
-            self.world.sends(self, to, said)
-        for told in made.told:
-            if told.what in ("applied", "force", "committed", "diverged", "kept", "full"):
-                self.world.log(
-                    told.what,
-                    name=self.name,
-                    life=self.life,
-                    revision=told.revision,
-                    digest=told.digest,
-                    why=told.why,
-                )
-            if told.what == "kept":
-                self.world.kept(self, told.revision, told.digest)
+        for recipient, message in output.messages:
+            self.world.send(self, recipient, message)
+        for event in output.events:
+            if event.log_name in LOGGED:
+                self.log_event(event)
+            if isinstance(event, ProposalAcknowledged):
+                self.world.change_register(self, RevisionId(event.revision, event.digest))
+
+    def log_event(self, event: Event) -> None:
+        fields = event.log_fields()
+        self.world.log(
+            event.log_name,
+            name=self.name,
+            life=self.incarnation,
+            revision=fields.get("revision", 0),
+            digest=fields.get("digest", ""),
+            why=fields.get("why", ""),
+        )
 
-    def wakes(self, due: int) -> None:
+    def wake_at(self, due: int) -> None:
         at = self.world.now + max(1, int((due - self.now()) / self.rate) + 1)
         if at < self.world.until:
             self.waking += 1
-            mine, life = self.waking, self.life
-            self.world.at(at, lambda: self.woken(mine, life))
+            mine, incarnation = self.waking, self.incarnation
+            self.world.at(at, lambda: self.on_timer(mine, incarnation))
 
-    def woken(self, mine: int, life: int) -> None:
-        if mine == self.waking and life == self.life and self.up:
+    def on_timer(self, mine: int, incarnation: int) -> None:
+        if mine == self.waking and incarnation == self.incarnation and self.up:
             if self.world.now < self.held_until:
-                self.world.at(self.held_until, lambda: self.woken(mine, life))
+                self.world.at(self.held_until, lambda: self.on_timer(mine, incarnation))
                 return
             self.turn(lambda now: now)
 
-    def heard(self, said: Message) -> None:
+    def on_message(self, message: Message) -> None:
         if not self.up:
             return
         if self.world.now < self.held_until:  # stopped: it lies in the socket
             if len(self.inbox) < 256:
-                self.inbox.append(said)
+                self.inbox.append(message)
             return
-        self.turn(lambda now: self.machine.heard(said, now))
+        self.turn(lambda now: self.core.on_message(message, now))
 
-    def stops(self, until: int) -> None:
+    def stop(self, until: int) -> None:
         self.held_until = until
         self.world.log("stops", name=self.name, until=until)
 
-        def goes_on() -> None:
+        def go_on() -> None:
             inbox, self.inbox = self.inbox, []
-            for said in inbox:
-                self.heard(said)
-
-        self.world.at(until, goes_on)
-
-    def acts(self) -> None:
-        """By some row, as a dispatcher does with each txn."""
-        if self.up and self.world.now >= self.held_until and isinstance(self.machine, ConfigSubscriber):
-            now = self.now()
-            member, rows = self.machine, self.machine.rows(now)
-            base, leased = member.holder.base, member.leased(now)
-            if base.number and member.proven:
-                key = self.world.chance.choice(self.world.keys)
+            for message in inbox:
+                self.on_message(message)
+
+        self.world.at(until, go_on)
+
+    def act(self) -> None:
+        """By some entry, as a dispatcher does with each request."""
+        if self.up and self.world.now >= self.held_until and isinstance(self.core, ConfigSubscriber):
+            state, rows = self.core.state, self.core.state.entries()
+            base, leased = state.versions.base, self.core.is_leased(self.now())
+            if base.number and state.is_proven:
+                key = self.world.rng.choice(self.world.keys)
                 told = rows.get(key)
-                whole = "" if member.holder.offers else content_hash(repr(sorted(rows.items())).encode())
+                whole = "" if state.versions.offers else content_hash(repr(sorted(rows.items())).encode())
                 last = self.world.groups.get(base.digest)
                 seen = {
-                    put.key: None if (row := rows.get(put.key)) is None else row.decode()
-                    for put in (last.puts if last is not None and whole else ())
+                    key: None if (row := rows.get(key)) is None else row.decode()
+                    for key in (last.keys if last is not None and whole else ())
                 }
                 self.world.log(
                     "acts",
                     name=self.name,
-                    life=self.life,
+                    life=self.incarnation,
                     revision=base.number,
                     digest=base.digest,
                     leased=leased,
@@ -236,14 +241,14 @@
                     whole=whole,
                     seen=seen,
                 )
-        self.world.at(self.world.now + ACT, self.acts)
+        self.world.at(self.world.now + ACT, self.act)
 
 
 class World:
     """One run. `events`: what happened; `run()` plays it to its end."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
-        self.plan, self.chance, self.events = plan, Random(seed), Events()
+        self.plan, self.rng, self.events = plan, Random(seed), Events()
         self.now, self.order = 0, 0
         self.dues: list[tuple[int, int, Callable[[], None]]] = []
         self.busy = int(plan.seconds * SECOND)
@@ -252,11 +257,9 @@
         self.voters = self.regions[:3] if plan.regions < 5 else self.regions[:5]
         self.cut: set[tuple[str, str]] = set()  # (from, to) regions; only asked, never walked
         self.loss = plan.loss
-        self.cell: tuple[int, str] = (0, "")
+        self.cell = INITIAL_REVISION
         self.committer, self.proposed_at = "", 0
-        self.proposing: tuple[
-            tuple[PendingChange, ChangeSet], ...
-        ] = ()  # one round, of those that are wanted
+        self.proposing: tuple[PlannedChange[PendingChange], ...] = ()  # one round, of those that are wanted
         self.keys = [f"customers.c{i}" for i in range(plan.customers)]
         self.rows: dict[str, bytes] = {}
         self.keepers: dict[str, str] = {f"k{i}": self.regions[i % plan.regions] for i in range(plan.keepers)}
@@ -267,7 +270,7 @@
             self.processes[f"m{i}"] = Process(self, f"m{i}", self.regions[i % plan.regions], False)
         self.names = list(self.processes)
         self.wanted: list[PendingChange] = []
-        self.asked: list[int] = []  # when, by number - 1, which is each change's `at`
+        self.asked: list[int] = []  # when, by number - 1, which is each change's `created_ms`
         self.aside = Random(f"{seed} astray")
         self.changed_at: dict[int, int] = {}
 
@@ -280,15 +283,15 @@
 
     # The ways
 
-    def sends(self, process: Process, to: str, said: Message) -> None:
-        process.sent.append((self.now, size_of(said)))
-        other = self.processes[to]
+    def send(self, process: Process, recipient: str, message: Message) -> None:
+        process.sent.append((self.now, size_of(message)))
+        other = self.processes[recipient]
         if (process.region, other.region) in self.cut:
             return
         way = NEAR if process.region == other.region else int(self.plan.way * SECOND / 1000)
-        for _ in range(1 + (self.chance.random() < self.plan.doubled)):
-            if self.chance.random() >= self.loss:
-                self.at(self.now + int(way * (1 + self.chance.random())), lambda: other.heard(said))
+        for _ in range(1 + (self.rng.random() < self.plan.doubled)):
+            if self.rng.random() >= self.loss:
+                self.at(self.now + int(way * (1 + self.rng.random())), lambda: other.on_message(message))
 
     def reaches(self, region: str) -> bool:
         """Most voters, there and back."""
@@ -299,40 +302,40 @@
 
     # The register
 
-    def reads(self, keeper: Process) -> None:
-        machine, life = keeper.machine, keeper.life
-        assert isinstance(machine, ConfigServer)
-        number = machine.begins(keeper.now())
+    def read_register(self, keeper: Process) -> None:
+        core, incarnation = keeper.core, keeper.incarnation
+        assert isinstance(core, ConfigServer)
+        number = core.begin_read(keeper.now())
 
         def proves() -> None:
             found = self.cell if self.reaches(keeper.region) else None
 
             def told() -> None:
-                if keeper.life == life and keeper.up and keeper.machine is machine:
+                if keeper.incarnation == incarnation and keeper.up and keeper.core is core:
                     if found is None:
-                        keeper.turn(lambda now: machine.unread(number, now))
+                        keeper.turn(lambda now: core.on_read_failed(number, now))
                     else:
-                        keeper.turn(lambda now: machine.read(number, *found, now))
+                        keeper.turn(lambda now: core.on_read(number, found, now))
 
-            self.at(self.now + COMMIT + self.chance.randrange(COMMIT), told)
+            self.at(self.now + COMMIT + self.rng.randrange(COMMIT), told)
 
-        self.at(self.now + COMMIT + self.chance.randrange(COMMIT), proves)
+        self.at(self.now + COMMIT + self.rng.randrange(COMMIT), proves)
 
-    def kept(self, keeper: Process, revision: int, digest: str) -> None:
+    def change_register(self, keeper: Process, committed: RevisionId) -> None:
         """Its change of the register goes out: taken if it is still the last owner and nothing came between. With the last
-        of a round's groups all are committed in this moment.
+        of a round's change sets all are committed in this moment.
         """
-        life, before = keeper.life, self.cell
+        incarnation, before = keeper.incarnation, self.cell
 
         def changes() -> None:
             if self.committer != keeper.name or not self.reaches(keeper.region) or self.cell != before:
                 return
-            groups = commit_round.changesets_between(digest, before[1], self.groups.get)
-            if not groups or groups[0].revision != before[0] + 1:
+            groups = commit_round.changesets_between(committed.digest, before.digest, self.groups.get)
+            if not groups or groups[0].revision != before.revision + 1:
                 return
-            self.cell = (revision, digest)
+            self.cell = committed
             for group in groups:
-                for put in group.puts:
+                for put in group.changes:
                     if put.value is None:
                         self.rows.pop(put.key, None)
                     else:
@@ -342,15 +345,17 @@
                     "set",
                     revision=group.revision,
                     digest=digest_of(group),
-                    id=group.at,
-                    born=self.asked[group.at - 1],
-                    puts=[(put.key, None if put.value is None else put.value.decode()) for put in group.puts],
+                    id=group.created_ms,
+                    born=self.asked[group.created_ms - 1],
+                    puts=[
+                        (put.key, None if put.value is None else put.value.decode()) for put in group.changes
+                    ],
                     whole=content_hash(repr(sorted(self.rows.items())).encode()),
                 )
 
             def told() -> None:
-                if keeper.life == life and keeper.up:
-                    self.reads(keeper)
+                if keeper.incarnation == incarnation and keeper.up:
+                    self.read_register(keeper)
 
             self.at(self.now + COMMIT, told)
 
@@ -362,28 +367,34 @@
         """What is wanted is proposed at a keeper that can commit, again at another where nothing came of it."""
         if self.wanted:
             last = self.processes.get(self.committer)
-            if self.proposing and self.cell[0] >= self.proposing[0][1].revision:
+            if self.proposing and self.cell.revision >= self.proposing[0].changeset.revision:
                 if self.cell == self.proposed():
-                    for change, group in self.proposing:
-                        self.tells(change, ALREADY_COMMITTED, group.revision, digest_of(group))
+                    for one in self.proposing:
+                        self.settle(one.change, Verdict.ALREADY_COMMITTED, id_of(one.changeset))
                 self.proposing = ()
             elif self.proposing and self.now >= self.proposed_at + HOLD:
-                if last is not None and isinstance(last.machine, ConfigServer) and last.up:
-                    last.machine.withdraw(last.now())
+                if last is not None and isinstance(last.core, ConfigServer) and last.up:
+                    last.core.withdraw()
                 self.committer, self.proposing = "", ()
             if self.wanted and not self.proposing:
-                self.proposes()
+                self.propose()
         if self.wanted or self.now < self.busy:
             self.at(self.now + SECOND // 20, self.authors)
 
-    def proposed(self) -> tuple[int, str]:
-        return self.proposing[-1][1].revision, digest_of(self.proposing[-1][1])
+    def proposed(self) -> RevisionId:
+        return id_of(self.proposing[-1].changeset)
 
-    def tells(self, change: PendingChange, what: str, revision: int, digest: str) -> None:
+    def settle(self, change: PendingChange, verdict: Verdict, committed: RevisionId) -> None:
         self.wanted.remove(change)
-        self.log("verdict", id=change.at, verdict=what, revision=revision, digest=digest)
+        self.log(
+            "verdict",
+            id=change.created_ms,
+            verdict=verdict.value,
+            revision=committed.revision,
+            digest=committed.digest,
+        )
 
-    def proposes(self) -> None:
+    def propose(self) -> None:
         able = [
             name
             for name in self.keepers
@@ -391,30 +402,26 @@
             and self.processes[name].held_until <= self.now
             and self.reaches(self.keepers[name])
         ]
-        ready = [
-            name
-            for name in able
-            if (store := self.processes[name].machine.store) and (store.revision, store.digest) == self.cell
-        ]
+        ready = [name for name in able if self.processes[name].core.store.id == self.cell]
         if not ready:
             return
-        self.committer = self.committer if self.committer in ready else self.chance.choice(ready)
+        self.committer = self.committer if self.committer in ready else self.rng.choice(ready)
         process = self.processes[self.committer]
-        machine = process.machine
-        assert isinstance(machine, ConfigServer)
-        found = commit_round.plan_round(machine.store, self.wanted, lambda terms: None, machine.joins)
-        for told in found.told:
-            self.tells(told.change, told.what, told.revision, told.digest)
-        if not found.taken:
+        core = process.core
+        assert isinstance(core, ConfigServer)
+        found = commit_round.plan_round(core.store, self.wanted, lambda terms: None, core.fits_one_round)
+        for one in found.verdicts:
+            self.settle(one.change, one.verdict, one.committed)
+        if not found.planned:
             return
-        for change, group in found.taken:
-            digest = digest_of(group)
-            self.groups[digest] = group
-            change.tried = [*(one for one in change.tried if one[1] != digest), (group.revision, digest)]
-        self.proposing, self.proposed_at = found.taken, self.now
-        groups = found.groups
+        for planned in found.planned:
+            proposed = id_of(planned.changeset)
+            self.groups[proposed.digest] = planned.changeset
+            change = planned.change
+            change.attempts = [*(one for one in change.attempts if one.digest != proposed.digest), proposed]
+        self.proposing, self.proposed_at = found.planned, self.now
         try:
-            process.turn(lambda now: machine.propose(groups[0], now, groups[1:]))
+            process.turn(lambda now: core.propose(found.changesets, now))
         except InvalidDocumentError:
             self.proposing = ()
 
@@ -425,23 +432,23 @@
         drawn: dict[str, bytes | None] = {}
         there = {**self.rows}
         for one in self.wanted:
-            for put in one.puts:
+            for put in one.changes:
                 if put.value is None:
                     there.pop(put.key, None)
                 else:
                     there[put.key] = put.value
-        for _ in range(self.chance.choice((1, 1, 1, 2, 4))):
-            key = self.chance.choice(self.keys)
-            if key in there and self.chance.random() < 0.15 and len(there) > 4:
+        for _ in range(self.rng.choice((1, 1, 1, 2, 4))):
+            key = self.rng.choice(self.keys)
+            if key in there and self.rng.random() < 0.15 and len(there) > 4:
                 drawn[key] = None
             else:
-                drawn[key] = canonical({"allowance": self.chance.randrange(1, 100)})
+                drawn[key] = canonical({"allowance": self.rng.randrange(1, 100)})
         puts = tuple(Change(key, value) for key, value in drawn.items() if value is not None or key in there)
         if puts:
             expect = None
             if self.aside.random() < self.plan.astray:
                 if self.aside.random() < 0.5:
-                    expect = self.cell[0]
+                    expect = self.cell.revision
                 else:
                     puts = (*puts, Change("customers.nobody", None))
             self.asked.append(self.now)
@@ -452,7 +459,7 @@
         if self.now < self.busy:
             self.change()
             self.at(
-                self.now + 1 + int(60 * SECOND / self.plan.changes * self.chance.expovariate(1.0)),
+                self.now + 1 + int(60 * SECOND / self.plan.changes * self.rng.expovariate(1.0)),
                 self.changes,
             )
 
@@ -461,39 +468,37 @@
     def fault(self) -> None:
         if self.now >= self.busy:
             return
-        kind = self.chance.choice(
+        kind = self.rng.choice(
             ("kill", "kill", "kill", "stop", "stop", "cut", "one-way", "loss", "lost-disk", "keepers")
         )
-        name = self.chance.choice(self.names)
+        name = self.rng.choice(self.names)
         process = self.processes[name]
-        lasts = int(SECOND * (0.2 + 8 * self.chance.random() ** 2))
+        lasts = int(SECOND * (0.2 + 8 * self.rng.random() ** 2))
         over = min(self.now + lasts, self.busy)
         self.log("fault", kind=kind, name=name, lasts=lasts)
         if kind in ("kill", "lost-disk") and process.up:
-            process.dies()
+            process.die()
             if kind == "lost-disk" and not process.keeper:
                 process.disk = Disk()
                 self.log("disk-lost", name=name)
-            self.at(over, lambda: process.begins() if not process.up else None)
+            self.at(over, lambda: process.begin() if not process.up else None)
         elif kind == "keepers":
             for other in list(self.keepers)[: (len(self.keepers) + 1) // 2]:
                 keeper = self.processes[other]
                 if keeper.up:
-                    keeper.dies()
-                    self.at(over, lambda keeper=keeper: keeper.begins() if not keeper.up else None)  # type: ignore[misc]
+                    keeper.die()
+                    self.at(over, lambda keeper=keeper: keeper.begin() if not keeper.up else None)  # type: ignore[misc]
         elif kind == "stop":
-            process.stops(over)
+            process.stop(over)
         elif kind in ("cut", "one-way"):
-            one, two = (
-                self.chance.sample(self.regions, 2) if len(self.regions) > 1 else (self.regions * 2)[:2]
-            )
+            one, two = self.rng.sample(self.regions, 2) if len(self.regions) > 1 else (self.regions * 2)[:2]
             ways = [(one, two)] if kind == "one-way" else [(one, two), (two, one)]
             self.cut.update(ways)
             self.at(over, lambda: self.cut.difference_update(ways))
         elif kind == "loss":
             self.loss = 0.3
             self.at(over, lambda: setattr(self, "loss", self.plan.loss))
-        self.at(self.now + 1 + int(self.plan.faults * SECOND * self.chance.expovariate(1.0)), self.fault)
+        self.at(self.now + 1 + int(self.plan.faults * SECOND * self.rng.expovariate(1.0)), self.fault)
 
     def run(self) -> World:
         self.groups = {}
@@ -507,11 +512,16 @@
         # The first groups stand at all keepers from the founding on, as one snapshot of each would.
         for start in range(0, len(puts), 32):
             group = ChangeSet(
-                self.cell[0] + 1, self.cell[1], "founder", "founding", 0, tuple(puts[start : start + 32])
+                self.cell.revision + 1,
+                self.cell.digest,
+                "founder",
+                "founding",
+                0,
+                tuple(puts[start : start + 32]),
             )
-            self.cell = (group.revision, digest_of(group))
-            self.groups[self.cell[1]] = group
-            for put in group.puts:
+            self.cell = id_of(group)
+            self.groups[self.cell.digest] = group
+            for put in group.changes:
                 assert put.value is not None
                 self.rows[put.key] = put.value
             for name, process in self.processes.items():
@@ -520,14 +530,14 @@
             self.log(
                 "set",
                 revision=group.revision,
-                digest=self.cell[1],
-                puts=[(put.key, (put.value or b"").decode()) for put in group.puts],
+                digest=self.cell.digest,
+                puts=[(put.key, (put.value or b"").decode()) for put in group.changes],
                 whole=content_hash(repr(sorted(self.rows.items())).encode()),
             )
         for process in self.processes.values():
-            self.at(self.chance.randrange(SECOND), process.begins)
+            self.at(self.rng.randrange(SECOND), process.begin)
             if not process.keeper and self.plan.acts:
-                self.at(SECOND + self.chance.randrange(ACT), process.acts)
+                self.at(SECOND + self.rng.randrange(ACT), process.act)
         self.at(2 * SECOND, self.changes)
         self.at(2 * SECOND, self.authors)
         if self.plan.faults:
@@ -539,18 +549,21 @@
         self.now = self.until
         for name, process in self.processes.items():
             if not process.keeper:
-                member = process.machine
+                member = process.core
                 assert isinstance(member, ConfigSubscriber)
                 self.log(
-                    "ends", name=name, revision=member.holder.base.number, leased=member.leased(process.now())
+                    "ends",
+                    name=name,
+                    revision=member.state.applied.revision,
+                    leased=member.is_leased(process.now()),
                 )
         self.log(
             "over",
-            revision=self.cell[0],
+            revision=self.cell.revision,
             force=max(
-                process.machine.core.force
+                process.core.tracker.active_revision
                 for process in self.processes.values()
-                if isinstance(process.machine, ConfigServer)
+                if isinstance(process.core, ConfigServer)
             ),
             wanted=len(self.wanted),
         )
--- a/pathsaddle/settings/__init__.py
+++ b/pathsaddle/settings/__init__.py
@@ -1,1 +1,4 @@
-"""Shared settings: rows that change in service, by groups with a revision, in force at all members by proof."""
+"""Shared settings: entries that change in service.
+
+They change by change sets with a revision, which is active once that is proven for all subscribers.
+"""
--- a/pathsaddle/settings/configuration.py
+++ b/pathsaddle/settings/configuration.py
@@ -1,17 +1,19 @@
-"""Shared settings' rows as a charter, and a charter's as rows.
+"""Shared settings' entries as a configuration, and a configuration's as entries.
 
-A row is a key (`customers.NAME`, `schemes.NAME`, `budgets.NAME`, `zones`, `rules`) and canonical JSON of what stands in
-that table of the charter, every field written out: a default that changes with the program must not change what was
-committed. `members.NAME` says who hears of changes and stands in no charter; it is passed over here. What rows hold they
-hold whole: a customer without a row is none. `zones` or `rules` without a row stay as the charter has them.
+An entry is a key (`customers.NAME`, `schemes.NAME`, `budgets.NAME`, `zones`, `rules`) and canonical JSON of
+what stands in that table of the configuration file, every field written out: a default that changes with
+the program must not change what was committed. `members.NAME` names subscribers and stands in no
+configuration; it is passed over here. What entries hold they hold whole: a tenant without an entry is none.
+`zones` or `rules` without an entry stay as the configuration has them.
 
-Whatever stands in a row is checked by the charter's own checker, and the whole charter with it. No I/O.
+Whatever stands in an entry is checked as the configuration file's tables are, and the whole configuration
+with it. Called by `config/dispatcher.py` and by config servers. No I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from msgspec.structs import replace
@@ -38,111 +40,100 @@
 SOURCE_NAME = "shared settings"  # in the place of a file's name, in faults
 
 
+# Units of durations, with their ticks; the first that divides a duration is written.
+_DURATION_UNITS = (("s", 10_000), ("ms", 10), ("us", 1))
+_MICROSECONDS_PER_TICK = 100
+_MAX_QUOTA_RATE = 1_000_000  # units a second
+
+
+class CheckedEntries(NamedTuple):
+    """Entries that fit together, with the configuration that was made of them."""
+
+    configuration: Configuration
+    entries: Mapping[str, bytes]
+
+
 def _plain(value: Any) -> Any:
-    """As TOML would have it: durations by their unit, without loss."""
+    """Returns a value as TOML would have it: durations by their unit, without loss."""
     if isinstance(value, Duration):
-        unit, ticks = next(
-            (unit, ticks) for unit, ticks in (("s", 10_000), ("ms", 10), ("us", 1)) if value % ticks == 0
-        )
-        return f"{value // ticks * (100 if unit == 'us' else 1)}{unit}"
+        unit, ticks = next((unit, ticks) for unit, ticks in _DURATION_UNITS if value % ticks == 0)
+        return f"{value // ticks * (_MICROSECONDS_PER_TICK if unit == 'us' else 1)}{unit}"
     return value
 
 
-def _row(form: RequestClassTable | TenantTable | Rules) -> bytes:
-    """Without its name, which is the key's, and without what is none."""
-    told = {
+def _encode_table(table: RequestClassTable | TenantTable | Rules) -> bytes:
+    """Returns a table as an entry's value, without its name, which is the key's, and without what is None."""
+    fields = {
         name: _plain(value)
-        for name in form.__struct_fields__
-        if name != "name" and (value := getattr(form, name)) is not None
+        for name in table.__struct_fields__
+        if name != "name" and (value := getattr(table, name)) is not None
     }
-    return _json(told)
+    return _encode_json(fields)
 
 
-def _json(value: Any) -> bytes:
+def _encode_json(value: Any) -> bytes:
     return msgspec.json.encode(value, order="deterministic")
 
 
-def entries_of(charter: Configuration) -> dict[str, bytes]:
-    """What of a charter is shared, by key."""
-    rows = {f"customers.{one.name}": _row(one) for one in charter.customers}
-    rows |= {f"schemes.{one.name}": _row(one) for one in charter.schemes}
-    if charter.fleet is not None:
-        rows |= {f"budgets.{name}": _json(rate) for name, rate in charter.fleet.budgets.items()}
-    return rows | {"zones": _json(charter.zones), "rules": _row(charter.rules)}
+def entries_of(configuration: Configuration) -> dict[str, bytes]:
+    """Returns what of a configuration is shared, by key."""
+    entries = {f"customers.{one.name}": _encode_table(one) for one in configuration.customers}
+    entries |= {f"schemes.{one.name}": _encode_table(one) for one in configuration.schemes}
+    if configuration.fleet is not None:
+        entries |= {
+            f"budgets.{name}": _encode_json(rate) for name, rate in configuration.fleet.budgets.items()
+        }
+    return entries | {
+        "zones": _encode_json(configuration.zones),
+        "rules": _encode_table(configuration.rules),
+    }
 
 
 def changed_entries(before: Configuration, after: Configuration) -> list[tuple[str, bytes | None]]:
-    """The rows that differ, by key, as a group puts them; None: the row goes."""
+    """Returns the entries that differ, by key, as a change set puts them; None: the entry is removed."""
     old, new = entries_of(before), entries_of(after)
     return [(key, new.get(key)) for key in sorted(old.keys() | new.keys()) if old.get(key) != new.get(key)]
 
 
 def restart_required(before: Configuration, after: Configuration) -> list[str]:
-    """The keys that differ and ask for a restart, a line each: `key: why`."""
+    """Returns the keys that differ and ask for a restart, a line each: `key: why`."""
     return [f"{key}: {why}" for key, why in reload.restart_reasons(before, after).items()]
 
 
 def configuration_with(
-    charter: Configuration, rows: Mapping[str, bytes], stands: Mapping[str, bytes] | None = None
+    configuration: Configuration, entries: Mapping[str, bytes], known: Mapping[str, bytes] | None = None
 ) -> Configuration:
-    """The charter with these rows in place of its own; `charter` itself is left as it is.
+    """Returns the configuration with these entries in place of its own.
+
+    Args:
+        configuration: It is left as it is.
+        entries: All of them, by key.
+        known: The entries that `configuration` has, where the caller knows them: what has the same value
+            there is not read again.
 
-    stands: the rows that `charter` stands for, where the caller has them: what has the same value there isn't read again.
-    Raises Faulty, each fault a line with its key.
+    Raises:
+        InvalidConfigError: Each fault is a line with its key.
     """
-    known = entries_of(charter) if stands is None else stands
-    had: dict[str, Any] = {f"customers.{one.name}": one for one in charter.customers}
-    had |= {f"schemes.{one.name}": one for one in charter.schemes}
-    faults: list[ConfigKeyError] = []
-    made: dict[str, list[Any]] = {"customers": [], "schemes": []}
-    budgets: dict[str, int] = {}
-    zones, rules = charter.zones, charter.rules
-    for key in sorted(rows):
-        table, _, name = key.partition(".")
-        value = rows[key]
-        if table in made and name:
-            if known.get(key) == value and key in had:
-                made[table].append(had[key])
-            elif (one := _read(NAMED_TABLES[table], key, value, faults, name)) is not None:
-                made[table].append(one)
-        elif table == "budgets" and name:
-            budgets[name] = _json_at(key, value, faults)
-        elif key == "zones":
-            zones = zones if known.get(key) == value else _json_at(key, value, faults)
-        elif key == "rules":
-            rules = rules if known.get(key) == value else _read(Rules, key, value, faults)
-        elif table != "members" or not name:
-            faults.append(
-                UnknownKeyError(
-                    SOURCE_NAME,
-                    key,
-                    hint="known are customers.NAME, schemes.NAME, budgets.NAME, zones, rules",
-                )
-            )
-    fleet = _fleet(charter, budgets, faults)
-    if not (isinstance(zones, list) and all(isinstance(zone, str) for zone in zones)):
-        faults.append(
-            WrongTypeError(SOURCE_NAME, "zones", shown=display_value(zones), may="a list, each a text")
-        )
-    if faults:
-        raise InvalidConfigError(faults)
-    found = replace(
-        charter, customers=made["customers"], schemes=made["schemes"], zones=zones, rules=rules, fleet=fleet
-    )
-    amiss = [_keyed(one, found) for one in found.amiss()]
-    if amiss:
-        raise InvalidConfigError(amiss)
-    return found
+    reader = _EntryReader(configuration, entries_of(configuration) if known is None else known)
+    for key in sorted(entries):
+        reader.read(key, entries[key])
+    return reader.finish()
+
+
+def check_consistency(entries: Mapping[str, bytes], before: CheckedEntries | None = None) -> CheckedEntries:
+    """Checks whether entries fit together, in a configuration that says the least of all else.
 
+    What only a subscriber's own configuration tells (its machines, its zone, its parts of quotas) is not
+    checked, nor that no request class is there yet.
 
-def check_consistency(
-    rows: Mapping[str, bytes], before: tuple[Configuration, Mapping[str, bytes]] | None = None
-) -> tuple[Configuration, Mapping[str, bytes]]:
-    """Whether rows fit together, in a charter that says of all else the least; what was made of them, for the next call's
-    `before`, which spares reading again what hasn't changed. What only a member's own charter tells (its machines, its zone,
-    its parts of budgets) isn't judged, nor that no scheme is there yet. Raises Faulty, each fault a line with its key.
+    Args:
+        entries: All of them, by key.
+        before: What the last call returned; it spares reading again what has not changed.
+
+    Raises:
+        InvalidConfigError: Each fault is a line with its key.
     """
-    made, stands = before or (
+    configuration, known = before or CheckedEntries(
         Configuration(
             listen="127.0.0.1:1",
             discovery="127.0.0.1:1",
@@ -151,30 +142,89 @@
         ),
         {},
     )
-    if not any(key.startswith("schemes.") for key in rows):
-        rows = {**rows, "schemes.any": b'{"expiry":"10s","semantics":"repeatable","sla":"2s"}'}
+    if not any(key.startswith("schemes.") for key in entries):
+        entries = {**entries, "schemes.any": b'{"expiry":"10s","semantics":"repeatable","sla":"2s"}'}
     machines: dict[str, None] = {}
-    for key, value in rows.items():
-        if key.startswith("schemes.") and isinstance(told := _json_at(key, value, []), dict):
-            machines |= {one: None for one in [told.get("machine")] if isinstance(one, str)}
-    # Of zones and rules without a row the defaults hold, not those of the revision before.
+    for key, value in entries.items():
+        if key.startswith("schemes.") and isinstance(table := _decode_json(key, value, []), dict):
+            machines |= {one: None for one in [table.get("machine")] if isinstance(one, str)}
+    # Of zones and rules without an entry the defaults hold, not those of the revision before.
     blank = Configuration(listen="127.0.0.1:1", discovery="127.0.0.1:1", schemes=[])
-    stands = {key: value for key, value in stands.items() if key.partition(".")[0] in NAMED_TABLES}
-    return configuration_with(
-        replace(made, machines=list(machines), zones=blank.zones, rules=blank.rules), rows, stands
-    ), rows
+    known = {key: value for key, value in known.items() if key.partition(".")[0] in NAMED_TABLES}
+    configuration = replace(configuration, machines=list(machines), zones=blank.zones, rules=blank.rules)
+    return CheckedEntries(configuration_with(configuration, entries, known), entries)
+
+
+class _EntryReader:
+    """Reads entries, one after another, into a copy of a configuration; collects the faults."""
+
+    def __init__(self, configuration: Configuration, known: Mapping[str, bytes]) -> None:
+        self.configuration, self.known = configuration, known
+        self.present: dict[str, Any] = {f"customers.{one.name}": one for one in configuration.customers}
+        self.present |= {f"schemes.{one.name}": one for one in configuration.schemes}
+        self.faults: list[ConfigKeyError] = []
+        self.tables: dict[str, list[Any]] = {"customers": [], "schemes": []}
+        self.budgets: dict[str, int] = {}
+        self.zones, self.rules = configuration.zones, configuration.rules
+
+    def read(self, key: str, value: bytes) -> None:
+        """Reads one entry."""
+        table, _, name = key.partition(".")
+        is_known = self.known.get(key) == value
+        if table in self.tables and name:
+            if is_known and key in self.present:
+                self.tables[table].append(self.present[key])
+            elif (one := _read_table(NAMED_TABLES[table], key, value, self.faults, name)) is not None:
+                self.tables[table].append(one)
+        elif table == "budgets" and name:
+            self.budgets[name] = _decode_json(key, value, self.faults)
+        elif key == "zones":
+            self.zones = self.zones if is_known else _decode_json(key, value, self.faults)
+        elif key == "rules":
+            self.rules = self.rules if is_known else _read_table(Rules, key, value, self.faults)
+        elif table != "members" or not name:
+            self.faults.append(
+                UnknownKeyError(
+                    SOURCE_NAME,
+                    key,
+                    hint="known are customers.NAME, schemes.NAME, budgets.NAME, zones, rules",
+                )
+            )
+
+    def finish(self) -> Configuration:
+        """Returns the configuration; raises InvalidConfigError with all faults."""
+        fleet = _fleet_with(self.configuration, self.budgets, self.faults)
+        zones = self.zones
+        if not (isinstance(zones, list) and all(isinstance(zone, str) for zone in zones)):
+            self.faults.append(
+                WrongTypeError(SOURCE_NAME, "zones", shown=display_value(zones), may="a list, each a text")
+            )
+        if self.faults:
+            raise InvalidConfigError(self.faults)
+        found = replace(
+            self.configuration,
+            customers=self.tables["customers"],
+            schemes=self.tables["schemes"],
+            zones=zones,
+            rules=self.rules,
+            fleet=fleet,
+        )
+        invalid = [_with_entry_key(one, found) for one in found.amiss()]
+        if invalid:
+            raise InvalidConfigError(invalid)
+        return found
 
 
-def _keyed(amiss: InvalidValueError, charter: Configuration) -> ConfigKeyError:
-    """Under the row's key: an operator of shared settings knows no places in a list."""
-    table, bracket, rest = amiss.key.partition("[")
+def _with_entry_key(fault: InvalidValueError, configuration: Configuration) -> ConfigKeyError:
+    """Returns the fault under the entry's key: an operator of shared settings knows no places in a list."""
+    table, bracket, rest = fault.key.partition("[")
     if bracket:
-        place, _, field = rest.partition("]")
-        amiss.key = f"{table}.{getattr(charter, table)[int(place)].name}{field}"
-    return amiss.of(SOURCE_NAME, "")
+        index, _, field = rest.partition("]")
+        fault.key = f"{table}.{getattr(configuration, table)[int(index)].name}{field}"
+    return fault.of(SOURCE_NAME, "")
 
 
-def _json_at(key: str, value: bytes, faults: list[ConfigKeyError]) -> Any:
+def _decode_json(key: str, value: bytes, faults: list[ConfigKeyError]) -> Any:
     try:
         return msgspec.json.decode(value)
     except (msgspec.DecodeError, RecursionError) as fault:
@@ -182,29 +232,30 @@
         return None
 
 
-def _read(kind: type[Any], key: str, value: bytes, faults: list[ConfigKeyError], name: str = "") -> Any:
-    """One row by the charter's checker."""
+def _read_table(kind: type[Any], key: str, value: bytes, faults: list[ConfigKeyError], name: str = "") -> Any:
+    """Reads one entry as the configuration file's table; None, and a fault, where it is none."""
     before = len(faults)
-    told = _json_at(key, value, faults)
+    table = _decode_json(key, value, faults)
     if len(faults) > before:
         return None
-    if not isinstance(told, dict):
-        faults.append(WrongTypeError(SOURCE_NAME, key, shown=display_value(told), may="a table"))
+    if not isinstance(table, dict):
+        faults.append(WrongTypeError(SOURCE_NAME, key, shown=display_value(table), may="a table"))
         return None
-    if name and "name" in told:
+    if name and "name" in table:
         faults.append(UnknownKeyError(SOURCE_NAME, f"{key}.name", hint="the name is the key's"))
         return None
     try:
-        return validate(kind, {**told, "name": name} if name else told, SOURCE_NAME, key)
+        return validate(kind, {**table, "name": name} if name else table, SOURCE_NAME, key)
     except InvalidConfigError as fault:
         faults += fault.faults
         return None
 
 
-def _fleet(
-    charter: Configuration, budgets: dict[str, int], faults: list[ConfigKeyError]
+def _fleet_with(
+    configuration: Configuration, budgets: dict[str, int], faults: list[ConfigKeyError]
 ) -> FleetTable | None:
-    if charter.fleet is None:
+    """Returns the configuration's fleet with these quotas; adds what is wrong to the faults."""
+    if configuration.fleet is None:
         if budgets:
             faults.append(
                 MissingKeyError(
@@ -212,10 +263,10 @@
                 )
             )
         return None
-    if budgets == charter.fleet.budgets:
-        return charter.fleet
+    if budgets == configuration.fleet.budgets:
+        return configuration.fleet
     for name, rate in budgets.items():
-        if type(rate) is not int or not 1 <= rate <= 1_000_000:
+        if type(rate) is not int or not 1 <= rate <= _MAX_QUOTA_RATE:
             faults.append(
                 WrongTypeError(
                     SOURCE_NAME,
@@ -224,7 +275,7 @@
                     may="a whole number at least 1 at most 1e+06",
                 )
             )
-    found = replace(charter.fleet, budgets=budgets)
+    found = replace(configuration.fleet, budgets=budgets)
     if not faults:
         faults += [one.of(SOURCE_NAME, "fleet") for one in found.amiss()]
     return found
--- a/pathsaddle/settings/disk.py
+++ b/pathsaddle/settings/disk.py
@@ -1,17 +1,20 @@
-"""A process's folder: rows and groups committed, a keeper's offers, the number of its life.
+"""The directory of one config server or subscriber.
 
-`snapshot`: rows at one revision. `log`: frames of groups that follow, one frame for all that one call had to write.
-`offers`: groups that aren't committed. A frame: its length and the CRC-32 of those four bytes, a blake2b-16 of the body, the
-body (msgpack). Snapshot, offers, and a log that begins anew take their predecessor's place whole: written, synced,
-renamed, the folder synced.
+It has the committed entries and change sets, the proposals, and the incarnation.
 
-Bound: what `write` returned from is there after a crash. A crash within `write` leaves the log's last frame torn, and no
-other: it is cut off, so that a batch counts whole or not at all. Anything else that isn't as written is NoDisk: a process
-that went on with half of its groups would act on what was told to be over. A disk that loses what it synced, and in the
-last frame alone, can't be told from a crash.
+`snapshot`: entries at one revision. `log`: frames of the change sets that follow, one frame for all that
+one call had to write. `offers`: proposals, that is change sets that are not committed. A frame: its length
+and the CRC-32 of those four bytes, a blake2b-16 of the body, the body (msgpack). Snapshot, offers, and a
+log that begins anew take their predecessor's place whole: written, synced, renamed, the directory synced.
 
-Two files are never renamed at once: a log may still have groups that a newer snapshot has in it. They are passed over, and
-what follows must follow.
+Bound: what `write` returned from is there after a crash. A crash within `write` leaves the log's last frame
+torn, and no
+other: it is cut off, so that a batch counts whole or not at all. Anything else that is not as written
+raises StorageError: a process that went on with half of its change sets would act on what was proven to be
+over. A disk that loses what it synced, and in the last frame alone, can't be told from a crash.
+
+Two files are never renamed at once: a log may still have change sets that a newer snapshot has in it. They
+are passed over, and what follows must follow. Called by the drivers, `write` on a thread of its own.
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 import zlib
 from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import TypeVar
+from typing import NamedTuple, TypeVar
 
 import msgspec
 
@@ -37,216 +40,259 @@
     encode_document,
 )
 from pathsaddle.settings.errors import StorageError
-from pathsaddle.settings.store import LOG, Store
-from pathsaddle.settings.sync import MAX_PROPOSALS, DiskWrite
+from pathsaddle.settings.output import DiskWrite
+from pathsaddle.settings.proposals import MAX_PROPOSALS
+from pathsaddle.settings.store import MAX_LOG_CHANGESETS, Store
 
-HEAD = 24
-MOST = 1 << 30  # bytes of a frame
+HEADER_BYTES = 24  # length, its CRC-32, hash of the body
+HASH_BYTES = 16
 T = TypeVar("T")
 _encode = msgspec.msgpack.Encoder().encode
-_bodies = msgspec.msgpack.Decoder(tuple[bytes, ...]).decode
+_decode_batch = msgspec.msgpack.Decoder(tuple[bytes, ...]).decode
+
+
+class Frames(NamedTuple):
+    """The bodies of a file's frames, and the byte at which a torn tail begins.
+
+    That is the end, where there is none.
+    """
+
+    bodies: list[bytes]
+    end: int
 
 
-def framed(body: bytes) -> bytes:
+def frame(body: bytes) -> bytes:
+    """Returns the frame around a body."""
     length = len(body).to_bytes(4, "big")
-    return (
-        length + zlib.crc32(length).to_bytes(4, "big") + hashlib.blake2b(body, digest_size=16).digest() + body
-    )
+    checksum = zlib.crc32(length).to_bytes(4, "big")
+    return length + checksum + hashlib.blake2b(body, digest_size=HASH_BYTES).digest() + body
 
 
-def frames(data: bytes) -> tuple[list[bytes], int]:
-    """The bodies, and at which byte a torn tail begins (the end, where none is). Raises Wrong where anything but the last
-    frame is amiss.
+def read_frames(data: bytes) -> Frames:
+    """Reads a file's frames.
+
+    Raises InvalidDocumentError where anything but the last frame is not as written.
     """
-    found: list[bytes] = []
+    bodies: list[bytes] = []
     at = 0
     while at < len(data):
-        head = data[at : at + HEAD]
-        if len(head) < HEAD or (
-            not any(head) and not any(data[at:])
-        ):  # or space that was given and never written
+        header = data[at : at + HEADER_BYTES]
+        is_unwritten = not any(header) and not any(data[at:])  # space that was given and never written
+        if len(header) < HEADER_BYTES or is_unwritten:
             break
-        length = int.from_bytes(head[:4], "big")
-        if zlib.crc32(head[:4]) != int.from_bytes(head[4:8], "big"):
+        length = int.from_bytes(header[:4], "big")
+        if zlib.crc32(header[:4]) != int.from_bytes(header[4:8], "big"):
             raise InvalidDocumentError(f"no frame begins at byte {at}")
-        body = data[at + HEAD : at + HEAD + length]
+        body = data[at + HEADER_BYTES : at + HEADER_BYTES + length]
         if len(body) < length:
             break
-        if hashlib.blake2b(body, digest_size=16).digest() != head[8:]:
-            if at + HEAD + length == len(data):
+        if hashlib.blake2b(body, digest_size=HASH_BYTES).digest() != header[8:]:
+            if at + HEADER_BYTES + length == len(data):
                 break
             raise InvalidDocumentError(f"the frame at byte {at} isn't what its sum says")
-        found.append(body)
-        at += HEAD + length
-    return found, at
+        bodies.append(body)
+        at += HEADER_BYTES + length
+    return Frames(bodies, at)
 
 
 class SettingsDirectory:
-    """One process's. `store`, `offers`: what `load` found; the core that `store` is handed to has it from then on."""
+    """One process's directory.
+
+    Attributes:
+        store: What `load` found as committed; the core that it is handed to has it from then on.
+        proposals: What `load` found besides, and what was written since.
+        log_count: Change sets in the log's file.
+        last_revision: The highest one on disk.
+    """
 
-    def __init__(self, folder: Path, name: str, at: str, *, keep: int = LOG) -> None:
-        """at: the key and file that name the folder, for an operator. keep: groups that stay in the log. Raises NoDisk."""
-        self.folder, self.name, self.at, self.keep = folder, name, at, keep
-        self.lives = IncarnationStore(folder, name)
+    def __init__(
+        self, directory: Path, name: str, location: str, *, max_log: int = MAX_LOG_CHANGESETS
+    ) -> None:
+        """Makes the directory, if it is not there, and reads it.
+
+        Args:
+            directory: Of this process alone.
+            name: Of this process.
+            location: The key and file that name the directory, for an operator.
+            max_log: Change sets that stay in the log.
+
+        Raises:
+            StorageError: It can't be read or made, or is not as it was written.
+        """
+        self.directory, self.name, self.location, self.max_log = directory, name, location, max_log
+        self._incarnations = IncarnationStore(directory, name)
         self._log = -1
         self.load()
 
     def load(self) -> None:
-        """What the disk has, anew. Raises NoDisk."""
+        """Reads what the disk has, anew; raises StorageError."""
         self.close()
-        self._had(self._opens)
+        self._run(self._open_log)
         try:
-            snapshot = self._snapshot()
-            groups = self._groups(snapshot)
-            self.store = Store(snapshot, groups, keep=self.keep)
-            offers = [decode_changeset(body) for body in self._frames("offers")]
+            snapshot = self._read_snapshot()
+            changesets = self._read_log(snapshot)
+            self.store = Store(snapshot, changesets, max_log=self.max_log)
+            proposals = [decode_changeset(body) for body in self._read_file("offers")]
         except InvalidDocumentError as fault:
             raise StorageError(
-                f"{self.folder}: {fault}",
+                f"{self.directory}: {fault}",
                 "move the folder away, keep it for who looks into this, and start again: what is "
-                f"committed comes from the keepers; its place is said at {self.at}",
+                f"committed comes from the keepers; its place is said at {self.location}",
             ) from None
-        self.offers = [one for one in offers if one.revision > self.store.revision]
-        self.count, self.last = len(groups), self.store.revision
-
-    def _opens(self) -> None:
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self._log = os.open(self.folder / "log", os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
-        self._syncs()
-
-    def life(self, least: int) -> int:
-        """A number above any earlier one's, kept before it is told to anybody. Raises NoDisk."""
-        life = max(self.lives.last() + 1, least)
-        self._had(lambda: self.lives.keep(life))
-        return life
-
-    def age(self, now: float) -> int | None:
-        """Milliseconds since `log` or `snapshot` was last written; now: seconds since 1970. None: nothing is there."""
+        self.proposals = [one for one in proposals if one.revision > self.store.revision]
+        self.log_count, self.last_revision = len(changesets), self.store.revision
+
+    def next_incarnation(self, at_least: int) -> int:
+        """Returns a number above any earlier run's, which is on disk then; raises StorageError."""
+        incarnation = max(self._incarnations.last() + 1, at_least)
+        self._run(lambda: self._incarnations.keep(incarnation))
+        return incarnation
+
+    def age_ms(self, now: float) -> int | None:
+        """Returns the milliseconds since `log` or `snapshot` was last written; None: nothing is there.
+
+        Args:
+            now: Seconds since 1970 UTC.
+        """
         if not self.store.revision:
             return None
-        times = [
-            path.stat().st_mtime for path in (self.folder / "log", self.folder / "snapshot") if path.exists()
-        ]
+        paths = (self.directory / "log", self.directory / "snapshot")
+        times = [path.stat().st_mtime for path in paths if path.exists()]
         return max(0, int((now - max(times)) * 1000))
 
     def write(self, writes: Sequence[DiskWrite]) -> None:
-        """All of it, in order, synced. Raises NoDisk; then nothing may be said that goes by it, and `load` is due."""
-        self._had(lambda: self._writes(writes))
+        """Writes all, in order, and syncs.
+
+        Raises:
+            StorageError: Nothing may be said that goes by these writes, and `load` is due.
+        """
+        self._run(lambda: self._write(writes))
 
     def close(self) -> None:
+        """Closes the log's file."""
         if self._log >= 0:
             os.close(self._log)
             self._log = -1
 
-    # Within
-
-    def _writes(self, writes: Sequence[DiskWrite]) -> None:
+    def _write(self, writes: Sequence[DiskWrite]) -> None:
         batch: list[ChangeSet] = []
-        offers = list(self.offers)
-        last = self.last
-        for one in writes:
-            if one.snapshot is not None:
+        proposals = list(self.proposals)
+        last = self.last_revision
+        for write in writes:
+            changeset = write.changeset
+            if write.snapshot is not None:
                 batch = []  # what came before it is in it
-                self._replaces("snapshot", framed(encode_document(one.snapshot)))
-                self._begins_log(())
-                self.count, last = 0, one.snapshot.revision
-            elif one.group is not None and one.committed:
-                batch.append(one.group)
-                last = one.group.revision
-            elif one.group is not None:
-                if one.over:  # as the core has it: what may be committed stays, however old
-                    offers = [held for held in offers if digest_of(held) not in one.over]
-                offers.append(one.group)
+                self._replace_file("snapshot", frame(encode_document(write.snapshot)))
+                self._restart_log(())
+                self.log_count, last = 0, write.snapshot.revision
+            elif changeset is not None and write.is_committed:
+                batch.append(changeset)
+                last = changeset.revision
+            elif changeset is not None:
+                if write.replaced_digests:  # as the core has it: what may be committed stays, however old
+                    proposals = [one for one in proposals if digest_of(one) not in write.replaced_digests]
+                proposals.append(changeset)
         if batch:
-            self._appends(batch)
-        self.last = last
-        offers = [one for one in offers if one.revision > last][-MAX_PROPOSALS:]
-        if offers != self.offers:
-            self._replaces("offers", b"".join(framed(encode_document(one)) for one in offers))
-            self.offers = offers
-        if self.count > 2 * self.keep:
-            self._compacts()
-
-    def _appends(self, groups: Sequence[ChangeSet]) -> None:
-        data = memoryview(framed(_encode([encode_document(one) for one in groups])))
+            self._append(batch)
+        self.last_revision = last
+        proposals = [one for one in proposals if one.revision > last][-MAX_PROPOSALS:]
+        if proposals != self.proposals:
+            self._replace_file("offers", b"".join(frame(encode_document(one)) for one in proposals))
+            self.proposals = proposals
+        if self.log_count > 2 * self.max_log:
+            self._compact()
+
+    def _append(self, changesets: Sequence[ChangeSet]) -> None:
+        data = memoryview(_log_frame(changesets))
         while data:
             data = data[os.write(self._log, data) :]
         os.fsync(self._log)
-        self.count += len(groups)
-
-    def _compacts(self) -> None:
-        snapshot = self._snapshot()
-        groups = self._groups(snapshot)
-        store = Store(snapshot, groups[: -self.keep], keep=1)
-        self._replaces("snapshot", framed(encode_document(store.snapshot())))
-        self._begins_log(groups[-self.keep :])
-        self.count = self.keep
-
-    def _begins_log(self, groups: Sequence[ChangeSet]) -> None:
-        self._replaces("log", framed(_encode([encode_document(one) for one in groups])) if groups else b"")
+        self.log_count += len(changesets)
+
+    def _compact(self) -> None:
+        snapshot = self._read_snapshot()
+        changesets = self._read_log(snapshot)
+        store = Store(snapshot, changesets[: -self.max_log], max_log=1)
+        self._replace_file("snapshot", frame(encode_document(store.snapshot())))
+        self._restart_log(changesets[-self.max_log :])
+        self.log_count = self.max_log
+
+    def _open_log(self) -> None:
+        self.directory.mkdir(parents=True, exist_ok=True)
+        self._log = os.open(self.directory / "log", os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
+        self._sync_directory()
+
+    def _restart_log(self, changesets: Sequence[ChangeSet]) -> None:
+        self._replace_file("log", _log_frame(changesets) if changesets else b"")
         os.close(self._log)
-        self._opens()
+        self._open_log()
 
-    def _snapshot(self) -> Snapshot | None:
-        found = self._frames("snapshot")
-        if len(found) > 1:
+    def _read_snapshot(self) -> Snapshot | None:
+        bodies = self._read_file("snapshot")
+        if len(bodies) > 1:
             raise InvalidDocumentError("snapshot: more than one frame")
-        return decode_snapshot(found[0]) if found else None
+        return decode_snapshot(bodies[0]) if bodies else None
 
-    def _groups(self, snapshot: Snapshot | None) -> list[ChangeSet]:
-        """The log's, after the snapshot. Cuts off a torn tail."""
-        data = self._had(lambda: (self.folder / "log").read_bytes())
+    def _read_log(self, snapshot: Snapshot | None) -> list[ChangeSet]:
+        """The log's change sets after the snapshot. Cuts off a torn tail."""
+        data = self._run((self.directory / "log").read_bytes)
         try:
-            bodies, end = frames(data)
+            bodies, end = read_frames(data)
             if end < len(data):
-                self._had(lambda: self._cuts(end))
-            found = [decode_changeset(body) for many in bodies for body in _bodies(many)]
+                self._run(lambda: self._cut_log(end))
+            found = [decode_changeset(one) for body in bodies for one in _decode_batch(body)]
         except (InvalidDocumentError, msgspec.DecodeError, msgspec.ValidationError) as fault:
             raise InvalidDocumentError(f"log: {fault}") from None
         at = snapshot.revision if snapshot is not None else 0
-        for one in found:
-            if snapshot is not None and one.revision == at and digest_of(one) != snapshot.digest:
+        for changeset in found:
+            if snapshot is not None and changeset.revision == at and digest_of(changeset) != snapshot.digest:
                 raise InvalidDocumentError(f"log: its revision {at} isn't the snapshot's")
-        return [one for one in found if one.revision > at]
+        return [changeset for changeset in found if changeset.revision > at]
 
-    def _cuts(self, end: int) -> None:
+    def _cut_log(self, end: int) -> None:
         os.ftruncate(self._log, end)
         os.fsync(self._log)
 
-    def _frames(self, name: str) -> list[bytes]:
-        """Of a file that is replaced whole: nothing in it may be torn."""
-        path = self.folder / name
-        if not self._had(path.exists):
+    def _read_file(self, name: str) -> list[bytes]:
+        """The frames of a file that is replaced whole: nothing in it may be torn."""
+        path = self.directory / name
+        if not self._run(path.exists):
             return []
-        data = self._had(path.read_bytes)
+        data = self._run(path.read_bytes)
         try:
-            found, end = frames(data)
+            bodies, end = read_frames(data)
         except InvalidDocumentError as fault:
             raise InvalidDocumentError(f"{name}: {fault}") from None
         if end < len(data):
             raise InvalidDocumentError(f"{name}: it ends within a frame")
-        return found
+        return bodies
 
-    def _replaces(self, name: str, data: bytes) -> None:
-        new = self.folder / f"{name}.new"
+    def _replace_file(self, name: str, data: bytes) -> None:
+        new = self.directory / f"{name}.new"
         with new.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        new.replace(self.folder / name)
-        self._syncs()
+        new.replace(self.directory / name)
+        self._sync_directory()
 
-    def _syncs(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+    def _sync_directory(self) -> None:
+        handle = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(handle)
         finally:
             os.close(handle)
 
-    def _had(self, call: Callable[[], T]) -> T:
+    def _run(self, call: Callable[[], T]) -> T:
+        """Calls; an OSError becomes a StorageError that names the directory and where it is configured."""
         try:
             return call()
         except OSError as fault:
             raise StorageError(
-                f"{self.folder}: {why(fault)}", access(fault, self.folder, self.folder) + f", at {self.at}"
+                f"{self.directory}: {why(fault)}",
+                access(fault, self.directory, self.directory) + f", at {self.location}",
             ) from None
+
+
+def _log_frame(changesets: Sequence[ChangeSet]) -> bytes:
+    return frame(_encode([encode_document(changeset) for changeset in changesets]))
--- a/pathsaddle/settings/store.py
+++ b/pathsaddle/settings/store.py
@@ -1,7 +1,10 @@
-"""What keepers and members have on disk: rows at the highest committed revision they have, and a bounded log that led there.
+"""What config servers and subscribers have on disk.
 
-No I/O: the driver keeps what `Write`s say (settings/sync.py) and hands in what it found. `append` takes a group whole or
-raises; the log holds LOG groups at most, older ones are compacted into the rows.
+That is the entries at their highest committed revision, and a bounded log.
+
+The log has the change sets that led there. The driver writes what `DiskWrite`s say (output.py) and hands in
+what it found. `append` takes a change set whole or raises; the log holds MAX_LOG_CHANGESETS at most, older
+ones are compacted into the entries. No I/O.
 """
 
 from __future__ import annotations
@@ -11,8 +14,11 @@
 from pathsaddle.settings.active_terms import ActiveTerms
 from pathsaddle.settings.documents import (
     MAX_ENTRIES,
+    Change,
     ChangeSet,
     InvalidDocumentError,
+    Link,
+    RevisionId,
     Snapshot,
     decode_value,
     digest_of,
@@ -20,84 +26,134 @@
     validated,
 )
 
-LOG = 1024  # groups
+MAX_LOG_CHANGESETS = 1024
 
 
 class Store:
-    """revision, digest: of the highest group. terms: the rows there. log: the groups up to it, lowest first."""
+    """Entries at one revision, and the change sets that led there.
+
+    Attributes:
+        revision: Of the highest change set.
+        digest: Of that change set.
+        terms: The entries there.
+        log: The change sets up to it, lowest first, each with its digest.
+        max_log: How many change sets stay in the log.
+    """
 
     def __init__(
-        self, snapshot: Snapshot | None = None, log: Iterable[ChangeSet] = (), *, keep: int = LOG
+        self,
+        snapshot: Snapshot | None = None,
+        log: Iterable[ChangeSet] = (),
+        *,
+        max_log: int = MAX_LOG_CHANGESETS,
     ) -> None:
-        """keep: groups in the log. Raises Wrong where they don't follow one another."""
+        """Begins by a snapshot and the change sets after it.
+
+        Raises:
+            InvalidDocumentError: They do not follow one another.
+        """
         snapshot = snapshot or Snapshot(0, "")
-        self.revision, self.digest, self.keep = snapshot.revision, snapshot.digest, keep
-        self.terms = ActiveTerms(dict(snapshot.rows))
-        self.log: tuple[tuple[str, ChangeSet], ...] = ()  # each with its digest
-        for group in log:
-            self.append(group)
+        self.revision, self.digest, self.max_log = snapshot.revision, snapshot.digest, max_log
+        self.terms = ActiveTerms(dict(snapshot.entries))
+        self.log: tuple[tuple[str, ChangeSet], ...] = ()
+        for changeset in log:
+            self.append(changeset)
+
+    @property
+    def id(self) -> RevisionId:
+        """The revision and digest of the highest change set."""
+        return RevisionId(self.revision, self.digest)
+
+    @property
+    def next_link(self) -> Link:
+        """The place of the change set that may come next."""
+        return Link(self.revision + 1, self.digest)
 
     def copy(self) -> Store:
-        made = Store.__new__(Store)
-        made.revision, made.digest, made.keep = self.revision, self.digest, self.keep
-        made.terms, made.log = self.terms, self.log
-        return made
-
-    def fits(self, group: ChangeSet) -> None:
-        """Raises Wrong where it can't be the next."""
-        validated(group)
-        if (group.revision, group.before) != (self.revision + 1, self.digest):
+        """Returns another store with the same content."""
+        copied = Store.__new__(Store)
+        copied.revision, copied.digest, copied.max_log = self.revision, self.digest, self.max_log
+        copied.terms, copied.log = self.terms, self.log
+        return copied
+
+    def check_next(self, changeset: ChangeSet) -> None:
+        """Raises InvalidDocumentError where the change set can't be the next."""
+        validated(changeset)
+        if changeset.link != self.next_link:
             raise InvalidDocumentError(
-                f"{group.revision} after {group.before or 'nothing'} doesn't follow {self.revision} {self.digest}"
+                f"{changeset.revision} after {changeset.previous_digest or 'nothing'} doesn't follow "
+                f"{self.revision} {self.digest}"
             )
-        rows = len(self.terms)
-        for put in group.puts:
-            was = self.terms.get(put.key)
-            rows += (put.value is not None) - (was is not None)
-            if put.value is None and was is None:
-                raise InvalidDocumentError(f"{put.key} is to be removed and isn't there")
-            if (
-                put.value is None
-                and put.key.startswith("members.")
-                and not decode_value(was or b"{}").get("gone")
-            ):
-                raise InvalidDocumentError(
-                    f'{put.key} can be removed once it says "gone": true, and not before'
-                )
-        if rows > MAX_ENTRIES:
-            raise InvalidDocumentError(f"{rows} rows, {MAX_ENTRIES} at most")
-
-    def append(self, group: ChangeSet, terms: ActiveTerms | None = None) -> ActiveTerms:
-        """Whole or not at all. terms: those after it, where they are made already. Raises Wrong."""
-        self.fits(group)
-        self.terms = terms if terms is not None else self.terms.after(group)
-        self.revision, self.digest = group.revision, digest_of(group)
-        self.log = (*self.log, (self.digest, group))[-self.keep :]
+        count = len(self.terms)
+        for change in changeset.changes:
+            before = self.terms.get(change.key)
+            count += (change.value is not None) - (before is not None)
+            if change.value is None:
+                _check_removal(change, before)
+        if count > MAX_ENTRIES:
+            raise InvalidDocumentError(f"{count} rows, {MAX_ENTRIES} at most")
+
+    def append(self, changeset: ChangeSet, terms: ActiveTerms | None = None) -> ActiveTerms:
+        """Takes the next change set, whole or not at all.
+
+        Args:
+            changeset: The next.
+            terms: The entries after it, where they are computed already.
+
+        Returns:
+            The entries after it.
+
+        Raises:
+            InvalidDocumentError: It can't be the next.
+        """
+        self.check_next(changeset)
+        self.terms = terms if terms is not None else self.terms.after(changeset)
+        self.revision, self.digest = changeset.revision, digest_of(changeset)
+        self.log = (*self.log, (self.digest, changeset))[-self.max_log :]
         return self.terms
 
-    def replaced(self, snapshot: Snapshot) -> ActiveTerms:
-        """By a snapshot of a higher revision; the log begins anew. Raises Wrong."""
+    def replace(self, snapshot: Snapshot) -> ActiveTerms:
+        """Takes a snapshot of a higher revision in place of all; the log begins anew.
+
+        Returns:
+            The entries there.
+
+        Raises:
+            InvalidDocumentError: Its revision is no higher.
+        """
         if snapshot.revision <= self.revision:
             raise InvalidDocumentError(f"a snapshot of {snapshot.revision}, with {self.revision} here")
         self.revision, self.digest, self.log = snapshot.revision, snapshot.digest, ()
-        self.terms = ActiveTerms(dict(snapshot.rows))
+        self.terms = ActiveTerms(dict(snapshot.entries))
         return self.terms
 
-    def since(self, revision: int) -> tuple[ChangeSet, ...] | None:
-        """The groups after it, lowest first; None: compacted away."""
+    def changesets_after(self, revision: int) -> tuple[ChangeSet, ...] | None:
+        """Returns the change sets after a revision, lowest first; None: some of them are compacted away."""
         first = self.revision - len(self.log)
         if revision < first:
             return None
-        return tuple(group for _, group in self.log[revision - first :])
+        return tuple(changeset for _, changeset in self.log[revision - first :])
+
+    def changeset_named(self, digest: str) -> ChangeSet | None:
+        """Returns the change set of the log that has this digest."""
+        return next((changeset for one, changeset in reversed(self.log) if one == digest), None)
 
     def digest_at(self, revision: int) -> str | None:
-        """None where it isn't known any more, or not yet."""
+        """Returns the digest of a revision; None where it is not known any more, or not yet."""
         if revision == self.revision:
             return self.digest
-        at = revision - (self.revision - len(self.log))
-        if at == 0 and self.log:
-            return self.log[0][1].before
-        return self.log[at - 1][0] if 0 < at <= len(self.log) else None
+        index = revision - (self.revision - len(self.log))
+        if index == 0 and self.log:
+            return self.log[0][1].previous_digest
+        return self.log[index - 1][0] if 0 < index <= len(self.log) else None
 
     def snapshot(self) -> Snapshot:
+        """Returns all entries as a document."""
         return snapshot_of(self.revision, self.digest, self.terms.rows())
+
+
+def _check_removal(change: Change, before: bytes | None) -> None:
+    if before is None:
+        raise InvalidDocumentError(f"{change.key} is to be removed and isn't there")
+    if change.key.startswith("members.") and not decode_value(before).get("gone"):
+        raise InvalidDocumentError(f'{change.key} can be removed once it says "gone": true, and not before')
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -59,8 +59,9 @@
 from pathsaddle.net.service.place import unhad
 from pathsaddle.settings.changes import changes_from_tables
 from pathsaddle.settings.cluster_file import load_cluster_file as settings_ground
-from pathsaddle.settings.driver import ConfigServerDriver, VoterConfig
-from pathsaddle.settings.driver import DriverConfig as SettingsTold
+from pathsaddle.settings.driver_config import DriverConfig as SettingsTold
+from pathsaddle.settings.register_session import VoterConfig
+from pathsaddle.settings.server_driver import ConfigServerDriver
 
 ROOT = Path(__file__).resolve().parent.parent
 GOOD = 'listen = "127.0.0.1:0"\ndiscovery = "127.0.0.1:9"\nname = "d"\n'
@@ -1184,10 +1185,10 @@
                 "settings.unfit",
                 "customers.b",
             )
-            with mock.patch.object(keepers.made[0], "_status", side_effect=ValueError("ours")):
+            with mock.patch.object(keepers.made[0], "status", side_effect=ValueError("ours")):
                 self.says(("settings", "status", *at), 1, "settings.defect", "ours", control[0])
             keepers.stops(1, 2)
-            with mock.patch("pathsaddle.settings.driver.WITHIN", 1.0):
+            with mock.patch("pathsaddle.settings.control_messages.CHANGE_TIMEOUT_SECONDS", 1.0):
                 self.says(
                     (*apply, self.file("[customers.b]", "b"), *at),
                     1,
--- a/tests/test_settings_batch.py
+++ b/tests/test_settings_batch.py
@@ -13,36 +13,40 @@
 
 from pathsaddle.errors import Error
 from pathsaddle.settings import commit_round
-from pathsaddle.settings.commit_round import (
-    ALREADY_COMMITTED,
-    REJECTED,
-    REVISION_CONFLICT,
-    UNCHANGED,
-    PendingChange,
-    plan_round,
-)
+from pathsaddle.settings.change_committer import ChangeCommitter
+from pathsaddle.settings.commit_round import PendingChange, Verdict, plan_round
+from pathsaddle.settings.control_messages import ApplyRequest, ChangeOutcome
 from pathsaddle.settings.disk import SettingsDirectory
-from pathsaddle.settings.documents import Change, ChangeSet, InvalidDocumentError, canonical, digest_of
-from pathsaddle.settings.driver import ConfigServerDriver
+from pathsaddle.settings.documents import (
+    Change,
+    ChangeSet,
+    InvalidDocumentError,
+    RevisionId,
+    canonical,
+    digest_of,
+    id_of,
+)
 from pathsaddle.settings.errors import (
     ChangeRejectedError,
     NoQuorumError,
     RevisionConflictError,
     ValidationError,
 )
-from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import (
+from pathsaddle.settings.messages import (
     MAX_DATAGRAM_BYTES,
-    MAX_PROPOSALS,
-    MAX_ROUND_CHANGESETS,
     AppliedAck,
     CommitNotice,
-    ConfigServer,
-    ConfigSubscriber,
     Proposal,
     ProposalAck,
     size_of,
 )
+from pathsaddle.settings.proposals import MAX_PROPOSALS, MAX_ROUND_CHANGESETS
+from pathsaddle.settings.register_session import OwnedRevision
+from pathsaddle.settings.server import ConfigServer
+from pathsaddle.settings.server_driver import ConfigServerDriver
+from pathsaddle.settings.store import Store
+from pathsaddle.settings.subscriber import ConfigSubscriber
+from pathsaddle.settings.sync_peer import PeerConfig, PeerResources
 
 
 class Ample:
@@ -50,6 +54,16 @@
         return True
 
 
+def server_of(name, store, peers, proposals=()):
+    config = PeerConfig(name, "north", 1, peers)
+    return ConfigServer(config, store.copy(), PeerResources(random.Random(1), Ample()), 0, proposals)
+
+
+def subscriber_of(store):
+    config = PeerConfig("m0", "north", 1, ("k0",))
+    return ConfigSubscriber(config, store.copy(), PeerResources(random.Random(1), Ample()), 0)
+
+
 def quota(allowance):
     return canonical({"allowance": allowance})
 
@@ -130,17 +144,18 @@
 
     def round(self, waiting, joins, takes):
         found = plan_round(self.store, waiting, eight, joins)
-        for told in found.told:
+        for told in found.verdicts:
             self.order.append(told.change)
-            self.told[told.change.at] = (told.what, told.revision)
+            self.told[told.change.created_ms] = (told.verdict, told.committed.revision)
             waiting.remove(told.change)
-        for one, group in found.taken:
-            one.tried.append((group.revision, digest_of(group)))
+        for planned in found.planned:
+            planned.change.attempts.append(id_of(planned.changeset))
         if takes:
-            for one, group in found.taken:
+            for planned in found.planned:
+                one, group = planned.change, planned.changeset
                 self.store.append(group)
                 self.order.append(one)
-                self.told[one.at] = (ALREADY_COMMITTED, group.revision)
+                self.told[one.created_ms] = (Verdict.ALREADY_COMMITTED, group.revision)
                 waiting.remove(one)
         return found
 
@@ -150,47 +165,49 @@
         waiting = [change(1, a=5), change(2, b=6), change(3, a=7)]
         found = plan_round(founded(), waiting, unjudged, lambda groups: True)
         self.assertEqual(
-            [(group.revision, group.reason, group.at) for group in found.groups],
+            [(group.revision, group.reason, group.created_ms) for group in found.changesets],
             [(2, "change 1", 1), (3, "change 2", 2), (4, "change 3", 3)],
         )
         self.assertEqual(
-            [group.before for group in found.groups[1:]], [digest_of(group) for group in found.groups[:-1]]
+            [group.previous_digest for group in found.changesets[1:]],
+            [digest_of(group) for group in found.changesets[:-1]],
         )
-        self.assertEqual(found.told, ())
+        self.assertEqual(found.verdicts, ())
 
     def test_one_that_is_refused_or_outrun_leaves_the_others_whole(self):
         bad, late, same = change(1, gone=None), change(2, expect=0, a=9), change(3, a=1)
         good = [change(4, a=5), change(5, b=6)]
         found = plan_round(founded(), [bad, late, same, *good], unjudged, lambda groups: True)
         self.assertEqual(
-            [(told.change, told.what) for told in found.told],
-            [(bad, REJECTED), (late, REVISION_CONFLICT), (same, UNCHANGED)],
+            [(told.change, told.verdict) for told in found.verdicts],
+            [(bad, Verdict.REJECTED), (late, Verdict.REVISION_CONFLICT), (same, Verdict.UNCHANGED)],
         )
-        self.assertEqual([one for one, _ in found.taken], good)
-        self.assertEqual([group.revision for group in found.groups], [2, 3])
+        self.assertEqual([one.change for one in found.planned], good)
+        self.assertEqual([group.revision for group in found.changesets], [2, 3])
 
     def test_what_one_is_told_never_rests_on_what_may_not_be_committed(self):
         """Behind another of its round each of these would be told otherwise than alone: it waits for the next."""
         first = change(1, a=5)
         for second in (change(2, a=5), change(2, a=1, gone=None), change(2, expect=1, b=6), change(2, b=8)):
             found = plan_round(founded(), [first, second], eight, lambda groups: True)
-            self.assertEqual(([one for one, _ in found.taken], found.told), ([first], ()))
+            self.assertEqual(([one.change for one in found.planned], found.verdicts), ([first], ()))
         self.assertEqual(
-            len(plan_round(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).taken), 2
+            len(plan_round(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).planned),
+            2,
         )
 
     def test_a_round_that_was_committed_though_nobody_could_say_so_is_not_made_again(self):
         store, waiting = founded(), [change(1, a=5), change(2, a=6)]
         found = plan_round(store, waiting, unjudged, lambda groups: True)
-        for one, group in found.taken:
-            one.tried.append((group.revision, digest_of(group)))
-            store.append(group)
+        for planned in found.planned:
+            planned.change.attempts.append(id_of(planned.changeset))
+            store.append(planned.changeset)
         again = plan_round(store, waiting, unjudged, lambda groups: True)
         self.assertEqual(
-            [(told.what, told.revision) for told in again.told],
-            [(ALREADY_COMMITTED, 2), (ALREADY_COMMITTED, 3)],
+            [(told.verdict, told.committed.revision) for told in again.verdicts],
+            [(Verdict.ALREADY_COMMITTED, 2), (Verdict.ALREADY_COMMITTED, 3)],
         )
-        self.assertEqual((again.taken, store.terms.get("customers.a")), ((), quota(6)))
+        self.assertEqual((again.planned, store.terms.get("customers.a")), ((), quota(6)))
 
     def test_in_every_order_with_rounds_that_fail_each_is_told_as_one_after_another_would_be(self):
         """Every three of eight kinds, in each order, each of the first rounds taken or not; at most one, two or three join."""
@@ -206,7 +223,11 @@
                     alone = Voters(founded())
                     for one in voters.order:
                         alone.round(
-                            [PendingChange(one.puts, one.author, one.reason, one.at, one.expect)],
+                            [
+                                PendingChange(
+                                    one.changes, one.author, one.reason, one.created_ms, one.expected_revision
+                                )
+                            ],
                             lambda groups: True,
                             True,
                         )
@@ -220,13 +241,13 @@
 
     def test_that_planted_faults_are_found_by_it(self):
         for fault in (
-            mock.patch.object(commit_round, "expects", lambda change, revision: True),
-            mock.patch.object(Store, "fits", lambda store, group: None),
+            mock.patch.object(commit_round, "is_expected", lambda change, revision: True),
+            mock.patch.object(Store, "check_next", lambda store, group: None),
             mock.patch.object(
                 commit_round,
                 "next_changeset",
                 lambda store, change: ChangeSet(
-                    store.revision + 1, store.digest, change.author, change.reason, change.at, change.puts
+                    *store.next_link, change.author, change.reason, change.created_ms, change.changes
                 ),
             ),
         ):
@@ -241,8 +262,8 @@
             lambda groups: True,
         )
         self.assertEqual(
-            {told.change.at: told.what for told in found.told},
-            {1: REJECTED, 2: REVISION_CONFLICT, 3: UNCHANGED},
+            {told.change.created_ms: told.verdict for told in found.verdicts},
+            {1: Verdict.REJECTED, 2: Verdict.REVISION_CONFLICT, 3: Verdict.UNCHANGED},
         )
 
 
@@ -250,74 +271,79 @@
     """A keeper's part."""
 
     def keeper(self, store, peers=("k1", "k2"), **more):
-        return ConfigServer("k0", "north", 1, store.copy(), peers, random.Random(1), Ample(), 0, **more)
+        return server_of("k0", store, peers, **more)
 
     def test_a_batch_goes_out_in_one_datagram_and_is_kept_once_most_have_all_of_it(self):
         store = founded()
         groups = chained(store, 3)
         one, two = (
             self.keeper(store),
-            ConfigServer("k1", "south", 1, store.copy(), ("k0", "k2"), random.Random(1), Ample(), 0),
+            server_of("k1", store, ("k0", "k2")),
         )
-        one.propose(groups[0], 0, groups[1:])
-        made = one.ready()
-        offers = [said for to, said in made.out if to == "k1"]
+        one.propose(groups, 0)
+        made = one.take_output()
+        offers = [said for to, said in made.messages if to == "k1"]
         self.assertEqual(offers, [Proposal("k0", groups[0], tuple(groups[1:]))])
-        self.assertEqual([write.group for write in made.writes], groups)
-        one.heard(ProposalAck("k1", 3, digest_of(groups[1])), 1)  # of a part
-        self.assertEqual(one.ready().told, ())
-        two.heard(offers[0], 1)
-        made = two.ready()
-        self.assertEqual([write.group for write in made.writes], groups)
-        for _, said in made.out:
-            one.heard(said, 2)
-        self.assertEqual([(told.what, told.revision) for told in one.ready().told], [("kept", 4)])
-        two.read(two.begins(5), 4, digest_of(groups[2]), 6)
+        self.assertEqual([write.changeset for write in made.writes], groups)
+        one.on_message(ProposalAck("k1", 3, digest_of(groups[1])), 1)  # of a part
+        self.assertEqual(one.take_output().events, ())
+        two.on_message(offers[0], 1)
+        made = two.take_output()
+        self.assertEqual([write.changeset for write in made.writes], groups)
+        for _, said in made.messages:
+            one.on_message(said, 2)
+        self.assertEqual([(told.log_name, told.revision) for told in one.take_output().events], [("kept", 4)])
+        two.on_read(two.begin_read(5), RevisionId(4, digest_of(groups[2])), 6)
         self.assertEqual(
-            (two.store.revision, [told.what for told in two.ready().told].count("committed")), (4, 3)
+            (two.store.revision, [told.log_name for told in two.take_output().events].count("committed")),
+            (4, 3),
         )
 
     def test_no_keeper_keeps_a_part_and_what_doesnt_follow_is_refused(self):
         store = founded()
         groups = chained(store, 3)
         keeper = self.keeper(store)
-        keeper.heard(Proposal("k1", groups[0], (groups[2],)), 1)
-        made = keeper.ready()
-        self.assertEqual((made.writes, made.out, [told.what for told in made.told]), ((), (), ["refused"]))
+        keeper.on_message(Proposal("k1", groups[0], (groups[2],)), 1)
+        made = keeper.take_output()
+        self.assertEqual(
+            (made.writes, made.messages, [told.log_name for told in made.events]), ((), (), ["refused"])
+        )
         line = chained(store, MAX_PROPOSALS - 1)  # which no reading has shown as committed, and may be
         for group in line:
-            keeper.heard(Proposal("k1", group), 2)
-        keeper.ready()
+            keeper.on_message(Proposal("k1", group), 2)
+        keeper.take_output()
         later = store.copy()
         for group in line:
             later.append(group)
         two = chained(later, 2, "later")
-        keeper.heard(Proposal("k1", two[0], (two[1],)), 3)
-        made = keeper.ready()
-        self.assertEqual((made.writes, made.out, [told.what for told in made.told]), ((), (), ["full"]))
+        keeper.on_message(Proposal("k1", two[0], (two[1],)), 3)
+        made = keeper.take_output()
+        self.assertEqual(
+            (made.writes, made.messages, [told.log_name for told in made.events]), ((), (), ["full"])
+        )
 
     def test_a_keeper_that_is_full_of_batches_that_came_to_nothing_always_has_room_for_the_next(self):
         """Rivals make room, revision by revision: also of batches longer and shorter than it, through many that fail."""
         chance = random.Random(3)
         store = founded()
         for _ in range(60):
-            keeper = self.keeper(store, offers=[])
+            keeper = self.keeper(store, proposals=[])
             here = store.copy()
             for i in range(40):
                 groups = chained(here, chance.randrange(1, MAX_ROUND_CHANGESETS + 1), f"try {i}")
-                keeper.heard(Proposal("k1", groups[0], tuple(groups[1:])), i)
-                made = keeper.ready()
+                keeper.on_message(Proposal("k1", groups[0], tuple(groups[1:])), i)
+                made = keeper.take_output()
                 self.assertEqual(
-                    [said for _, said in made.out if isinstance(said, ProposalAck)],
+                    [said for _, said in made.messages if isinstance(said, ProposalAck)],
                     [ProposalAck("k0", groups[-1].revision, digest_of(groups[-1]))],
                 )
-                self.assertLessEqual(len(keeper.offers), MAX_PROPOSALS)
-                self.assertTrue(all(digest_of(group) in keeper.offers for group in groups))
+                self.assertLessEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
+                self.assertTrue(all(digest_of(group) in keeper.proposer.proposals.held for group in groups))
                 if chance.random() < 0.3:
                     for group in groups:
                         here.append(group)
-                    keeper.heard(CommitNotice("k1", (here.revision, here.digest)), i)
-                    keeper.ready()
+                    keeper.on_message(CommitNotice("k1", RevisionId(here.revision, here.digest)), i)
+                    keeper.take_output()
                     self.assertEqual(keeper.store.digest, here.digest)
 
     def test_disk_and_keeper_agree_which_offers_made_room(self):
@@ -326,35 +352,40 @@
         with tempfile.TemporaryDirectory() as path:
             folder = SettingsDirectory(Path(path) / "k", "k0", "x")
             self.addCleanup(folder.close)
-            folder.write([mock.Mock(snapshot=store.snapshot(), group=None)])
+            folder.write([mock.Mock(snapshot=store.snapshot(), changeset=None)])
             keeper = self.keeper(store)
             first = chained(store, 1)[0]
             after = store.copy()
             after.append(first)
-            keeper.heard(Proposal("k1", first), 1)
+            keeper.on_message(Proposal("k1", first), 1)
             for i in range(2 * MAX_PROPOSALS):  # each says that `first` was committed
-                keeper.heard(Proposal("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
-            folder.write(keeper.ready().writes)
+                keeper.on_message(Proposal("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
+            folder.write(keeper.take_output().writes)
             again = SettingsDirectory(Path(path) / "k", "k0", "x")
             self.addCleanup(again.close)
-            self.assertEqual({digest_of(one) for one in again.offers}, set(keeper.offers))
-            self.assertIn(first, again.offers)
+            self.assertEqual({digest_of(one) for one in again.proposals}, set(keeper.proposer.proposals.held))
+            self.assertIn(first, again.proposals)
 
     def test_a_batch_is_no_larger_than_a_datagram_and_a_large_group_goes_alone(self):
         store = founded()
         keeper = self.keeper(store)
         small = chained(store, MAX_ROUND_CHANGESETS + 1)
         self.assertEqual(
-            [keeper.joins(small[:n]) for n in (1, 2, MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS + 1)],
+            [
+                keeper.fits_one_round(small[:n])
+                for n in (1, 2, MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS + 1)
+            ],
             [True, True, True, False],
         )
         large = chained(store, 2, size=180)
         wide = msgspec.structs.replace(
-            large[0], puts=tuple(Change(f"customers.w{i}", quota(i)) for i in range(50))
+            large[0], changes=tuple(Change(f"customers.w{i}", quota(i)) for i in range(50))
+        )
+        self.assertEqual(
+            (keeper.fits_one_round([wide]), keeper.fits_one_round([wide, small[0]])), (True, False)
         )
-        self.assertEqual((keeper.joins([wide]), keeper.joins([wide, small[0]])), (True, False))
         with self.assertRaises(InvalidDocumentError):
-            keeper.propose(small[0], 0, small[1:])
+            keeper.propose(small, 0)
         for groups in (small[:MAX_ROUND_CHANGESETS], small[:3]):
             self.assertLessEqual(size_of(Proposal("k0", groups[0], tuple(groups[1:]))), MAX_DATAGRAM_BYTES)
 
@@ -362,35 +393,41 @@
         store = founded()
         groups = chained(store, 3)
         keeper = self.keeper(store, peers=())
-        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
-        member.asks(0)
-        for _, said in member.ready().out:
-            keeper.heard(said, 0)
-        keeper.read(keeper.begins(1), 1, store.digest, 1)
-        keeper.propose(groups[0], 2, groups[1:])
-        made = [said for to, said in keeper.ready().out if to == "m0"]
+        member = subscriber_of(store)
+        member.request_sync(0)
+        for _, said in member.take_output().messages:
+            keeper.on_message(said, 0)
+        keeper.on_read(keeper.begin_read(1), RevisionId(1, store.digest), 1)
+        keeper.propose(groups, 2)
+        made = [said for to, said in keeper.take_output().messages if to == "m0"]
         self.assertEqual([said for said in made if isinstance(said, Proposal)], [Proposal("k0", groups[0])])
         for said in made:
-            member.heard(said, 3)
-        self.assertEqual(member.rows(3).keys(), store.terms.rows().keys())  # it allows nothing yet
-        member.ready()
-        keeper.read(keeper.begins(4), 4, digest_of(groups[2]), 5)
-        commits = [said for to, said in keeper.ready().out if to == "m0" and isinstance(said, CommitNotice)]
-        self.assertEqual(commits, [CommitNotice("k0", (4, digest_of(groups[2])), tuple(groups[1:]))])
-        member.heard(commits[0], 6)
-        made = member.ready()
-        self.assertEqual([write.group for write in made.writes], groups)
-        self.assertEqual([said for _, said in made.out], [AppliedAck("m0", 4, digest_of(groups[2]))])
+            member.on_message(said, 3)
+        self.assertEqual(member.state.entries().keys(), store.terms.rows().keys())  # it allows nothing yet
+        member.take_output()
+        keeper.on_read(keeper.begin_read(4), RevisionId(4, digest_of(groups[2])), 5)
+        commits = [
+            said
+            for to, said in keeper.take_output().messages
+            if to == "m0" and isinstance(said, CommitNotice)
+        ]
+        self.assertEqual(
+            commits, [CommitNotice("k0", RevisionId(4, digest_of(groups[2])), tuple(groups[1:]))]
+        )
+        member.on_message(commits[0], 6)
+        made = member.take_output()
+        self.assertEqual([write.changeset for write in made.writes], groups)
+        self.assertEqual([said for _, said in made.messages], [AppliedAck("m0", 4, digest_of(groups[2]))])
 
     def test_who_missed_the_offer_gets_the_first_too(self):
         store = founded()
         groups = chained(store, 2)
-        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0",), random.Random(1), Ample(), 0)
-        member.heard(CommitNotice("k0", (3, digest_of(groups[1])), (groups[1],)), 1)
+        member = subscriber_of(store)
+        member.on_message(CommitNotice("k0", RevisionId(3, digest_of(groups[1])), (groups[1],)), 1)
         self.assertEqual(
-            [said.revision for _, said in member.ready().out if isinstance(said, AppliedAck)], [1]
+            [said.revision for _, said in member.take_output().messages if isinstance(said, AppliedAck)], [1]
         )
-        member.heard(CommitNotice("k0", (3, digest_of(groups[1])), tuple(groups)), 2)
+        member.on_message(CommitNotice("k0", RevisionId(3, digest_of(groups[1])), tuple(groups)), 2)
         self.assertEqual(member.store.digest, digest_of(groups[1]))
 
 
@@ -402,35 +439,23 @@
 
     async def asyncSetUp(self):
         self.store = founded()
-        self.known = (1, self.store.digest)
-        self.driver = driver = mock.Mock(spec=ConfigServerDriver)
-        for name in (
-            "change",
-            "_rounds",
-            "_round",
-            "_fails",
-            "_tells_verdict",
-            "_untold",
-            "_wrong",
-            "_fits",
-            "_outrun",
-            "_has_made",
-        ):
-            made = getattr(ConfigServerDriver, name)
-            setattr(driver, name, made if name == "_wrong" else made.__get__(driver))
-        driver.queued, driver.rounds, driver.changes, driver.fitting = [], None, 0, None
-        driver.changing, driver.committing = asyncio.Lock(), mock.Mock()
-        driver.told = mock.Mock(control="here")
-        driver.core = mock.Mock(store=self.store, joins=lambda groups: len(groups) <= MAX_ROUND_CHANGESETS)
-        driver._keeps = lambda: driver.core
-        driver._runs = lambda work: asyncio.get_running_loop().create_task(work)
-        driver._lingers = lambda mine: asyncio.sleep(0)
-        driver._proposes = lambda groups: setattr(self, "proposed", groups)
-        driver._says_fault = mock.Mock(side_effect=lambda fault: self.fail(repr(fault)))
+        self.known = self.store.id
+        server = mock.Mock(spec=ConfigServerDriver)
+        server.config = mock.Mock(control="here")
+        server.core = mock.Mock(
+            store=self.store, fits_one_round=lambda groups: len(groups) <= MAX_ROUND_CHANGESETS
+        )
+        server.require_core = lambda: server.core
+        server.start_task = lambda work: asyncio.get_running_loop().create_task(work)
+        server.propose = lambda groups: setattr(self, "proposed", groups)
+        server.report_fault = mock.Mock(side_effect=lambda fault: self.fail(repr(fault)))
+        self.committer = committer = ChangeCommitter(server, mock.Mock(), mock.Mock(), random.Random(1))
+        committer.session = mock.Mock()
+        committer._linger = lambda count: asyncio.sleep(0)
 
         async def owns(until):
             await asyncio.sleep(0)
-            return 7, self.known
+            return OwnedRevision(7, self.known)
 
         async def has(known, until):
             await asyncio.sleep(0)
@@ -442,10 +467,11 @@
             return self.kept
 
         self.kept, self.rounds = True, []
-        driver.committing.owns, driver._has, driver._kept_by_most = owns, has, kept
-        driver.committing.register.fencing_token = lambda key: 7
-        driver.committing.register.put = self.put
-        driver._settled = self.settled
+        committer.session.acquire = owns
+        committer._await_document, committer._await_acknowledged = has, kept
+        committer.session.register.fencing_token = lambda key: 7
+        committer.session.register.put = self.put
+        committer._await_outcome = self.settled
 
     async def put(self, key, data):
         if self.rival is not None:
@@ -454,7 +480,7 @@
         elif self.lost != "before":
             for group in self.proposed:
                 self.store.append(group)
-        self.known = (self.store.revision, self.store.digest)
+        self.known = self.store.id
 
     async def settled(self, revision, until):
         if self.lost:
@@ -462,9 +488,13 @@
             raise NoQuorumError("no majority of the voters answers", "start them")
         return self.known
 
+    async def apply(self, asked):
+        return await self.committer.commit(ApplyRequest.decode({"within": 5.0, **asked}))
+
     async def all(self, *asked):
         return await asyncio.gather(
-            *(self.driver.change({"within": 5.0, **one}) for one in asked), return_exceptions=True
+            *(self.apply(one) for one in asked),
+            return_exceptions=True,
         )
 
     async def test_many_at_once_are_few_rounds_each_told_its_own_revision(self):
@@ -474,7 +504,7 @@
                 for i in range(2 * MAX_ROUND_CHANGESETS + 1)
             )
         )
-        self.assertEqual([one["revision"] for one in found], list(range(2, 2 * MAX_ROUND_CHANGESETS + 3)))
+        self.assertEqual([one.revision for one in found], list(range(2, 2 * MAX_ROUND_CHANGESETS + 3)))
         self.assertEqual(
             [group.reason for _, group in self.store.log[1:]],
             [f"{i}" for i in range(2 * MAX_ROUND_CHANGESETS + 1)],
@@ -489,7 +519,7 @@
             {"rows": {"rules": {"nonsense": 1}}},
             {"rows": {"budgets.c": 1}},
         )
-        self.assertEqual([one["revision"] for one in found if isinstance(one, dict)], [2, 3])
+        self.assertEqual([one.revision for one in found if isinstance(one, ChangeOutcome)], [2, 3])
         self.assertEqual(
             [type(found[i]) for i in (1, 2, 3)],
             [ChangeRejectedError, RevisionConflictError, ChangeRejectedError],
@@ -503,7 +533,7 @@
         self.rival = rival
         found = await self.all({"rows": {"budgets.a": 1}, "expect": 1}, {"rows": {"budgets.b": 1}})
         self.assertIsInstance(found[0], RevisionConflictError)
-        self.assertEqual(found[1]["revision"], 3)
+        self.assertEqual(found[1].revision, 3)
         self.assertEqual([group.author for _, group in self.store.log[1:]], ["bob", ""])
 
     async def test_without_a_majority_of_keepers_nothing_is_committed_and_each_is_told_at_its_own_time(self):
@@ -522,14 +552,14 @@
             self.assertIsInstance(one, NoQuorumError)
             self.assertIn(f"whether revision {revision} was committed can't be told", str(one))
         again = await self.all({"rows": {"budgets.b": 1}})
-        self.assertEqual((again[0]["changed"], self.store.revision), (False, 3))
+        self.assertEqual((again[0].has_changed, self.store.revision), (False, 3))
 
     async def test_a_defect_ends_these_changes_alone(self):
-        self.driver._says_fault = mock.Mock()
+        self.committer.server.report_fault = mock.Mock()
         with mock.patch.object(commit_round, "plan_round", side_effect=ZeroDivisionError("ours")):
             found = await self.all({"rows": {"budgets.a": 1}}, {"rows": {"budgets.b": 1}})
         self.assertEqual([one.name for one in found if isinstance(one, Error)], ["settings.defect"] * 2)
-        self.assertEqual((await self.all({"rows": {"budgets.a": 1}}))[0]["revision"], 2)
+        self.assertEqual((await self.all({"rows": {"budgets.a": 1}}))[0].revision, 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -13,12 +13,14 @@
 from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.leased_versions import Version, VersionSubscriber, certain_lease_end
 from pathsaddle.settings import documents
+from pathsaddle.settings.active_revision import ActiveRevisionTracker
 from pathsaddle.settings.active_terms import LIMIT_RULES, ActiveTerms, permits, tighter
 from pathsaddle.settings.documents import (
     INITIAL_REVISION,
     Change,
     ChangeSet,
     InvalidDocumentError,
+    RevisionId,
     Snapshot,
     canonical,
     decode_changeset,
@@ -26,33 +28,35 @@
     digest_of,
     encode_document,
 )
-from pathsaddle.settings.model_checker import (
-    LOOSER,
-    TIGHTER,
-    InvariantViolationError,
-    check_all,
-    left_behind,
-    walk,
-)
-from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import (
-    ANSWER_TIMEOUT,
-    DEFAULT_LEASE,
-    MAX_PROPOSALS,
-    SECOND,
-    SNAPSHOT,
+from pathsaddle.settings.events import ProposalAcknowledged, RevisionActivated
+from pathsaddle.settings.messages import (
     AppliedAck,
     ChunkManifest,
     CommitNotice,
-    ConfigServer,
-    ConfigSubscriber,
+    DocumentKind,
     LeaseRenewal,
     Message,
     Proposal,
     SyncRequest,
-    nearest_servers,
     size_of,
 )
+from pathsaddle.settings.model_checker import check_all, left_behind, walk
+from pathsaddle.settings.model_state import (
+    LOOSER,
+    TIGHTER,
+    CheckLimits,
+    InvariantViolationError,
+    Line,
+    start,
+)
+from pathsaddle.settings.proposals import MAX_PROPOSALS
+from pathsaddle.settings.server import ConfigServer
+from pathsaddle.settings.server_selection import nearest_servers
+from pathsaddle.settings.store import Store
+from pathsaddle.settings.subscriber import ConfigSubscriber
+from pathsaddle.settings.subscriber_state import SubscriberState
+from pathsaddle.settings.sync_peer import PeerConfig, PeerResources
+from pathsaddle.settings.timing import ANSWER_TIMEOUT_TICKS, DEFAULT_LEASE_TICKS, SECOND
 
 decode = msgspec.msgpack.Decoder(Message).decode
 encode = msgspec.msgpack.Encoder().encode
@@ -86,6 +90,16 @@
         return True
 
 
+def subscriber_of(store, servers, incarnation=1):
+    config = PeerConfig("m0", "north", incarnation, servers)
+    return ConfigSubscriber(config, store, PeerResources(random.Random(1), Ample()), 0)
+
+
+def server_of(store, peers):
+    config = PeerConfig("k0", "north", 1, peers)
+    return ConfigServer(config, store, PeerResources(random.Random(1), Ample()), 0)
+
+
 class Register:
     """The voters' value, as a keeper reads it: any majority, at once."""
 
@@ -97,45 +111,31 @@
     """Members, keepers and a register on one virtual clock; datagrams are lost, doubled and late by chance."""
 
     def __init__(self, seed, keepers=("k0", "k1", "k2"), lost=0.0, rate_limiter=None, latency=(100, 1500)):
-        self.chance, self.lost, self.latency = random.Random(seed), lost, latency
+        self.rng, self.lost, self.latency = random.Random(seed), lost, latency
         self.rate_limiter = rate_limiter or (lambda now: Ample())
         self.now, self.queue, self.count = 0, [], 0
         self.register, self.machines, self.disks, self.cut = Register(), {}, {}, set()
-        self.told, self.sent, self.largest, self.due = [], [], 0, {}
+        self.events, self.sent, self.largest, self.due = [], [], 0, {}
         self.names = tuple(keepers)
         for name in keepers:
             self.starts_keeper(name)
 
     # Machines and their disks
 
+    def resources(self):
+        return PeerResources(self.rng, self.rate_limiter(self.now))
+
     def starts_keeper(self, name):
-        store, offers = self.disk(name)
-        self.machines[name] = ConfigServer(
-            name,
-            "north",
-            self.now,
-            store,
-            [one for one in self.names if one != name],
-            self.chance,
-            self.rate_limiter(self.now),
-            self.now,
-            DEFAULT_LEASE,
-            offers,
-        )
+        store, proposals = self.disk(name)
+        others = tuple(one for one in self.names if one != name)
+        config = PeerConfig(name, "north", self.now, others)
+        self.machines[name] = ConfigServer(config, store, self.resources(), self.now, proposals)
         self.wakes(name)
 
     def starts_member(self, name, keepers=None):
         store, _ = self.disk(name)
-        self.machines[name] = ConfigSubscriber(
-            name,
-            "north",
-            self.now + 1,
-            store,
-            keepers or self.names,
-            self.chance,
-            self.rate_limiter(self.now),
-            self.now,
-        )
+        config = PeerConfig(name, "north", self.now + 1, tuple(keepers or self.names))
+        self.machines[name] = ConfigSubscriber(config, store, self.resources(), self.now)
         self.wakes(name)
 
     def disk(self, name):
@@ -148,28 +148,32 @@
     def takes(self, name):
         """What a driver does after each call: writes, then sends, then acts."""
         machine = self.machines[name]
-        ready = machine.ready()
+        ready = machine.take_output()
         for write in ready.writes:
             snapshot, log, offers = self.disks[name]
             if write.snapshot is not None:
                 snapshot, log = write.snapshot, []
-            elif write.committed:
-                log = [*log, write.group]
+            elif write.is_committed:
+                log = [*log, write.changeset]
             else:
-                offers = [*offers, write.group]
+                offers = [*offers, write.changeset]
             self.disks[name] = snapshot, log, offers
-        for to, said in ready.out:
+        for to, said in ready.messages:
             data = encode(said)
-            self.largest = max(self.largest, machine.size(said))
-            self.sent.append((self.now, name, to, machine.size(said), type(said).__name__))
-            for _ in range(1 + (self.lost > 0 and self.chance.random() < 0.05)):
-                if self.chance.random() >= self.lost:
-                    self.later(self.now + self.chance.randint(*self.latency), "heard", to, name, data)
-        for one in ready.told:
-            self.told.append((self.now, name, one))
-        if isinstance(machine, ConfigServer) and machine.wants_reading and not machine.answering:
-            number = machine.begins(self.now)
-            self.later(self.now + self.chance.randint(50, 400), "read", name, machine, number)
+            self.largest = max(self.largest, machine.outbox.size_of(said))
+            self.sent.append((self.now, name, to, machine.outbox.size_of(said), type(said).__name__))
+            for _ in range(1 + (self.lost > 0 and self.rng.random() < 0.05)):
+                if self.rng.random() >= self.lost:
+                    self.later(self.now + self.rng.randint(*self.latency), "message", to, name, data)
+        for one in ready.events:
+            self.events.append((self.now, name, one))
+        if (
+            isinstance(machine, ConfigServer)
+            and machine.readings.is_wanted
+            and not machine.readings.answering
+        ):
+            number = machine.begin_read(self.now)
+            self.later(self.now + self.rng.randint(50, 400), "read", name, machine, number)
 
     def later(self, at, *what):
         self.count += 1
@@ -188,9 +192,9 @@
         while self.queue and self.queue[0][0] <= until:
             self.now, _, what, name, *more = heapq.heappop(self.queue)
             machine = self.machines.get(name)
-            if what == "heard":
+            if what == "message":
                 if machine is not None and (more[0], name) not in self.cut:
-                    at = machine.heard(decode(more[1]), self.now)
+                    at = machine.on_message(decode(more[1]), self.now)
                     self.takes(name)
                     self.again(name, at)
             elif machine is not more[0]:
@@ -199,7 +203,7 @@
                 if self.due[name] == more[1]:
                     self.wakes(name)
             else:
-                at = machine.read(more[1], *self.register.known, self.now)
+                at = machine.on_read(more[1], RevisionId(*self.register.known), self.now)
                 self.takes(name)
                 self.again(name, at)
         self.now = until
@@ -210,10 +214,13 @@
         while keeper.store.revision < self.register.known[0] and self.now < until:
             self.run(self.now + SECOND // 10)
         group = group_of(keeper.store, puts)
-        at = keeper.propose(group, self.now)
+        at = keeper.propose((group,), self.now)
         self.takes(by)
         self.again(by, at)
-        while not any(one.what == "kept" and one.digest == digest_of(group) for _, _, one in self.told):
+        while not any(
+            isinstance(one, ProposalAcknowledged) and one.digest == digest_of(group)
+            for _, _, one in self.events
+        ):
             if self.now >= until:
                 raise AssertionError("no majority of keepers took it")
             self.run(self.now + 50)
@@ -223,7 +230,12 @@
     def force(self, revision):
         """When it was first told in force, or None."""
         return next(
-            (at for at, _, one in self.told if one.what == "force" and one.revision >= revision), None
+            (
+                at
+                for at, _, one in self.events
+                if isinstance(one, RevisionActivated) and one.revision >= revision
+            ),
+            None,
         )
 
 
@@ -240,7 +252,7 @@
 
     def test_what_is_no_group_is_refused_by_what_is_wrong(self):
         good = group_of(Store(), {"customers.a": quota(5)})
-        put = good.puts[0]
+        put = good.changes[0]
         for told, change in (
             ("no key", {"puts": (Change("fleet.listen", b"1"),)}),
             ("no key", {"puts": (Change("customers.", b"1"),)}),
@@ -282,7 +294,7 @@
         before = store.snapshot()
         for puts, more in (
             ({"budgets.b": 1}, {"revision": 3}),
-            ({"budgets.b": 1}, {"before": "0" * 32}),
+            ({"budgets.b": 1}, {"previous_digest": "0" * 32}),
             ({"budgets.b": 1, "customers.x": None}, {}),
             ({"budgets.b": 1, "members.x": None}, {}),
         ):
@@ -291,13 +303,13 @@
             self.assertEqual(store.snapshot(), before)
 
     def test_the_log_is_bounded_and_what_left_it_is_in_the_snapshot(self):
-        store = Store(keep=4)
+        store = Store(max_log=4)
         for i in range(10):
             store.append(group_of(store, {f"budgets.b{i}": i}))
-        self.assertEqual([group.revision for group in store.since(6)], [7, 8, 9, 10])
-        self.assertIsNone(store.since(5))
-        self.assertEqual(store.since(10), ())
-        self.assertEqual(store.digest_at(6), store.log[0][1].before)
+        self.assertEqual([group.revision for group in store.changesets_after(6)], [7, 8, 9, 10])
+        self.assertIsNone(store.changesets_after(5))
+        self.assertEqual(store.changesets_after(10), ())
+        self.assertEqual(store.digest_at(6), store.log[0][1].previous_digest)
         self.assertIsNone(store.digest_at(5))
         again = Store(store.snapshot())
         self.assertEqual(
@@ -310,7 +322,7 @@
         with self.assertRaisesRegex(InvalidDocumentError, "gone"):
             store.append(group_of(store, {"members.m0": None}))
         store.append(group_of(store, {"members.m0": {"region": "north", "gone": True}}))
-        self.assertEqual((store.terms.members(), store.terms.gone()), ({}, ("m0",)))
+        self.assertEqual((store.terms.members(), store.terms.retired()), ({}, ("m0",)))
         store.append(group_of(store, {"members.m0": None}))
 
     def test_rows_are_bounded(self):
@@ -369,7 +381,7 @@
             for limit in LIMIT_RULES[table]:
                 if limit.field in defaults:
                     self.assertEqual(
-                        limit.wide(limit.missing), limit.wide(defaults[limit.field]), limit.field
+                        limit.breadth(limit.default), limit.breadth(defaults[limit.field]), limit.field
                     )
 
     def test_each_version_of_a_line_stays_what_it_was_whichever_is_looked_at(self):
@@ -442,7 +454,7 @@
     """versions.Keeper over rows, its history cut."""
 
     def keeper(self, *changes):
-        store, core = Store(), leased_versions.VersionServer(DEFAULT_LEASE, 0)
+        store, core = Store(), leased_versions.VersionServer(DEFAULT_LEASE_TICKS, 0)
         for puts in changes:
             store.append(group_of(store, puts))
             core = core.reads(
@@ -466,7 +478,7 @@
         core = self.more(store, core, {"customers.a": quota(9)}, 10)
         core = core.hears(leased_versions.AppliedAck("m0", 2, store.digest))
         self.assertEqual(core.waits_for(20), ("m1",))
-        later = 10 + certain_lease_end(DEFAULT_LEASE)
+        later = 10 + certain_lease_end(DEFAULT_LEASE_TICKS)
         core = core.judged(later).cut(8)
         self.assertEqual((core.force, [one.number for one in core.history]), (2, [2]))
         # m1, which has 1 on disk (5), is within 2 (9); 3 (7) forbids nothing of 1, but what is kept can't tell: waited for.
@@ -486,7 +498,7 @@
                 for name in chance.sample(["m0", "m1", "m2"], chance.randrange(4)):
                     revision = chance.randrange(1, store.revision + 1)
                     core = core.hears(leased_versions.AppliedAck(name, revision, store.digest_at(revision)))
-            now = chance.randrange(0, 2 * DEFAULT_LEASE)
+            now = chance.randrange(0, 2 * DEFAULT_LEASE_TICKS)
             each = core.judged_each(now, {})
             self.assertEqual(each.force == core.known[0], not core.waits_for(now))
             agreed += each.force == core.known[0]
@@ -510,7 +522,7 @@
         for i in range(6, 20):
             core = self.more(store, core, {"customers.a": quota(i)}, i).cut(4)
         self.assertEqual(len(core.history), 4)
-        self.assertEqual(core.waits_for(10 * DEFAULT_LEASE), ("m0",))
+        self.assertEqual(core.waits_for(10 * DEFAULT_LEASE_TICKS), ("m0",))
 
     def test_a_history_of_3700_revisions_keeps_one(self):
         store, core = self.keeper(members_of(1, **{"customers.a": quota(5)}))
@@ -541,12 +553,12 @@
 
     def test_a_change_reaches_all_and_is_told_in_force_with_their_words(self):
         net = self.fleet(1)
-        self.assertEqual({(one.revision, one.leased) for one in self.acting(net).values()}, {(1, True)})
+        self.assertEqual({(one.revision, one.is_leased) for one in self.acting(net).values()}, {(1, True)})
         began = net.now
         net.commit({"customers.a": quota(3)})
         net.run(net.now + 3 * SECOND)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {2})
-        self.assertEqual(net.machines["m0"].rows(net.now)["customers.a"], canonical(quota(3)))
+        self.assertEqual(net.machines["m0"].state.entries()["customers.a"], canonical(quota(3)))
         self.assertLess(net.force(2) - began, 3 * SECOND)
 
     def test_the_same_with_a_fifth_lost_and_some_doubled_on_many_seeds(self):
@@ -560,7 +572,7 @@
                 self.assertEqual({one.revision for one in self.acting(net).values()}, {4})
                 self.assertIsNotNone(net.force(4))
                 self.assertEqual(
-                    [one.what for _, _, one in net.told if one.what in ("refused", "diverged", "full")], []
+                    [one for _, _, one in net.events if one.log_name in ("refused", "diverged", "full")], []
                 )
 
     def test_in_a_stream_of_changes_each_is_in_force_soon_and_not_only_when_it_ends(self):
@@ -577,27 +589,27 @@
     def test_an_offer_binds_as_far_as_it_narrows_and_allows_nothing(self):
         net = self.fleet(2)
         keeper = net.machines["k0"]
-        at = keeper.propose(group_of(keeper.store, {"customers.a": quota(2), "budgets.b": 7}), net.now)
+        at = keeper.propose((group_of(keeper.store, {"customers.a": quota(2), "budgets.b": 7}),), net.now)
         net.takes("k0")
         net.again("k0", at)
         net.run(net.now + SECOND)
-        rows = net.machines["m0"].rows(net.now)
+        rows = net.machines["m0"].state.entries()
         self.assertEqual((rows["customers.a"], "budgets.b" in rows), (canonical(quota(2)), False))
-        self.assertEqual(net.machines["m0"].status(net.now).offers, (2,))
-        keeper.withdraw(net.now)
+        self.assertEqual(net.machines["m0"].status(net.now).proposed_revisions, (2,))
+        keeper.withdraw()
         net.commit({"customers.a": quota(4)}, by="k1")  # another takes the revision: what was offered is over
         net.run(net.now + 3 * SECOND)
-        self.assertEqual(net.machines["m0"].rows(net.now)["customers.a"], canonical(quota(4)))
+        self.assertEqual(net.machines["m0"].state.entries()["customers.a"], canonical(quota(4)))
 
     def test_who_hears_nothing_serves_on_alone_and_is_named_until_it_has_a_tightening(self):
         net = self.fleet(3)
         net.cut = {(one, "m0") for one in net.names} | {("m0", one) for one in net.names}
         net.commit({"customers.a": quota(3)})
         net.run(net.now + 60 * SECOND)
-        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].leased), (1, False))
+        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].is_leased), (1, False))
         self.assertIsNone(net.force(2))
         for name in net.names:
-            self.assertEqual(net.machines[name].waits_for(net.now), ("m0",))
+            self.assertEqual(net.machines[name].tracker.awaited_subscribers(net.now), ("m0",))
         net.cut = set()
         net.run(net.now + 20 * SECOND)
         self.assertEqual(self.acting(net)["m0"].revision, 2)
@@ -609,8 +621,8 @@
         began = net.now
         net.commit({"customers.a": quota(9)})
         net.run(net.now + 15 * SECOND)
-        self.assertGreaterEqual(net.force(2), began + DEFAULT_LEASE)
-        self.assertFalse(self.acting(net)["m0"].leased)
+        self.assertGreaterEqual(net.force(2), began + DEFAULT_LEASE_TICKS)
+        self.assertFalse(self.acting(net)["m0"].is_leased)
 
     def test_who_is_gone_by_the_operators_word_is_not_waited_for(self):
         net = self.fleet(5)
@@ -634,21 +646,21 @@
         self.assertEqual(self.acting(net)["m0"].revision, 1)
         began = len(net.sent)
         net.run(net.now + 5 * SECOND)
-        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].leased), (31, True))
+        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].is_leased), (31, True))
         self.assertNotIn("Chunk", [row[4] for row in net.sent[began:] if row[2] == "m0"])
 
     def test_who_is_behind_the_log_gets_the_snapshot_in_pieces(self):
         net = self.fleet(7)
         net.kill("m0")
         for name in net.names:
-            net.machines[name].store.keep = 3
+            net.machines[name].store.max_log = 3
         for i in range(8):
             net.commit({f"customers.c{i}.{j}": {"allowance": 1, "portion": 0.001 * j} for j in range(40)})
         net.run(net.now + SECOND)
         net.lost = 0.1
         net.starts_member("m0")
         net.run(net.now + 30 * SECOND)
-        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].leased), (9, True))
+        self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].is_leased), (9, True))
         self.assertIn("Chunk", [row[4] for row in net.sent])
         snapshot, log, _ = net.disks["m0"]
         self.assertEqual(Store(snapshot, log).terms.rows(), net.machines["k0"].store.terms.rows())
@@ -665,10 +677,10 @@
         net.kill("k0")
         net.run(net.now + 12 * SECOND)
         status = self.acting(net)["m0"]
-        self.assertEqual((status.keeper, status.leased), ("k1", True))
+        self.assertEqual((status.server, status.is_leased), ("k1", True))
         net.starts_keeper("k0")
         net.run(net.now + 120 * SECOND)
-        self.assertEqual(self.acting(net)["m0"].keeper, "k0")
+        self.assertEqual(self.acting(net)["m0"].server, "k0")
 
     def test_with_every_keeper_gone_members_serve_on_with_a_growing_wait(self):
         net = self.fleet(10)
@@ -676,8 +688,8 @@
             net.kill(name)
         began, count = net.now, len(net.sent)
         net.run(net.now + 100 * SECOND)
-        self.assertEqual({(one.revision, one.leased) for one in self.acting(net).values()}, {(1, False)})
-        self.assertTrue(all(one.age > 90 * SECOND for one in self.acting(net).values()))
+        self.assertEqual({(one.revision, one.is_leased) for one in self.acting(net).values()}, {(1, False)})
+        self.assertTrue(all(one.proof_age_ticks > 90 * SECOND for one in self.acting(net).values()))
         self.assertLess(len(net.sent) - count, 6 * 100)
         self.assertEqual(net.now - began, 100 * SECOND)
 
@@ -688,21 +700,21 @@
             net.commit({"customers.a": quota(value)})
         net.starts_keeper("k2")
         net.run(net.now + 6 * SECOND)
-        self.assertEqual(net.machines["k2"].status(net.now)["revision"], 11)
+        self.assertEqual(net.machines["k2"].status(net.now).revision, 11)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {11})
 
     def test_a_keeper_with_an_empty_disk_gets_the_snapshot_and_waits_for_each_ones_word(self):
         net = self.fleet(12)
         net.kill("k2")
         for name in net.names[:2]:
-            net.machines[name].store.keep = 2
+            net.machines[name].store.max_log = 2
         for value in range(20, 30):
             net.commit({"customers.a": quota(value)})
         net.disks["k2"] = (None, [], [])
         net.starts_keeper("k2")
         net.run(net.now + 20 * SECOND)
         status = net.machines["k2"].status(net.now)
-        self.assertEqual((status["revision"], status["force"]), (11, 11))
+        self.assertEqual((status.revision, status.active_revision), (11, 11))
 
     def test_no_majority_of_keepers_no_kept(self):
         net = self.fleet(13)
@@ -732,9 +744,9 @@
     """One machine, its events handed in by hand."""
 
     def member(self, store, life=1):
-        made = ConfigSubscriber("m0", "north", life, store, ("k0", "k1"), random.Random(1), Ample(), 0)
-        made.asks(0)
-        made.ready()
+        made = subscriber_of(store, ("k0", "k1"), life)
+        made.request_sync(0)
+        made.take_output()
         return made
 
     def start(self):
@@ -747,118 +759,121 @@
         store.append(first)
         second = group_of(store, {"customers.a": quota(4), "customers.b": quota(4)})
         store.append(second)
-        member.heard(CommitNotice("k0", (3, store.digest), (second,)), 10)
-        self.assertEqual(member.ready().writes, ())
+        member.on_message(CommitNotice("k0", RevisionId(3, store.digest), (second,)), 10)
+        self.assertEqual(member.take_output().writes, ())
         self.assertEqual(
-            (member.status(10).revision, member.status(10).known, member.leased(10)), (1, 3, False)
+            (member.status(10).revision, member.status(10).committed_revision, member.is_leased(10)),
+            (1, 3, False),
         )
-        member.heard(CommitNotice("k0", (2, digest_of(first)), (first,)), 20)
-        ready = member.ready()
-        self.assertEqual([write.group for write in ready.writes], [first, second])
-        self.assertEqual(ready.out, (("k0", AppliedAck("m0", 3, store.digest)),))
+        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(first)), (first,)), 20)
+        ready = member.take_output()
+        self.assertEqual([write.changeset for write in ready.writes], [first, second])
+        self.assertEqual(ready.messages, (("k0", AppliedAck("m0", 3, store.digest)),))
         self.assertEqual(
-            {member.rows(20)[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
+            {member.state.entries()[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
         )
 
     def test_a_faulty_group_leaves_nothing_and_is_told(self):
         store, member = self.start()
         bad = group_of(store, {"customers.a": quota(3), "customers.nobody": None})
-        member.heard(CommitNotice("k0", (2, digest_of(bad)), (bad,)), 10)
-        ready = member.ready()
-        self.assertEqual(([one.what for one in ready.told], ready.writes), (["refused"], ()))
-        self.assertEqual(member.rows(10)["customers.a"], canonical(quota(5)))
+        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
+        ready = member.take_output()
+        self.assertEqual(([one.log_name for one in ready.events], ready.writes), (["refused"], ()))
+        self.assertEqual(member.state.entries()["customers.a"], canonical(quota(5)))
 
     def test_a_group_after_another_digest_is_told_as_diverged(self):
         store, member = self.start()
-        bad = msgspec.structs.replace(group_of(store, {"customers.a": quota(3)}), before="0" * 32)
-        member.heard(CommitNotice("k0", (2, digest_of(bad)), (bad,)), 10)
-        self.assertIn("diverged", [one.what for one in member.ready().told])
+        bad = msgspec.structs.replace(group_of(store, {"customers.a": quota(3)}), previous_digest="0" * 32)
+        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
+        self.assertIn("diverged", [one.log_name for one in member.take_output().events])
 
     def test_a_commit_of_what_was_offered_is_written_before_it_is_acted_by(self):
         for how in ("commit", "renewal"):
             with self.subTest(how):
                 store, member = self.start()
                 group = group_of(store, {"customers.a": quota(9)})
-                member.heard(Proposal("k0", group), 5)
-                self.assertEqual(member.rows(5)["customers.a"], canonical(quota(5)))
-                known = (2, digest_of(group))
-                member.heard(
+                member.on_message(Proposal("k0", group), 5)
+                self.assertEqual(member.state.entries()["customers.a"], canonical(quota(5)))
+                known = RevisionId(2, digest_of(group))
+                member.on_message(
                     CommitNotice("k0", known) if how == "commit" else LeaseRenewal("k0", "m0", 1, 1, *known),
                     10,
                 )
-                ready = member.ready()
-                self.assertEqual([write.group for write in ready.writes], [group])
-                self.assertIn(("k0", AppliedAck("m0", *known)), ready.out)
-                self.assertEqual(member.rows(10)["customers.a"], canonical(quota(9)))
+                ready = member.take_output()
+                self.assertEqual([write.changeset for write in ready.writes], [group])
+                self.assertIn(("k0", AppliedAck("m0", *known)), ready.messages)
+                self.assertEqual(member.state.entries()["customers.a"], canonical(quota(9)))
 
     def test_a_lease_counts_from_the_asking_and_not_for_an_older_life(self):
         store, member = self.start()
-        member.heard(LeaseRenewal("k0", "m0", 0, 1, 1, store.digest), 10)
-        self.assertFalse(member.leased(10))
-        member.heard(LeaseRenewal("k0", "m0", 1, 1, 1, store.digest), 5000)
-        self.assertTrue(member.leased(5000))
-        self.assertFalse(member.leased(DEFAULT_LEASE))
-        self.assertEqual(member.status(6000).age, 6000)
-        self.assertEqual([one.what for one in member.ready().told], ["leased"])
-        member.wake(DEFAULT_LEASE)
-        self.assertIn("alone", [one.what for one in member.ready().told])
+        member.on_message(LeaseRenewal("k0", "m0", 0, 1, 1, store.digest), 10)
+        self.assertFalse(member.is_leased(10))
+        member.on_message(LeaseRenewal("k0", "m0", 1, 1, 1, store.digest), 5000)
+        self.assertTrue(member.is_leased(5000))
+        self.assertFalse(member.is_leased(DEFAULT_LEASE_TICKS))
+        self.assertEqual(member.status(6000).proof_age_ticks, 6000)
+        self.assertEqual([one.log_name for one in member.take_output().events], ["leased"])
+        member.wake(DEFAULT_LEASE_TICKS)
+        self.assertIn("alone", [one.log_name for one in member.take_output().events])
 
     def test_a_text_that_never_fits_does_not_go_to_and_fro(self):
         _, member = self.start()
         for i in range(50):
-            member.heard(CommitNotice("k0", (5, "5" * 32)), 100 + i)
-        self.assertEqual(len(member.ready().out), 1)
+            member.on_message(CommitNotice("k0", RevisionId(5, "5" * 32)), 100 + i)
+        self.assertEqual(len(member.take_output().messages), 1)
 
     def test_bounds_that_are_reached_are_told(self):
         store, member = self.start()
         for i in range(6):
-            member.heard(Proposal("k0", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
-        self.assertIn("full", [one.what for one in member.ready().told])
+            member.on_message(Proposal("k0", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
+        self.assertIn("full", [one.log_name for one in member.take_output().events])
         ahead = [ChangeSet(i, "0" * 32, "", "", 0, (Change("zones", b"[]"),)) for i in range(10, 80)]
-        member.heard(CommitNotice("k0", (90, "9" * 32), tuple(ahead)), 20)
-        self.assertIn("full", [one.what for one in member.ready().told])
+        member.on_message(CommitNotice("k0", RevisionId(90, "9" * 32), tuple(ahead)), 20)
+        self.assertIn("full", [one.log_name for one in member.take_output().events])
         for i in range(3):
-            member.heard(ChunkManifest("k0", SNAPSHOT, f"{i}" * 32, (90, "9" * 32), 5000), 30)
-        self.assertIn("full", [one.what for one in member.ready().told])
-        keeper = ConfigServer("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
+            member.on_message(
+                ChunkManifest("k0", DocumentKind.SNAPSHOT, f"{i}" * 32, RevisionId(90, "9" * 32), 5000), 30
+            )
+        self.assertIn("full", [one.log_name for one in member.take_output().events])
+        keeper = server_of(store.copy(), ("k1", "k2"))
         for i in range(MAX_PROPOSALS + 1):
-            keeper.heard(Proposal("k1", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
-        self.assertEqual([one.what for one in keeper.ready().told].count("full"), 1)
+            keeper.on_message(Proposal("k1", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
+        self.assertEqual([one.log_name for one in keeper.take_output().events].count("full"), 1)
 
     def test_an_offer_that_others_follow_is_not_pushed_out(self):
         store, _ = self.start()
-        keeper = ConfigServer("k0", "north", 1, store.copy(), ("k1", "k2"), random.Random(1), Ample(), 0)
+        keeper = server_of(store.copy(), ("k1", "k2"))
         first = group_of(store, {"customers.a": quota(3)})
-        keeper.heard(Proposal("k1", first), 5)
+        keeper.on_message(Proposal("k1", first), 5)
         store.append(first)
         for i in range(2 * MAX_PROPOSALS):
-            keeper.heard(Proposal("k1", group_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i)
-        self.assertIn(digest_of(first), keeper.offers)
-        self.assertEqual(len(keeper.offers), MAX_PROPOSALS)
+            keeper.on_message(Proposal("k1", group_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i)
+        self.assertIn(digest_of(first), keeper.proposer.proposals.held)
+        self.assertEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
         for i in range(2 * MAX_PROPOSALS):  # a line that no reading has shown as committed
             group = group_of(store, {"customers.a": quota(i)})
-            keeper.heard(Proposal("k1", group), 100 + i)
+            keeper.on_message(Proposal("k1", group), 100 + i)
             store.append(group)
-        self.assertLessEqual(len(keeper.offers), MAX_PROPOSALS)
-        self.assertIn(digest_of(first), keeper.offers)
+        self.assertLessEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
+        self.assertIn(digest_of(first), keeper.proposer.proposals.held)
 
     def test_one_datagram_that_is_lost_sends_nobody_to_another_keeper(self):
         """One in fifty lost, two hundred members were soon at keepers of other regions, for a minute each time."""
         store, _ = self.start()
-        member = ConfigSubscriber("m0", "north", 1, store.copy(), ("k0", "k1"), random.Random(1), Ample(), 0)
-        member.asks(0)
-        self.assertEqual([(to, said.echo) for to, said in member.ready().out], [("k0", 1)])
-        due = member.wake(ANSWER_TIMEOUT // 2)
-        self.assertEqual([(to, said.echo) for to, said in member.ready().out], [("k0", 2)])
-        self.assertEqual(due, ANSWER_TIMEOUT)
-        member.heard(LeaseRenewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
+        member = subscriber_of(store.copy(), ("k0", "k1"))
+        member.request_sync(0)
+        self.assertEqual([(to, said.echo) for to, said in member.take_output().messages], [("k0", 1)])
+        due = member.wake(ANSWER_TIMEOUT_TICKS // 2)
+        self.assertEqual([(to, said.echo) for to, said in member.take_output().messages], [("k0", 2)])
+        self.assertEqual(due, ANSWER_TIMEOUT_TICKS)
+        member.on_message(LeaseRenewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
         self.assertGreater(member.wake(due), due)
-        self.assertEqual((member.status(due).keeper, member.leased(due)), ("k0", True))
-        member.asks(2 * SECOND)  # both lost
-        member.wake(2 * SECOND + ANSWER_TIMEOUT // 2)
-        member.ready()
-        member.wake(2 * SECOND + ANSWER_TIMEOUT)
-        self.assertEqual([to for to, _ in member.ready().out], ["k1"])
+        self.assertEqual((member.status(due).server, member.is_leased(due)), ("k0", True))
+        member.request_sync(2 * SECOND)  # both lost
+        member.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS // 2)
+        member.take_output()
+        member.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS)
+        self.assertEqual([to for to, _ in member.take_output().messages], ["k1"])
 
     def test_who_leaves_a_keeper_doesnt_go_where_all_others_go(self):
         """All went to the first by name: at 400 changes a minute it had half of 200 members, and no rate_limiter for them."""
@@ -873,61 +888,67 @@
 
     def test_an_asking_is_answered_only_by_a_reading_that_began_after_it(self):
         store, _ = self.start()
-        keeper = ConfigServer("k0", "north", 1, store.copy(), (), random.Random(1), Ample(), 0)
-        number = keeper.begins(0)
-        keeper.heard(SyncRequest("m0", 1, 1, 1, store.digest), 5)
-        keeper.read(number, 1, store.digest, 10)
-        self.assertEqual([said for _, said in keeper.ready().out if isinstance(said, LeaseRenewal)], [])
-        number = keeper.begins(20)
-        keeper.unread(number, 30)
-        self.assertTrue(keeper.waiting)
-        number = keeper.begins(40)
-        keeper.read(number, 1, store.digest, 50)
-        self.assertEqual([said.echo for _, said in keeper.ready().out if isinstance(said, LeaseRenewal)], [1])
+        keeper = server_of(store.copy(), ())
+        number = keeper.begin_read(0)
+        keeper.on_message(SyncRequest("m0", 1, 1, 1, store.digest), 5)
+        keeper.on_read(number, store.id, 10)
+        self.assertEqual(
+            [said for _, said in keeper.take_output().messages if isinstance(said, LeaseRenewal)], []
+        )
+        number = keeper.begin_read(20)
+        keeper.on_read_failed(number, 30)
+        self.assertTrue(keeper.readings.waiting)
+        number = keeper.begin_read(40)
+        keeper.on_read(number, store.id, 50)
+        self.assertEqual(
+            [said.echo for _, said in keeper.take_output().messages if isinstance(said, LeaseRenewal)], [1]
+        )
 
     def test_every_message_fits_its_form(self):
         for said in (
             SyncRequest("m0", 1, 2, 3, "0" * 32),
-            CommitNotice("k0", (1, "1" * 32), (group_of(Store(), {"zones": []}),)),
+            CommitNotice("k0", RevisionId(1, "1" * 32), (group_of(Store(), {"zones": []}),)),
         ):
             self.assertEqual(decode(encode(said)), said)
             self.assertLess(size_of(said), 1200)
 
 
+def first(members, allowances=TIGHTER, batch=False):
+    return start(Line(members, allowances), members, batch)
+
+
 class EveryOrderStory(unittest.TestCase):
     """Loss, doubling, reordering, restarts with the disk as it was synced, slow clocks."""
 
     def test_every_bound_holds_in_every_order(self):
         for allowances in (TIGHTER, LOOSER):
-            self.assertGreater(check_all(5, 2, allowances=allowances), 15_000)
-            self.assertGreater(check_all(7, 1, allowances=allowances), 10_000)
+            self.assertGreater(check_all(5, first(2, allowances)), 15_000)
+            self.assertGreater(check_all(7, first(1, allowances)), 10_000)
 
     def test_nor_does_one_break_where_both_groups_are_committed_together(self):
         for allowances in (TIGHTER, LOOSER):
-            self.assertGreater(check_all(5, 2, allowances=allowances, batch=True), 15_000)
-            self.assertGreater(check_all(6, 1, allowances=allowances, batch=True), 10_000)
+            self.assertGreater(check_all(5, first(2, allowances, True)), 15_000)
+            self.assertGreater(check_all(6, first(1, allowances, True)), 10_000)
             self.assertTrue(
-                any(walk(seed, 100, allowances=allowances, batch=True).force == 3 for seed in range(10))
+                any(walk(seed, 100, first(3, allowances, True)).active == 3 for seed in range(10))
             )
 
     def test_nor_is_who_was_left_behind_by_a_loosening_forgotten_by_a_tightening(self):
-        self.assertGreater(check_all(5, first=left_behind(), lives=2), 20_000)
+        self.assertGreater(check_all(5, left_behind(), CheckLimits(restarts=2)), 20_000)
 
     def test_nor_in_orders_far_longer_drawn_by_chance(self):
         ended = [
-            walk(seed, 100, allowances=allowances) for seed in range(40) for allowances in (TIGHTER, LOOSER)
+            walk(seed, 100, first(3, allowances)) for seed in range(40) for allowances in (TIGHTER, LOOSER)
         ]
         self.assertGreater(sum(world.register == 3 for world in ended), 20)
-        self.assertGreater(sum(world.force >= 2 for world in ended), 20)
+        self.assertGreater(sum(world.active >= 2 for world in ended), 20)
 
-    def found(self, bound, *patches, depth=6, members=1, walks=0, **more):
+    def found(self, bound, *patches, depth=6, allowances=TIGHTER, batch=False):
         with contextlib.ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
             with self.assertRaisesRegex(InvariantViolationError, f"^{bound}: "):
-                for seed in range(walks):
-                    walk(seed, 120)
-                check_all(depth, members, **more)
+                check_all(depth, first(1, allowances, batch))
 
     def test_an_in_force_that_is_told_too_early_is_found(self):
         self.found(
@@ -945,21 +966,21 @@
         def append(store, group, terms=None):
             made = whole(store, group, terms)
             if group.revision > 1:
-                made = store.terms = ActiveTerms({**made.rows(), group.puts[1].key: canonical(quota(10))})
+                made = store.terms = ActiveTerms({**made.rows(), group.changes[1].key: canonical(quota(10))})
             return made
 
         self.found("whole", mock.patch.object(Store, "append", append))
 
     def test_a_word_before_the_disk_is_found(self):
-        def ready(member):
+        def take_output(member):
             made = whole(member)
             return msgspec.structs.replace(made, writes=()) if isinstance(member, ConfigSubscriber) else made
 
-        whole = ConfigSubscriber.ready
-        self.found("back", mock.patch.object(ConfigSubscriber, "ready", ready))
+        whole = ConfigSubscriber.take_output
+        self.found("back", mock.patch.object(ConfigSubscriber, "take_output", take_output))
 
     def test_half_of_a_batch_kept_is_found(self):
-        def ready(member):
+        def take_output(member):
             made = whole(member)
             return (
                 msgspec.structs.replace(made, writes=made.writes[:1])
@@ -967,23 +988,23 @@
                 else made
             )
 
-        whole = ConfigSubscriber.ready
-        self.found("back", mock.patch.object(ConfigSubscriber, "ready", ready), batch=True)
+        whole = ConfigSubscriber.take_output
+        self.found("back", mock.patch.object(ConfigSubscriber, "take_output", take_output), batch=True)
 
     def test_the_first_of_a_batch_acted_by_as_soon_as_it_is_offered_is_found(self):
         def offered(member, group, sender, now):
             whole(member, group, sender, now)
-            if member.held:
-                member._committed((group.revision, digest_of(group)), (group,), sender, now)
+            if member.state.proposals:
+                member._on_committed(RevisionId(group.revision, digest_of(group)), (group,), sender, now)
 
-        whole = ConfigSubscriber._offered
-        self.found("unborn", mock.patch.object(ConfigSubscriber, "_offered", offered), batch=True)
+        whole = ConfigSubscriber._on_proposal
+        self.found("unborn", mock.patch.object(ConfigSubscriber, "_on_proposal", offered), batch=True)
 
     def test_a_commit_of_an_offer_that_is_acted_by_unkept_is_found(self):
-        def knows(member, known):
-            member.holder = member.holder.told(leased_versions.CommitNotice(*known))[0]
+        def learn(state, committed):
+            state.versions = state.versions.told(leased_versions.CommitNotice(*committed))[0]
 
-        self.found("back", mock.patch.object(ConfigSubscriber, "_knows", knows))
+        self.found("back", mock.patch.object(SubscriberState, "learn_committed", learn))
 
     def test_an_offer_that_allows_is_found(self):
         self.found(
@@ -1002,15 +1023,15 @@
                 whole(core, most), cleared=core.known[0], begins=core.known[0], history=core.history[-1:]
             )
 
-        def judges(keeper, now):
-            keeper.core = keeper.core.cut(8)
-            judged(keeper, now)
+        def judge(tracker, now):
+            tracker.versions = tracker.versions.cut(8)
+            judged(tracker, now)
 
-        whole, judged = leased_versions.VersionServer.cut, ConfigServer.judges
+        whole, judged = leased_versions.VersionServer.cut, ActiveRevisionTracker.judge
         self.found(
             "in-force",
             mock.patch.object(leased_versions.VersionServer, "cut", cut),
-            mock.patch.object(ConfigServer, "judges", judges),
+            mock.patch.object(ActiveRevisionTracker, "judge", judge),
             depth=7,
         )
 
--- a/tests/test_settings_disk.py
+++ b/tests/test_settings_disk.py
@@ -10,27 +10,29 @@
 
 from pathsaddle.settings import datagrams, disk
 from pathsaddle.settings.disk import SettingsDirectory
-from pathsaddle.settings.documents import Change, ChangeSet, canonical, digest_of
+from pathsaddle.settings.documents import Change, ChangeSet, RevisionId, canonical, digest_of
 from pathsaddle.settings.errors import StorageError
-from pathsaddle.settings.store import Store
-from pathsaddle.settings.sync import (
-    CHANGESET,
+from pathsaddle.settings.messages import (
     CHUNK_BYTES,
-    MAX_PROPOSALS,
     AppliedAck,
+    AppliedGroup,
     AppliedSummary,
     Chunk,
     ChunkManifest,
     ChunkRequest,
     CommitNotice,
-    DiskWrite,
+    DocumentKind,
     LeaseRenewal,
     Proposal,
     ProposalAck,
     SyncRequest,
     size_of,
 )
+from pathsaddle.settings.output import DiskWrite
+from pathsaddle.settings.proposals import MAX_PROPOSALS
+from pathsaddle.settings.store import Store
 
+CHANGESET = DocumentKind.CHANGESET
 KEY = b"sixteen bytes or more"
 
 
@@ -62,10 +64,10 @@
             LeaseRenewal("k", "m", 1, 2, 3, self.D),
             Proposal("k", group),
             ProposalAck("k", 1, self.D),
-            CommitNotice("k", (1, self.D), (group,)),
+            CommitNotice("k", RevisionId(1, self.D), (group,)),
             AppliedAck("m", 1, self.D),
-            AppliedSummary("k", ((1, self.D, ("m", "n")),)),
-            ChunkManifest("k", CHANGESET, self.D, (1, self.D), 3000, True),
+            AppliedSummary("k", (AppliedGroup(1, self.D, ("m", "n")),)),
+            ChunkManifest("k", CHANGESET, self.D, RevisionId(1, self.D), 3000, True),
             ChunkRequest("m", CHANGESET, self.D, 0, 8),
             Chunk("k", CHANGESET, self.D, 2, b"x" * CHUNK_BYTES),
         ]
@@ -93,13 +95,13 @@
             AppliedAck("m", 0, self.D),
             AppliedAck("m", 3, ""),
             AppliedAck("m", -1, ""),
-            CommitNotice("k", (1, "")),
+            CommitNotice("k", RevisionId(1, "")),
             Chunk("k", 2, self.D, 0, b"x"),
             Chunk("k", CHANGESET, self.D, -1, b""),
             Chunk("k", CHANGESET, self.D, 0, b"x" * (CHUNK_BYTES + 1)),
             ChunkRequest("m", CHANGESET, self.D, 0, 0),
-            ChunkManifest("k", CHANGESET, "d", (1, self.D), 3),
-            AppliedSummary("k", ((1, "x", ("m",)),)),
+            ChunkManifest("k", CHANGESET, "d", RevisionId(1, self.D), 3),
+            AppliedSummary("k", (AppliedGroup(1, "x", ("m",)),)),
         ):
             bad.append(("cut", datagrams.encode(said, KEY)))
         for why, one in bad:
@@ -127,21 +129,21 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "m0"
 
-    def folder(self, keep=1024):
-        made = SettingsDirectory(self.path, "m0", "members.m0.disk in ground.toml", keep=keep)
+    def folder(self, max_log=1024):
+        made = SettingsDirectory(self.path, "m0", "members.m0.disk in ground.toml", max_log=max_log)
         self.addCleanup(made.close)
         return made
 
     def test_what_was_written_is_there_again_and_the_life_grows(self):
         folder, groups = self.folder(), line(5)
         folder.write([DiskWrite(one) for one in groups[:3]])
-        folder.write([DiskWrite(groups[3]), DiskWrite(groups[4], committed=False)])
-        self.assertEqual(folder.life(50), 50)
+        folder.write([DiskWrite(groups[3]), DiskWrite(groups[4], is_committed=False)])
+        self.assertEqual(folder.next_incarnation(50), 50)
         again = self.folder()
         self.assertEqual((again.store.revision, again.store.digest), (4, digest_of(groups[3])))
         self.assertEqual([one for _, one in again.store.log], groups[:4])
-        self.assertEqual(again.offers, groups[4:])
-        self.assertEqual([again.life(50), again.life(60)], [51, 60])
+        self.assertEqual(again.proposals, groups[4:])
+        self.assertEqual([again.next_incarnation(50), again.next_incarnation(60)], [51, 60])
 
     def test_a_snapshot_takes_the_place_of_rows_and_log_and_what_follows_follows_it(self):
         folder, groups = self.folder(), line(9)
@@ -155,31 +157,31 @@
     def test_a_crash_between_the_snapshots_rename_and_the_logs_leaves_the_snapshot(self):
         folder, groups = self.folder(), line(9)
         folder.write([DiskWrite(one) for one in groups[:7]])
-        folder._replaces("snapshot", disk.framed(disk.encode_document(Store(None, groups[:5]).snapshot())))
+        folder._replace_file("snapshot", disk.frame(disk.encode_document(Store(None, groups[:5]).snapshot())))
         again = self.folder()
         self.assertEqual((again.store.revision, [one for _, one in again.store.log]), (7, groups[5:7]))
-        folder._replaces("snapshot", disk.framed(disk.encode_document(Store(None, groups[:9]).snapshot())))
+        folder._replace_file("snapshot", disk.frame(disk.encode_document(Store(None, groups[:9]).snapshot())))
         self.assertEqual((self.folder().store.revision, self.folder().store.log), (9, ()))
 
     def test_offers_keep_their_order_the_latest_few_and_go_with_their_revision(self):
         folder, first = self.folder(), line(1)[0]
         offers = [
-            ChangeSet(2, digest_of(first), "a", str(i), i, first.puts) for i in range(MAX_PROPOSALS + 3)
+            ChangeSet(2, digest_of(first), "a", str(i), i, first.changes) for i in range(MAX_PROPOSALS + 3)
         ]
         folder.write([DiskWrite(first)])
         for one in offers:
-            folder.write([DiskWrite(one, committed=False)])
-        self.assertEqual(self.folder().offers, offers[-MAX_PROPOSALS:])
+            folder.write([DiskWrite(one, is_committed=False)])
+        self.assertEqual(self.folder().proposals, offers[-MAX_PROPOSALS:])
         folder.write([DiskWrite(offers[0])])
-        self.assertEqual(self.folder().offers, [])
+        self.assertEqual(self.folder().proposals, [])
 
     def test_the_log_is_compacted_and_stays_bounded(self):
-        folder, groups = self.folder(keep=4), line(40)
+        folder, groups = self.folder(max_log=4), line(40)
         sizes = []
         for one in groups:
             folder.write([DiskWrite(one)])
             sizes.append((self.path / "log").stat().st_size)
-        again = self.folder(keep=4)
+        again = self.folder(max_log=4)
         self.assertEqual(again.store.snapshot(), Store(None, groups).snapshot())
         self.assertEqual([one for _, one in again.store.log], groups[-4:])
         self.assertLessEqual(max(sizes), 10 * sizes[0] + 320)
@@ -191,7 +193,9 @@
         folder.write([DiskWrite(one) for one in groups[2:]])
         whole = (self.path / "log").read_bytes()
         torn = [whole[:at] for at in range(before, len(whole))]
-        torn += [whole[:at] + bytes(len(whole) - at) for at in range(before + disk.HEAD, len(whole) - 1, 7)]
+        torn += [
+            whole[:at] + bytes(len(whole) - at) for at in range(before + disk.HEADER_BYTES, len(whole) - 1, 7)
+        ]
         torn += [whole[:before] + bytes(64)]
         for data in torn:
             (self.path / "log").write_bytes(data)
@@ -205,10 +209,10 @@
         folder, groups = self.folder(), line(6)
         folder.write([DiskWrite(groups[0])])
         folder.write([DiskWrite(groups[1])])
-        folder.write([DiskWrite(groups[2]), DiskWrite(groups[4], committed=False)])
+        folder.write([DiskWrite(groups[2]), DiskWrite(groups[4], is_committed=False)])
         log, offers = (self.path / "log").read_bytes(), (self.path / "offers").read_bytes()
         chance = random.Random(3)
-        one = len(disk.framed(disk._encode([disk.encode_document(groups[0])])))
+        one = len(disk.frame(disk._encode([disk.encode_document(groups[0])])))
         for at in sorted(chance.sample(range(2 * one), 60)):
             with self.subTest(at), self.assertRaises(StorageError) as caught:
                 (self.path / "log").write_bytes(log[:at] + bytes((log[at] ^ 0x11,)) + log[at + 1 :])
@@ -219,8 +223,8 @@
         for name, data in (
             ("offers", offers[:-1]),
             ("snapshot", b"x"),
-            ("snapshot", disk.framed(b"x")),
-            ("snapshot", disk.framed(disk.encode_document(Store(None, line(1, 1)).snapshot())) * 2),
+            ("snapshot", disk.frame(b"x")),
+            ("snapshot", disk.frame(disk.encode_document(Store(None, line(1, 1)).snapshot())) * 2),
             ("log", log[one:]),
             ("log", log + log[:one]),
         ):
--- a/tests/test_settings_driver.py
+++ b/tests/test_settings_driver.py
@@ -11,10 +11,13 @@
 from pathsaddle.consensus.udp_driver import monotonic_ticks
 from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.settings.disk import SettingsDirectory
-from pathsaddle.settings.documents import Change, ChangeSet, canonical, digest_of
-from pathsaddle.settings.driver import ConfigSubscriberDriver, DriverConfig
+from pathsaddle.settings.documents import Change, ChangeSet, RevisionId, canonical, digest_of
+from pathsaddle.settings.driver_config import DriverConfig
 from pathsaddle.settings.errors import StorageError
-from pathsaddle.settings.sync import AppliedAck, CommitNotice, ConfigSubscriber, DiskWrite
+from pathsaddle.settings.messages import AppliedAck, CommitNotice
+from pathsaddle.settings.output import DiskWrite
+from pathsaddle.settings.subscriber import ConfigSubscriber
+from pathsaddle.settings.subscriber_driver import ConfigSubscriberDriver
 
 KEY = b"sixteen bytes or more"
 ONE = ChangeSet(1, "", "a", "r", 0, (Change("customers.a", canonical({"allowance": 9})),))
@@ -34,7 +37,7 @@
             told, Random(1), lambda what, **more: self.seen.append((what, more))
         )
         self.acting = []
-        self.driver.hear.append(lambda acting: self.acting.append(acting.revision))
+        self.driver.listeners.append(lambda acting: self.acting.append(acting.revision))
         await self.driver.begin()
 
         async def ends():
@@ -51,10 +54,10 @@
             await asyncio.sleep(0.01)
 
     def commits(self):
-        self.driver._hears(CommitNotice("k", (2, digest_of(TWO)), (TWO,)))
+        self.driver.on_message(CommitNotice("k", RevisionId(2, digest_of(TWO)), (TWO,)))
 
     async def test_it_acts_and_speaks_by_a_revision_once_that_is_on_disk_and_not_before(self):
-        write = self.driver.folder.write
+        write = self.driver.directory.write
         gate = asyncio.Event()
         loop = asyncio.get_running_loop()
 
@@ -62,13 +65,13 @@
             asyncio.run_coroutine_threadsafe(gate.wait(), loop).result(20)
             write(writes)
 
-        with mock.patch.object(self.driver.folder, "write", slow):
+        with mock.patch.object(self.driver.directory, "write", slow):
             self.commits()
-            await self.until(lambda: self.driver.syncing)
+            await self.until(lambda: self.driver.is_syncing)
             before = list(self.said)
-            self.driver._wake()
+            self.driver._on_timer()
             self.assertEqual(
-                (self.acting, self.driver.acting.revision, self.driver.leased()), ([1], 1, False)
+                (self.acting, self.driver.acting.revision, self.driver.is_leased()), ([1], 1, False)
             )
             self.assertEqual(self.said, before)
             gate.set()
@@ -77,52 +80,52 @@
         self.assertGreater(len(self.said), len(before))
 
     async def test_a_fault_of_the_machine_is_told_by_name_and_it_is_made_anew_from_its_disk(self):
-        life = self.driver.life
-        with mock.patch.object(ConfigSubscriber, "_committed", side_effect=ZeroDivisionError("ours")):
+        life = self.driver.incarnation
+        with mock.patch.object(ConfigSubscriber, "_on_committed", side_effect=ZeroDivisionError("ours")):
             self.commits()
         self.assertEqual(
             [more["why"] for what, more in self.seen if what == "driver.fault"], ["ZeroDivisionError: ours"]
         )
         self.assertEqual(
-            (self.driver.core, self.driver.leased(), self.driver.acting.revision), (None, False, 1)
+            (self.driver.core, self.driver.is_leased(), self.driver.acting.revision), (None, False, 1)
         )
         await self.until(lambda: self.driver.core is not None)
-        self.assertGreater(self.driver.life, life)
+        self.assertGreater(self.driver.incarnation, life)
         self.commits()
         await self.until(lambda: self.acting == [1, 2])
 
     async def test_a_disk_that_fails_ends_it_with_nothing_said_of_it_and_what_it_acted_by_stays(self):
         said = []
         with (
-            mock.patch.object(self.driver.folder, "write", side_effect=StorageError("full", "make room")),
-            mock.patch.object(self.driver, "_does", side_effect=lambda made, acting: said.append(made)),
+            mock.patch.object(self.driver.directory, "write", side_effect=StorageError("full", "make room")),
+            mock.patch.object(self.driver, "_carry_out", side_effect=lambda made, acting: said.append(made)),
         ):
             self.commits()
             await self.until(self.driver.ended.is_set)
-        self.assertFalse([one for made in said for _, one in made.out if isinstance(one, AppliedAck)])
-        self.assertEqual((self.acting, self.driver.acting.revision, self.driver.leased()), ([1], 1, False))
+        self.assertFalse([one for made in said for _, one in made.messages if isinstance(one, AppliedAck)])
+        self.assertEqual((self.acting, self.driver.acting.revision, self.driver.is_leased()), ([1], 1, False))
         self.assertIsInstance(self.driver.fault, StorageError)
         again = SettingsDirectory(self.path, "m", "x")
         self.addCleanup(again.close)
         self.assertEqual(again.store.revision, 1)
 
     async def test_what_could_not_be_taken_into_service_is_never_said_to_be(self):
-        self.driver.hear.append(mock.Mock(side_effect=KeyError("theirs")))
+        self.driver.listeners.append(mock.Mock(side_effect=KeyError("theirs")))
         self.said.clear()
-        with mock.patch("pathsaddle.settings.driver.encode", side_effect=lambda said, key: said):
+        with mock.patch("pathsaddle.settings.udp_driver.encode", side_effect=lambda said, key: said):
             self.commits()
             await self.until(self.driver.ended.is_set)
         self.assertEqual([one for one in self.said if isinstance(one, AppliedAck)], [])
         self.assertIn("revision 2 could not be taken into service", str(self.driver.fault))
-        self.assertFalse(self.driver.leased())
+        self.assertFalse(self.driver.is_leased())
 
     async def test_all_that_it_sends_is_paid_by_its_purse(self):
-        self.driver.rate_limiter = self.driver.core.rate_limiter = RateLimiter(
+        self.driver.rate_limiter = self.driver.core.outbox.rate_limiter = RateLimiter(
             100, 1, monotonic_ticks()
         )  # half of it: not one asking
         self.said.clear()
         for _ in range(5):
-            self.driver._turn(lambda core, now: core.asks(now) or now)
+            self.driver.turn(lambda core, now: core.request_sync(now) or now)
         self.assertEqual(self.said, [])
 
 
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -26,7 +26,7 @@
     def test_every_bound_holds_through_drawn_faults(self) -> None:
         revisions = 0
         for seed in range(12):
-            revisions += self.holds(Plan(astray=0.2), seed).cell[0]
+            revisions += self.holds(Plan(astray=0.2), seed).cell.revision
         self.assertGreater(revisions, 100)
 
     def test_a_member_whose_disk_was_lost_acts_on_nothing_before_it_has_a_lease(self) -> None:
@@ -46,7 +46,7 @@
 
         def all_go() -> None:
             for name in world.keepers:
-                world.processes[name].dies()
+                world.processes[name].die()
 
         world.at(8 * SECOND, all_go)
         rows = world.run().events.rows
@@ -59,11 +59,11 @@
     def test_who_was_away_for_long_gets_a_snapshot_where_the_log_no_longer_leads(self) -> None:
         world = World(Plan(founded=True, faults=0.0, seconds=60.0, changes=90.0, log=8, loss=0.0), 4)
         away = world.processes["m0"]
-        world.at(5 * SECOND, away.dies)
-        world.at(50 * SECOND, away.begins)
+        world.at(5 * SECOND, away.die)
+        world.at(50 * SECOND, away.begin)
         rows = world.run().events.rows
         self.assertEqual(judge(rows), [])
-        self.assertGreater(world.cell[0], 40)
+        self.assertGreater(world.cell.revision, 40)
 
 
 class Judged(unittest.TestCase):
