--- a/pathsaddle/settings/model_checker.py
+++ b/pathsaddle/settings/model_checker.py
@@ -26,11 +26,9 @@
 from collections.abc import Hashable
 from dataclasses import replace
 from random import Random
-from typing import Any
 
 from pathsaddle.settings.active_terms import ActiveTerms
 from pathsaddle.settings.events import RevisionActivated
-from pathsaddle.settings.messages import Message
 from pathsaddle.settings.model_state import (
     LOOSER,
     MOMENT,
@@ -49,7 +47,7 @@
     start,
     stored,
 )
-from pathsaddle.settings.output import Output
+from pathsaddle.settings.output import AddressedMessage, Output
 from pathsaddle.settings.server import ConfigServer
 from pathsaddle.settings.subscriber import ConfigSubscriber
 
@@ -87,19 +85,19 @@
         elif state.server.store.revision == state.register:
             server = clone(state.server)
             server.propose(following, state.clocks[-1])
-            self._add_server(f"the keeper proposes {last}", server)
+            self._add_server(f"the keeper proposes {last}", server, state)
 
     def _reading_steps(self) -> None:
         state, now = self.state, self.state.clocks[-1]
         if state.reading is None:
             server = clone(state.server)
             reading = OpenReading(server.begin_read(now), state.register)
-            self._add_server("a reading begins", server, reading=reading)
+            self._add_server("a reading begins", server, replace(state, reading=reading))
             return
         for revision in dict.fromkeys((state.reading.revision, state.register)):
             server = clone(state.server)
             server.on_read(state.reading.number, state.line.id_at(revision), now)
-            self._add_server(f"it read {revision}", server, reading=None)
+            self._add_server(f"it read {revision}", server, replace(state, reading=None))
 
     def _server_steps(self) -> None:
         state, now = self.state, self.state.clocks[-1]
@@ -108,10 +106,11 @@
             server = clone(state.server)
             server.tracker.judge(now)
             if server.tracker.active_revision > tracker.active_revision:
-                self._add_server("the keeper judges", server)
+                self._add_server("the keeper judges", server, state)
         if state.restarts < self.limits.restarts:
             server = new_server(state.server.incarnation + 1, state.server_disk, now)
-            self._add_server("the keeper begins again", server, reading=None, restarts=state.restarts + 1)
+            restarted = replace(state, reading=None, restarts=state.restarts + 1)
+            self._add_server("the keeper begins again", server, restarted)
 
     def _subscriber_steps(self, i: int) -> None:
         state, subscriber, clock = self.state, self.state.subscribers[i], self.state.clocks[i]
@@ -134,7 +133,7 @@
             if recipient == "k":
                 server = clone(state.server)
                 server.on_message(message, state.clocks[-1])
-                self._add_server(f"the keeper hears {kind} of {message.sender}", server)
+                self._add_server(f"the keeper hears {kind} of {message.sender}", server, state)
             else:
                 i = int(recipient[1:])
                 subscriber = clone(state.subscribers[i])
@@ -151,7 +150,7 @@
             name = f"a moment, clock {slow} slow" if slow >= 0 else "a moment"
             self.found.append(Step(name, replace(state, clocks=clocks)))
 
-    def _messages_with(self, output: Output) -> frozenset[tuple[str, Message]]:
+    def _messages_with(self, output: Output) -> frozenset[AddressedMessage]:
         messages = self.state.messages
         return messages.union(output.messages) if output.messages else messages
 
@@ -169,8 +168,9 @@
         )
         self.found.append(Step(name, after))
 
-    def _add_server(self, name: str, server: ConfigServer, **changed: Any) -> None:
-        state, output = self.state, server.take_output()
+    def _add_server(self, name: str, server: ConfigServer, state: State) -> None:
+        """Adds a step of the server; `state` has what else the step changes."""
+        output = server.take_output()
         disk = state.server_disk
         proposals = (
             write.changeset
@@ -184,7 +184,6 @@
             messages=self._messages_with(output),
             server_disk=ServerDisk(stored(disk.store, output.writes), (*disk.proposals, *proposals)),
             active=max([state.active, *active]),
-            **changed,
         )
         self.found.append(Step(name, after))
 
--- a/pathsaddle/settings/model_state.py
+++ b/pathsaddle/settings/model_state.py
@@ -17,8 +17,8 @@
 from pathsaddle.settings.catch_up import CatchUp
 from pathsaddle.settings.chunks import ChunkReceiver
 from pathsaddle.settings.documents import Change, ChangeSet, RevisionId, canonical, digest_of
-from pathsaddle.settings.messages import LeaseRenewal, Message
-from pathsaddle.settings.output import DiskWrite, Outbox
+from pathsaddle.settings.messages import LeaseRenewal
+from pathsaddle.settings.output import AddressedMessage, DiskWrite, Outbox
 from pathsaddle.settings.proposals import ProposalStore
 from pathsaddle.settings.proposer import Proposer
 from pathsaddle.settings.register_readings import ReadingNumber, RegisterReadings
@@ -152,7 +152,7 @@
     server: ConfigServer
     server_disk: ServerDisk
     clocks: tuple[int, ...]
-    messages: frozenset[tuple[str, Message]]
+    messages: frozenset[AddressedMessage]
     register: int = 1
     is_batch: bool = False
     reading: OpenReading | None = None
--- a/pathsaddle/settings/output.py
+++ b/pathsaddle/settings/output.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from msgspec import Struct
 
@@ -34,6 +34,13 @@
     replaced_digests: tuple[str, ...] = ()
 
 
+class AddressedMessage(NamedTuple):
+    """A message, and the server or subscriber to which it goes."""
+
+    recipient: str
+    message: Message
+
+
 class Output(Struct, frozen=True):
     """What one or several calls of a core want done, in this order.
 
@@ -44,7 +51,7 @@
     """
 
     writes: tuple[DiskWrite, ...]
-    messages: tuple[tuple[str, Message], ...]
+    messages: tuple[AddressedMessage, ...]
     events: tuple[Event, ...]
 
 
@@ -70,7 +77,7 @@
         """
         self.rate_limiter, self.size_of = rate_limiter, size_of
         self.writes: list[DiskWrite] = []
-        self.messages: list[tuple[str, Message]] = []
+        self.messages: list[AddressedMessage] = []
         self.events: list[Event] = []
 
     def write(self, write: DiskWrite) -> None:
@@ -95,7 +102,7 @@
         """
         if not self.rate_limiter.try_consume(self.size_of(message), now, reserve):
             return False
-        self.messages.append((recipient, message))
+        self.messages.append(AddressedMessage(recipient, message))
         return True
 
     def take(self) -> Output:
--- a/pathsaddle/settings/proposals.py
+++ b/pathsaddle/settings/proposals.py
@@ -151,13 +151,13 @@
             raise InvalidDocumentError(f"{after.revision} doesn't follow {one.revision}, with which it came")
 
 
-def _ancestors(held: Mapping[str, ChangeSet], changeset: ChangeSet) -> Iterator[tuple[str, int]]:
-    """The held change sets which one follows, each with its digest and revision."""
+def _ancestors(held: Mapping[str, ChangeSet], changeset: ChangeSet) -> Iterator[RevisionId]:
+    """Yields the revisions of the held change sets which one follows."""
     seen: set[str] = set()
     ancestor = held.get(changeset.previous_digest)
     while ancestor is not None and (digest := digest_of(ancestor)) not in seen:
         seen.add(digest)
-        yield digest, ancestor.revision
+        yield RevisionId(ancestor.revision, digest)
         ancestor = held.get(ancestor.previous_digest)
 
 
@@ -167,7 +167,7 @@
     That is a rival of the change set's own revision (its proposer has looked and found none committed, and
     owns the register's key), or of a revision which it follows. All else may be committed.
     """
-    ancestors = dict(_ancestors(held, changeset))
+    ancestors = {one.digest: one.revision for one in _ancestors(held, changeset)}
     decided = {changeset.revision, *ancestors.values()}
     return next(
         (digest for digest, one in held.items() if digest not in ancestors and one.revision in decided), None
