--- a/tests/test_settings_batch.py
+++ b/tests/test_settings_batch.py
@@ -99,7 +99,7 @@
     """That many groups, each after the other."""
     store, found = store.copy(), []
     for i in range(count):
-        group = ChangeSet(
+        changeset = ChangeSet(
             store.revision + 1,
             store.digest,
             "ann",
@@ -107,8 +107,8 @@
             0,
             (Change(f"customers.c{i}", quota(i)),),
         )
-        store.append(group)
-        found.append(group)
+        store.append(changeset)
+        found.append(changeset)
     return found
 
 
@@ -142,69 +142,73 @@
     told: dict[int, tuple[str, int]] = field(default_factory=dict)
     order: list[PendingChange] = field(default_factory=list)
 
-    def round(self, waiting, joins, takes):
+    def round(self, waiting, joins, is_taken):
         found = plan_round(self.store, waiting, eight, joins)
-        for told in found.verdicts:
-            self.order.append(told.change)
-            self.told[told.change.created_ms] = (told.verdict, told.committed.revision)
-            waiting.remove(told.change)
+        for verdict in found.verdicts:
+            self.order.append(verdict.change)
+            self.told[verdict.change.created_ms] = (verdict.verdict, verdict.committed.revision)
+            waiting.remove(verdict.change)
         for planned in found.planned:
             planned.change.attempts.append(id_of(planned.changeset))
-        if takes:
+        if is_taken:
             for planned in found.planned:
-                one, group = planned.change, planned.changeset
-                self.store.append(group)
+                one, changeset = planned.change, planned.changeset
+                self.store.append(changeset)
                 self.order.append(one)
-                self.told[one.created_ms] = (Verdict.ALREADY_COMMITTED, group.revision)
+                self.told[one.created_ms] = (Verdict.ALREADY_COMMITTED, changeset.revision)
                 waiting.remove(one)
         return found
 
 
-class TogetherStory(unittest.TestCase):
+class RoundStory(unittest.TestCase):
     def test_each_has_its_own_revision_author_and_reason_one_after_another(self):
         waiting = [change(1, a=5), change(2, b=6), change(3, a=7)]
-        found = plan_round(founded(), waiting, unjudged, lambda groups: True)
+        found = plan_round(founded(), waiting, unjudged, lambda changesets: True)
         self.assertEqual(
-            [(group.revision, group.reason, group.created_ms) for group in found.changesets],
+            [(changeset.revision, changeset.reason, changeset.created_ms) for changeset in found.changesets],
             [(2, "change 1", 1), (3, "change 2", 2), (4, "change 3", 3)],
         )
         self.assertEqual(
-            [group.previous_digest for group in found.changesets[1:]],
-            [digest_of(group) for group in found.changesets[:-1]],
+            [changeset.previous_digest for changeset in found.changesets[1:]],
+            [digest_of(changeset) for changeset in found.changesets[:-1]],
         )
         self.assertEqual(found.verdicts, ())
 
-    def test_one_that_is_refused_or_outrun_leaves_the_others_whole(self):
+    def test_one_that_is_refused_or_in_conflict_leaves_the_others_whole(self):
         bad, late, same = change(1, gone=None), change(2, expect=0, a=9), change(3, a=1)
         good = [change(4, a=5), change(5, b=6)]
-        found = plan_round(founded(), [bad, late, same, *good], unjudged, lambda groups: True)
+        found = plan_round(founded(), [bad, late, same, *good], unjudged, lambda changesets: True)
         self.assertEqual(
-            [(told.change, told.verdict) for told in found.verdicts],
+            [(verdict.change, verdict.verdict) for verdict in found.verdicts],
             [(bad, Verdict.REJECTED), (late, Verdict.REVISION_CONFLICT), (same, Verdict.UNCHANGED)],
         )
         self.assertEqual([one.change for one in found.planned], good)
-        self.assertEqual([group.revision for group in found.changesets], [2, 3])
+        self.assertEqual([changeset.revision for changeset in found.changesets], [2, 3])
 
     def test_what_one_is_told_never_rests_on_what_may_not_be_committed(self):
         """Behind another of its round each of these would be told otherwise than alone: it waits for the next."""
         first = change(1, a=5)
         for second in (change(2, a=5), change(2, a=1, gone=None), change(2, expect=1, b=6), change(2, b=8)):
-            found = plan_round(founded(), [first, second], eight, lambda groups: True)
+            found = plan_round(founded(), [first, second], eight, lambda changesets: True)
             self.assertEqual(([one.change for one in found.planned], found.verdicts), ([first], ()))
         self.assertEqual(
-            len(plan_round(founded(), [first, change(2, expect=2, b=6)], eight, lambda groups: True).planned),
+            len(
+                plan_round(
+                    founded(), [first, change(2, expect=2, b=6)], eight, lambda changesets: True
+                ).planned
+            ),
             2,
         )
 
     def test_a_round_that_was_committed_though_nobody_could_say_so_is_not_made_again(self):
         store, waiting = founded(), [change(1, a=5), change(2, a=6)]
-        found = plan_round(store, waiting, unjudged, lambda groups: True)
+        found = plan_round(store, waiting, unjudged, lambda changesets: True)
         for planned in found.planned:
             planned.change.attempts.append(id_of(planned.changeset))
             store.append(planned.changeset)
-        again = plan_round(store, waiting, unjudged, lambda groups: True)
+        again = plan_round(store, waiting, unjudged, lambda changesets: True)
         self.assertEqual(
-            [(told.verdict, told.committed.revision) for told in again.verdicts],
+            [(verdict.verdict, verdict.committed.revision) for verdict in again.verdicts],
             [(Verdict.ALREADY_COMMITTED, 2), (Verdict.ALREADY_COMMITTED, 3)],
         )
         self.assertEqual((again.planned, store.terms.get("customers.a")), ((), quota(6)))
@@ -213,12 +217,12 @@
         """Every three of eight kinds, in each order, each of the first rounds taken or not; at most one, two or three join."""
         cases = 0
         for kinds in itertools.product(KINDS, repeat=3):
-            for takes in itertools.product((True, False), repeat=2):
+            for is_taken in itertools.product((True, False), repeat=2):
                 for most in (1, 2, 3):
                     waiting = [kind(at + 1) for at, kind in enumerate(kinds)]
                     voters = Voters(founded())
-                    for took in (*takes, *[True] * 4):
-                        voters.round(waiting, lambda groups, most=most: len(groups) <= most, took)
+                    for took in (*is_taken, *[True] * 4):
+                        voters.round(waiting, lambda changesets, most=most: len(changesets) <= most, took)
                     self.assertEqual(waiting, [])
                     alone = Voters(founded())
                     for one in voters.order:
@@ -228,13 +232,13 @@
                                     one.changes, one.author, one.reason, one.created_ms, one.expected_revision
                                 )
                             ],
-                            lambda groups: True,
+                            lambda changesets: True,
                             True,
                         )
                     self.assertEqual(
                         (alone.told, alone.store.digest),
                         (voters.told, voters.store.digest),
-                        (voters.order, takes),
+                        (voters.order, is_taken),
                     )
                     cases += 1
         self.assertEqual(cases, 8**3 * 4 * 3)
@@ -242,7 +246,7 @@
     def test_that_planted_faults_are_found_by_it(self):
         for fault in (
             mock.patch.object(commit_round, "is_expected", lambda change, revision: True),
-            mock.patch.object(Store, "check_next", lambda store, group: None),
+            mock.patch.object(Store, "check_next", lambda store, changeset: None),
             mock.patch.object(
                 commit_round,
                 "next_changeset",
@@ -259,120 +263,124 @@
             founded(),
             [change(1, gone=None), change(2, expect=0, b=2), change(3, a=1)],
             unjudged,
-            lambda groups: True,
+            lambda changesets: True,
         )
         self.assertEqual(
-            {told.change.created_ms: told.verdict for told in found.verdicts},
+            {verdict.change.created_ms: verdict.verdict for verdict in found.verdicts},
             {1: Verdict.REJECTED, 2: Verdict.REVISION_CONFLICT, 3: Verdict.UNCHANGED},
         )
 
 
-class KeptStory(unittest.TestCase):
+class ProposalStory(unittest.TestCase):
     """A keeper's part."""
 
-    def keeper(self, store, peers=("k1", "k2"), **more):
+    def server(self, store, peers=("k1", "k2"), **more):
         return server_of("k0", store, peers, **more)
 
     def test_a_batch_goes_out_in_one_datagram_and_is_kept_once_most_have_all_of_it(self):
         store = founded()
-        groups = chained(store, 3)
+        changesets = chained(store, 3)
         one, two = (
-            self.keeper(store),
+            self.server(store),
             server_of("k1", store, ("k0", "k2")),
         )
-        one.propose(groups, 0)
+        one.propose(changesets, 0)
         made = one.take_output()
-        offers = [said for to, said in made.messages if to == "k1"]
-        self.assertEqual(offers, [Proposal("k0", groups[0], tuple(groups[1:]))])
-        self.assertEqual([write.changeset for write in made.writes], groups)
-        one.on_message(ProposalAck("k1", 3, digest_of(groups[1])), 1)  # of a part
+        proposals = [message for to, message in made.messages if to == "k1"]
+        self.assertEqual(proposals, [Proposal("k0", changesets[0], tuple(changesets[1:]))])
+        self.assertEqual([write.changeset for write in made.writes], changesets)
+        one.on_message(ProposalAck("k1", 3, digest_of(changesets[1])), 1)  # of a part
         self.assertEqual(one.take_output().events, ())
-        two.on_message(offers[0], 1)
+        two.on_message(proposals[0], 1)
         made = two.take_output()
-        self.assertEqual([write.changeset for write in made.writes], groups)
-        for _, said in made.messages:
-            one.on_message(said, 2)
-        self.assertEqual([(told.log_name, told.revision) for told in one.take_output().events], [("kept", 4)])
-        two.on_read(two.begin_read(5), RevisionId(4, digest_of(groups[2])), 6)
+        self.assertEqual([write.changeset for write in made.writes], changesets)
+        for _, message in made.messages:
+            one.on_message(message, 2)
+        self.assertEqual(
+            [(event.log_name, event.revision) for event in one.take_output().events], [("kept", 4)]
+        )
+        two.on_read(two.begin_read(5), RevisionId(4, digest_of(changesets[2])), 6)
         self.assertEqual(
-            (two.store.revision, [told.log_name for told in two.take_output().events].count("committed")),
+            (two.store.revision, [event.log_name for event in two.take_output().events].count("committed")),
             (4, 3),
         )
 
-    def test_no_keeper_keeps_a_part_and_what_doesnt_follow_is_refused(self):
+    def test_no_server_keeps_a_part_and_what_doesnt_follow_is_refused(self):
         store = founded()
-        groups = chained(store, 3)
-        keeper = self.keeper(store)
-        keeper.on_message(Proposal("k1", groups[0], (groups[2],)), 1)
-        made = keeper.take_output()
+        changesets = chained(store, 3)
+        server = self.server(store)
+        server.on_message(Proposal("k1", changesets[0], (changesets[2],)), 1)
+        made = server.take_output()
         self.assertEqual(
-            (made.writes, made.messages, [told.log_name for told in made.events]), ((), (), ["refused"])
+            (made.writes, made.messages, [event.log_name for event in made.events]), ((), (), ["refused"])
         )
         line = chained(store, MAX_PROPOSALS - 1)  # which no reading has shown as committed, and may be
-        for group in line:
-            keeper.on_message(Proposal("k1", group), 2)
-        keeper.take_output()
+        for changeset in line:
+            server.on_message(Proposal("k1", changeset), 2)
+        server.take_output()
         later = store.copy()
-        for group in line:
-            later.append(group)
+        for changeset in line:
+            later.append(changeset)
         two = chained(later, 2, "later")
-        keeper.on_message(Proposal("k1", two[0], (two[1],)), 3)
-        made = keeper.take_output()
+        server.on_message(Proposal("k1", two[0], (two[1],)), 3)
+        made = server.take_output()
         self.assertEqual(
-            (made.writes, made.messages, [told.log_name for told in made.events]), ((), (), ["full"])
+            (made.writes, made.messages, [event.log_name for event in made.events]), ((), (), ["full"])
         )
 
-    def test_a_keeper_that_is_full_of_batches_that_came_to_nothing_always_has_room_for_the_next(self):
+    def test_a_server_that_is_full_of_batches_that_came_to_nothing_always_has_room_for_the_next(self):
         """Rivals make room, revision by revision: also of batches longer and shorter than it, through many that fail."""
-        chance = random.Random(3)
+        rng = random.Random(3)
         store = founded()
         for _ in range(60):
-            keeper = self.keeper(store, proposals=[])
+            server = self.server(store, proposals=[])
             here = store.copy()
             for i in range(40):
-                groups = chained(here, chance.randrange(1, MAX_ROUND_CHANGESETS + 1), f"try {i}")
-                keeper.on_message(Proposal("k1", groups[0], tuple(groups[1:])), i)
-                made = keeper.take_output()
+                changesets = chained(here, rng.randrange(1, MAX_ROUND_CHANGESETS + 1), f"try {i}")
+                server.on_message(Proposal("k1", changesets[0], tuple(changesets[1:])), i)
+                made = server.take_output()
                 self.assertEqual(
-                    [said for _, said in made.messages if isinstance(said, ProposalAck)],
-                    [ProposalAck("k0", groups[-1].revision, digest_of(groups[-1]))],
+                    [message for _, message in made.messages if isinstance(message, ProposalAck)],
+                    [ProposalAck("k0", changesets[-1].revision, digest_of(changesets[-1]))],
+                )
+                self.assertLessEqual(len(server.proposer.proposals.held), MAX_PROPOSALS)
+                self.assertTrue(
+                    all(digest_of(changeset) in server.proposer.proposals.held for changeset in changesets)
                 )
-                self.assertLessEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
-                self.assertTrue(all(digest_of(group) in keeper.proposer.proposals.held for group in groups))
-                if chance.random() < 0.3:
-                    for group in groups:
-                        here.append(group)
-                    keeper.on_message(CommitNotice("k1", RevisionId(here.revision, here.digest)), i)
-                    keeper.take_output()
-                    self.assertEqual(keeper.store.digest, here.digest)
-
-    def test_disk_and_keeper_agree_which_offers_made_room(self):
+                if rng.random() < 0.3:
+                    for changeset in changesets:
+                        here.append(changeset)
+                    server.on_message(CommitNotice("k1", RevisionId(here.revision, here.digest)), i)
+                    server.take_output()
+                    self.assertEqual(server.store.digest, here.digest)
+
+    def test_disk_and_server_agree_which_proposals_made_room(self):
         """The disk kept the latest, the keeper what may count: after a crash it lacked a text that it had said to have."""
         store = founded()
         with tempfile.TemporaryDirectory() as path:
-            folder = SettingsDirectory(Path(path) / "k", "k0", "x")
-            self.addCleanup(folder.close)
-            folder.write([mock.Mock(snapshot=store.snapshot(), changeset=None)])
-            keeper = self.keeper(store)
+            directory = SettingsDirectory(Path(path) / "k", "k0", "x")
+            self.addCleanup(directory.close)
+            directory.write([mock.Mock(snapshot=store.snapshot(), changeset=None)])
+            server = self.server(store)
             first = chained(store, 1)[0]
             after = store.copy()
             after.append(first)
-            keeper.on_message(Proposal("k1", first), 1)
+            server.on_message(Proposal("k1", first), 1)
             for i in range(2 * MAX_PROPOSALS):  # each says that `first` was committed
-                keeper.on_message(Proposal("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
-            folder.write(keeper.take_output().writes)
+                server.on_message(Proposal("k1", chained(after, 1, f"try {i}")[0]), 2 + i)
+            directory.write(server.take_output().writes)
             again = SettingsDirectory(Path(path) / "k", "k0", "x")
             self.addCleanup(again.close)
-            self.assertEqual({digest_of(one) for one in again.proposals}, set(keeper.proposer.proposals.held))
+            self.assertEqual({digest_of(one) for one in again.proposals}, set(server.proposer.proposals.held))
             self.assertIn(first, again.proposals)
 
-    def test_a_batch_is_no_larger_than_a_datagram_and_a_large_group_goes_alone(self):
+    def test_a_batch_is_no_larger_than_a_datagram_and_a_large_change_set_goes_alone(self):
         store = founded()
-        keeper = self.keeper(store)
+        server = self.server(store)
         small = chained(store, MAX_ROUND_CHANGESETS + 1)
         self.assertEqual(
             [
-                keeper.fits_one_round(small[:n])
+                server.fits_one_round(small[:n])
                 for n in (1, 2, MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS + 1)
             ],
             [True, True, True, False],
@@ -382,56 +390,73 @@
             large[0], changes=tuple(Change(f"customers.w{i}", quota(i)) for i in range(50))
         )
         self.assertEqual(
-            (keeper.fits_one_round([wide]), keeper.fits_one_round([wide, small[0]])), (True, False)
+            (server.fits_one_round([wide]), server.fits_one_round([wide, small[0]])), (True, False)
         )
         with self.assertRaises(InvalidDocumentError):
-            keeper.propose(small, 0)
-        for groups in (small[:MAX_ROUND_CHANGESETS], small[:3]):
-            self.assertLessEqual(size_of(Proposal("k0", groups[0], tuple(groups[1:]))), MAX_DATAGRAM_BYTES)
+            server.propose(small, 0)
+        for changesets in (small[:MAX_ROUND_CHANGESETS], small[:3]):
+            self.assertLessEqual(
+                size_of(Proposal("k0", changesets[0], tuple(changesets[1:]))), MAX_DATAGRAM_BYTES
+            )
 
-    def test_a_member_gets_all_of_a_batch_in_one_datagram_and_not_again_what_it_was_offered(self):
+    def test_a_subscriber_gets_all_of_a_batch_in_one_datagram_and_not_again_what_it_was_proposaled(self):
         store = founded()
-        groups = chained(store, 3)
-        keeper = self.keeper(store, peers=())
-        member = subscriber_of(store)
-        member.request_sync(0)
-        for _, said in member.take_output().messages:
-            keeper.on_message(said, 0)
-        keeper.on_read(keeper.begin_read(1), RevisionId(1, store.digest), 1)
-        keeper.propose(groups, 2)
-        made = [said for to, said in keeper.take_output().messages if to == "m0"]
-        self.assertEqual([said for said in made if isinstance(said, Proposal)], [Proposal("k0", groups[0])])
-        for said in made:
-            member.on_message(said, 3)
-        self.assertEqual(member.state.entries().keys(), store.terms.rows().keys())  # it allows nothing yet
-        member.take_output()
-        keeper.on_read(keeper.begin_read(4), RevisionId(4, digest_of(groups[2])), 5)
+        changesets = chained(store, 3)
+        server = self.server(store, peers=())
+        subscriber = subscriber_of(store)
+        subscriber.request_sync(0)
+        for _, message in subscriber.take_output().messages:
+            server.on_message(message, 0)
+        server.on_read(server.begin_read(1), RevisionId(1, store.digest), 1)
+        server.propose(changesets, 2)
+        made = [message for to, message in server.take_output().messages if to == "m0"]
+        self.assertEqual(
+            [message for message in made if isinstance(message, Proposal)], [Proposal("k0", changesets[0])]
+        )
+        for message in made:
+            subscriber.on_message(message, 3)
+        self.assertEqual(
+            subscriber.state.entries().keys(), store.terms.rows().keys()
+        )  # it allows nothing yet
+        subscriber.take_output()
+        server.on_read(server.begin_read(4), RevisionId(4, digest_of(changesets[2])), 5)
         commits = [
-            said
-            for to, said in keeper.take_output().messages
-            if to == "m0" and isinstance(said, CommitNotice)
+            message
+            for to, message in server.take_output().messages
+            if to == "m0" and isinstance(message, CommitNotice)
         ]
         self.assertEqual(
-            commits, [CommitNotice("k0", RevisionId(4, digest_of(groups[2])), tuple(groups[1:]))]
+            commits, [CommitNotice("k0", RevisionId(4, digest_of(changesets[2])), tuple(changesets[1:]))]
+        )
+        subscriber.on_message(commits[0], 6)
+        made = subscriber.take_output()
+        self.assertEqual([write.changeset for write in made.writes], changesets)
+        self.assertEqual(
+            [message for _, message in made.messages], [AppliedAck("m0", 4, digest_of(changesets[2]))]
         )
-        member.on_message(commits[0], 6)
-        made = member.take_output()
-        self.assertEqual([write.changeset for write in made.writes], groups)
-        self.assertEqual([said for _, said in made.messages], [AppliedAck("m0", 4, digest_of(groups[2]))])
 
-    def test_who_missed_the_offer_gets_the_first_too(self):
+    def test_who_missed_the_proposal_gets_the_first_too(self):
         store = founded()
-        groups = chained(store, 2)
-        member = subscriber_of(store)
-        member.on_message(CommitNotice("k0", RevisionId(3, digest_of(groups[1])), (groups[1],)), 1)
+        changesets = chained(store, 2)
+        subscriber = subscriber_of(store)
+        subscriber.on_message(
+            CommitNotice("k0", RevisionId(3, digest_of(changesets[1])), (changesets[1],)), 1
+        )
         self.assertEqual(
-            [said.revision for _, said in member.take_output().messages if isinstance(said, AppliedAck)], [1]
+            [
+                message.revision
+                for _, message in subscriber.take_output().messages
+                if isinstance(message, AppliedAck)
+            ],
+            [1],
+        )
+        subscriber.on_message(
+            CommitNotice("k0", RevisionId(3, digest_of(changesets[1])), tuple(changesets)), 2
         )
-        member.on_message(CommitNotice("k0", RevisionId(3, digest_of(groups[1])), tuple(groups)), 2)
-        self.assertEqual(member.store.digest, digest_of(groups[1]))
+        self.assertEqual(subscriber.store.digest, digest_of(changesets[1]))
 
 
-class DrivenStory(unittest.IsolatedAsyncioTestCase):
+class CommitterStory(unittest.IsolatedAsyncioTestCase):
     """A keeper's process, its register in this test's hands: what each that waits is told."""
 
     def setUp(self):
@@ -443,11 +468,11 @@
         server = mock.Mock(spec=ConfigServerDriver)
         server.config = mock.Mock(control="here")
         server.core = mock.Mock(
-            store=self.store, fits_one_round=lambda groups: len(groups) <= MAX_ROUND_CHANGESETS
+            store=self.store, fits_one_round=lambda changesets: len(changesets) <= MAX_ROUND_CHANGESETS
         )
         server.require_core = lambda: server.core
         server.start_task = lambda work: asyncio.get_running_loop().create_task(work)
-        server.propose = lambda groups: setattr(self, "proposed", groups)
+        server.propose = lambda changesets: setattr(self, "proposed", changesets)
         server.report_fault = mock.Mock(side_effect=lambda fault: self.fail(repr(fault)))
         self.committer = committer = ChangeCommitter(server, mock.Mock(), mock.Mock(), random.Random(1))
         committer.session = mock.Mock()
@@ -478,8 +503,8 @@
             rival, self.rival = self.rival, None
             self.store.append(rival)
         elif self.lost != "before":
-            for group in self.proposed:
-                self.store.append(group)
+            for changeset in self.proposed:
+                self.store.append(changeset)
         self.known = self.store.id
 
     async def settled(self, revision, until):
@@ -506,12 +531,12 @@
         )
         self.assertEqual([one.revision for one in found], list(range(2, 2 * MAX_ROUND_CHANGESETS + 3)))
         self.assertEqual(
-            [group.reason for _, group in self.store.log[1:]],
+            [changeset.reason for _, changeset in self.store.log[1:]],
             [f"{i}" for i in range(2 * MAX_ROUND_CHANGESETS + 1)],
         )
         self.assertEqual(self.rounds, [MAX_ROUND_CHANGESETS, MAX_ROUND_CHANGESETS, 1])
 
-    async def test_who_is_refused_or_outrun_is_told_so_and_the_others_are_committed(self):
+    async def test_who_is_refused_or_in_conflict_is_told_so_and_the_others_are_committed(self):
         found = await self.all(
             {"rows": {"budgets.a": 1}},
             {"remove": ["budgets.none"]},
@@ -528,15 +553,15 @@
             sorted(self.store.terms.rows()), ["budgets.a", "budgets.c", "customers.a", "members.m0"]
         )
 
-    async def test_another_was_first_who_expected_nothing_goes_once_more_and_who_did_is_outrun(self):
+    async def test_another_was_first_who_expected_nothing_goes_once_more_and_who_did_is_in_conflict(self):
         rival = ChangeSet(2, self.store.digest, "bob", "mine", 0, (Change("budgets.z", b"1"),))
         self.rival = rival
         found = await self.all({"rows": {"budgets.a": 1}, "expect": 1}, {"rows": {"budgets.b": 1}})
         self.assertIsInstance(found[0], RevisionConflictError)
         self.assertEqual(found[1].revision, 3)
-        self.assertEqual([group.author for _, group in self.store.log[1:]], ["bob", ""])
+        self.assertEqual([changeset.author for _, changeset in self.store.log[1:]], ["bob", ""])
 
-    async def test_without_a_majority_of_keepers_nothing_is_committed_and_each_is_told_at_its_own_time(self):
+    async def test_without_a_majority_of_servers_nothing_is_committed_and_each_is_told_at_its_own_time(self):
         self.kept = False
         found = await self.all(
             {"rows": {"budgets.a": 1}, "within": 0.2}, {"rows": {"budgets.b": 1}, "within": 0.4}
--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -62,7 +62,7 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def group_of(store, puts, reason="a test"):
+def changeset_of(store, puts, reason="a test"):
     return ChangeSet(
         store.revision + 1,
         store.digest,
@@ -77,7 +77,7 @@
     """A store with a group for each."""
     store = Store()
     for puts in changes:
-        store.append(group_of(store, puts))
+        store.append(changeset_of(store, puts))
     return store
 
 
@@ -110,122 +110,118 @@
 class Net:
     """Members, keepers and a register on one virtual clock; datagrams are lost, doubled and late by chance."""
 
-    def __init__(self, seed, keepers=("k0", "k1", "k2"), lost=0.0, rate_limiter=None, latency=(100, 1500)):
+    def __init__(self, seed, servers=("k0", "k1", "k2"), lost=0.0, rate_limiter=None, latency=(100, 1500)):
         self.rng, self.lost, self.latency = random.Random(seed), lost, latency
         self.rate_limiter = rate_limiter or (lambda now: Ample())
         self.now, self.queue, self.count = 0, [], 0
-        self.register, self.machines, self.disks, self.cut = Register(), {}, {}, set()
+        self.register, self.cores, self.disks, self.cut = Register(), {}, {}, set()
         self.events, self.sent, self.largest, self.due = [], [], 0, {}
-        self.names = tuple(keepers)
-        for name in keepers:
-            self.starts_keeper(name)
+        self.names = tuple(servers)
+        for name in servers:
+            self.start_server(name)
 
     # Machines and their disks
 
     def resources(self):
         return PeerResources(self.rng, self.rate_limiter(self.now))
 
-    def starts_keeper(self, name):
+    def start_server(self, name):
         store, proposals = self.disk(name)
         others = tuple(one for one in self.names if one != name)
         config = PeerConfig(name, "north", self.now, others)
-        self.machines[name] = ConfigServer(config, store, self.resources(), self.now, proposals)
-        self.wakes(name)
+        self.cores[name] = ConfigServer(config, store, self.resources(), self.now, proposals)
+        self.wake(name)
 
-    def starts_member(self, name, keepers=None):
+    def start_subscriber(self, name, servers=None):
         store, _ = self.disk(name)
-        config = PeerConfig(name, "north", self.now + 1, tuple(keepers or self.names))
-        self.machines[name] = ConfigSubscriber(config, store, self.resources(), self.now)
-        self.wakes(name)
+        config = PeerConfig(name, "north", self.now + 1, tuple(servers or self.names))
+        self.cores[name] = ConfigSubscriber(config, store, self.resources(), self.now)
+        self.wake(name)
 
     def disk(self, name):
-        snapshot, log, offers = self.disks.setdefault(name, (None, [], []))
-        return Store(snapshot, log), offers
+        snapshot, log, proposals = self.disks.setdefault(name, (None, [], []))
+        return Store(snapshot, log), proposals
 
     def kill(self, name):
-        del self.machines[name]
+        del self.cores[name]
 
-    def takes(self, name):
+    def carry_out(self, name):
         """What a driver does after each call: writes, then sends, then acts."""
-        machine = self.machines[name]
-        ready = machine.take_output()
+        core = self.cores[name]
+        ready = core.take_output()
         for write in ready.writes:
-            snapshot, log, offers = self.disks[name]
+            snapshot, log, proposals = self.disks[name]
             if write.snapshot is not None:
                 snapshot, log = write.snapshot, []
             elif write.is_committed:
                 log = [*log, write.changeset]
             else:
-                offers = [*offers, write.changeset]
-            self.disks[name] = snapshot, log, offers
-        for to, said in ready.messages:
-            data = encode(said)
-            self.largest = max(self.largest, machine.outbox.size_of(said))
-            self.sent.append((self.now, name, to, machine.outbox.size_of(said), type(said).__name__))
+                proposals = [*proposals, write.changeset]
+            self.disks[name] = snapshot, log, proposals
+        for to, message in ready.messages:
+            data = encode(message)
+            self.largest = max(self.largest, core.outbox.size_of(message))
+            self.sent.append((self.now, name, to, core.outbox.size_of(message), type(message).__name__))
             for _ in range(1 + (self.lost > 0 and self.rng.random() < 0.05)):
                 if self.rng.random() >= self.lost:
-                    self.later(self.now + self.rng.randint(*self.latency), "message", to, name, data)
+                    self.push(self.now + self.rng.randint(*self.latency), "message", to, name, data)
         for one in ready.events:
             self.events.append((self.now, name, one))
-        if (
-            isinstance(machine, ConfigServer)
-            and machine.readings.is_wanted
-            and not machine.readings.answering
-        ):
-            number = machine.begin_read(self.now)
-            self.later(self.now + self.rng.randint(50, 400), "read", name, machine, number)
+        if isinstance(core, ConfigServer) and core.readings.is_wanted and not core.readings.answering:
+            number = core.begin_read(self.now)
+            self.push(self.now + self.rng.randint(50, 400), "read", name, core, number)
 
-    def later(self, at, *what):
+    def push(self, at, *what):
         self.count += 1
         heapq.heappush(self.queue, (at, self.count, *what))
 
-    def wakes(self, name):
-        at = self.machines[name].wake(self.now)
-        self.takes(name)
-        self.again(name, at)
+    def wake(self, name):
+        at = self.cores[name].wake(self.now)
+        self.carry_out(name)
+        self.schedule(name, at)
 
-    def again(self, name, at):
+    def schedule(self, name, at):
         self.due[name] = at
-        self.later(max(at, self.now + 1), "wake", name, self.machines[name], at)
+        self.push(max(at, self.now + 1), "wake", name, self.cores[name], at)
 
     def run(self, until):
         while self.queue and self.queue[0][0] <= until:
             self.now, _, what, name, *more = heapq.heappop(self.queue)
-            machine = self.machines.get(name)
+            core = self.cores.get(name)
             if what == "message":
-                if machine is not None and (more[0], name) not in self.cut:
-                    at = machine.on_message(decode(more[1]), self.now)
-                    self.takes(name)
-                    self.again(name, at)
-            elif machine is not more[0]:
+                if core is not None and (more[0], name) not in self.cut:
+                    at = core.on_message(decode(more[1]), self.now)
+                    self.carry_out(name)
+                    self.schedule(name, at)
+            elif core is not more[0]:
                 pass  # of a life that has ended
             elif what == "wake":
                 if self.due[name] == more[1]:
-                    self.wakes(name)
+                    self.wake(name)
             else:
-                at = machine.on_read(more[1], RevisionId(*self.register.known), self.now)
-                self.takes(name)
-                self.again(name, at)
+                at = core.on_read(more[1], RevisionId(*self.register.known), self.now)
+                self.carry_out(name)
+                self.schedule(name, at)
         self.now = until
 
     def commit(self, puts, by="k0", within=20 * SECOND):
         """As the owner of the register's key would. Its group."""
-        keeper, until = self.machines[by], self.now + within
-        while keeper.store.revision < self.register.known[0] and self.now < until:
+        server, until = self.cores[by], self.now + within
+        while server.store.revision < self.register.known[0] and self.now < until:
             self.run(self.now + SECOND // 10)
-        group = group_of(keeper.store, puts)
-        at = keeper.propose((group,), self.now)
-        self.takes(by)
-        self.again(by, at)
+        changeset = changeset_of(server.store, puts)
+        at = server.propose((changeset,), self.now)
+        self.carry_out(by)
+        self.schedule(by, at)
         while not any(
-            isinstance(one, ProposalAcknowledged) and one.digest == digest_of(group)
+            isinstance(one, ProposalAcknowledged) and one.digest == digest_of(changeset)
             for _, _, one in self.events
         ):
             if self.now >= until:
                 raise AssertionError("no majority of keepers took it")
             self.run(self.now + 50)
-        self.register.known = (group.revision, digest_of(group))
-        return group
+        self.register.known = (changeset.revision, digest_of(changeset))
+        return changeset
 
     def force(self, revision):
         """When it was first told in force, or None."""
@@ -243,45 +239,47 @@
     return {f"members.m{i}": {"region": "north", "zone": "a"} for i in range(count)} | more
 
 
-class FormsStory(unittest.TestCase):
-    def test_a_group_comes_back_from_its_bytes_with_the_same_digest(self):
-        group = group_of(Store(), {"customers.a": quota(5), "zones": ["a", "b"]})
-        self.assertEqual(decode_changeset(encode_document(group)), group)
-        self.assertEqual(len(digest_of(group)), 32)
-        self.assertNotEqual(digest_of(group), digest_of(msgspec.structs.replace(group, reason="another")))
+class DocumentStory(unittest.TestCase):
+    def test_a_change_set_comes_back_from_its_bytes_with_the_same_digest(self):
+        changeset = changeset_of(Store(), {"customers.a": quota(5), "zones": ["a", "b"]})
+        self.assertEqual(decode_changeset(encode_document(changeset)), changeset)
+        self.assertEqual(len(digest_of(changeset)), 32)
+        self.assertNotEqual(
+            digest_of(changeset), digest_of(msgspec.structs.replace(changeset, reason="another"))
+        )
 
-    def test_what_is_no_group_is_refused_by_what_is_wrong(self):
-        good = group_of(Store(), {"customers.a": quota(5)})
+    def test_what_is_no_change_set_is_refused_by_what_is_wrong(self):
+        good = changeset_of(Store(), {"customers.a": quota(5)})
         put = good.changes[0]
-        for told, change in (
-            ("no key", {"puts": (Change("fleet.listen", b"1"),)}),
-            ("no key", {"puts": (Change("customers.", b"1"),)}),
-            ("no key", {"puts": (Change("customers." + "x" * 128, b"1"),)}),
-            ("no JSON", {"puts": (Change("zones", b"{"),)}),
-            ("not canonical", {"puts": (Change("zones", b'[ "a"]'),)}),
-            ("twice", {"puts": (put, put)}),
-            ("4096 at most", {"puts": (Change("zones", canonical("x" * 4097)),)}),
-            ("1 to 64", {"puts": ()}),
-            ("1 to 64", {"puts": tuple(Change(f"budgets.b{i}", b"1") for i in range(65))}),
+        for reason, change in (
+            ("no key", {"changes": (Change("fleet.listen", b"1"),)}),
+            ("no key", {"changes": (Change("customers.", b"1"),)}),
+            ("no key", {"changes": (Change("customers." + "x" * 128, b"1"),)}),
+            ("no JSON", {"changes": (Change("zones", b"{"),)}),
+            ("not canonical", {"changes": (Change("zones", b'[ "a"]'),)}),
+            ("twice", {"changes": (put, put)}),
+            ("4096 at most", {"changes": (Change("zones", canonical("x" * 4097)),)}),
+            ("1 to 64", {"changes": ()}),
+            ("1 to 64", {"changes": tuple(Change(f"budgets.b{i}", b"1") for i in range(65))}),
             (
                 "32768 at most",
-                {"puts": tuple(Change(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))},
+                {"changes": tuple(Change(f"customers.b{i}", canonical("x" * 4000)) for i in range(9))},
             ),
             ("after the digest", {"revision": 2}),
             ("revision 0", {"revision": 0}),
             ("200 at most", {"reason": "x" * 201}),
         ):
-            with self.subTest(told, **change), self.assertRaisesRegex(InvalidDocumentError, told):
+            with self.subTest(reason, **change), self.assertRaisesRegex(InvalidDocumentError, reason):
                 decode_changeset(encode_document(msgspec.structs.replace(good, **change)))
         with self.assertRaisesRegex(InvalidDocumentError, "no group"):
             decode_changeset(b"\x01")
 
-    def test_a_snapshot_out_of_order_or_without_its_groups_digest_is_refused(self):
+    def test_a_snapshot_out_of_order_or_without_its_change_sets_digest_is_refused(self):
         good = line_of({"customers.a": quota(5)}, {"budgets.b": 4}).snapshot()
         self.assertEqual(decode_snapshot(encode_document(good)), good)
         for bad in (
-            Snapshot(2, good.digest, good.rows[::-1]),
-            Snapshot(2, "", good.rows),
+            Snapshot(2, good.digest, good.entries[::-1]),
+            Snapshot(2, "", good.entries),
             Snapshot(0, good.digest, ()),
         ):
             with self.assertRaises(InvalidDocumentError):
@@ -289,7 +287,7 @@
 
 
 class StoreStory(unittest.TestCase):
-    def test_groups_follow_one_another_or_are_refused_and_then_nothing_of_them_stays(self):
+    def test_change_sets_follow_one_another_or_are_refused_and_then_nothing_of_them_stays(self):
         store = line_of({"customers.a": quota(5)})
         before = store.snapshot()
         for puts, more in (
@@ -299,14 +297,14 @@
             ({"budgets.b": 1, "members.x": None}, {}),
         ):
             with self.subTest(puts, **more), self.assertRaises(InvalidDocumentError):
-                store.append(msgspec.structs.replace(group_of(store, puts), **more))
+                store.append(msgspec.structs.replace(changeset_of(store, puts), **more))
             self.assertEqual(store.snapshot(), before)
 
     def test_the_log_is_bounded_and_what_left_it_is_in_the_snapshot(self):
         store = Store(max_log=4)
         for i in range(10):
-            store.append(group_of(store, {f"budgets.b{i}": i}))
-        self.assertEqual([group.revision for group in store.changesets_after(6)], [7, 8, 9, 10])
+            store.append(changeset_of(store, {f"budgets.b{i}": i}))
+        self.assertEqual([changeset.revision for changeset in store.changesets_after(6)], [7, 8, 9, 10])
         self.assertIsNone(store.changesets_after(5))
         self.assertEqual(store.changesets_after(10), ())
         self.assertEqual(store.digest_at(6), store.log[0][1].previous_digest)
@@ -317,21 +315,21 @@
             (10, store.digest, {f"budgets.b{i}": canonical(i) for i in range(10)}),
         )
 
-    def test_a_member_is_removed_only_once_it_is_said_to_be_gone(self):
+    def test_a_subscriber_is_removed_only_once_it_is_said_to_be_gone(self):
         store = line_of(members_of(1))
         with self.assertRaisesRegex(InvalidDocumentError, "gone"):
-            store.append(group_of(store, {"members.m0": None}))
-        store.append(group_of(store, {"members.m0": {"region": "north", "gone": True}}))
+            store.append(changeset_of(store, {"members.m0": None}))
+        store.append(changeset_of(store, {"members.m0": {"region": "north", "gone": True}}))
         self.assertEqual((store.terms.members(), store.terms.retired()), ({}, ("m0",)))
-        store.append(group_of(store, {"members.m0": None}))
+        store.append(changeset_of(store, {"members.m0": None}))
 
-    def test_rows_are_bounded(self):
+    def test_entries_are_bounded(self):
         store = Store(
             Snapshot(1, "0" * 32, tuple((f"budgets.b{i:05}", b"1") for i in range(documents.MAX_ENTRIES)))
         )
         with self.assertRaisesRegex(InvalidDocumentError, "20000 at most"):
-            store.append(group_of(store, {"budgets.more": 1}))
-        store.append(group_of(store, {"budgets.b00000": None, "budgets.more": 1}))
+            store.append(changeset_of(store, {"budgets.more": 1}))
+        store.append(changeset_of(store, {"budgets.b00000": None, "budgets.more": 1}))
 
 
 class TermsStory(unittest.TestCase):
@@ -385,25 +383,23 @@
                     )
 
     def test_each_version_of_a_line_stays_what_it_was_whichever_is_looked_at(self):
-        chance = random.Random(5)
+        rng = random.Random(5)
         store, kept = Store(), []
         plain = {}
         for _ in range(60):
-            keys = chance.sample([f"budgets.b{i}" for i in range(12)], 3)
-            puts = {
-                key: None if key in plain and chance.random() < 0.3 else chance.randrange(9) for key in keys
-            }
+            keys = rng.sample([f"budgets.b{i}" for i in range(12)], 3)
+            puts = {key: None if key in plain and rng.random() < 0.3 else rng.randrange(9) for key in keys}
             for key, value in puts.items():
                 plain.pop(key, None) if value is None else plain.update({key: canonical(value)})
-            store.append(group_of(store, puts))
+            store.append(changeset_of(store, puts))
             kept.append((store.terms, dict(plain)))
-            if chance.random() < 0.3:  # a branch off an older one, as an offer is
-                old, rows = chance.choice(kept)
+            if rng.random() < 0.3:  # a branch off an older one, as an offer is
+                old, rows = rng.choice(kept)
                 made = old.after(ChangeSet(1, "", "", "", 0, (Change("zones", b"[1]"),)))
                 self.assertEqual(made.rows(), rows | {"zones": b"[1]"})
-            terms, rows = chance.choice(kept)
+            terms, rows = rng.choice(kept)
             self.assertEqual((terms.rows(), len(terms)), (rows, len(rows)))
-            other, others = chance.choice(kept)
+            other, others = rng.choice(kept)
             differ = {key for key in {**rows, **others} if rows.get(key) != others.get(key)}
             self.assertLessEqual(differ, set(terms.differing(other)))
             self.assertEqual(
@@ -420,20 +416,18 @@
         self.assertEqual(a.narrowed(b).rows(), a.rows())
 
     def test_withdrawn_is_the_complement_of_an_order(self):
-        chance = random.Random(3)
+        rng = random.Random(3)
 
         def some():
             rows = {
-                f"customers.{name}": canonical(quota(chance.randrange(4)))
-                for name in "ab"
-                if chance.random() < 0.6
+                f"customers.{name}": canonical(quota(rng.randrange(4))) for name in "ab" if rng.random() < 0.6
             }
-            rows |= {"budgets.x": canonical(chance.randrange(3))} if chance.random() < 0.7 else {}
+            rows |= {"budgets.x": canonical(rng.randrange(3))} if rng.random() < 0.7 else {}
             return ActiveTerms(
                 rows
                 | (
-                    {"rules": canonical({"cold_share": chance.choice((0.1, 0.3, 0.5))})}
-                    if chance.random() < 0.5
+                    {"rules": canonical({"cold_share": rng.choice((0.1, 0.3, 0.5))})}
+                    if rng.random() < 0.5
                     else {}
                 )
             )
@@ -453,23 +447,23 @@
 class HistoryStory(unittest.TestCase):
     """versions.Keeper over rows, its history cut."""
 
-    def keeper(self, *changes):
+    def server(self, *changes):
         store, core = Store(), leased_versions.VersionServer(DEFAULT_LEASE_TICKS, 0)
         for puts in changes:
-            store.append(group_of(store, puts))
+            store.append(changeset_of(store, puts))
             core = core.reads(
                 store.revision, store.digest, Version(store.revision, store.digest, store.terms), 0
             )
         return store, core
 
     def more(self, store, core, puts, now):
-        store.append(group_of(store, puts))
+        store.append(changeset_of(store, puts))
         return core.reads(
             store.revision, store.digest, Version(store.revision, store.digest, store.terms), now
         )
 
-    def test_what_is_in_force_is_where_history_begins_and_a_member_cleared_by_a_lease_is_found_by_it(self):
-        store, core = self.keeper(members_of(2, **{"customers.a": quota(5)}))
+    def test_what_is_active_is_where_history_begins_and_a_subscriber_cleared_by_a_lease_is_found_by_it(self):
+        store, core = self.server(members_of(2, **{"customers.a": quota(5)}))
         core = (
             core.hears(leased_versions.AppliedAck("m0", 1, store.digest))
             .hears(leased_versions.AppliedAck("m1", 1, store.digest))
@@ -490,15 +484,15 @@
         self.assertEqual(core.judged(later).force, 3)
 
     def test_of_every_version_the_highest_is_judged_alike_by_both_ways_and_none_above_one_that_waits(self):
-        chance, agreed = random.Random(9), 0
+        rng, agreed = random.Random(9), 0
         for _ in range(400):
-            store, core = self.keeper(members_of(3, **{"customers.a": quota(5)}))
-            for i in range(chance.randrange(1, 6)):
-                core = self.more(store, core, {"customers.a": quota(chance.randrange(1, 9))}, 1000 * (i + 1))
-                for name in chance.sample(["m0", "m1", "m2"], chance.randrange(4)):
-                    revision = chance.randrange(1, store.revision + 1)
+            store, core = self.server(members_of(3, **{"customers.a": quota(5)}))
+            for i in range(rng.randrange(1, 6)):
+                core = self.more(store, core, {"customers.a": quota(rng.randrange(1, 9))}, 1000 * (i + 1))
+                for name in rng.sample(["m0", "m1", "m2"], rng.randrange(4)):
+                    revision = rng.randrange(1, store.revision + 1)
                     core = core.hears(leased_versions.AppliedAck(name, revision, store.digest_at(revision)))
-            now = chance.randrange(0, 2 * DEFAULT_LEASE_TICKS)
+            now = rng.randrange(0, 2 * DEFAULT_LEASE_TICKS)
             each = core.judged_each(now, {})
             self.assertEqual(each.force == core.known[0], not core.waits_for(now))
             agreed += each.force == core.known[0]
@@ -518,14 +512,14 @@
         self.assertTrue(20 < agreed < 380, agreed)
 
     def test_what_is_cut_by_length_alone_is_waited_for(self):
-        store, core = self.keeper(members_of(1, **{"customers.a": quota(5)}))
+        store, core = self.server(members_of(1, **{"customers.a": quota(5)}))
         for i in range(6, 20):
             core = self.more(store, core, {"customers.a": quota(i)}, i).cut(4)
         self.assertEqual(len(core.history), 4)
         self.assertEqual(core.waits_for(10 * DEFAULT_LEASE_TICKS), ("m0",))
 
     def test_a_history_of_3700_revisions_keeps_one(self):
-        store, core = self.keeper(members_of(1, **{"customers.a": quota(5)}))
+        store, core = self.server(members_of(1, **{"customers.a": quota(5)}))
         for i in range(3700):
             core = self.more(store, core, {"customers.a": quota(6 + i)}, i)
             core = (
@@ -540,25 +534,25 @@
         net.run(SECOND)
         net.commit(members_of(count, **{"customers.a": quota(5)}))
         for i in range(count):
-            net.starts_member(f"m{i}", net.names[i % len(net.names) :] + net.names[: i % len(net.names)])
+            net.start_subscriber(f"m{i}", net.names[i % len(net.names) :] + net.names[: i % len(net.names)])
         net.run(net.now + 20 * SECOND)
         return net
 
     def acting(self, net):
         return {
-            name: machine.status(net.now)
-            for name, machine in net.machines.items()
-            if isinstance(machine, ConfigSubscriber)
+            name: core.status(net.now)
+            for name, core in net.cores.items()
+            if isinstance(core, ConfigSubscriber)
         }
 
-    def test_a_change_reaches_all_and_is_told_in_force_with_their_words(self):
+    def test_a_change_reaches_all_and_is_proven_active_with_their_words(self):
         net = self.fleet(1)
         self.assertEqual({(one.revision, one.is_leased) for one in self.acting(net).values()}, {(1, True)})
         began = net.now
         net.commit({"customers.a": quota(3)})
         net.run(net.now + 3 * SECOND)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {2})
-        self.assertEqual(net.machines["m0"].state.entries()["customers.a"], canonical(quota(3)))
+        self.assertEqual(net.cores["m0"].state.entries()["customers.a"], canonical(quota(3)))
         self.assertLess(net.force(2) - began, 3 * SECOND)
 
     def test_the_same_with_a_fifth_lost_and_some_doubled_on_many_seeds(self):
@@ -575,7 +569,7 @@
                     [one for _, _, one in net.events if one.log_name in ("refused", "diverged", "full")], []
                 )
 
-    def test_in_a_stream_of_changes_each_is_in_force_soon_and_not_only_when_it_ends(self):
+    def test_in_a_stream_of_changes_each_is_active_soon_and_not_only_when_it_ends(self):
         net = self.fleet(15, count=12)
         began = {}
         for i in range(60):
@@ -586,20 +580,20 @@
         self.assertLess(late, 5 * SECOND)
         self.assertLess(net.force(30), ended)
 
-    def test_an_offer_binds_as_far_as_it_narrows_and_allows_nothing(self):
+    def test_an_proposal_binds_as_far_as_it_narrows_and_allows_nothing(self):
         net = self.fleet(2)
-        keeper = net.machines["k0"]
-        at = keeper.propose((group_of(keeper.store, {"customers.a": quota(2), "budgets.b": 7}),), net.now)
-        net.takes("k0")
-        net.again("k0", at)
+        server = net.cores["k0"]
+        at = server.propose((changeset_of(server.store, {"customers.a": quota(2), "budgets.b": 7}),), net.now)
+        net.carry_out("k0")
+        net.schedule("k0", at)
         net.run(net.now + SECOND)
-        rows = net.machines["m0"].state.entries()
+        rows = net.cores["m0"].state.entries()
         self.assertEqual((rows["customers.a"], "budgets.b" in rows), (canonical(quota(2)), False))
-        self.assertEqual(net.machines["m0"].status(net.now).proposed_revisions, (2,))
-        keeper.withdraw()
+        self.assertEqual(net.cores["m0"].status(net.now).proposed_revisions, (2,))
+        server.withdraw()
         net.commit({"customers.a": quota(4)}, by="k1")  # another takes the revision: what was offered is over
         net.run(net.now + 3 * SECOND)
-        self.assertEqual(net.machines["m0"].state.entries()["customers.a"], canonical(quota(4)))
+        self.assertEqual(net.cores["m0"].state.entries()["customers.a"], canonical(quota(4)))
 
     def test_who_hears_nothing_serves_on_alone_and_is_named_until_it_has_a_tightening(self):
         net = self.fleet(3)
@@ -609,7 +603,7 @@
         self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].is_leased), (1, False))
         self.assertIsNone(net.force(2))
         for name in net.names:
-            self.assertEqual(net.machines[name].tracker.awaited_subscribers(net.now), ("m0",))
+            self.assertEqual(net.cores[name].tracker.awaited_subscribers(net.now), ("m0",))
         net.cut = set()
         net.run(net.now + 20 * SECOND)
         self.assertEqual(self.acting(net)["m0"].revision, 2)
@@ -637,12 +631,12 @@
         net.run(net.now + 5 * SECOND)
         self.assertIsNotNone(net.force(4))
 
-    def test_a_killed_member_goes_on_with_its_disk_and_is_caught_up_by_groups(self):
+    def test_a_killed_subscriber_goes_on_with_its_disk_and_is_caught_up_by_change_sets(self):
         net = self.fleet(6)
         net.kill("m0")
         for value in range(20, 50):
             net.commit({"customers.a": quota(value)})
-        net.starts_member("m0")
+        net.start_subscriber("m0")
         self.assertEqual(self.acting(net)["m0"].revision, 1)
         began = len(net.sent)
         net.run(net.now + 5 * SECOND)
@@ -653,36 +647,36 @@
         net = self.fleet(7)
         net.kill("m0")
         for name in net.names:
-            net.machines[name].store.max_log = 3
+            net.cores[name].store.max_log = 3
         for i in range(8):
             net.commit({f"customers.c{i}.{j}": {"allowance": 1, "portion": 0.001 * j} for j in range(40)})
         net.run(net.now + SECOND)
         net.lost = 0.1
-        net.starts_member("m0")
+        net.start_subscriber("m0")
         net.run(net.now + 30 * SECOND)
         self.assertEqual((self.acting(net)["m0"].revision, self.acting(net)["m0"].is_leased), (9, True))
         self.assertIn("Chunk", [row[4] for row in net.sent])
         snapshot, log, _ = net.disks["m0"]
-        self.assertEqual(Store(snapshot, log).terms.rows(), net.machines["k0"].store.terms.rows())
+        self.assertEqual(Store(snapshot, log).terms.rows(), net.cores["k0"].store.terms.rows())
 
-    def test_a_group_of_32_kib_goes_in_pieces_and_no_datagram_is_longer_than_1200(self):
+    def test_a_change_set_of_32_kib_goes_in_pieces_and_no_datagram_is_longer_than_1200(self):
         net = self.fleet(8, lost=0.1)
         net.commit({f"customers.big{i}": {"allowance": 1, "note": "x" * 1900} for i in range(16)})
         net.run(net.now + 30 * SECOND)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {2})
         self.assertLessEqual(net.largest, 1200)
 
-    def test_a_silent_keeper_is_left_for_the_next_and_the_nearest_is_tried_again(self):
+    def test_a_silent_server_is_left_for_the_next_and_the_nearest_is_tried_again(self):
         net = self.fleet(9)
         net.kill("k0")
         net.run(net.now + 12 * SECOND)
         status = self.acting(net)["m0"]
         self.assertEqual((status.server, status.is_leased), ("k1", True))
-        net.starts_keeper("k0")
+        net.start_server("k0")
         net.run(net.now + 120 * SECOND)
         self.assertEqual(self.acting(net)["m0"].server, "k0")
 
-    def test_with_every_keeper_gone_members_serve_on_with_a_growing_wait(self):
+    def test_with_every_server_gone_subscribers_serve_on_with_a_growing_wait(self):
         net = self.fleet(10)
         for name in net.names:
             net.kill(name)
@@ -693,37 +687,37 @@
         self.assertLess(len(net.sent) - count, 6 * 100)
         self.assertEqual(net.now - began, 100 * SECOND)
 
-    def test_a_keeper_that_was_away_is_caught_up_by_the_others_and_answers_nobody_before(self):
+    def test_a_server_that_was_away_is_caught_up_by_the_others_and_answers_nobody_before(self):
         net = self.fleet(11)
         net.kill("k2")
         for value in range(20, 30):
             net.commit({"customers.a": quota(value)})
-        net.starts_keeper("k2")
+        net.start_server("k2")
         net.run(net.now + 6 * SECOND)
-        self.assertEqual(net.machines["k2"].status(net.now).revision, 11)
+        self.assertEqual(net.cores["k2"].status(net.now).revision, 11)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {11})
 
-    def test_a_keeper_with_an_empty_disk_gets_the_snapshot_and_waits_for_each_ones_word(self):
+    def test_a_server_with_an_empty_disk_gets_the_snapshot_and_waits_for_each_ones_word(self):
         net = self.fleet(12)
         net.kill("k2")
         for name in net.names[:2]:
-            net.machines[name].store.max_log = 2
+            net.cores[name].store.max_log = 2
         for value in range(20, 30):
             net.commit({"customers.a": quota(value)})
         net.disks["k2"] = (None, [], [])
-        net.starts_keeper("k2")
+        net.start_server("k2")
         net.run(net.now + 20 * SECOND)
-        status = net.machines["k2"].status(net.now)
+        status = net.cores["k2"].status(net.now)
         self.assertEqual((status.revision, status.active_revision), (11, 11))
 
-    def test_no_majority_of_keepers_no_kept(self):
+    def test_no_majority_of_servers_no_kept(self):
         net = self.fleet(13)
         net.kill("k1")
         net.kill("k2")
         with self.assertRaisesRegex(AssertionError, "no majority"):
             net.commit({"customers.a": quota(3)}, within=5 * SECOND)
 
-    def test_all_members_back_at_once_are_paid_from_the_purse(self):
+    def test_all_subscribers_back_at_once_are_paid_from_the_rate_limiter(self):
         net = self.fleet(14, count=30, rate_limiter=lambda now: RateLimiter(13_000, 100, now))
         for i in range(30):
             net.kill(f"m{i}")
@@ -732,7 +726,7 @@
         net.run(net.now + 20 * SECOND)
         began = net.now
         for i in range(30):
-            net.starts_member(f"m{i}", ("k0",))
+            net.start_subscriber(f"m{i}", ("k0",))
         net.run(net.now + 60 * SECOND)
         self.assertEqual({one.revision for one in self.acting(net).values()}, {41})
         rows = [row for row in net.sent if row[0] >= began and row[1] == "k0"]
@@ -740,10 +734,10 @@
             self.assertLessEqual(sum(row[3] for row in rows[i:] if row[0] < first[0] + SECOND), 13_000)
 
 
-class MachineStory(unittest.TestCase):
+class CoreStory(unittest.TestCase):
     """One machine, its events handed in by hand."""
 
-    def member(self, store, life=1):
+    def subscriber(self, store, life=1):
         made = subscriber_of(store, ("k0", "k1"), life)
         made.request_sync(0)
         made.take_output()
@@ -751,166 +745,185 @@
 
     def start(self):
         store = line_of(members_of(2, **{"customers.a": quota(5), "customers.b": quota(5)}))
-        return store, self.member(store.copy())
+        return store, self.subscriber(store.copy())
 
-    def test_groups_apply_in_order_whole_and_are_written_before_the_word(self):
-        store, member = self.start()
-        first = group_of(store, {"customers.a": quota(3), "customers.b": quota(3)})
+    def test_change_sets_apply_in_order_whole_and_are_written_before_the_word(self):
+        store, subscriber = self.start()
+        first = changeset_of(store, {"customers.a": quota(3), "customers.b": quota(3)})
         store.append(first)
-        second = group_of(store, {"customers.a": quota(4), "customers.b": quota(4)})
+        second = changeset_of(store, {"customers.a": quota(4), "customers.b": quota(4)})
         store.append(second)
-        member.on_message(CommitNotice("k0", RevisionId(3, store.digest), (second,)), 10)
-        self.assertEqual(member.take_output().writes, ())
+        subscriber.on_message(CommitNotice("k0", RevisionId(3, store.digest), (second,)), 10)
+        self.assertEqual(subscriber.take_output().writes, ())
         self.assertEqual(
-            (member.status(10).revision, member.status(10).committed_revision, member.is_leased(10)),
+            (
+                subscriber.status(10).revision,
+                subscriber.status(10).committed_revision,
+                subscriber.is_leased(10),
+            ),
             (1, 3, False),
         )
-        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(first)), (first,)), 20)
-        ready = member.take_output()
+        subscriber.on_message(CommitNotice("k0", RevisionId(2, digest_of(first)), (first,)), 20)
+        ready = subscriber.take_output()
         self.assertEqual([write.changeset for write in ready.writes], [first, second])
         self.assertEqual(ready.messages, (("k0", AppliedAck("m0", 3, store.digest)),))
         self.assertEqual(
-            {member.state.entries()[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
+            {subscriber.state.entries()[key] for key in ("customers.a", "customers.b")}, {canonical(quota(4))}
         )
 
-    def test_a_faulty_group_leaves_nothing_and_is_told(self):
-        store, member = self.start()
-        bad = group_of(store, {"customers.a": quota(3), "customers.nobody": None})
-        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
-        ready = member.take_output()
+    def test_a_faulty_change_set_leaves_nothing_and_is_told(self):
+        store, subscriber = self.start()
+        bad = changeset_of(store, {"customers.a": quota(3), "customers.nobody": None})
+        subscriber.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
+        ready = subscriber.take_output()
         self.assertEqual(([one.log_name for one in ready.events], ready.writes), (["refused"], ()))
-        self.assertEqual(member.state.entries()["customers.a"], canonical(quota(5)))
+        self.assertEqual(subscriber.state.entries()["customers.a"], canonical(quota(5)))
 
-    def test_a_group_after_another_digest_is_told_as_diverged(self):
-        store, member = self.start()
-        bad = msgspec.structs.replace(group_of(store, {"customers.a": quota(3)}), previous_digest="0" * 32)
-        member.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
-        self.assertIn("diverged", [one.log_name for one in member.take_output().events])
+    def test_a_change_set_after_another_digest_is_told_as_diverged(self):
+        store, subscriber = self.start()
+        bad = msgspec.structs.replace(
+            changeset_of(store, {"customers.a": quota(3)}), previous_digest="0" * 32
+        )
+        subscriber.on_message(CommitNotice("k0", RevisionId(2, digest_of(bad)), (bad,)), 10)
+        self.assertIn("diverged", [one.log_name for one in subscriber.take_output().events])
 
-    def test_a_commit_of_what_was_offered_is_written_before_it_is_acted_by(self):
+    def test_a_commit_of_what_was_proposaled_is_written_before_it_is_acted_by(self):
         for how in ("commit", "renewal"):
             with self.subTest(how):
-                store, member = self.start()
-                group = group_of(store, {"customers.a": quota(9)})
-                member.on_message(Proposal("k0", group), 5)
-                self.assertEqual(member.state.entries()["customers.a"], canonical(quota(5)))
-                known = RevisionId(2, digest_of(group))
-                member.on_message(
+                store, subscriber = self.start()
+                changeset = changeset_of(store, {"customers.a": quota(9)})
+                subscriber.on_message(Proposal("k0", changeset), 5)
+                self.assertEqual(subscriber.state.entries()["customers.a"], canonical(quota(5)))
+                known = RevisionId(2, digest_of(changeset))
+                subscriber.on_message(
                     CommitNotice("k0", known) if how == "commit" else LeaseRenewal("k0", "m0", 1, 1, *known),
                     10,
                 )
-                ready = member.take_output()
-                self.assertEqual([write.changeset for write in ready.writes], [group])
+                ready = subscriber.take_output()
+                self.assertEqual([write.changeset for write in ready.writes], [changeset])
                 self.assertIn(("k0", AppliedAck("m0", *known)), ready.messages)
-                self.assertEqual(member.state.entries()["customers.a"], canonical(quota(9)))
-
-    def test_a_lease_counts_from_the_asking_and_not_for_an_older_life(self):
-        store, member = self.start()
-        member.on_message(LeaseRenewal("k0", "m0", 0, 1, 1, store.digest), 10)
-        self.assertFalse(member.is_leased(10))
-        member.on_message(LeaseRenewal("k0", "m0", 1, 1, 1, store.digest), 5000)
-        self.assertTrue(member.is_leased(5000))
-        self.assertFalse(member.is_leased(DEFAULT_LEASE_TICKS))
-        self.assertEqual(member.status(6000).proof_age_ticks, 6000)
-        self.assertEqual([one.log_name for one in member.take_output().events], ["leased"])
-        member.wake(DEFAULT_LEASE_TICKS)
-        self.assertIn("alone", [one.log_name for one in member.take_output().events])
+                self.assertEqual(subscriber.state.entries()["customers.a"], canonical(quota(9)))
+
+    def test_a_lease_counts_from_the_request_and_not_for_an_older_incarnation(self):
+        store, subscriber = self.start()
+        subscriber.on_message(LeaseRenewal("k0", "m0", 0, 1, 1, store.digest), 10)
+        self.assertFalse(subscriber.is_leased(10))
+        subscriber.on_message(LeaseRenewal("k0", "m0", 1, 1, 1, store.digest), 5000)
+        self.assertTrue(subscriber.is_leased(5000))
+        self.assertFalse(subscriber.is_leased(DEFAULT_LEASE_TICKS))
+        self.assertEqual(subscriber.status(6000).proof_age_ticks, 6000)
+        self.assertEqual([one.log_name for one in subscriber.take_output().events], ["leased"])
+        subscriber.wake(DEFAULT_LEASE_TICKS)
+        self.assertIn("alone", [one.log_name for one in subscriber.take_output().events])
 
     def test_a_text_that_never_fits_does_not_go_to_and_fro(self):
-        _, member = self.start()
+        _, subscriber = self.start()
         for i in range(50):
-            member.on_message(CommitNotice("k0", RevisionId(5, "5" * 32)), 100 + i)
-        self.assertEqual(len(member.take_output().messages), 1)
+            subscriber.on_message(CommitNotice("k0", RevisionId(5, "5" * 32)), 100 + i)
+        self.assertEqual(len(subscriber.take_output().messages), 1)
 
     def test_bounds_that_are_reached_are_told(self):
-        store, member = self.start()
+        store, subscriber = self.start()
         for i in range(6):
-            member.on_message(Proposal("k0", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
-        self.assertIn("full", [one.log_name for one in member.take_output().events])
+            subscriber.on_message(
+                Proposal("k0", changeset_of(store, {"customers.a": quota(3)}, f"try {i}")), 10
+            )
+        self.assertIn("full", [one.log_name for one in subscriber.take_output().events])
         ahead = [ChangeSet(i, "0" * 32, "", "", 0, (Change("zones", b"[]"),)) for i in range(10, 80)]
-        member.on_message(CommitNotice("k0", RevisionId(90, "9" * 32), tuple(ahead)), 20)
-        self.assertIn("full", [one.log_name for one in member.take_output().events])
+        subscriber.on_message(CommitNotice("k0", RevisionId(90, "9" * 32), tuple(ahead)), 20)
+        self.assertIn("full", [one.log_name for one in subscriber.take_output().events])
         for i in range(3):
-            member.on_message(
+            subscriber.on_message(
                 ChunkManifest("k0", DocumentKind.SNAPSHOT, f"{i}" * 32, RevisionId(90, "9" * 32), 5000), 30
             )
-        self.assertIn("full", [one.log_name for one in member.take_output().events])
-        keeper = server_of(store.copy(), ("k1", "k2"))
+        self.assertIn("full", [one.log_name for one in subscriber.take_output().events])
+        server = server_of(store.copy(), ("k1", "k2"))
         for i in range(MAX_PROPOSALS + 1):
-            keeper.on_message(Proposal("k1", group_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
-        self.assertEqual([one.log_name for one in keeper.take_output().events].count("full"), 1)
+            server.on_message(Proposal("k1", changeset_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
+        self.assertEqual([one.log_name for one in server.take_output().events].count("full"), 1)
 
-    def test_an_offer_that_others_follow_is_not_pushed_out(self):
+    def test_an_proposal_that_others_follow_is_not_pushed_out(self):
         store, _ = self.start()
-        keeper = server_of(store.copy(), ("k1", "k2"))
-        first = group_of(store, {"customers.a": quota(3)})
-        keeper.on_message(Proposal("k1", first), 5)
+        server = server_of(store.copy(), ("k1", "k2"))
+        first = changeset_of(store, {"customers.a": quota(3)})
+        server.on_message(Proposal("k1", first), 5)
         store.append(first)
         for i in range(2 * MAX_PROPOSALS):
-            keeper.on_message(Proposal("k1", group_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i)
-        self.assertIn(digest_of(first), keeper.proposer.proposals.held)
-        self.assertEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
+            server.on_message(
+                Proposal("k1", changeset_of(store, {"customers.a": quota(4)}, f"try {i}")), 10 + i
+            )
+        self.assertIn(digest_of(first), server.proposer.proposals.held)
+        self.assertEqual(len(server.proposer.proposals.held), MAX_PROPOSALS)
         for i in range(2 * MAX_PROPOSALS):  # a line that no reading has shown as committed
-            group = group_of(store, {"customers.a": quota(i)})
-            keeper.on_message(Proposal("k1", group), 100 + i)
-            store.append(group)
-        self.assertLessEqual(len(keeper.proposer.proposals.held), MAX_PROPOSALS)
-        self.assertIn(digest_of(first), keeper.proposer.proposals.held)
+            changeset = changeset_of(store, {"customers.a": quota(i)})
+            server.on_message(Proposal("k1", changeset), 100 + i)
+            store.append(changeset)
+        self.assertLessEqual(len(server.proposer.proposals.held), MAX_PROPOSALS)
+        self.assertIn(digest_of(first), server.proposer.proposals.held)
 
-    def test_one_datagram_that_is_lost_sends_nobody_to_another_keeper(self):
+    def test_one_datagram_that_is_lost_sends_nobody_to_another_server(self):
         """One in fifty lost, two hundred members were soon at keepers of other regions, for a minute each time."""
         store, _ = self.start()
-        member = subscriber_of(store.copy(), ("k0", "k1"))
-        member.request_sync(0)
-        self.assertEqual([(to, said.echo) for to, said in member.take_output().messages], [("k0", 1)])
-        due = member.wake(ANSWER_TIMEOUT_TICKS // 2)
-        self.assertEqual([(to, said.echo) for to, said in member.take_output().messages], [("k0", 2)])
+        subscriber = subscriber_of(store.copy(), ("k0", "k1"))
+        subscriber.request_sync(0)
+        self.assertEqual(
+            [(to, message.echo) for to, message in subscriber.take_output().messages], [("k0", 1)]
+        )
+        due = subscriber.wake(ANSWER_TIMEOUT_TICKS // 2)
+        self.assertEqual(
+            [(to, message.echo) for to, message in subscriber.take_output().messages], [("k0", 2)]
+        )
         self.assertEqual(due, ANSWER_TIMEOUT_TICKS)
-        member.on_message(LeaseRenewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
-        self.assertGreater(member.wake(due), due)
-        self.assertEqual((member.status(due).server, member.is_leased(due)), ("k0", True))
-        member.request_sync(2 * SECOND)  # both lost
-        member.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS // 2)
-        member.take_output()
-        member.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS)
-        self.assertEqual([to for to, _ in member.take_output().messages], ["k1"])
-
-    def test_who_leaves_a_keeper_doesnt_go_where_all_others_go(self):
+        subscriber.on_message(LeaseRenewal("k0", "m0", 1, 2, 1, store.digest), due - 1)
+        self.assertGreater(subscriber.wake(due), due)
+        self.assertEqual((subscriber.status(due).server, subscriber.is_leased(due)), ("k0", True))
+        subscriber.request_sync(2 * SECOND)  # both lost
+        subscriber.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS // 2)
+        subscriber.take_output()
+        subscriber.wake(2 * SECOND + ANSWER_TIMEOUT_TICKS)
+        self.assertEqual([to for to, _ in subscriber.take_output().messages], ["k1"])
+
+    def test_who_leaves_a_server_doesnt_go_where_all_others_go(self):
         """All went to the first by name: at 400 changes a minute it had half of 200 members, and no rate_limiter for them."""
-        keepers = {f"k{i}": f"r{i}" for i in range(8)}
-        orders = [nearest_servers(keepers, f"m{i}", "r3") for i in range(700)]
+        servers = {f"k{i}": f"r{i}" for i in range(8)}
+        orders = [nearest_servers(servers, f"m{i}", "r3") for i in range(700)]
         self.assertEqual({order[0] for order in orders}, {"k3"})
-        seconds = [sum(order[1] == name for order in orders) for name in keepers if name != "k3"]
+        seconds = [sum(order[1] == name for order in orders) for name in servers if name != "k3"]
         self.assertTrue(all(60 < count < 140 for count in seconds), seconds)
         self.assertEqual(
-            orders, [nearest_servers(dict(reversed(keepers.items())), f"m{i}", "r3") for i in range(700)]
+            orders, [nearest_servers(dict(reversed(servers.items())), f"m{i}", "r3") for i in range(700)]
         )
 
-    def test_an_asking_is_answered_only_by_a_reading_that_began_after_it(self):
+    def test_a_request_is_answered_only_by_a_reading_that_began_after_it(self):
         store, _ = self.start()
-        keeper = server_of(store.copy(), ())
-        number = keeper.begin_read(0)
-        keeper.on_message(SyncRequest("m0", 1, 1, 1, store.digest), 5)
-        keeper.on_read(number, store.id, 10)
+        server = server_of(store.copy(), ())
+        number = server.begin_read(0)
+        server.on_message(SyncRequest("m0", 1, 1, 1, store.digest), 5)
+        server.on_read(number, store.id, 10)
         self.assertEqual(
-            [said for _, said in keeper.take_output().messages if isinstance(said, LeaseRenewal)], []
+            [message for _, message in server.take_output().messages if isinstance(message, LeaseRenewal)], []
         )
-        number = keeper.begin_read(20)
-        keeper.on_read_failed(number, 30)
-        self.assertTrue(keeper.readings.waiting)
-        number = keeper.begin_read(40)
-        keeper.on_read(number, store.id, 50)
+        number = server.begin_read(20)
+        server.on_read_failed(number, 30)
+        self.assertTrue(server.readings.waiting)
+        number = server.begin_read(40)
+        server.on_read(number, store.id, 50)
         self.assertEqual(
-            [said.echo for _, said in keeper.take_output().messages if isinstance(said, LeaseRenewal)], [1]
+            [
+                message.echo
+                for _, message in server.take_output().messages
+                if isinstance(message, LeaseRenewal)
+            ],
+            [1],
         )
 
     def test_every_message_fits_its_form(self):
-        for said in (
+        for message in (
             SyncRequest("m0", 1, 2, 3, "0" * 32),
-            CommitNotice("k0", RevisionId(1, "1" * 32), (group_of(Store(), {"zones": []}),)),
+            CommitNotice("k0", RevisionId(1, "1" * 32), (changeset_of(Store(), {"zones": []}),)),
         ):
-            self.assertEqual(decode(encode(said)), said)
-            self.assertLess(size_of(said), 1200)
+            self.assertEqual(decode(encode(message)), message)
+            self.assertLess(size_of(message), 1200)
 
 
 def first(members, allowances=TIGHTER, batch=False):
@@ -925,7 +938,7 @@
             self.assertGreater(check_all(5, first(2, allowances)), 15_000)
             self.assertGreater(check_all(7, first(1, allowances)), 10_000)
 
-    def test_nor_does_one_break_where_both_groups_are_committed_together(self):
+    def test_nor_does_one_break_where_both_change_sets_are_committed_together(self):
         for allowances in (TIGHTER, LOOSER):
             self.assertGreater(check_all(5, first(2, allowances, True)), 15_000)
             self.assertGreater(check_all(6, first(1, allowances, True)), 10_000)
@@ -950,7 +963,7 @@
             with self.assertRaisesRegex(InvariantViolationError, f"^{bound}: "):
                 check_all(depth, first(1, allowances, batch))
 
-    def test_an_in_force_that_is_told_too_early_is_found(self):
+    def test_an_active_that_is_told_too_early_is_found(self):
         self.found(
             "in-force",
             mock.patch.object(
@@ -960,59 +973,67 @@
             ),
         )
 
-    def test_a_group_applied_by_halves_is_found(self):
+    def test_a_change_set_applied_by_halves_is_found(self):
         whole = Store.append
 
-        def append(store, group, terms=None):
-            made = whole(store, group, terms)
-            if group.revision > 1:
-                made = store.terms = ActiveTerms({**made.rows(), group.changes[1].key: canonical(quota(10))})
+        def append(store, changeset, terms=None):
+            made = whole(store, changeset, terms)
+            if changeset.revision > 1:
+                made = store.terms = ActiveTerms(
+                    {**made.rows(), changeset.changes[1].key: canonical(quota(10))}
+                )
             return made
 
         self.found("whole", mock.patch.object(Store, "append", append))
 
     def test_a_word_before_the_disk_is_found(self):
-        def take_output(member):
-            made = whole(member)
-            return msgspec.structs.replace(made, writes=()) if isinstance(member, ConfigSubscriber) else made
+        def take_output(subscriber):
+            made = whole(subscriber)
+            return (
+                msgspec.structs.replace(made, writes=()) if isinstance(subscriber, ConfigSubscriber) else made
+            )
 
         whole = ConfigSubscriber.take_output
         self.found("back", mock.patch.object(ConfigSubscriber, "take_output", take_output))
 
     def test_half_of_a_batch_kept_is_found(self):
-        def take_output(member):
-            made = whole(member)
+        def take_output(subscriber):
+            made = whole(subscriber)
             return (
                 msgspec.structs.replace(made, writes=made.writes[:1])
-                if isinstance(member, ConfigSubscriber)
+                if isinstance(subscriber, ConfigSubscriber)
                 else made
             )
 
         whole = ConfigSubscriber.take_output
         self.found("back", mock.patch.object(ConfigSubscriber, "take_output", take_output), batch=True)
 
-    def test_the_first_of_a_batch_acted_by_as_soon_as_it_is_offered_is_found(self):
-        def offered(member, group, sender, now):
-            whole(member, group, sender, now)
-            if member.state.proposals:
-                member._on_committed(RevisionId(group.revision, digest_of(group)), (group,), sender, now)
+    def test_the_first_of_a_batch_acted_by_as_soon_as_it_is_proposaled_is_found(self):
+        def offered(subscriber, changeset, sender, now):
+            whole(subscriber, changeset, sender, now)
+            if subscriber.state.proposals:
+                subscriber._on_committed(
+                    RevisionId(changeset.revision, digest_of(changeset)), (changeset,), sender, now
+                )
 
         whole = ConfigSubscriber._on_proposal
         self.found("unborn", mock.patch.object(ConfigSubscriber, "_on_proposal", offered), batch=True)
 
-    def test_a_commit_of_an_offer_that_is_acted_by_unkept_is_found(self):
+    def test_a_commit_of_an_proposal_that_is_acted_by_unkept_is_found(self):
         def learn(state, committed):
             state.versions = state.versions.told(leased_versions.CommitNotice(*committed))[0]
 
         self.found("back", mock.patch.object(SubscriberState, "learn_committed", learn))
 
-    def test_an_offer_that_allows_is_found(self):
+    def test_an_proposal_that_allows_is_found(self):
         self.found(
             "unborn",
             mock.patch.object(
                 VersionSubscriber,
                 "narrowest",
-                lambda holder, right: right(holder.offers[-1].spec if holder.offers else holder.base.spec),
+                lambda holder, right: right(
+                    holder.proposals[-1].spec if holder.proposals else holder.base.spec
+                ),
             ),
             allowances=LOOSER,
         )
--- a/tests/test_settings_driver.py
+++ b/tests/test_settings_driver.py
@@ -26,15 +26,15 @@
 
 class DriverStory(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path, self.seen, self.said = Path(folder.name) / "m", [], []
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path, self.seen, self.sent = Path(directory.name) / "m", [], []
         disk = SettingsDirectory(self.path, "m", "x")
         disk.write([DiskWrite(ONE)])
         disk.close()
-        told = DriverConfig("m", "r", KEY, "127.0.0.1:0", {"k": "127.0.0.1:9"}, self.path, "members.m in x")
+        config = DriverConfig("m", "r", KEY, "127.0.0.1:0", {"k": "127.0.0.1:9"}, self.path, "members.m in x")
         self.driver = ConfigSubscriberDriver(
-            told, Random(1), lambda what, **more: self.seen.append((what, more))
+            config, Random(1), lambda what, **more: self.seen.append((what, more))
         )
         self.acting = []
         self.driver.listeners.append(lambda acting: self.acting.append(acting.revision))
@@ -45,7 +45,7 @@
 
         self.addAsyncCleanup(ends)
         sends = self.driver.sock
-        self.driver.sock = mock.Mock(wraps=sends, sendto=lambda data, peer: self.said.append(data))
+        self.driver.sock = mock.Mock(wraps=sends, sendto=lambda data, peer: self.sent.append(data))
 
     async def until(self, holds, bound=20.0):
         end = time.monotonic() + bound
@@ -68,18 +68,18 @@
         with mock.patch.object(self.driver.directory, "write", slow):
             self.commits()
             await self.until(lambda: self.driver.is_syncing)
-            before = list(self.said)
+            before = list(self.sent)
             self.driver._on_timer()
             self.assertEqual(
                 (self.acting, self.driver.acting.revision, self.driver.is_leased()), ([1], 1, False)
             )
-            self.assertEqual(self.said, before)
+            self.assertEqual(self.sent, before)
             gate.set()
             await self.until(lambda: self.driver.acting.revision == 2)
         self.assertEqual(self.acting, [1, 2])
-        self.assertGreater(len(self.said), len(before))
+        self.assertGreater(len(self.sent), len(before))
 
-    async def test_a_fault_of_the_machine_is_told_by_name_and_it_is_made_anew_from_its_disk(self):
+    async def test_a_fault_of_the_core_is_told_by_name_and_it_is_made_anew_from_its_disk(self):
         life = self.driver.incarnation
         with mock.patch.object(ConfigSubscriber, "_on_committed", side_effect=ZeroDivisionError("ours")):
             self.commits()
@@ -95,14 +95,14 @@
         await self.until(lambda: self.acting == [1, 2])
 
     async def test_a_disk_that_fails_ends_it_with_nothing_said_of_it_and_what_it_acted_by_stays(self):
-        said = []
+        sent = []
         with (
             mock.patch.object(self.driver.directory, "write", side_effect=StorageError("full", "make room")),
-            mock.patch.object(self.driver, "_carry_out", side_effect=lambda made, acting: said.append(made)),
+            mock.patch.object(self.driver, "_carry_out", side_effect=lambda made, acting: sent.append(made)),
         ):
             self.commits()
             await self.until(self.driver.ended.is_set)
-        self.assertFalse([one for made in said for _, one in made.messages if isinstance(one, AppliedAck)])
+        self.assertFalse([one for made in sent for _, one in made.messages if isinstance(one, AppliedAck)])
         self.assertEqual((self.acting, self.driver.acting.revision, self.driver.is_leased()), ([1], 1, False))
         self.assertIsInstance(self.driver.fault, StorageError)
         again = SettingsDirectory(self.path, "m", "x")
@@ -111,22 +111,22 @@
 
     async def test_what_could_not_be_taken_into_service_is_never_said_to_be(self):
         self.driver.listeners.append(mock.Mock(side_effect=KeyError("theirs")))
-        self.said.clear()
-        with mock.patch("pathsaddle.settings.udp_driver.encode", side_effect=lambda said, key: said):
+        self.sent.clear()
+        with mock.patch("pathsaddle.settings.udp_driver.encode", side_effect=lambda sent, key: sent):
             self.commits()
             await self.until(self.driver.ended.is_set)
-        self.assertEqual([one for one in self.said if isinstance(one, AppliedAck)], [])
+        self.assertEqual([one for one in self.sent if isinstance(one, AppliedAck)], [])
         self.assertIn("revision 2 could not be taken into service", str(self.driver.fault))
         self.assertFalse(self.driver.is_leased())
 
-    async def test_all_that_it_sends_is_paid_by_its_purse(self):
+    async def test_all_that_it_sends_is_paid_by_its_rate_limiter(self):
         self.driver.rate_limiter = self.driver.core.outbox.rate_limiter = RateLimiter(
             100, 1, monotonic_ticks()
         )  # half of it: not one asking
-        self.said.clear()
+        self.sent.clear()
         for _ in range(5):
             self.driver.turn(lambda core, now: core.request_sync(now) or now)
-        self.assertEqual(self.said, [])
+        self.assertEqual(self.sent, [])
 
 
 if __name__ == "__main__":
