--- a/pathsaddle/settings/replica.py
+++ b/pathsaddle/settings/replica.py
@@ -17,13 +17,8 @@
 from pathsaddle.settings.applied_gossip import AppliedGossip
 from pathsaddle.settings.catch_up import CatchUp
 from pathsaddle.settings.documents import ChangeSet, InvalidDocumentError, RevisionId, Snapshot, digest_of
-from pathsaddle.settings.events import (
-    HistoryDiverged,
-    RevisionCommitted,
-)
-from pathsaddle.settings.messages import (
-    AppliedAck,
-)
+from pathsaddle.settings.events import HistoryDiverged, RevisionCommitted
+from pathsaddle.settings.messages import AppliedAck
 from pathsaddle.settings.output import DiskWrite
 from pathsaddle.settings.proposals import ProposalStore
 from pathsaddle.settings.proposer import Proposer
