--- a/tests/test_settings_core.py
+++ b/tests/test_settings_core.py
@@ -580,7 +580,7 @@
         self.assertLess(late, 5 * SECOND)
         self.assertLess(net.force(30), ended)
 
-    def test_an_proposal_binds_as_far_as_it_narrows_and_allows_nothing(self):
+    def test_a_proposal_binds_as_far_as_it_narrows_and_allows_nothing(self):
         net = self.fleet(2)
         server = net.cores["k0"]
         at = server.propose((changeset_of(server.store, {"customers.a": quota(2), "budgets.b": 7}),), net.now)
@@ -842,7 +842,7 @@
             server.on_message(Proposal("k1", changeset_of(store, {"customers.a": quota(3)}, f"try {i}")), 10)
         self.assertEqual([one.log_name for one in server.take_output().events].count("full"), 1)
 
-    def test_an_proposal_that_others_follow_is_not_pushed_out(self):
+    def test_a_proposal_that_others_follow_is_not_pushed_out(self):
         store, _ = self.start()
         server = server_of(store.copy(), ("k1", "k2"))
         first = changeset_of(store, {"customers.a": quota(3)})
@@ -1019,21 +1019,19 @@
         whole = ConfigSubscriber._on_proposal
         self.found("unborn", mock.patch.object(ConfigSubscriber, "_on_proposal", offered), batch=True)
 
-    def test_a_commit_of_an_proposal_that_is_acted_by_unkept_is_found(self):
+    def test_a_commit_of_a_proposal_that_is_acted_by_unkept_is_found(self):
         def learn(state, committed):
             state.versions = state.versions.told(leased_versions.CommitNotice(*committed))[0]
 
         self.found("back", mock.patch.object(SubscriberState, "learn_committed", learn))
 
-    def test_an_proposal_that_allows_is_found(self):
+    def test_a_proposal_that_allows_is_found(self):
         self.found(
             "unborn",
             mock.patch.object(
                 VersionSubscriber,
                 "narrowest",
-                lambda holder, right: right(
-                    holder.proposals[-1].spec if holder.proposals else holder.base.spec
-                ),
+                lambda holder, right: right(holder.offers[-1].spec if holder.offers else holder.base.spec),
             ),
             allowances=LOOSER,
         )
