--- a/pathsaddle/config/dispatcher.py
+++ b/pathsaddle/config/dispatcher.py
@@ -28,8 +28,8 @@
 if TYPE_CHECKING:
     from pathsaddle.config.metering import DispatcherMetering
     from pathsaddle.fleet.udp_driver import MembershipDriver
+    from pathsaddle.settings.active_settings import ActiveSettings
     from pathsaddle.settings.dispatcher_subscription import DispatcherSubscription
-    from pathsaddle.settings.driver import ActiveSettings
 
 
 class ConfiguredDispatcher(Ground):
--- a/tests/data/write_config.py
+++ b/tests/data/write_config.py
@@ -12,7 +12,6 @@
 sys.path.insert(0, sys.argv[2])
 
 from pathsaddle.charter import check, fellows, form, service, told
-
 from pathsaddle.cli.show import explained
 
 OUT, ROOT = sys.argv[1:]
