--- a/tests/test_golden_placement.py
+++ b/tests/test_golden_placement.py
@@ -2,6 +2,7 @@
 
 import importlib.util
 import json
+import sqlite3
 import unittest
 from dataclasses import replace
 from pathlib import Path
@@ -97,8 +98,6 @@
         self.assertEqual(self.golden["ledger"], self.as_json(ledger))
 
     def test_a_ledger_of_that_commit_is_read_to_the_same_values(self):
-        import sqlite3
-
         path = self.directory / "old.db"
         base = sqlite3.connect(path)
         for _, sql in self.golden["scenario"]["schema"]:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -138,16 +138,13 @@
         elif isinstance(step, PullOrder):
             self.ledger.apply(ReportUnitPulled(step.unit))
         else:
-            self.assert_ledger_step(step)
+            assert isinstance(step, LedgerStep), step
             after = self.ledger.apply(step.change(state, self.number))
             if isinstance(step, RenewStep):
                 self.rollout.on_renewed(after.inventory, self.now)
             elif step.name in ("reserve", "withdraw"):
                 self.rollout.on_reserved(step.unit, self.now)
 
-    def assert_ledger_step(self, step):
-        assert isinstance(step, LedgerStep), step
-
     def finish(self, dead=()):
         for _ in range(400):
             if not self.step(dead) and self.rollout.is_complete(self.ledger.read()):
