--- a/pathsaddle/consensus/__main__.py
+++ b/pathsaddle/consensus/__main__.py
@@ -1,7 +1,7 @@
 """python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
 python -m pathsaddle.ownership serve CHARTER: votes and stands for the charter's keys, and nothing else,
 until SIGTERM.
-"""
+"""  # noqa: D205  # it is what the command prints where it is called wrongly
 
 from __future__ import annotations
 
@@ -12,55 +12,59 @@
 from random import SystemRandom
 
 from pathsaddle.config.loader import read_configuration
-from pathsaddle.config.schema import Configuration
 from pathsaddle.consensus.acceptor_log import create_log
 from pathsaddle.consensus.errors import MissingTableError
 from pathsaddle.consensus.fleet_member import register_config
-from pathsaddle.consensus.udp_driver import RegisterDriver
+from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
 from pathsaddle.errors import Error
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
+from pathsaddle.trade import SECOND
+
+USAGE_CODE = 2
+STOP_PACES = 3  # between stop and end: a release is sent so often that one datagram may be lost
 
 
 async def serve(register: RegisterDriver) -> None:
+    """Run a register until SIGTERM or SIGINT, then give its leases back."""
     stop = asyncio.Event()
-    events = asyncio.get_running_loop()
-    events.add_signal_handler(signal.SIGTERM, stop.set)
-    events.add_signal_handler(signal.SIGINT, stop.set)
+    loop = asyncio.get_running_loop()
+    loop.add_signal_handler(signal.SIGTERM, stop.set)
+    loop.add_signal_handler(signal.SIGINT, stop.set)
     register.begin()
     logbook.serving()
     await stop.wait()
     register.stop()
-    await asyncio.sleep(3 * register.owner.pace / 10_000)
+    await asyncio.sleep(STOP_PACES * register.lease_manager.pace / SECOND)
     register.end()
 
 
-def main(words: list[str]) -> int:
-    if len(words) != 2 or words[0] not in ("found", "serve"):
-        print(__doc__, file=sys.stderr)
-        return 2
-    try:
-        charter: Configuration = read_configuration(Path(words[1]))
-    except Error as fault:
-        print(fault, file=sys.stderr)
-        return fault.code
-    if charter.fleet is None or charter.fleet.owners is None:
-        print(missing := MissingTableError(charter=words[1]), file=sys.stderr)
-        return missing.code
-    logbook.open_log(charter.log.level, charter.log.form)
+def run(command: str, config: RegisterConfig) -> None:
+    """Carry out a command. Raises Error."""
+    if command == "found":
+        create_log(config.directory, config.name, config.acceptors)
+    else:
+        asyncio.run(serve(RegisterDriver(config, Ground(), SystemRandom(), Counters())))
+
+
+def main(arguments: list[str]) -> int:
+    """Carry out the command and return the process's end code."""
+    match arguments:
+        case [("found" | "serve") as command, file]:
+            pass
+        case _:
+            print(__doc__, file=sys.stderr)
+            return USAGE_CODE
     try:
-        if words[0] == "found":
-            create_log(Path(charter.fleet.owners.folder), charter.name, charter.fleet.owners.voters)
-        else:
-            asyncio.run(
-                serve(
-                    RegisterDriver(register_config(charter, words[1]), Ground(), SystemRandom(), Counters())
-                )
-            )
-    except Error as fault:
-        print(fault, file=sys.stderr)
-        return fault.code
+        configuration = read_configuration(Path(file))
+        if configuration.fleet is None or configuration.fleet.owners is None:
+            raise MissingTableError(charter=file)
+        logbook.open_log(configuration.log.level, configuration.log.form)
+        run(command, register_config(configuration, file))
+    except Error as error:
+        print(error, file=sys.stderr)
+        return error.code
     return 0
 
 
--- a/pathsaddle/consensus/acceptor.py
+++ b/pathsaddle/consensus/acceptor.py
@@ -1,283 +1,259 @@
-"""A voter: what it promised and accepted for each key, for whom it holds, and how it is let in again.
-
-Bound: of the voters that take part, none promises a ballot of another to anybody while it holds for an owner,
-and none answers before what it answers is on its disk. No I/O: `heard` takes one message at one moment; what
-`writes` holds is on disk before anything of `out` is sent.
-A voter whose sync failed is made anew from its disk.
-
-Why holding needs no disk. A renewal changes neither ballot nor value, so nothing is written. A voter that
-begins doesn't know what it held: it holds for the owner that it has on disk a whole lease from its start,
-which is later than any moment at which an earlier life of it held.
-
-How one is let in. Each start of a voter has a number, above all earlier ones, and each answer carries it. One
-that begins asks the others; each of them writes the number down, then tells all that it promised and
-accepted, and from then on says the number in all its answers. Whoever gathers a majority counts no answer of
-a voter from before a start that another in this majority knows of. So for any majority with an answer that
-was forgotten, one of its other voters is among those that told: it took part before it told, then what it
-told stands here, or after, then the forgotten answer does not count. That needs so many others that any
-majority's rest meets them: `enough`. A voter whose own disk is whole may begin with fewer, once it waited for
-them: it forgot nothing. One whose disk is lost, torn or a copy may not, ever.
+"""An acceptor: what it promised and accepted for each key, for whom it holds leases, and how it rejoins.
+
+Invariant: of the acceptors that participate, none promises a ballot to anybody else while it holds a lease,
+and none answers before what it answers by is on its disk. Broken by the mutants `holds-forgotten` and
+`answers-before-sync`, and found by `tests/test_consensus.py`.
+
+The core is free of I/O: `on_message` takes one message at one moment; what `writes` holds must be on disk
+before anything of `messages` is sent. An acceptor whose disk write failed is made anew from its disk.
+
+Why a lease needs no disk write. A renewal changes neither ballot nor value. An acceptor that starts does not
+know what it held; it holds a whole lease, from its start, for the lease holder that is on its disk. That ends
+later than any lease that an earlier run of it can have held.
+
+How an acceptor rejoins. Each start of an acceptor has an incarnation above all earlier ones, and each of its
+answers carries it. An acceptor that starts asks the others. Each of them writes the incarnation down, then
+sends all that it promised and accepted, and from then on states the incarnation in all its answers. A
+proposer that gathers a majority counts no answer of an incarnation that another acceptor of this majority
+knows to be over. So for any majority with an answer that was forgotten, one of its other acceptors is among
+those that sent their state: either it took part in the majority before that, then what it sent stands here;
+or after, then the forgotten answer does not count. That needs so many others that they meet the rest of any
+majority: `sync_quorum`. An acceptor whose own disk is intact may start with fewer, once it waited for them:
+it forgot nothing. One whose disk is lost, torn or a copy may never. The test that breaks this trusts a lost
+disk (mutant `lost-disk-trusted`).
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from dataclasses import dataclass, replace
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
+from pathsaddle.consensus.acceptor_key import EMPTY_KEY, AcceptorKey
 from pathsaddle.consensus.messages import (
-    NO_BALLOT,
-    NO_VALUE,
     Accept,
-    Accepted,
-    Ballot,
+    Incarnation,
     LeaseReleased,
     Message,
+    Outgoing,
     Prepare,
-    Promise,
-    Read,
-    ReadReply,
     Refused,
     Release,
     Renew,
+    SyncedKey,
     SyncReply,
     SyncRequest,
-    Value,
-    size_of,
-    surely,
+    Ticks,
+    encoded_size,
+)
+from pathsaddle.consensus.stored_state import (
+    DiskWrite,
+    KeyWrite,
+    OwnIncarnationWrite,
+    PeerIncarnationWrite,
+    StoredState,
 )
 from pathsaddle.trade import MILLISECOND
 
-AGAIN = 200 * MILLISECOND  # between two askings of a voter that begins
-PATIENCE = 1000 * MILLISECOND  # how long one with a whole disk waits for enough of the others
-WAITERS = 64  # of a key, told when it is given back
-KEYS = 10_000  # more are not taken on
-PAGE = 1100  # bytes of rows in one answer to a voter that begins
-
-
-@dataclass(frozen=True, slots=True)
-class Row:
-    """A key's part of a voter. The first three are on disk.
-
-    until: for how long it holds for the value's owner. freed: the ballot whose owner gave it back.
-    """
-
-    promised: Ballot = NO_BALLOT
-    accepted: Ballot = NO_BALLOT
-    value: Value = NO_VALUE
-    until: int = 0
-    freed: Ballot = NO_BALLOT
-
-    def begun(self, now: int) -> Row:
-        """As a voter that begins has it."""
-        return replace(self, until=now + surely(self.value.lease) if self.value.owner else 0, freed=NO_BALLOT)
-
-    def heard(self, message: Message, now: int) -> tuple[Row, Message | None]:
-        """Its answer; where `promised`, `accepted` or `value` changed, only after a sync."""
-        if isinstance(message, Prepare):
-            ballot = message.ballot
-            mine = (self.value.owner, self.value.life) == (ballot.name, ballot.life)
-            if ballot < self.promised or (now < self.until and not mine):
-                return self, self.refuses(message.key, ballot, now)
-            return (
-                replace(self, promised=ballot) if ballot > self.promised else self,
-                Promise(message.key, ballot, self.accepted, self.value),
-            )
-        if isinstance(message, Accept):
-            # Not asked whether it holds for another: a majority promised, so that other's lease has ended.
-            ballot = message.ballot
-            if ballot < self.promised:
-                return self, self.refuses(message.key, ballot, now)
-            until = max(self.until if ballot == self.accepted else 0, now + surely(message.value.lease))
-            row = replace(self, promised=ballot, accepted=ballot, value=message.value, until=until)
-            return (row if self.freed != ballot else self), Accepted(message.key, ballot, message.ask)
-        if isinstance(message, Renew):
-            if message.ballot < self.promised:
-                return self, self.refuses(message.key, message.ballot, now)
-            if message.ballot != self.accepted or message.ballot == self.freed:
-                return self, None
-            return (
-                replace(self, until=max(self.until, now + surely(self.value.lease))),
-                Accepted(message.key, message.ballot, message.ask),
-            )
-        if isinstance(message, Release):
-            if message.ballot == self.accepted and message.ballot != self.freed:
-                return replace(self, until=0, freed=message.ballot), LeaseReleased(message.key)
-            return self, None
-        if isinstance(message, Read):
-            return self, ReadReply(message.key, message.ask, self.promised, self.accepted, self.value)
-        return self, None
-
-    def refuses(self, key: str, ballot: Ballot, now: int) -> Refused:
-        return Refused(
-            key, ballot, self.promised, max(0, self.until - now), self.value.owner, self.value.number
-        )
-
-    def joined(self, promised: Ballot, accepted: Ballot, value: Value) -> Row:
-        """With what another told."""
-        row = replace(self, promised=max(self.promised, promised))
-        return replace(row, accepted=accepted, value=value) if accepted > row.accepted else row
+SYNC_RETRY_TICKS = 200 * MILLISECOND  # between two requests of an acceptor that starts
+SYNC_PATIENCE_TICKS = 1000 * MILLISECOND  # how long one with an intact disk waits for enough of the others
+MAX_WAITERS = 64  # processes per key that are told when its lease is released
+MAX_KEYS = 10_000  # messages for further keys are dropped: memory and disk stay bounded
+MAX_SYNC_PAGE_BYTES = (
+    1100  # keys in one answer to an acceptor that starts; with its envelope it fits a datagram
+)
+NEVER = 1 << 60  # a moment that does not come
 
-    @property
-    def kept(self) -> tuple[Ballot, Ballot, Value]:
-        return self.promised, self.accepted, self.value
 
+class SyncPage(NamedTuple):
+    """Some of an acceptor's keys, in order, and the last of them; empty: no further page follows."""
 
-EMPTY = Row()
+    keys: list[SyncedKey]
+    last_key: str
 
 
-@dataclass(frozen=True, slots=True)
-class DiskWrite:
-    """One line for the disk: a row (key and what is kept of it), or the highest start known of a voter, or
-    that it was let in.
+class Acceptor:
+    """One acceptor of the configuration.
+
+    Attributes:
+        writes: What must be on disk before `messages` are sent.
+        messages: What is to be sent.
+        keys: Its part in each key.
+        incarnations: The highest known incarnation of each acceptor.
+        is_participating: Whether it promises and accepts.
+        is_intact: Whether its disk holds all that it ever answered by.
+        dropped: How many messages were dropped, by reason.
     """
 
-    key: str = ""
-    kept: tuple[Ballot, Ballot, Value] | None = None
-    voter: str = ""
-    start: int = 0
-    whole: bool = False
-
-
-class Acceptor:
     def __init__(
         self,
         name: str,
-        voters: Iterable[str],
-        rows: dict[str, tuple[Ballot, Ballot, Value]],
-        starts: dict[str, int],
-        start: int,
-        whole: bool,
-        now: int,
+        acceptors: Iterable[str],
+        stored: StoredState,
+        incarnation: Incarnation,
+        now: Ticks,
     ) -> None:
-        """`rows`, `starts`: what the disk holds. `start`: the number of this start, above the disk's own.
-        `whole`: nothing was lost of the disk, as far as it can tell by itself.
+        """Start an acceptor.
+
+        Args:
+            name: Its name.
+            acceptors: The names of all acceptors.
+            stored: What its disk holds.
+            incarnation: Of this start; it is raised above the disk's own where that is higher.
+            now: The moment.
         """
-        self.name, self.voters = name, tuple(sorted(voters))
-        self.rows = {key: Row(*kept).begun(now) for key, kept in rows.items()}
-        self.starts = {voter: starts.get(voter, 0) for voter in self.voters}
-        self.start, self.whole = max(start, self.starts[name] + 1), whole
-        self.starts[name] = self.start
-        self.writes: list[DiskWrite] = [DiskWrite(voter=name, start=self.start, whole=whole)]
-        self.out: list[tuple[str, Message]] = []
-        self.waiters: dict[str, dict[str, None]] = {}
-        self.counts: dict[str, int] = {}
-        # of the others: it meets the rest of any majority that one is in
-        self.enough = len(self.voters) // 2 + 1
-        self.told: dict[str, str | None] = {}  # whom all was heard from (None), or up to which key
-        self.part = False  # whether it takes part
-        self.started_at, self.next = now, now
-
-    def due(self) -> int:
-        return 1 << 60 if self.part else self.next
-
-    def wake(self, now: int) -> None:
-        """While it begins: asks those who have not told all."""
-        if self.part or now < self.next:
+        self.name, self.acceptors = name, tuple(sorted(acceptors))
+        self.keys = {key: AcceptorKey(state).after_restart(now) for key, state in stored.keys.items()}
+        self.incarnations = {
+            acceptor: stored.peer_incarnations.get(acceptor, 0) for acceptor in self.acceptors
+        }
+        self.incarnation = max(incarnation, self.incarnations[name] + 1)
+        self.is_intact = stored.is_intact
+        self.incarnations[name] = self.incarnation
+        self.writes: list[DiskWrite] = [OwnIncarnationWrite(name, self.incarnation, self.is_intact)]
+        self.messages: list[Outgoing] = []
+        self.dropped: dict[str, int] = {}
+        # Of the others: so many meet the rest of any majority that this acceptor is in.
+        self.sync_quorum = len(self.acceptors) // 2 + 1
+        self.is_participating = False
+        self._waiters: dict[str, dict[str, None]] = {}
+        self._synced_up_to: dict[str, str | None] = {}  # by acceptor: the last key it sent; None: it sent all
+        self._started_at = self._next_sync = now
+
+    def next_wakeup(self) -> Ticks:
+        """Return when `wake` is wanted."""
+        return NEVER if self.is_participating else self._next_sync
+
+    def wake(self, now: Ticks) -> None:
+        """While it starts: ask the acceptors that have not sent all of their state."""
+        if self.is_participating or now < self._next_sync:
             return
-        self.next = now + AGAIN
-        if len(self.voters) == 1 or (self.whole and now - self.started_at >= PATIENCE):
-            self._let_in(now)
+        self._next_sync = now + SYNC_RETRY_TICKS
+        is_out_of_patience = self.is_intact and now - self._started_at >= SYNC_PATIENCE_TICKS
+        if len(self.acceptors) == 1 or is_out_of_patience:
+            self._start_participating(now)
             return
-        for voter in self.voters:
-            if voter != self.name and self.told.get(voter, "") is not None:
-                self.out.append((voter, SyncRequest(self.start, self.told.get(voter) or "")))
+        for acceptor in self.acceptors:
+            if acceptor != self.name and self._synced_up_to.get(acceptor, "") is not None:
+                request = SyncRequest(self.incarnation, self._synced_up_to.get(acceptor) or "")
+                self.messages.append(Outgoing(acceptor, request))
+
+    def learn_incarnations(self, incarnations: Mapping[str, Incarnation], now: Ticks) -> None:
+        """Take in the incarnations that another process knows of.
 
-    def learn(self, starts: dict[str, int], now: int) -> None:
-        """The starts that another knows of. A later one of our own than ours: our disk is older than it
-        was.
+        If it knows a higher one of ours than ours, our disk is older than it was: rejoin with a still higher
+        one.
         """
-        if starts.get(self.name, 0) <= self.start:
+        if incarnations.get(self.name, 0) <= self.incarnation:
             return
-        self.start = self.starts[self.name] = starts[self.name] + 1
-        self.whole = self.part = False
-        self.told.clear()
-        self.out.clear()
-        self.writes.append(DiskWrite(voter=self.name, start=self.start))
-        self.next = now
-
-    def heard(self, sender: str, message: Message, now: int) -> None:
+        self.incarnation = self.incarnations[self.name] = incarnations[self.name] + 1
+        self.is_intact = self.is_participating = False
+        self._synced_up_to.clear()
+        self.messages.clear()
+        self.writes.append(OwnIncarnationWrite(self.name, self.incarnation, is_intact=False))
+        self._next_sync = now
+
+    def on_message(self, sender: str, message: Message, now: Ticks) -> None:
+        """Take in a message of another process."""
         if isinstance(message, SyncRequest):
-            self._asked(sender, message)
+            self._on_sync_request(sender, message)
         elif isinstance(message, SyncReply):
-            self._told(sender, message, now)
-        elif self.part:
-            self._take(sender, message, now)
+            self._on_sync_reply(sender, message, now)
+        elif self.is_participating:
+            self._on_key_message(sender, message, now)
         else:
-            self.counts["out"] = self.counts.get("out", 0) + 1
+            self._count_dropped("out")
+
+    def _count_dropped(self, reason: str) -> None:
+        self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
-    def _take(self, sender: str, message: Message, now: int) -> None:
+    def _on_key_message(self, sender: str, message: Message, now: Ticks) -> None:
         key = getattr(message, "key", "")
-        if isinstance(message, (Prepare, Accept, Renew, Release)) and message.ballot.name != sender:
+        if isinstance(message, Prepare | Accept | Renew | Release) and message.ballot.proposer != sender:
             return
-        row = self.rows.get(key, EMPTY)
-        if row is EMPTY and len(self.rows) >= KEYS:
-            self.counts["full"] = self.counts.get("full", 0) + 1
+        before = self.keys.get(key, EMPTY_KEY)
+        if before is EMPTY_KEY and len(self.keys) >= MAX_KEYS:
+            self._count_dropped("full")
             return
-        after, answer = row.heard(message, now)
-        if after is not row:
-            self.rows[key] = after
-            if after.kept != row.kept:
-                self.writes.append(DiskWrite(key, after.kept))
+        after, answer = before.on_message(key, message, now)
+        if after is not before:
+            self.keys[key] = after
+            if after.state != before.state:
+                self.writes.append(KeyWrite(key, after.state))
         if isinstance(answer, LeaseReleased):
-            for waiter in self.waiters.pop(key, {}):
-                self.out.append((waiter, answer))
+            for waiter in self._waiters.pop(key, {}):
+                self.messages.append(Outgoing(waiter, answer))
         elif answer is not None:
-            if isinstance(answer, Refused) and answer.left:
-                waiters = self.waiters.setdefault(key, {})
-                if len(waiters) < WAITERS:
+            if isinstance(answer, Refused) and answer.remaining_ticks:
+                waiters = self._waiters.setdefault(key, {})
+                if len(waiters) < MAX_WAITERS:
                     waiters[sender] = None
-            self.out.append((sender, answer))
+            self.messages.append(Outgoing(sender, answer))
 
-    # Letting in.
+    # Rejoining.
 
-    def _asked(self, sender: str, ask: SyncRequest) -> None:
-        """Answered by those who take part, and by those who begin with a whole disk: that holds all they ever
-        said.
-        """
-        if sender not in self.starts or sender == self.name or not (self.part or self.whole):
+    def _on_sync_request(self, sender: str, request: SyncRequest) -> None:
+        """Answer if we participate, or start with an intact disk: that holds all that we ever answered."""
+        if sender not in self.incarnations or sender == self.name:
+            return
+        if not (self.is_participating or self.is_intact):
             return
-        if ask.start > self.starts[sender]:
-            self.starts[sender] = ask.start
-            self.writes.append(DiskWrite(voter=sender, start=ask.start))
-        known = self.starts[sender]
-        rows: list[tuple[str, Ballot, Ballot, Value]] = []
-        last, size = "", 0
-        if ask.start == known:
-            for key in sorted(key for key in self.rows if key > ask.after):
-                row = (key, *self.rows[key].kept)
-                size += size_of(SyncReply(0, 0, True, "", "", [row]))
-                if rows and size > PAGE:
-                    last = rows[-1][0]
-                    break
-                rows.append(row)
-        self.out.append((sender, SyncReply(ask.start, known, self.part, ask.after, last, rows)))
+        if request.incarnation > self.incarnations[sender]:
+            self.incarnations[sender] = request.incarnation
+            self.writes.append(PeerIncarnationWrite(sender, request.incarnation))
+        known = self.incarnations[sender]
+        page = SyncPage([], "")
+        if request.incarnation == known:
+            page = self._sync_page(request.after)
+        self.messages.append(
+            Outgoing(
+                sender,
+                SyncReply(
+                    request.incarnation, known, self.is_participating, request.after, page.last_key, page.keys
+                ),
+            )
+        )
 
-    def _told(self, sender: str, tell: SyncReply, now: int) -> None:
-        if self.part or sender not in self.starts or tell.start != self.start or sender == self.name:
+    def _sync_page(self, after: str) -> SyncPage:
+        """Return the keys after `after`, as many as fit one answer."""
+        page: list[SyncedKey] = []
+        size = 0
+        for key in sorted(key for key in self.keys if key > after):
+            state = self.keys[key].state
+            synced = SyncedKey(key, state.promised, state.accepted, state.value)
+            size += encoded_size(SyncReply(0, 0, True, "", "", [synced]))
+            if page and size > MAX_SYNC_PAGE_BYTES:
+                return SyncPage(page, page[-1].key)
+            page.append(synced)
+        return SyncPage(page, "")
+
+    def _on_sync_reply(self, sender: str, reply: SyncReply, now: Ticks) -> None:
+        if self.is_participating or sender not in self.incarnations or sender == self.name:
             return
-        if tell.known > self.start:
-            self.learn({self.name: tell.known}, now)
+        if reply.incarnation != self.incarnation:
             return
-        # one that begins may have an old disk itself; it can't heal a lost one
-        if not (self.whole or tell.part):
+        if reply.known_incarnation > self.incarnation:
+            self.learn_incarnations({self.name: reply.known_incarnation}, now)
             return
-        if self.told.get(sender, "") != tell.after:  # a page that is here already, or one out of turn
+        # A sender that starts itself may have an old disk; it cannot heal a lost one.
+        if not (self.is_intact or reply.is_participating):
             return
-        for key, promised, accepted, value in tell.rows:
-            row = self.rows.get(key, EMPTY)
-            after = row.joined(promised, accepted, value)
-            if after.kept != row.kept:
-                self.writes.append(DiskWrite(key, after.kept))
-            self.rows[key] = after
-        self.told[sender] = tell.last or None
-        if tell.last:
-            self.out.append((sender, SyncRequest(self.start, tell.last)))
-        elif sum(1 for last in self.told.values() if last is None) >= self.enough:
-            self._let_in(now)
-
-    def _let_in(self, now: int) -> None:
-        """From here on it takes part; all that it may ever have held it holds from now."""
-        self.part = True
-        self.rows = {key: row.begun(now) for key, row in self.rows.items()}
-        self.writes.append(DiskWrite(voter=self.name, start=self.start, whole=True))
-        self.whole = True
+        if self._synced_up_to.get(sender, "") != reply.after:  # a page that is here already, or out of turn
+            return
+        for synced in reply.keys:
+            before = self.keys.get(synced.key, EMPTY_KEY)
+            after = before.merge(synced.state)
+            if after.state != before.state:
+                self.writes.append(KeyWrite(synced.key, after.state))
+            self.keys[synced.key] = after
+        self._synced_up_to[sender] = reply.last_key or None
+        if reply.last_key:
+            self.messages.append(Outgoing(sender, SyncRequest(self.incarnation, reply.last_key)))
+        elif sum(1 for last in self._synced_up_to.values() if last is None) >= self.sync_quorum:
+            self._start_participating(now)
+
+    def _start_participating(self, now: Ticks) -> None:
+        """From here on it takes part; every lease that it may ever have held it holds from now on."""
+        self.is_participating = True
+        self.keys = {key: state.after_restart(now) for key, state in self.keys.items()}
+        self.writes.append(OwnIncarnationWrite(self.name, self.incarnation, is_intact=True))
+        self.is_intact = True
--- a/pathsaddle/consensus/errors.py
+++ b/pathsaddle/consensus/errors.py
@@ -1,4 +1,8 @@
-"""What goes wrong with ownership and reaches an operator, all of the one family (docs/errors.md)."""
+"""What goes wrong with consensus and reaches an operator, all of one family (docs/errors.md).
+
+The names of the errors say `ownership`, as commands and files do. docs/errors.md prints the first line of a
+docstring here where an error's words differ from case to case; a test holds page and code together.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 
 
 class ConsensusError(Error):
-    """Any of ownership's."""
+    """Base of this package's errors."""
 
 
 class AlreadyInitializedError(ConsensusError):
@@ -28,6 +32,8 @@
 
 
 class MissingTableError(ConsensusError):
+    """The configuration file has no `[fleet.owners]`."""
+
     name = "ownership.no-table"
     what = "{charter}: fleet.owners: no such table"
     do = "write [fleet.owners] in {charter}, as docs/ownership.md shows"
--- a/pathsaddle/consensus/messages.py
+++ b/pathsaddle/consensus/messages.py
@@ -1,9 +1,10 @@
-"""What is kept and what is sent: ballots, values, messages,
-and datagrams of messages signed with the fleet's key.
+"""Ballots, values and messages of the replicated register, and the datagrams that carry them.
 
-A datagram is a byte that names the form, msgpack of one `Said`, and the first 16 bytes of HMAC-SHA256 over
-all before. Its first byte is none of `fleet/messages.py`'s forms: the two never read each other's.
-Knows no socket.
+A datagram is one byte that names its type, msgpack of one `Envelope`, and the first 16 bytes of HMAC-SHA256
+over all of that, made with the fleet's key. The type byte is none of those of `fleet/messages.py`, so that
+neither protocol decodes the other's datagrams. All structs are msgpack arrays: the order of their fields is
+the wire format, and their names are free. The proposer, the acceptor and the driver use this module; it opens
+no socket and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,65 +12,107 @@
 import hmac
 import zlib
 from collections.abc import Iterable, Iterator, Sequence
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
 
-FORM = 0x41
-SUM = 16
-MAX_DATAGRAM_BYTES = (
-    1460  # bytes of a datagram: the longest value with the longest names, in one piece on a usual link
-)
-MAX_VALUE_BYTES = 1024  # bytes that a value may carry: a digest and a revision, not the thing itself
+DATAGRAM_TYPE = 0x41
+MAC_BYTES = 16
+# The longest value with the longest names fits into one datagram, which fits into one packet of a usual link.
+MAX_DATAGRAM_BYTES = 1460
+MAX_VALUE_BYTES = 1024  # a value carries a digest and a revision, not the thing itself
 MAX_NAME_BYTES = 64
 MAX_VOTERS = 7
-MAX_CLOCK_DRIFT = 0.02  # by how much a monotonic clock may run faster or slower than it should
+MAX_CLOCK_DRIFT = 0.02  # the part by which a monotonic clock may run faster or slower than it should
+MESSAGE_LIST_HEADER_BYTES = 4  # by how much the header of a msgpack array may outgrow that of an empty one
+
+Ticks = int  # tenths of a millisecond of a monotonic clock; a span, or a moment of the local clock
+Incarnation = int  # the number of one run of a process under one name; grows with each
+FencingToken = int  # grows with each lease holder of a key; 0: none
+Revision = int  # grows with each change of a register's data; 0: never changed
+RequestId = int  # ties an answer to the request that it answers
 
 
-def surely(lease: int) -> int:
-    """A lease's length by a clock that may be fast: over by then for certain."""
-    return int(lease * (1 + MAX_CLOCK_DRIFT)) + 2
+def certain_lease_end(started_at: Ticks, lease_ticks: Ticks) -> Ticks:
+    """Return the moment after which a lease is over by any clock, on a local clock that may be fast."""
+    return started_at + int(lease_ticks * (1 + MAX_CLOCK_DRIFT)) + 2
 
 
-def maybe(lease: int) -> int:
-    """And by one that may be slow: not over until then for certain."""
-    return int(lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
+def possible_lease_end(started_at: Ticks, lease_ticks: Ticks) -> Ticks:
+    """Return the moment before which a lease stands by any clock, on a local clock that may be slow."""
+    return started_at + int(lease_ticks * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
 
 class Ballot(Struct, array_like=True, frozen=True, order=True):
-    """Of two the higher holds. `name`, `life`: whose it is; no two processes have both the same."""
+    """Paxos' number of a proposal. The higher of two ballots wins.
+
+    Attributes:
+        round: The round, by which ballots are ordered first.
+        proposer: The name of the process that proposes.
+        incarnation: Its incarnation; no two processes share both name and incarnation.
+    """
 
     round: int
-    name: str
-    life: int
+    proposer: str
+    incarnation: Incarnation
 
 
 class Value(Struct, array_like=True, frozen=True):
     """What a register holds.
 
-    number: grows with each owner and is never used twice. lease: its length in ticks. revision: grows with
-    each change of `data`, which belongs to whoever owns the key and outlives its owners.
+    Attributes:
+        holder: The name of the lease holder.
+        incarnation: The lease holder's incarnation.
+        fencing_token: Grows with each lease holder and is never used twice.
+        lease_ticks: The length of the lease.
+        revision: Grows with each change of `data`.
+        data: Changed by the lease holder alone; it outlives the lease.
     """
 
-    owner: str
-    life: int
-    number: int
-    lease: int
-    revision: int
+    holder: str
+    incarnation: Incarnation
+    fencing_token: FencingToken
+    lease_ticks: Ticks
+    revision: Revision
     data: bytes
 
+    @property
+    def number(self) -> FencingToken:
+        """The fencing token under its former name, by which `settings/` reads it."""
+        return self.fencing_token
+
 
 NO_BALLOT = Ballot(0, "", 0)
 NO_VALUE = Value("", 0, 0, 0, 0, b"")
 
 
+class KeyState(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """What an acceptor must never forget of one key.
+
+    Attributes:
+        promised: The highest ballot that was promised; none lower is accepted any more.
+        accepted: The highest ballot that was accepted.
+        value: The value that was accepted with it.
+    """
+
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
+    value: Value = NO_VALUE
+
+
+NO_STATE = KeyState()
+
+
 class Prepare(Struct, array_like=True, frozen=True, tag=1):
+    """Paxos' phase 1a: a proposer asks for a promise to its ballot."""
+
     key: str
     ballot: Ballot
 
 
 class Promise(Struct, array_like=True, frozen=True, tag=2):
-    """No lower ballot will be accepted here; the highest accepted and its value."""
+    """Paxos' phase 1b: no lower ballot will be accepted; with the highest accepted ballot and its value."""
 
     key: str
     ballot: Ballot
@@ -78,94 +121,125 @@
 
 
 class Accept(Struct, array_like=True, frozen=True, tag=3):
-    """ask: by it the answer is known to be one to this very asking."""
+    """Paxos' phase 2a: a proposer asks the acceptor to accept a value under a promised ballot."""
 
     key: str
     ballot: Ballot
     value: Value
-    ask: int
+    request_id: RequestId
 
 
 class Renew(Struct, array_like=True, frozen=True, tag=4):
-    """Renews: whoever accepted this ballot and promised none higher holds for its owner a whole lease from
-    now.
-    """
+    """An acceptor that accepted this ballot, and promised none higher, holds a whole lease from now on."""
 
     key: str
     ballot: Ballot
-    ask: int
+    request_id: RequestId
 
 
 class Accepted(Struct, array_like=True, frozen=True, tag=5):
-    """To Accept and to Hold."""
+    """Paxos' phase 2b: the answer to `Accept` and to `Renew`."""
 
     key: str
     ballot: Ballot
-    ask: int
+    request_id: RequestId
 
 
 class Refused(Struct, array_like=True, frozen=True, tag=6):
-    """promised: the highest promised here. left: ticks until a lease that stands in the way has ended
-    here.
+    """The acceptor does not follow a ballot.
+
+    Attributes:
+        key: The key.
+        ballot: The ballot that is refused.
+        promised: The highest ballot that was promised here.
+        remaining_ticks: Until a lease that stands in the way has ended here; 0 where none does.
+        holder: Who holds that lease.
+        fencing_token: Its fencing token.
     """
 
     key: str
     ballot: Ballot
     promised: Ballot
-    left: int
-    owner: str
-    number: int
+    remaining_ticks: Ticks
+    holder: str
+    fencing_token: FencingToken
 
 
 class Release(Struct, array_like=True, frozen=True, tag=7):
-    """The owner by this ballot has stopped for good: what is held for it may be let go."""
+    """The lease holder by this ballot has stopped for good; acceptors may end its lease early."""
 
     key: str
     ballot: Ballot
 
 
 class LeaseReleased(Struct, array_like=True, frozen=True, tag=8):
-    """Given back: whoever was refused here may come now."""
+    """Sent to those that were refused because of a lease: it was released, and they may campaign again."""
 
     key: str
 
 
 class Read(Struct, array_like=True, frozen=True, tag=9):
+    """Asks an acceptor for its state of a key."""
+
     key: str
-    ask: int
+    request_id: RequestId
 
 
 class ReadReply(Struct, array_like=True, frozen=True, tag=10):
-    """To Read."""
+    """The answer to `Read`."""
 
     key: str
-    ask: int
+    request_id: RequestId
     promised: Ballot
     accepted: Ballot
     value: Value
 
 
 class SyncRequest(Struct, array_like=True, frozen=True, tag=11):
-    """A voter begins: from now on it is the one with this number of starts.
-    All keys after `after` are asked for.
+    """An acceptor that starts asks another for its state.
+
+    Attributes:
+        incarnation: The sender's; from now on the receiver counts on no lower one.
+        after: Keys up to and including this one are here already.
     """
 
-    start: int
+    incarnation: Incarnation
     after: str
 
 
+class SyncedKey(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """One key with its state, as one acceptor hands it to another."""
+
+    key: str
+    promised: Ballot
+    accepted: Ballot
+    value: Value
+
+    @property
+    def state(self) -> KeyState:
+        """The state without the key."""
+        return KeyState(self.promised, self.accepted, self.value)
+
+
 class SyncReply(Struct, array_like=True, frozen=True, tag=12):
-    """start: of whom asked, as it said. known: the highest of it known here; higher than `start`: it must
-    take a higher one. part: whether the teller takes part, or begins itself with a whole disk. last: the last
-    key that this covers; empty: all that there are.
+    """One page of the state of an acceptor, for another one that starts.
+
+    Attributes:
+        incarnation: As it stood in the request.
+        known_incarnation: The highest of the receiver's that is known; if it is higher, the receiver must
+            exceed it.
+        is_participating: Whether the sender takes part; otherwise it starts itself, with an intact disk.
+        after: As it stood in the request.
+        last_key: The last key of this page; empty if no further page follows.
+        keys: The page, in the order of the keys.
     """
 
-    start: int
-    known: int
-    part: bool
+    incarnation: Incarnation
+    known_incarnation: Incarnation
+    is_participating: bool
     after: str
-    last: str
-    rows: list[tuple[str, Ballot, Ballot, Value]]
+    last_key: str
+    keys: list[SyncedKey]
 
 
 Message = (
@@ -182,78 +256,114 @@
     | SyncRequest
     | SyncReply
 )
+# What acceptors receive; all other messages are for a lease manager.
+TO_ACCEPTOR = (Prepare, Accept, Renew, Release, Read, SyncRequest, SyncReply)
 
 
-class Envelope(Struct, array_like=True, frozen=True):
-    """One datagram.
+class Outgoing(NamedTuple):
+    """A message and the name of the process that it is for."""
+
+    receiver: str
+    message: Message
 
-    group: a sum over the voters' names: who has others is not listened to.
-    to: the name of whom it is meant for. start: a voter's number of starts. starts: the highest that it knows
-    of each voter, in the order of their names.
+
+class Envelope(Struct, array_like=True, frozen=True):
+    """The content of one datagram.
+
+    Attributes:
+        fleet: The fleet's name.
+        acceptor_checksum: `acceptor_set_checksum` of the acceptors' names; a datagram with another one is
+            rejected.
+        sender: The name of the sending process.
+        receiver: The name of the process that it is for.
+        incarnation: The sender's incarnation as an acceptor; 0 if it sends as a lease manager.
+        known_incarnations: The highest that the sender knows of each acceptor, in the order of their names.
+        messages: One or more messages.
     """
 
     fleet: str
-    group: int
-    name: str
-    to: str
-    start: int
-    starts: list[int]
+    acceptor_checksum: int
+    sender: str
+    receiver: str
+    incarnation: Incarnation
+    known_incarnations: list[Incarnation]
     messages: list[Message]
 
 
 class DatagramRejectedError(ValueError):
-    """A datagram that is not read; its text is the reason, one of REASONS. Never leaves the driver."""
+    """A datagram that is not decoded; its text is the reason, one of REASONS. It never leaves the driver."""
 
 
-REASONS = ("cut", "stranger", "fleet", "voters", "misdirected")
+REASONS = ("cut", "stranger", "fleet", "voters", "misdirected")  # as counters name them
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Envelope).decode
 
 
-def group_checksum(voters: Iterable[str]) -> int:
-    return zlib.crc32("\0".join(sorted(voters)).encode())
+def acceptor_set_checksum(acceptors: Iterable[str]) -> int:
+    """Return a checksum of the names of all acceptors, whatever their order."""
+    return zlib.crc32("\0".join(sorted(acceptors)).encode())
 
 
-def size_of(message: Message) -> int:
+def encoded_size(message: Message) -> int:
+    """Return the bytes that a message takes in a datagram."""
     return len(_encode(message))
 
 
-def encode(said: Envelope, key: bytes) -> bytes:
-    body = bytes((FORM,)) + _encode(said)
-    return body + hmac.digest(key, body, "sha256")[:SUM]
+def encode(envelope: Envelope, key: bytes) -> bytes:
+    """Return the datagram of an envelope, signed with the fleet's key."""
+    body = bytes((DATAGRAM_TYPE,)) + _encode(envelope)
+    return body + hmac.digest(key, body, "sha256")[:MAC_BYTES]
 
 
-def pack_datagrams(said: Envelope, messages: Sequence[Message], key: bytes) -> Iterator[bytes]:
-    """As few datagrams as hold them all, in order."""
-    base = len(encode(msgspec.structs.replace(said, messages=[]), key)) + 4
-    part: list[Message] = []
-    size = base
+def pack_datagrams(envelope: Envelope, messages: Sequence[Message], key: bytes) -> Iterator[bytes]:
+    """Yield as few datagrams as carry all messages in their order.
+
+    Args:
+        envelope: Has all but the messages.
+        messages: What is to be sent.
+        key: The fleet's key.
+    """
+    empty_size = len(encode(msgspec.structs.replace(envelope, messages=[]), key)) + MESSAGE_LIST_HEADER_BYTES
+    batch: list[Message] = []
+    size = empty_size
     for message in messages:
-        more = size_of(message)
-        if part and size + more > MAX_DATAGRAM_BYTES:
-            yield encode(msgspec.structs.replace(said, messages=part), key)
-            part, size = [], base
-        part.append(message)
-        size += more
-    if part:
-        yield encode(msgspec.structs.replace(said, messages=part), key)
-
-
-def decode(data: bytes, key: bytes, fleet: str, group: int, me: str) -> Envelope:
-    """Raises Unread."""
-    if len(data) <= 1 + SUM or len(data) > MAX_DATAGRAM_BYTES or data[0] != FORM:
+        added = encoded_size(message)
+        if batch and size + added > MAX_DATAGRAM_BYTES:
+            yield encode(msgspec.structs.replace(envelope, messages=batch), key)
+            batch, size = [], empty_size
+        batch.append(message)
+        size += added
+    if batch:
+        yield encode(msgspec.structs.replace(envelope, messages=batch), key)
+
+
+def decode(data: bytes, key: bytes, fleet: str, acceptor_checksum: int, receiver: str) -> Envelope:
+    """Return the envelope of a datagram.
+
+    Args:
+        data: The datagram's bytes.
+        key: The fleet's key.
+        fleet: The fleet's name.
+        acceptor_checksum: `acceptor_set_checksum` of this process's own configuration.
+        receiver: The name of this process.
+
+    Raises:
+        DatagramRejectedError: It is too short, too long, not signed with the key, not well-formed, or not for
+            us.
+    """
+    if len(data) <= 1 + MAC_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[0] != DATAGRAM_TYPE:
         raise DatagramRejectedError("cut")
-    body, told = data[:-SUM], data[-SUM:]
-    if not hmac.compare_digest(hmac.digest(key, body, "sha256")[:SUM], told):
+    body, signature = data[:-MAC_BYTES], data[-MAC_BYTES:]
+    if not hmac.compare_digest(hmac.digest(key, body, "sha256")[:MAC_BYTES], signature):
         raise DatagramRejectedError("stranger")
     try:
-        said = _decode(body[1:])
+        envelope = _decode(body[1:])
     except (msgspec.DecodeError, msgspec.ValidationError):
         raise DatagramRejectedError("cut") from None
-    if said.fleet != fleet:
+    if envelope.fleet != fleet:
         raise DatagramRejectedError("fleet")
-    if said.group != group:
+    if envelope.acceptor_checksum != acceptor_checksum:
         raise DatagramRejectedError("voters")
-    if said.to != me:
+    if envelope.receiver != receiver:
         raise DatagramRejectedError("misdirected")
-    return said
+    return envelope
--- a/pathsaddle/consensus/model_checker.py
+++ b/pathsaddle/consensus/model_checker.py
@@ -1,281 +1,252 @@
-"""Model checking of the register: every order of events to a stated depth, and the bounds in each world.
+"""Model checking of the register: every order of events to a stated depth, all invariants in each state.
 
-Three voters, two candidates, one key, the very cores. A step is one of: a candidate begins a ballot, renews,
-gives back or begins anew with nothing; a message is taken and stays under way, to come again, later, or
-never; one is taken and its answer too; a moment passes; a voter is killed, and what it had not synced is
-gone; a voter's disk is lost, and another tells it what it has. A voter's clock runs fast and a candidate's
-slow, by what the stated drift allows.
+Three acceptors, two proposers, one key, and the cores themselves. A step is one of: a proposer starts a
+ballot, renews, releases its lease or restarts with nothing; a message is received and stays under way, to
+come again, later, or never; one is received and its answer too; time passes; an acceptor is killed, and what
+it had not synced is gone; an acceptor's disk is lost, and another sends it what it has. An acceptor's clock
+runs fast and a proposer's slow, by what the stated drift allows.
 
-Refusals are left out: they say which ballot is worth trying,
-and here each new one is above all that there are.
+Refusals are left out: they say which ballot is worth trying, and here each new one is above all that there
+are.
 
-Bounds: a number is told to one life once; numbers grow in the order in which they are told;
-in no world may two act.
+Invariants: a fencing token is held by one incarnation once; fencing tokens grow in the order in which they
+are acquired; in no state may two proposers act. Only tests use this module.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
+from collections.abc import Iterator
+from dataclasses import replace
+from typing import NamedTuple
+
+from pathsaddle.consensus.messages import Ballot, Promise
+from pathsaddle.consensus.model_state import (
+    ACCEPTORS,
+    KEY,
+    LEASE_TICKS,
+    PROPOSERS,
+    RENEWAL_REQUEST,
+    REQUESTS_PER_STEP,
+    AcceptorState,
+    CheckerOptions,
+    Kind,
+    Packet,
+    State,
+    deliver_to_acceptor,
+    deliver_to_proposer,
+)
+from pathsaddle.consensus.proposer import Phase, Proposer, Step
+
+# An acceptor that lost its disk participates again once so many others sent their state.
+SYNC_QUORUM = 2
 
-from pathsaddle.consensus.acceptor import EMPTY, Row
-from pathsaddle.consensus.messages import Accepted, Message, Promise, Refused
-from pathsaddle.consensus.proposer import CHOSEN, IDLE, PREPARING, Outbox, Proposer
 
-LEASE = 100
-SLOW, FAST = 50, 52  # what a moment is by a candidate's clock and by a voter's
-VOTERS = ("v0", "v1", "v2")
-Kept = tuple[object, ...]
+class InvariantViolationError(AssertionError):
+    """An invariant does not hold; its text says which, and by what steps that came about."""
 
 
-class InvariantViolationError(AssertionError):
-    """A bound does not hold; its text is how that came about."""
+class Event(NamedTuple):
+    """What happened, in words, and the state after it."""
 
+    name: str
+    state: State
 
-@dataclass(frozen=True, slots=True)
-class Seat:
-    """A voter: `disk`: what of its row is synced. starts: the highest start it knows of each. told: while it
-    is being let in, by whom it was told; None: it takes part.
-    """
 
-    row: Row = EMPTY
-    disk: Row = EMPTY
-    start: int = 1
-    starts: tuple[int, ...] = (1, 1, 1)
-    told: tuple[int, ...] | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class World:
-    seats: tuple[Seat, ...]
-    bids: tuple[Proposer, ...]
-    known: tuple[tuple[int, ...], ...]  # by candidate
-    # sender, taker, its start, the starts it knows
-    air: frozenset[tuple[str, str, int, tuple[int, ...], Message]]
-    moments: int = 0
-    numbers: tuple[tuple[int, int, int], ...] = ()  # (number, candidate, life) as they were told
-    # what may still happen: ballots, renewals, gives, candidates' ends, kills, losses, moments
-    left: tuple[int, ...] = ()
-
-
-@dataclass(frozen=True)
-class CheckerOptions:
-    """How often each may happen in one history; `hasty`: voters answer before they sync (a mutant)."""
-
-    ballots: int = 2
-    renewals: int = 1
-    gives: int = 0
-    ends: int = 0
-    kills: int = 1
-    losses: int = 0
-    moments: int = 3
-    hasty: bool = False
-
-
-def start(ways: CheckerOptions, bid: type[Proposer] = Proposer) -> World:
-    bids = tuple(bid("k", f"c{i}", 1, LEASE, VOTERS) for i in range(2))
-    return World(
-        (Seat(),) * 3,
-        bids,
-        ((1, 1, 1),) * 2,
+def initial_state(options: CheckerOptions, proposer: type[Proposer] = Proposer) -> State:
+    """Return the state in which nothing has happened; `proposer`: its class, for mutants."""
+    return State(
+        (AcceptorState(),) * len(ACCEPTORS),
+        tuple(proposer(KEY, name, 1, LEASE_TICKS, ACCEPTORS) for name in PROPOSERS),
+        ((1, 1, 1),) * len(PROPOSERS),
         frozenset(),
-        0,
-        (),
-        (ways.ballots, ways.renewals, ways.gives, ways.ends, ways.kills, ways.losses, ways.moments),
+        budget=(
+            options.ballots,
+            options.renewals,
+            options.releases,
+            options.restarts,
+            options.kills,
+            options.disk_losses,
+            options.time_steps,
+        ),
     )
 
 
-def _spent(world: World, which: int) -> tuple[int, ...]:
-    return (*world.left[:which], world.left[which] - 1, *world.left[which + 1 :])
-
-
-def _bid(world: World, i: int, bid: Proposer, out: Outbox, **more: object) -> World:
-    before = world.bids[i]
-    numbers = world.numbers
-    if bid.number and bid.number != before.number:
-        numbers = (*numbers, (bid.number, i, bid.life))
-    air = world.air | {(bid.name, to, 0, world.known[i], message) for to, message in out}
-    bids = (*world.bids[:i], bid, *world.bids[i + 1 :])
-    return replace(world, bids=bids, numbers=numbers, air=air, **more)  # type: ignore[arg-type]
-
-
-def _to_seat(
-    world: World,
-    v: int,
-    message: Message,
-    hasty: bool,
-) -> tuple[World, tuple[str, str, int, tuple[int, ...], Message] | None]:
-    """A voter takes a message: the world after it, and its answer."""
-    seat = world.seats[v]
-    if seat.told is not None:
-        return world, None
-    row, answer = seat.row.heard(message, world.moments * FAST)
-    if row == seat.row and answer is None:
-        return world, None
-    after = replace(seat, row=row, disk=seat.disk if hasty else row)
-    seats = (*world.seats[:v], after, *world.seats[v + 1 :])
-    if isinstance(answer, Accepted | Promise) and not isinstance(answer, Refused):
-        to = message.ballot.name  # type: ignore[union-attr]
-        said = (VOTERS[v], to, seat.start, seat.starts, answer)
-        return replace(world, seats=seats, air=world.air | {said}), said
-    return replace(world, seats=seats), None
-
-
-def _to_bid(world: World, i: int, said: tuple[str, str, int, tuple[int, ...], Message]) -> World:
-    voter, _, number, starts, message = said
-    known = tuple(max(a, b) for a, b in zip(world.known[i], starts, strict=True))
-    world = replace(world, known=(*world.known[:i], known, *world.known[i + 1 :]))
-    before = world.bids[i]
-    bid, out = before.heard(
-        voter,
-        number,
-        dict(zip(VOTERS, known, strict=True)),
-        message,
-        world.moments * 8 + 1,
-        world.moments * SLOW,
-    )
-    return _bid(world, i, bid, out)
-
-
-def steps(world: World, ways: CheckerOptions) -> list[tuple[str, World]]:
-    """Every next world, and what led to it."""
-    found: list[tuple[str, World]] = []
-    slow, fast = world.moments * SLOW, world.moments * FAST
-    left = world.left
-    top = max(max(seat.row.promised.round for seat in world.seats), max(bid.round for bid in world.bids))
-    for i, bid in enumerate(world.bids):
-        if left[0] and (bid.phase in (IDLE, CHOSEN) or bid.lapsed(slow) is not bid):
-            after, out = replace(bid, round=top).begin(slow)
-            found.append((f"{bid.name} bids", _bid(world, i, after, out, left=_spent(world, 0))))
-        if left[1] and bid.phase == CHOSEN:
-            after, out = bid.again(world.moments * 8 + 2, slow)
-            if out and after.phase == CHOSEN:
-                found.append((f"{bid.name} renews", _bid(world, i, after, out, left=_spent(world, 1))))
-        if left[2] and bid.phase == CHOSEN:
-            after, out = bid.stopped()
-            found.append((f"{bid.name} gives back", _bid(world, i, after, out, left=_spent(world, 2))))
-        if left[3] and bid.phase != IDLE:
-            after = type(bid)(bid.key, bid.name, bid.life + 1, bid.lease, bid.voters)
-            found.append((f"{bid.name} begins anew", _bid(world, i, after, [], left=_spent(world, 3))))
-    for said in world.air:
-        sender, to, _, _, message = said
-        what = f"{sender}>{to} {type(message).__name__} {message.ballot.round}"  # type: ignore[union-attr]
-        if to in VOTERS:
-            after_, answer = _to_seat(world, VOTERS.index(to), message, ways.hasty)
-            if after_ is not world:
-                found.append((what, after_))
-            if answer is not None:
-                found.append((what + " and back", _to_bid(after_, int(answer[1][1]), answer)))
-        else:
-            found.append((what, _to_bid(world, int(to[1]), said)))
-    for v, seat in enumerate(world.seats):
-
-        def with_seat(seat: Seat, which: int = -1, v: int = v) -> World:
-            seats = (*world.seats[:v], seat, *world.seats[v + 1 :])
-            return replace(world, seats=seats, left=_spent(world, which) if which >= 0 else left)
-
-        if ways.hasty and seat.disk.kept != seat.row.kept:
-            found.append((f"{VOTERS[v]} syncs", with_seat(replace(seat, disk=seat.row))))
-        if left[4] and seat.told is None:
-            row = seat.disk.begun(fast)
-            found.append((f"{VOTERS[v]} is killed", with_seat(replace(seat, row=row, disk=row), 4)))
-        if left[5] and seat.told is None and all(other.told is None for other in world.seats):
-            number = max(other.starts[v] for other in world.seats) + 1
-            starts = tuple(number if j == v else 0 for j in range(3))
-            found.append(
-                (f"{VOTERS[v]} loses its disk", with_seat(Seat(start=number, starts=starts, told=()), 5))
-            )
-        if seat.told is not None:
-            for x, other in enumerate(world.seats):
-                if x != v and x not in seat.told and other.told is None:
-                    starts = tuple(seat.start if j == v else n for j, n in enumerate(other.starts))
-                    row = seat.row.joined(*other.row.kept)
-                    now = replace(
-                        seat,
-                        row=row,
-                        disk=row,
-                        told=(*seat.told, x),
-                        starts=tuple(max(a, b) for a, b in zip(seat.starts, starts, strict=True)),
-                    )
-                    if len(seat.told) == 1:
-                        row = row.begun(fast)
-                        now = replace(now, row=row, disk=row, told=None)
-                    seats = [*world.seats]
-                    seats[v], seats[x] = now, replace(other, starts=starts)
-                    found.append((f"{VOTERS[x]} tells {VOTERS[v]}", replace(world, seats=tuple(seats))))
-    if left[6]:
-        found.append(("a moment", replace(world, moments=world.moments + 1, left=_spent(world, 6))))
-    return found
-
-
-def _without_the_dead(world: World) -> World:
-    """Messages that can never again change anything: below what their voter has promised for good, or for a
-    ballot that is not its candidate's any more. Worlds that differ by these alone are one.
-    """
-
-    def lives(said: tuple[str, str, int, tuple[int, ...], Message]) -> bool:
-        _, to, _, _, message = said
-        if to in VOTERS:
-            return message.ballot >= world.seats[VOTERS.index(to)].row.promised  # type: ignore[union-attr]
-        bid = world.bids[int(to[1])]
-        return message.ballot == bid.ballot and (  # type: ignore[union-attr]
-            bid.phase == PREPARING if isinstance(message, Promise) else bid.phase != IDLE
+def next_events(state: State, options: CheckerOptions) -> list[Event]:
+    """Return every event that may happen next."""
+    events = [*_proposer_events(state), *_network_events(state, options)]
+    for index in range(len(ACCEPTORS)):
+        events += _acceptor_events(state, options, index)
+    if state.budget[Kind.TIME]:
+        later = replace(state, time_steps=state.time_steps + 1)
+        events.append(Event("a moment", later.spend(Kind.TIME)))
+    return events
+
+
+def _proposer_events(state: State) -> Iterator[Event]:
+    now, budget = state.slow_now, state.budget
+    promised_rounds = [acceptor.key.state.promised.round for acceptor in state.acceptors]
+    highest_round = max(*promised_rounds, *(proposer.round for proposer in state.proposers))
+    for index, proposer in enumerate(state.proposers):
+        can_start = proposer.phase in (Phase.IDLE, Phase.CHOSEN)
+        if budget[Kind.BALLOT] and (can_start or proposer.expire(now) is not proposer):
+            step = replace(proposer, round=highest_round).start_ballot(now)
+            yield Event(f"{proposer.name} bids", state.with_proposer(index, step).spend(Kind.BALLOT))
+        if budget[Kind.RENEWAL] and proposer.phase == Phase.CHOSEN:
+            step = proposer.repeat(state.time_steps * REQUESTS_PER_STEP + RENEWAL_REQUEST, now)
+            if step.messages and step.proposer.phase == Phase.CHOSEN:
+                after = state.with_proposer(index, step).spend(Kind.RENEWAL)
+                yield Event(f"{proposer.name} renews", after)
+        if budget[Kind.RELEASE] and proposer.phase == Phase.CHOSEN:
+            after = state.with_proposer(index, proposer.stop()).spend(Kind.RELEASE)
+            yield Event(f"{proposer.name} gives back", after)
+        if budget[Kind.RESTART] and proposer.phase != Phase.IDLE:
+            restarted = type(proposer)(KEY, proposer.name, proposer.incarnation + 1, LEASE_TICKS, ACCEPTORS)
+            after = state.with_proposer(index, Step(restarted, [])).spend(Kind.RESTART)
+            yield Event(f"{proposer.name} begins anew", after)
+
+
+def _network_events(state: State, options: CheckerOptions) -> Iterator[Event]:
+    for packet in state.network:
+        message = packet.message
+        name = f"{packet.sender}>{packet.receiver} {type(message).__name__} {message.ballot.round}"
+        if packet.receiver in PROPOSERS:
+            yield Event(name, deliver_to_proposer(state, packet))
+            continue
+        after, answer = deliver_to_acceptor(state, packet, options.answer_before_sync)
+        if after is not state:
+            yield Event(name, after)
+        if answer is not None:
+            yield Event(name + " and back", deliver_to_proposer(after, answer))
+
+
+def _acceptor_events(state: State, options: CheckerOptions, index: int) -> Iterator[Event]:
+    acceptor, name = state.acceptors[index], ACCEPTORS[index]
+    if options.answer_before_sync and acceptor.disk.state != acceptor.key.state:
+        yield Event(f"{name} syncs", state.with_acceptor(index, replace(acceptor, disk=acceptor.key)))
+    if acceptor.synced_from is not None:
+        yield from _sync_events(state, index, acceptor.synced_from)
+        return
+    if state.budget[Kind.KILL]:
+        key = acceptor.disk.after_restart(state.fast_now)
+        killed = state.with_acceptor(index, replace(acceptor, key=key, disk=key))
+        yield Event(f"{name} is killed", killed.spend(Kind.KILL))
+    if state.budget[Kind.DISK_LOSS] and all(other.synced_from is None for other in state.acceptors):
+        incarnation = max(other.known_incarnations[index] for other in state.acceptors) + 1
+        known = tuple(incarnation if other == index else 0 for other in range(len(ACCEPTORS)))
+        lost = AcceptorState(incarnation=incarnation, known_incarnations=known, synced_from=())
+        yield Event(f"{name} loses its disk", state.with_acceptor(index, lost).spend(Kind.DISK_LOSS))
+
+
+def _sync_events(state: State, index: int, synced_from: tuple[int, ...]) -> Iterator[Event]:
+    """One of the others sends an acceptor that rejoins all of its state."""
+    acceptor = state.acceptors[index]
+    for other_index, other in enumerate(state.acceptors):
+        if other_index == index or other_index in synced_from or other.synced_from is not None:
+            continue
+        known_there = tuple(
+            acceptor.incarnation if position == index else known
+            for position, known in enumerate(other.known_incarnations)
         )
+        key = acceptor.key.merge(other.key.state)
+        rejoining: tuple[int, ...] | None = (*synced_from, other_index)
+        if len(synced_from) + 1 == SYNC_QUORUM:
+            key, rejoining = key.after_restart(state.fast_now), None
+        known = tuple(max(pair) for pair in zip(acceptor.known_incarnations, known_there, strict=True))
+        after = state.with_acceptor(
+            index, AcceptorState(key, key, acceptor.incarnation, known, rejoining)
+        ).with_acceptor(other_index, replace(other, known_incarnations=known_there))
+        yield Event(f"{ACCEPTORS[other_index]} tells {ACCEPTORS[index]}", after)
+
+
+def _without_dead_packets(state: State) -> State:
+    """Drop messages that can never again change anything; states that differ by these alone are one.
+
+    These are messages below what their acceptor has promised for good, or for a ballot that is not their
+    proposer's newest any more.
+    """
 
-    air = frozenset(said for said in world.air if lives(said))
-    return replace(world, air=air) if len(air) < len(world.air) else world
-
-
-def broken(world: World) -> str:
-    """What does not hold in this world; empty: all does."""
-    numbers = [row[0] for row in world.numbers]
-    if len(set(numbers)) < len(numbers):
+    def is_alive(packet: Packet) -> bool:
+        """Whether a message may still change anything."""
+        ballot: Ballot = packet.message.ballot
+        if packet.receiver in ACCEPTORS:
+            acceptor = state.acceptors[ACCEPTORS.index(packet.receiver)]
+            return ballot >= acceptor.key.state.promised
+        proposer = state.proposers[PROPOSERS.index(packet.receiver)]
+        if isinstance(packet.message, Promise):
+            return ballot == proposer.ballot and proposer.phase == Phase.PREPARING
+        return ballot == proposer.ballot and proposer.phase != Phase.IDLE
+
+    network = frozenset(packet for packet in state.network if is_alive(packet))
+    return replace(state, network=network) if len(network) < len(state.network) else state
+
+
+def violation(state: State) -> str:
+    """Return which invariant does not hold in this state; empty: all hold."""
+    tokens = [acquisition.fencing_token for acquisition in state.acquisitions]
+    if len(set(tokens)) < len(tokens):
         return "a number twice"
-    if sorted(numbers) != numbers:
+    if sorted(tokens) != tokens:
         return "numbers go back"
-    if sum(1 for bid in world.bids if bid.fencing_token(world.moments * SLOW)) > 1:
+    if sum(1 for proposer in state.proposers if proposer.fencing_token(state.slow_now)) > 1:
         return "two may act"
     return ""
 
 
 def check(
-    depth: int, ways: CheckerOptions, first: World | None = None, bid: type[Proposer] = Proposer
+    depth: int,
+    options: CheckerOptions,
+    first: State | None = None,
+    proposer: type[Proposer] = Proposer,
 ) -> int:
-    """How many worlds there are within `depth` steps of the first;
-    raises Broken where a bound fails in one.
+    """Explore all states within `depth` events of the first one.
+
+    Args:
+        depth: How many events.
+        options: What may happen.
+        first: Where to begin; by default where nothing has happened.
+        proposer: The class of proposers, for mutants.
+
+    Returns:
+        How many states there are.
+
+    Raises:
+        InvariantViolationError: An invariant fails in one of them.
     """
-    first = first or start(ways, bid)
+    first = first or initial_state(options, proposer)
     seen = {first}
-    edge: list[tuple[World, tuple[str, ...]]] = [(first, ())]
+    frontier: list[tuple[State, tuple[str, ...]]] = [(first, ())]
     for _ in range(depth):
         following = []
-        for world, path in edge:
-            for name, after in steps(world, ways):
-                if not ways.losses and not ways.hasty:
-                    after = _without_the_dead(after)
+        for state, path in frontier:
+            for name, reached in next_events(state, options):
+                after = reached
+                if not options.disk_losses and not options.answer_before_sync:
+                    after = _without_dead_packets(reached)
                 if after in seen:
                     continue
                 seen.add(after)
-                wrong = broken(after)
-                if wrong:
-                    raise InvariantViolationError(f"{wrong}: " + ", ".join((*path, name)))
+                if broken := violation(after):
+                    raise InvariantViolationError(f"{broken}: " + ", ".join((*path, name)))
                 following.append((after, (*path, name)))
-        edge = following
+        frontier = following
     return len(seen)
 
 
-def owned(ways: CheckerOptions, bid: type[Proposer] = Proposer, who: int = 0) -> World:
-    """A world to begin from: one candidate just became owner by two voters' word; all that was said is still
-    under way, to come again, and to the third for the first time.
+def state_with_lease_holder(
+    options: CheckerOptions, proposer: type[Proposer] = Proposer, index: int = 0
+) -> State:
+    """Return a state to begin from: one proposer just got the lease by the answers of two acceptors.
+
+    All that was sent is still under way, to come again, and to the third acceptor for the first time.
     """
-    world = start(ways, bid)
-    after, out = world.bids[who].begin(0)
-    world = _bid(world, who, after, out, left=_spent(world, 0))
-    for _ in range(2):
-        for voter in VOTERS[:2]:
-            for said in sorted(world.air, key=repr):
-                if said[1] == voter and world.bids[who].phase != CHOSEN:
-                    world, answer = _to_seat(world, VOTERS.index(voter), said[4], ways.hasty)
+    state = initial_state(options, proposer)
+    state = state.with_proposer(index, state.proposers[index].start_ballot(0)).spend(Kind.BALLOT)
+    for _ in range(2):  # both phases
+        for acceptor in ACCEPTORS[:2]:
+            for packet in sorted(state.network, key=repr):
+                if packet.receiver == acceptor and state.proposers[index].phase != Phase.CHOSEN:
+                    state, answer = deliver_to_acceptor(state, packet, options.answer_before_sync)
                     if answer is not None:
-                        world = _to_bid(world, who, answer)
-    assert world.bids[who].fencing_token(0)
-    return world
+                        state = deliver_to_proposer(state, answer)
+    assert state.proposers[index].fencing_token(0)
+    return state
--- a/pathsaddle/consensus/proposer.py
+++ b/pathsaddle/consensus/proposer.py
@@ -1,14 +1,20 @@
-"""One key as one that stands for it sees it: ballots in two phases, a lease, and what it may act under.
+"""One key as one proposer sees it: ballots in two phases, a lease, and a fencing token to act under.
 
-Bound: a number is owned from one moment to one other, by one life, and is never owned again; while it is
-owned a majority of voters holds for it. The lease is reckoned from before the asking, by a clock that may be
-slow. No I/O; never changed, only replaced.
+Invariant: a fencing token is held for one span of time, by one incarnation, and never again; while it is
+held, a majority of acceptors holds the lease for it. The lease is reckoned from before the request was sent,
+by a clock that may be slow. Broken by the mutants `lease-from-answer` and `number-reused`, and found by
+`tests/test_consensus.py`.
+
+A proposer is free of I/O and is never changed, only replaced, so that any thread may ask it for its fencing
+token. `campaign.py` decides when it starts and repeats ballots.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from enum import IntEnum
+from typing import NamedTuple
 
 from pathsaddle.consensus.messages import (
     NO_BALLOT,
@@ -16,168 +22,341 @@
     Accept,
     Accepted,
     Ballot,
+    FencingToken,
+    Incarnation,
     Message,
+    Outgoing,
     Prepare,
     Promise,
     Refused,
     Release,
     Renew,
+    RequestId,
+    Revision,
+    Ticks,
     Value,
-    maybe,
+    possible_lease_end,
 )
 
-IDLE, PREPARING, ACCEPTING, CHOSEN = range(4)
-ASKS = 8  # askings that may still be answered
-Outbox = list[tuple[str, Message]]
+MAX_OPEN_REQUESTS = 8  # requests of one ballot that may still be answered
+
+
+class Phase(IntEnum):
+    """Where a proposer's newest ballot stands."""
+
+    IDLE = 0
+    PREPARING = 1
+    ACCEPTING = 2
+    CHOSEN = 3
+
+
+class Change(NamedTuple):
+    """New data of a register, and the revision that it will have."""
+
+    revision: Revision
+    data: bytes
+
+
+class Reply(NamedTuple):
+    """A message of an acceptor, with the acceptor's incarnation as its envelope states it."""
+
+    acceptor: str
+    incarnation: Incarnation
+    message: Message
+
+
+class ReceivedPromise(NamedTuple):
+    """One acceptor's promise to the newest ballot."""
+
+    acceptor: str
+    incarnation: Incarnation
+    accepted: Ballot
+    value: Value
+
+
+class ReceivedRefusal(NamedTuple):
+    """One acceptor's refusal of the newest ballot."""
+
+    acceptor: str
+    remaining_ticks: Ticks
+
+
+class ReceivedAccept(NamedTuple):
+    """One acceptor's acceptance; `sent_at` is when the newest request that it answered was sent."""
+
+    acceptor: str
+    incarnation: Incarnation
+    sent_at: Ticks
+
+
+class OpenRequest(NamedTuple):
+    """A request that may still be answered."""
+
+    request_id: RequestId
+    sent_at: Ticks
+
+
+class Step(NamedTuple):
+    """The proposer after a step, and what it sends."""
+
+    proposer: Proposer
+    messages: list[Outgoing]
 
 
 @dataclass(frozen=True, slots=True)
 class Proposer:
-    """round: the highest seen. value: what is proposed under `ballot`, or chosen by it. votes: (voter, its
-    start, when we sent the newest asking that it answered). number: may be acted under before `until`; 0:
-    none. left: where the last ballot was refused, after how many ticks it may be worth another.
+    """The state of one proposer for one key.
+
+    Attributes:
+        key: The key.
+        name: The name of this process.
+        incarnation: Its incarnation.
+        lease_ticks: The length of the leases that it proposes.
+        acceptors: The names of all acceptors.
+        round: The highest round seen.
+        phase: Where the newest ballot stands.
+        ballot: The newest ballot.
+        promises: Who promised it.
+        refusals: Who refused it.
+        value: What is proposed under the ballot, or was chosen by it.
+        accepts: Who accepted it.
+        open_requests: The newest requests to accept or to renew.
+        held_token: The fencing token that may be acted under before `lease_end`; 0: none.
+        lease_end: The possible lease end.
+        change: The change that the ballot is to make.
+        retry_after_ticks: Where the last ballot was refused, after how many ticks another may be worth it.
+        is_contested: An acceptor promised a higher ballot, so that renewals are in vain there.
     """
 
     key: str
     name: str
-    life: int
-    lease: int
-    voters: tuple[str, ...]
+    incarnation: Incarnation
+    lease_ticks: Ticks
+    acceptors: tuple[str, ...]
     round: int = 0
-    phase: int = IDLE
+    phase: Phase = Phase.IDLE
     ballot: Ballot = NO_BALLOT
-    promises: tuple[tuple[str, int, Ballot, Value], ...] = ()
-    refusals: tuple[tuple[str, int], ...] = ()
+    promises: tuple[ReceivedPromise, ...] = ()
+    refusals: tuple[ReceivedRefusal, ...] = ()
     value: Value = NO_VALUE
-    votes: tuple[tuple[str, int, int], ...] = ()
-    asks: tuple[tuple[int, int], ...] = ()
-    number: int = 0
-    until: int = 0
-    put: tuple[int, bytes] | None = None
-    left: int = 0
-    shaken: bool = False  # a voter has promised a higher ballot: renewals there are in vain
+    accepts: tuple[ReceivedAccept, ...] = ()
+    open_requests: tuple[OpenRequest, ...] = ()
+    held_token: FencingToken = 0
+    lease_end: Ticks = 0
+    change: Change | None = None
+    retry_after_ticks: Ticks = 0
+    is_contested: bool = False
 
     @property
-    def need(self) -> int:
-        return len(self.voters) // 2 + 1
+    def majority(self) -> int:
+        """How many acceptors are a majority."""
+        return len(self.acceptors) // 2 + 1
 
-    def fencing_token(self, now: int) -> int:
-        """The number, 0 where it may not. Asked for just before each effect, never remembered."""
-        return self.number if now < self.until else 0
+    def fencing_token(self, now: Ticks) -> FencingToken:
+        """Return the fencing token that may be acted under, or 0.
 
-    def lapsed(self, now: int) -> Proposer:
-        """A lease that ended has ended for good: no late answer brings it back,
-        nor does a ballot begun under it end well.
+        It is to be asked for just before each effect and never to be remembered.
         """
-        if self.number and now >= self.until:
-            return replace(self, number=0, phase=IDLE, put=None, left=0)
+        return self.held_token if now < self.lease_end else 0
+
+    def expire(self, now: Ticks) -> Proposer:
+        """Return the proposer without a lease that has ended.
+
+        The end is final: no late answer brings the lease back, nor does a ballot succeed that was begun under
+        it.
+        """
+        if self.held_token and now >= self.lease_end:
+            return replace(self, held_token=0, phase=Phase.IDLE, change=None, retry_after_ticks=0)
         return self
 
-    def begin(self, now: int, put: bytes | None = None) -> tuple[Proposer, Outbox]:
-        """A new ballot: to own the key, or, owning it, to go on or to change its data."""
-        bid = self.lapsed(now)
-        ballot = Ballot(bid.round + 1, bid.name, bid.life)
-        bid = replace(
-            bid,
+    def start_ballot(self, now: Ticks, data: bytes | None = None) -> Step:
+        """Start a new ballot: to get the lease, or, having it, to keep it or to change the data."""
+        current = self.expire(now)
+        ballot = Ballot(current.round + 1, current.name, current.incarnation)
+        started = replace(
+            current,
             round=ballot.round,
-            phase=PREPARING,
+            phase=Phase.PREPARING,
             ballot=ballot,
             promises=(),
             refusals=(),
-            votes=(),
-            asks=(),
-            shaken=False,
-            put=bid.put if put is None else (bid.value.revision + 1, put),
+            accepts=(),
+            open_requests=(),
+            is_contested=False,
+            change=current.change if data is None else Change(current.value.revision + 1, data),
         )
-        return bid, [(voter, Prepare(bid.key, ballot)) for voter in bid.voters]
-
-    def again(self, ask: int, now: int) -> tuple[Proposer, Outbox]:
-        """Says what it said to whom it has no answer from; of a chosen ballot: renews it at all."""
-        bid = self.lapsed(now)
-        if bid.phase == PREPARING:
-            there = {row[0] for row in bid.promises}
-            return bid, [(voter, Prepare(bid.key, bid.ballot)) for voter in bid.voters if voter not in there]
-        if bid.phase not in (ACCEPTING, CHOSEN):
-            return bid, []
-        there = {row[0] for row in bid.votes}
-        bid = replace(bid, asks=(*bid.asks, (ask, now))[-ASKS:])
-        return bid, [
-            (
-                voter,
-                Renew(bid.key, bid.ballot, ask)
-                if voter in there and bid.phase == CHOSEN
-                else Accept(bid.key, bid.ballot, bid.value, ask),
+        prepare = Prepare(started.key, ballot)
+        return Step(started, [Outgoing(acceptor, prepare) for acceptor in started.acceptors])
+
+    def repeat(self, request_id: RequestId, now: Ticks) -> Step:
+        """Send each acceptor again what it has not answered; a chosen ballot is renewed at all of them."""
+        current = self.expire(now)
+        if current.phase == Phase.PREPARING:
+            promised = {promise.acceptor for promise in current.promises}
+            prepare = Prepare(current.key, current.ballot)
+            return Step(
+                current,
+                [Outgoing(acceptor, prepare) for acceptor in current.acceptors if acceptor not in promised],
             )
-            for voter in bid.voters
-        ]
+        if current.phase not in (Phase.ACCEPTING, Phase.CHOSEN):
+            return Step(current, [])
+        accepted = {accept.acceptor for accept in current.accepts}
+        requests = (*current.open_requests, OpenRequest(request_id, now))[-MAX_OPEN_REQUESTS:]
+        current = replace(current, open_requests=requests)
+        return Step(
+            current,
+            [
+                Outgoing(
+                    acceptor,
+                    Renew(current.key, current.ballot, request_id)
+                    if acceptor in accepted and current.phase == Phase.CHOSEN
+                    else Accept(current.key, current.ballot, current.value, request_id),
+                )
+                for acceptor in current.acceptors
+            ],
+        )
+
+    def on_message(
+        self, reply: Reply, known: Mapping[str, Incarnation], request_id: RequestId, now: Ticks
+    ) -> Step:
+        """Take in an acceptor's message.
 
-    def heard(
-        self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
-    ) -> tuple[Proposer, Outbox]:
-        """`start`: of the voter, as its answer says; `known`: the highest of each that any voter told. `ask`:
-        a number for an asking that may come of it.
+        Args:
+            reply: The message and who sent it.
+            known: The highest incarnation of each acceptor that any acceptor told.
+            request_id: For a request that this may lead to.
+            now: The moment.
         """
-        bid = self.lapsed(now)
-        if voter not in bid.voters or start < known.get(voter, 0):
-            return bid, []
-        if isinstance(message, Promise) and message.ballot == bid.ballot and bid.phase == PREPARING:
-            rows = [row for row in bid.promises if row[0] != voter]
-            bid = replace(bid, promises=(*rows, (voter, start, message.accepted, message.value)))
-            return bid._promised(known, ask, now)
-        if (
-            isinstance(message, Accepted)
-            and message.ballot == bid.ballot
-            and bid.phase in (ACCEPTING, CHOSEN)
+        current = self.expire(now)
+        message = reply.message
+        if reply.acceptor not in current.acceptors or reply.incarnation < known.get(reply.acceptor, 0):
+            return Step(current, [])
+        if isinstance(message, Promise) and message.ballot == current.ballot:
+            if current.phase != Phase.PREPARING:
+                return Step(current, [])
+            others = [promise for promise in current.promises if promise.acceptor != reply.acceptor]
+            promise = ReceivedPromise(reply.acceptor, reply.incarnation, message.accepted, message.value)
+            current = replace(current, promises=(*others, promise))
+            return current.propose_if_promised(known, request_id, now)
+        if isinstance(message, Accepted) and message.ballot == current.ballot:
+            return Step(current.with_accept(reply, message, known, now), [])
+        if isinstance(message, Refused) and message.ballot == current.ballot:
+            return Step(current.with_refusal(reply.acceptor, message), [])
+        return Step(current, [])
+
+    def propose_if_promised(
+        self, known: Mapping[str, Incarnation], request_id: RequestId, now: Ticks
+    ) -> Step:
+        """Go on to phase 2 with a majority of promises: propose the highest accepted value or its successor.
+
+        Counted are only promises of incarnations that no other acceptor knows to be over.
+        """
+        valid = [
+            promise for promise in self.promises if promise.incarnation >= known.get(promise.acceptor, 0)
+        ]
+        if len(valid) < self.majority:
+            return Step(self, [])
+        value = self._next_value(max(valid, key=lambda promise: promise.accepted).value)
+        if value is None:
+            # Acceptors lost more than may be lost: whatever came of it, the lease is not ours.
+            return Step(replace(self, held_token=0, phase=Phase.IDLE, change=None), [])
+        proposing = replace(
+            self,
+            phase=Phase.ACCEPTING,
+            value=value,
+            refusals=(),
+            accepts=(),
+            open_requests=(OpenRequest(request_id, now),),
+        )
+        accept = Accept(self.key, self.ballot, value, request_id)
+        return Step(proposing, [Outgoing(acceptor, accept) for acceptor in self.acceptors])
+
+    def _next_value(self, value: Value) -> Value | None:
+        """Return what to propose after the value that a majority knows; None: we have lost the lease."""
+        if not self.held_token:
+            token = value.fencing_token + 1
+            return Value(self.name, self.incarnation, token, self.lease_ticks, value.revision, value.data)
+        if (value.holder, value.incarnation, value.fencing_token) != (
+            self.name,
+            self.incarnation,
+            self.held_token,
         ):
-            sent = dict(bid.asks).get(message.ask)
-            if sent is None:
-                return bid, []
-            sent = max([sent, *(row[2] for row in bid.votes if row[:2] == (voter, start))])
-            bid = replace(bid, votes=(*(row for row in bid.votes if row[0] != voter), (voter, start, sent)))
-            return bid._accepted(known, now), []
-        if isinstance(message, Refused) and message.ballot == bid.ballot and bid.phase != IDLE:
-            bid = replace(bid, round=max(bid.round, message.promised.round))
-            if bid.phase == CHOSEN:
-                return replace(bid, shaken=bid.shaken or message.promised > bid.ballot), []
-            rest = [row for row in bid.refusals if row[0] != voter]
-            bid = replace(bid, refusals=(*rest, (voter, message.left)))
-            if len(bid.voters) - len(bid.refusals) < bid.need:
-                bid = replace(bid, phase=IDLE, left=min(left for _, left in bid.refusals))
-            return bid, []
-        return bid, []
-
-    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Proposer, Outbox]:
-        there = [row for row in self.promises if row[1] >= known.get(row[0], 0)]
-        if len(there) < self.need:
-            return self, []
-        value = max(there, key=lambda row: row[2])[3]
-        bid = self
-        if bid.number:
-            if (value.owner, value.life, value.number) != (bid.name, bid.life, bid.number):
-                # Voters that lost more than may be lost: whatever came of it, we are not it.
-                return replace(bid, number=0, phase=IDLE, put=None), []
-            if bid.put is not None and value.revision < bid.put[0]:
-                value = Value(value.owner, value.life, value.number, bid.lease, *bid.put)
-        else:
-            value = Value(bid.name, bid.life, value.number + 1, bid.lease, value.revision, value.data)
-        bid = replace(bid, phase=ACCEPTING, value=value, refusals=(), votes=(), asks=((ask, now),))
-        return bid, [(voter, Accept(bid.key, bid.ballot, value, ask)) for voter in bid.voters]
-
-    def _accepted(self, known: Mapping[str, int], now: int) -> Proposer:
-        sent = sorted((row[2] for row in self.votes if row[1] >= known.get(row[0], 0)), reverse=True)
-        if len(sent) < self.need:
+            return None
+        if self.change is None or value.revision >= self.change.revision:
+            return value
+        return Value(value.holder, value.incarnation, value.fencing_token, self.lease_ticks, *self.change)
+
+    def with_accept(
+        self, reply: Reply, message: Accepted, known: Mapping[str, Incarnation], now: Ticks
+    ) -> Proposer:
+        """Count an acceptance of the newest ballot, if it answers an open request."""
+        sent_at = dict(self.open_requests).get(message.request_id)
+        if sent_at is None or self.phase not in (Phase.ACCEPTING, Phase.CHOSEN):
+            return self
+        acceptor, incarnation = reply.acceptor, reply.incarnation
+        earlier = [
+            accept.sent_at
+            for accept in self.accepts
+            if (accept.acceptor, accept.incarnation) == (acceptor, incarnation)
+        ]
+        newest = ReceivedAccept(acceptor, incarnation, max([sent_at, *earlier]))
+        others = [accept for accept in self.accepts if accept.acceptor != acceptor]
+        return replace(self, accepts=(*others, newest)).choose_if_accepted(known, now)
+
+    def choose_if_accepted(self, known: Mapping[str, Incarnation], now: Ticks) -> Proposer:
+        """With a majority of acceptances the value is chosen; the lease starts at their oldest request."""
+        sent = sorted(
+            (
+                accept.sent_at
+                for accept in self.accepts
+                if accept.incarnation >= known.get(accept.acceptor, 0)
+            ),
+            reverse=True,
+        )
+        if len(sent) < self.majority:
             return self
-        until = sent[self.need - 1] + maybe(self.value.lease)
-        if self.phase == CHOSEN:
-            return replace(self, until=max(self.until, until))
-        if now >= until:  # chosen too late: another ballot, another number
-            return replace(self, phase=IDLE, left=0, put=None)
-        until = max(until, self.until) if self.number else until
-        return replace(self, phase=CHOSEN, number=self.value.number, until=until, put=None)
-
-    def stopped(self) -> tuple[Proposer, Outbox]:
-        """Acts no more from this moment; then what is held for it may be let go."""
-        out: Outbox = []
-        if self.phase in (ACCEPTING, CHOSEN):
-            out = [(voter, Release(self.key, self.ballot)) for voter in self.voters]
-        return replace(self, number=0, until=0, phase=IDLE, put=None, promises=(), votes=(), asks=()), out
+        lease_end = possible_lease_end(sent[self.majority - 1], self.value.lease_ticks)
+        if self.phase == Phase.CHOSEN:
+            return replace(self, lease_end=max(self.lease_end, lease_end))
+        if now >= lease_end:  # chosen too late: another ballot, another fencing token
+            return replace(self, phase=Phase.IDLE, retry_after_ticks=0, change=None)
+        return replace(
+            self,
+            phase=Phase.CHOSEN,
+            held_token=self.value.fencing_token,
+            lease_end=max(lease_end, self.lease_end) if self.held_token else lease_end,
+            change=None,
+        )
+
+    def with_refusal(self, acceptor: str, message: Refused) -> Proposer:
+        """Count a refusal of the newest ballot; when no majority is left, the ballot is given up."""
+        if self.phase == Phase.IDLE:
+            return self
+        current = replace(self, round=max(self.round, message.promised.round))
+        if current.phase == Phase.CHOSEN:
+            return replace(current, is_contested=current.is_contested or message.promised > current.ballot)
+        others = [refusal for refusal in current.refusals if refusal.acceptor != acceptor]
+        refusals = (*others, ReceivedRefusal(acceptor, message.remaining_ticks))
+        current = replace(current, refusals=refusals)
+        if len(current.acceptors) - len(refusals) < current.majority:
+            retry_after_ticks = min(refusal.remaining_ticks for refusal in refusals)
+            current = replace(current, phase=Phase.IDLE, retry_after_ticks=retry_after_ticks)
+        return current
+
+    def stop(self) -> Step:
+        """Act no more from this moment on; then acceptors may end the lease early."""
+        messages: list[Outgoing] = []
+        if self.phase in (Phase.ACCEPTING, Phase.CHOSEN):
+            release = Release(self.key, self.ballot)
+            messages = [Outgoing(acceptor, release) for acceptor in self.acceptors]
+        stopped = replace(
+            self,
+            held_token=0,
+            lease_end=0,
+            phase=Phase.IDLE,
+            change=None,
+            promises=(),
+            accepts=(),
+            open_requests=(),
+        )
+        return Step(stopped, messages)
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -1,5 +1,5 @@
-"""What owners cost N members and the voters: the program's cores of `ownership/` in virtual time (emulated; the ground
-is `emulator/ownership/ground.py`).
+"""What owners cost N members and the voters: the program's cores of `consensus/` in virtual time (emulated; the ground
+is `emulator/ownership/simulation.py`).
 
 Voters stand in regions of their own, members as `places.py` deals them; ways are as long as theirs. All stand for all
 keys from one moment on; then, at rest, each asks at a stated rate who owns a key, and owners change their data at a
@@ -12,14 +12,16 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 
-from pathsaddle.consensus.messages import Envelope, Message, group_checksum, pack_datagrams
+from pathsaddle.consensus.events import CommitOutcomeUnknown, Committed, LeaseEvent, ReadCompleted
+from pathsaddle.consensus.messages import Envelope, Message, Outgoing, acceptor_set_checksum, pack_datagrams
 from pathsaddle.emulator.hollow.fleet_tally import Spent, Tally, most
 from pathsaddle.emulator.hollow.places import Place, places
-from pathsaddle.emulator.ownership.ground import Ground, Host, MemberHost, VoterHost
+from pathsaddle.emulator.ownership.hosts import AcceptorHost, Host, MemberHost
+from pathsaddle.emulator.ownership.simulation import Layout, Simulation
 from pathsaddle.trade import SECOND
 
 KEY = b"the hollow owners' own secret"
@@ -91,7 +93,7 @@
     return (point, setting.keys) if setting.against == "members" else (setting.members, point)
 
 
-class OwnersGround(Ground):
+class OwnersGround(Simulation):
     """Ways by place, datagrams as the driver packs them, time by what was asked."""
 
     def __init__(self, point: int, seed: int, setting: Setting) -> None:
@@ -106,65 +108,77 @@
         self.changed = self.refused = self.unread = 0
         self.putting: dict[tuple[str, int], int] = {}
         self.reading: dict[tuple[str, int], int] = {}
-        super().__init__(seed, members, setting.voters, keys, int(setting.lease * SECOND), off=0.0, pause=0)
-        self.lost = setting.loss
+        super().__init__(
+            seed,
+            Layout(
+                members,
+                setting.voters,
+                keys,
+                int(setting.lease * SECOND),
+                clock_error=0.0,
+                work_interval_ticks=0,
+            ),
+        )
+        self.loss = setting.loss
         for host in self.hosts.values():
-            if isinstance(host, VoterHost):
-                host.disk.delay = max(1, int(setting.sync * SECOND))
-                self.spent.around("voter", host.voter, "heard", "learn", "wake")
+            if isinstance(host, AcceptorHost):
+                host.disk.sync_ticks = max(1, int(setting.sync * SECOND))
+                self.spent.around("voter", host.acceptor, "on_message", "learn_incarnations", "wake")
             else:
                 assert isinstance(host, MemberHost)
-                self.spent.around("member", host.owner, "heard", "learn", "wake", "read", "put")
-
-    def copies(self, sender: str, taker: str) -> list[int]:
-        if self.lost and self.chance.random() < self.lost:
+                self.spent.around(
+                    "member",
+                    host.lease_manager,
+                    "on_message",
+                    "learn_incarnations",
+                    "wake",
+                    "read",
+                    "commit",
+                )
+
+    def delays(self, sender: str, receiver: str) -> list[int]:
+        if self.loss and self.rng.random() < self.loss:
             return []
-        return [int(self.places[sender].way(self.places[taker]) * SECOND)]
-
-    def says(self, host: Host, out: list[tuple[str, Message]]) -> None:
-        starts = (
-            host.voter.starts
-            if isinstance(host, VoterHost)
-            else host.owner.known
-            if isinstance(host, MemberHost)
-            else {}
-        )
-        start = host.voter.start if isinstance(host, VoterHost) else 0
+        return [int(self.places[sender].way(self.places[receiver]) * SECOND)]
+
+    def send(self, host: Host, outgoing: list[Outgoing]) -> None:
+        known, incarnation = host.known_incarnations(), host.envelope_incarnation()
         to: dict[str, list[Message]] = {}
-        for name, message in out:
+        for name, message in outgoing:
             to.setdefault(name, []).append(message)
         for name, messages in to.items():
-            said = Envelope(
+            envelope = Envelope(
                 "hollow",
-                group_checksum(self.voters),
+                acceptor_set_checksum(self.acceptors),
                 self.places[host.name].name,
                 self.places[name].name,
-                start,
-                [starts.get(voter, 0) for voter in self.voters],
+                incarnation,
+                [known.get(acceptor, 0) for acceptor in self.acceptors],
                 [],
             )
-            for data in pack_datagrams(said, messages, KEY):
+            for data in pack_datagrams(envelope, messages, KEY):
                 self._weigh(host.name, name, len(data))
-        super().says(host, out)
+        super().send(host, outgoing)
 
     def _weigh(self, sender: str, taker: str, size: int) -> None:
-        tally, at = self.tallies[sender], self.at // TENTH
+        tally, at = self.tallies[sender], self.now // TENTH
         tally.out[at] = tally.out.get(at, 0) + size
         tally.datagrams += 1
         into = self.tallies[taker].into
         into[at] = into.get(at, 0) + size
 
-    def told(self, host: MemberHost, one: Any) -> None:
-        if one.what == "put" and (one.key, one.revision) in self.putting:
-            self.commits.append(self.at - self.putting.pop((one.key, one.revision)))
-        elif one.what == "unput" and self.putting.pop((one.key, one.revision), None) is not None:
-            self.refused += 1
-        elif one.what == "read":
-            begun = self.reading.pop((host.name, one.ask))
-            if one.value is None:
+    def on_lease_event(self, host: MemberHost, event: LeaseEvent) -> None:
+        if isinstance(event, Committed) and (event.key, event.revision) in self.putting:
+            self.commits.append(self.now - self.putting.pop((event.key, event.revision)))
+        elif isinstance(event, CommitOutcomeUnknown):
+            if self.putting.pop((event.key, event.revision), None) is not None:
+                self.refused += 1
+        elif isinstance(event, ReadCompleted):
+            begun = self.reading.pop((host.name, event.request_id))
+            if event.value is None:
                 self.unread += 1
             else:
-                self.reads.append(self.at - begun)
+                self.reads.append(self.now - begun)
 
     # What is asked of them.
 
@@ -172,30 +186,32 @@
         return [host for host in self.hosts.values() if isinstance(host, MemberHost)]
 
     def owner(self, key: str) -> MemberHost | None:
-        return next((host for host in self.members() if host.owner.fencing_token(key, host.now())), None)
+        return next(
+            (host for host in self.members() if host.lease_manager.fencing_token(key, host.now())), None
+        )
 
     def again(self, rate: float, does: Callable[[], None]) -> None:
         """At moments that chance draws, so many a second on the mean."""
         does()
-        self.put(self.at + 1 + int(self.chance.expovariate(rate) * SECOND), partial(self.again, rate, does))
+        self.call_at(self.now + 1 + int(self.rng.expovariate(rate) * SECOND), partial(self.again, rate, does))
 
     def asks(self) -> None:
-        host, key = self.chance.choice(self.members()), self.chance.choice(self.keys)
-        ask = host.owner.read(key, host.now())
+        host, key = self.rng.choice(self.members()), self.rng.choice(self.keys)
+        ask = host.lease_manager.read(key, host.now())
         if ask:
-            self.reading[host.name, ask] = self.at
+            self.reading[host.name, ask] = self.now
         host.flush()
 
     def changes(self) -> None:
-        key = self.chance.choice(self.keys)
+        key = self.rng.choice(self.keys)
         host = self.owner(key)
         self.changed += 1
-        revision = host.owner.put(key, b"%d" % self.at, host.now()) if host is not None else 0
+        revision = host.lease_manager.commit(key, b"%d" % self.now, host.now()) if host is not None else 0
         if host is None or not revision:  # nobody owns it, or its last change is under way
             self.refused += 1
             return
-        self.putting[key, revision] = self.at
-        host.tick()
+        self.putting[key, revision] = self.now
+        host.wake()
 
     def clear(self) -> None:
         for tally in self.tallies.values():
@@ -214,11 +230,11 @@
     ground = OwnersGround(point, seed, setting)
     settle, rest = int(setting.settle * SECOND), int(setting.rest * SECOND)
     owned = 0
-    while ground.at < settle:
-        ground.run(ground.at + TENTH // 10)
+    while ground.now < settle:
+        ground.run(ground.now + TENTH // 10)
         if not owned and all(ground.owner(key) for key in ground.keys):
-            owned = ground.at
-    voters = [ground.tallies[name] for name in ground.voters]
+            owned = ground.now
+    voters = [ground.tallies[name] for name in ground.acceptors]
     figures = {
         "owned_s": (owned or settle) / SECOND,
         "start_most_in": float(max(most(tally.into) for tally in voters)),
--- a/pathsaddle/emulator/hollow/owners_peaks.py
+++ b/pathsaddle/emulator/hollow/owners_peaks.py
@@ -15,7 +15,7 @@
 from pathsaddle.emulator.hollow.fleet_tally import most
 from pathsaddle.emulator.hollow.owners import TENTH, OwnersGround, part, sizes
 from pathsaddle.emulator.hollow.owners import Setting as Rest
-from pathsaddle.emulator.ownership.ground import MemberHost, VoterHost
+from pathsaddle.emulator.ownership.hosts import AcceptorHost, MemberHost
 from pathsaddle.trade import SECOND
 
 LOOK = SECOND // 20  # between looks at who owns: by so much a span may be told too long
@@ -68,18 +68,18 @@
     ground.commits.clear()
     ground.changed = ground.refused = 0
     owners = {key: ground.owner(key) for key in ground.keys}
-    since = dict.fromkeys(ground.keys, ground.at)
-    longest, lost, until = 0, 0, ground.at + int(span * SECOND)
-    while ground.at < until:
-        ground.run(ground.at + LOOK)
+    since = dict.fromkeys(ground.keys, ground.now)
+    longest, lost, until = 0, 0, ground.now + int(span * SECOND)
+    while ground.now < until:
+        ground.run(ground.now + LOOK)
         for key in ground.keys:
             before, now = owners[key], ground.owner(key)
             lost += now is not before and before is not None
             if now is not None:
-                since[key] = ground.at
-            longest = max(longest, ground.at - since[key])
+                since[key] = ground.now
+            longest = max(longest, ground.now - since[key])
             owners[key] = now
-    voters = [ground.tallies[name] for name in ground.voters]
+    voters = [ground.tallies[name] for name in ground.acceptors]
     return {
         "unowned_s": longest / SECOND,
         "lost": float(lost),
@@ -91,11 +91,11 @@
 
 
 def new(ground: OwnersGround, setting: Setting) -> float:
-    for name in ground.voters:
+    for name in ground.acceptors:
         host = ground.hosts[name]
-        assert isinstance(host, VoterHost)
+        assert isinstance(host, AcceptorHost)
         host.kill()
-        ground.put(ground.at + int(setting.down * SECOND), host.again)
+        ground.call_at(ground.now + int(setting.down * SECOND), host.start_if_down)
     return setting.watched
 
 
@@ -103,22 +103,22 @@
     members = ground.members()
     for turn in range(10):
         for host in members[turn::10]:
-            at = ground.at + int(turn * setting.each * SECOND)
-            ground.put(at, host.terminate)
-            ground.put(at + int(setting.down * SECOND), partial(again, host))
+            at = ground.now + int(turn * setting.each * SECOND)
+            ground.call_at(at, host.terminate)
+            ground.call_at(at + int(setting.down * SECOND), partial(again, host))
     return 10 * setting.each + setting.down
 
 
 def again(host: MemberHost) -> None:
     host.kill()  # if it has not ended by itself
-    host.begin()
+    host.start()
 
 
 def slow(ground: PeaksGround, setting: Setting) -> float:
-    name = ground.voters[0]
+    name = ground.acceptors[0]
     host = ground.hosts[name]
-    assert isinstance(host, VoterHost)
-    host.disk.delay = int(setting.sync_slow * SECOND)
+    assert isinstance(host, AcceptorHost)
+    host.disk.sync_ticks = int(setting.sync_slow * SECOND)
     ground.behind[name] = int(setting.slow * SECOND)
     return setting.watched
 
@@ -130,9 +130,9 @@
         self.behind: dict[str, int] = {}
         super().__init__(point, seed, setting)
 
-    def copies(self, sender: str, taker: str) -> list[int]:
-        more = self.behind.get(sender, 0) + self.behind.get(taker, 0)
-        return [delay + more for delay in super().copies(sender, taker)]
+    def delays(self, sender: str, receiver: str) -> list[int]:
+        more = self.behind.get(sender, 0) + self.behind.get(receiver, 0)
+        return [delay + more for delay in super().delays(sender, receiver)]
 
 
 def measure(point: int, seed: int, setting: Setting) -> dict[str, float]:
@@ -143,7 +143,7 @@
     ground.again(setting.asks * len(ground.members()), ground.asks)
     ground.again(setting.changes, ground.changes)
     for peak, strikes in (("new", new), ("release", release), ("slow", slow)):
-        ground.run(ground.at + int(setting.settle * SECOND) + TENTH)
+        ground.run(ground.now + int(setting.settle * SECOND) + TENTH)
         span = strikes(ground, setting)
         found |= {f"{peak}_{name}": value for name, value in watched(ground, span).items()}
     return {name: found[name] for name in FIGURES}
--- a/pathsaddle/emulator/ownership/__init__.py
+++ b/pathsaddle/emulator/ownership/__init__.py
@@ -1,3 +1,1 @@
-"""A virtual ground for owners: hosts with clocks, disks and links that fail,
-and a judge that reads the log alone.
-"""
+"""Simulated machines for consensus, their faults, and checkers that read the log alone."""
--- a/pathsaddle/emulator/ownership/mutants.py
+++ b/pathsaddle/emulator/ownership/mutants.py
@@ -1,59 +1,71 @@
-"""The program made wrong on purpose, each in one place: what the judge and the model checker are worth.
+"""The program made wrong on purpose, each in one place, to show what the checkers are worth.
 
-`found`: under which of the judge's names each must be found.
+`FOUND` says under which of the names of `judge.py` each must be found.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
-from contextlib import contextmanager
+from contextlib import ExitStack, contextmanager
 from dataclasses import replace
 from typing import Any
 from unittest import mock
 
 import msgspec
 
-from pathsaddle.consensus.acceptor import Row
-from pathsaddle.consensus.messages import Accept, Message
-from pathsaddle.consensus.proposer import Outbox, Proposer
-from pathsaddle.emulator.ownership.ground import Disk, Ground
+from pathsaddle.consensus.acceptor_key import AcceptorKey
+from pathsaddle.consensus.messages import Accept, Incarnation, Outgoing, RequestId, Ticks
+from pathsaddle.consensus.proposer import OpenRequest, Proposer, Reply, Step
+from pathsaddle.emulator.ownership.hosts import Disk
+from pathsaddle.emulator.ownership.simulation import Layout, Simulation
 
 
-class ByArrival(Proposer):
+class LeaseFromAnswer(Proposer):
     """Reckons a lease from the answer's arrival."""
 
     __slots__ = ()
 
-    def heard(
-        self, voter: str, start: int, known: Mapping[str, int], message: Message, ask: int, now: int
-    ) -> tuple[Proposer, Outbox]:
-        late = replace(self, asks=tuple((one, now) for one, _ in self.asks))
-        return Proposer.heard(late, voter, start, known, message, ask, now)
+    def on_message(
+        self, reply: Reply, known: Mapping[str, Incarnation], request_id: RequestId, now: Ticks
+    ) -> Step:
+        """Take in an acceptor's message as if all requests were sent now."""
+        requests = tuple(OpenRequest(request.request_id, now) for request in self.open_requests)
+        late = replace(self, open_requests=requests)
+        return Proposer.on_message(late, reply, known, request_id, now)
 
 
-class Reuses(Proposer):
-    """Goes on with the number that its name had before it began anew."""
+class ReusedToken(Proposer):
+    """Goes on with the fencing token that its name had before it restarted."""
 
     __slots__ = ()
 
-    def _promised(self, known: Mapping[str, int], ask: int, now: int) -> tuple[Proposer, Outbox]:
-        bid, out = Proposer._promised(self, known, ask, now)
-        before = max((row for row in self.promises), key=lambda row: row[2], default=None)
-        if not out or bid.number or before is None or before[3].owner != self.name:
-            return bid, out
-        value = msgspec.structs.replace(bid.value, number=before[3].number)
-        return replace(bid, value=value), [
-            (to, Accept(m.key, m.ballot, value, m.ask)) for to, m in out if isinstance(m, Accept)
-        ]
-
-
-class Forgets(Row):
-    """A voter that begins holds for nobody."""
+    def propose_if_promised(
+        self, known: Mapping[str, Incarnation], request_id: RequestId, now: Ticks
+    ) -> Step:
+        """Go on to phase 2, with the earlier fencing token."""
+        step = Proposer.propose_if_promised(self, known, request_id, now)
+        before = max(self.promises, key=lambda promise: promise.accepted, default=None)
+        if (
+            not step.messages
+            or step.proposer.held_token
+            or before is None
+            or before.value.holder != self.name
+        ):
+            return step
+        value = msgspec.structs.replace(step.proposer.value, fencing_token=before.value.fencing_token)
+        return Step(
+            replace(step.proposer, value=value),
+            [
+                Outgoing(receiver, Accept(message.key, message.ballot, value, message.request_id))
+                for receiver, message in step.messages
+                if isinstance(message, Accept)
+            ],
+        )
 
-    __slots__ = ()
 
-    def begun(self, now: int) -> Row:
-        return replace(self, until=0)
+def forget_lease(key: AcceptorKey, now: Ticks) -> AcceptorKey:
+    """Restart an acceptor's key without the lease that it may have held."""
+    return replace(key, lease_end=0)
 
 
 FOUND = {
@@ -69,30 +81,27 @@
 
 @contextmanager
 def mutant(name: str) -> Iterator[None]:
-    """While it lasts, grounds are made with it."""
-    made = Ground.__init__
+    """While it lasts, simulations are made with the mutant."""
+    make = Simulation.__init__
 
-    def wrong(self: Ground, *told: object, **more: object) -> None:
-        made(self, *told, **more)  # type: ignore[arg-type]
-        self.hasty = name == "answers-before-sync"
-        self.talkative = name == "gives-before-stopping"
-        self.unfenced = "s1" if name == "number-unchecked" else ""
+    def make_wrong(self: Simulation, seed: int, layout: Layout | None = None) -> None:
+        """Make a simulation and break it."""
+        make(self, seed, layout)
+        self.answer_before_sync = name == "answers-before-sync"
+        self.release_before_stop = name == "gives-before-stopping"
+        self.unfenced_store = "s1" if name == "number-unchecked" else ""
 
-    patches: list[Any] = [mock.patch.object(Ground, "__init__", wrong)]
+    patches: list[Any] = [mock.patch.object(Simulation, "__init__", make_wrong)]
     if name == "lease-from-answer":
-        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", ByArrival))
+        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", LeaseFromAnswer))
     elif name == "number-reused":
-        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", Reuses))
+        patches.append(mock.patch("pathsaddle.consensus.lease_manager.Proposer", ReusedToken))
     elif name == "holds-forgotten":
-        patches.append(mock.patch.object(Row, "begun", Forgets.begun))
+        patches.append(mock.patch.object(AcceptorKey, "after_restart", forget_lease))
     elif name == "lost-disk-trusted":
-        patches.append(
-            mock.patch.object(Disk, "whole", property(lambda self: True, lambda self, value: None))
-        )
-    for patch in patches:
-        patch.start()
-    try:
-        yield
-    finally:
+        trusted = property(lambda self: True, lambda self, value: None)
+        patches.append(mock.patch.object(Disk, "is_intact", trusted))
+    with ExitStack() as stack:
         for patch in patches:
-            patch.stop()
+            stack.enter_context(patch)
+        yield
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -1,15 +1,15 @@
-"""python -m pathsaddle.emulator.ownership.process CHARTER EVENTS STORE...: a real process of the program with
-work to do.
+"""python -m pathsaddle.emulator.ownership.process CHARTER EVENTS STORE...: a real process with work to do.
 
-It votes and stands as the charter says; while it owns a key it looks, and sends an effect to each store (UDP:
-key, number, name, id), and changes and reads the key's data. What happens goes to EVENTS as histories want
-it, each line before what it announces, moments by the one clock of this machine.
-A store is the test's: it asks a fence.
+It votes and campaigns as the configuration file says. While it holds a key's lease it looks at it, and sends
+an effect to each store (UDP: key, fencing token, name, id), and changes and reads the key's data. What
+happens goes to EVENTS as histories want it, each line before what it announces, moments by the one clock of
+this machine. A store is the test's: it asks a fence.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import signal
 import socket
 import sys
@@ -20,120 +20,159 @@
 import msgspec
 
 from pathsaddle.config.loader import read_configuration
+from pathsaddle.consensus.events import (
+    BallotEnded,
+    BallotStarted,
+    LeaseAcquired,
+    LeaseEvent,
+    LeaseLost,
+    LeaseRenewed,
+    OperationKind,
+    Outcome,
+    OwnLeaseReleased,
+)
 from pathsaddle.consensus.fleet_member import register_config
-from pathsaddle.consensus.lease_manager import Happened
 from pathsaddle.consensus.udp_driver import RegisterDriver, monotonic_ticks
 from pathsaddle.emulator.events import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.trade import SECOND
 
-PAUSE = 0.01
+WORK_PAUSE_SECONDS = 0.01
+QUERY_PAUSE_SECONDS = 0.1
+STOP_PACES = 3  # between stop and end, so that a release may be lost
 
 
-class Worked:
+class Worker:
+    """What the process does under its leases, and the log of it."""
+
     def __init__(self, register: RegisterDriver, events: Path, stores: list[str]) -> None:
-        self.register, self.name = register, register.told.name
+        self.register, self.name = register, register.config.name
         self.file = events.open("ab", buffering=0)
         self.stores = [peer_of(store) for store in stores]
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.setblocking(False)
-        self.count = 0
-        register.owner.histories = True
-        register.hear.append(self.hear)
-
-    def log(self, what: str, at: int = 0, **more: Any) -> None:
-        self.file.write(
-            msgspec.json.encode(Event(at or monotonic_ticks(), what, {"who": self.name, **more})) + b"\n"
-        )
-
-    def hear(self, one: Happened) -> None:
-        more: dict[str, Any] = {"key": one.key, "number": one.number}
-        life = self.register.owner.life
-        if one.what in ("owner", "held"):
-            self.log("lease", **more, life=life, until=one.until, **{"from": monotonic_ticks()})
-        elif one.what in ("lost", "given"):
-            self.log("lease.end", **more, life=life, why=one.why)
-        elif one.what == "call":
-            more = {"op": one.op, "key": one.key, "kind": one.kind}
-            if one.kind != "take":
-                more["number"] = one.number
-            if one.kind == "set":
-                more |= {"value": one.data.decode(), "revision": one.revision}
-            self.log("reg.call", **more)
-        elif one.what == "end":
-            more = {"op": one.op, "outcome": one.why}
-            if one.why == "ok":
-                more |= {
-                    "number": one.number,
-                    "owner": self.name,
-                    "revision": one.revision,
-                    "value": one.data.decode() or None,
-                }
-            self.log("reg.end", **more)
+        self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.socket.setblocking(False)
+        self.effects = 0
+        register.lease_manager.record_history()
+        register.on_event.append(self.on_event)
+
+    def log(self, what: str, at: int = 0, **members: Any) -> None:
+        """Write one line; the members are those of docs/histories.md."""
+        event = Event(at or monotonic_ticks(), what, {"who": self.name, **members})
+        self.file.write(msgspec.json.encode(event) + b"\n")
+
+    def on_event(self, event: LeaseEvent) -> None:
+        """Log what happened in the lease manager."""
+        incarnation = self.register.lease_manager.incarnation
+        match event:
+            case LeaseAcquired() | LeaseRenewed():
+                self.log(
+                    "lease",
+                    key=event.key,
+                    number=event.fencing_token,
+                    life=incarnation,
+                    until=event.lease_end,
+                    **{"from": monotonic_ticks()},
+                )
+            case LeaseLost() | OwnLeaseReleased():
+                self.log(
+                    "lease.end",
+                    key=event.key,
+                    number=event.fencing_token,
+                    life=incarnation,
+                    why=event.reason,
+                )
+            case BallotStarted():
+                self._log_ballot_started(event)
+            case BallotEnded():
+                self._log_ballot_ended(event)
+
+    def _log_ballot_started(self, event: BallotStarted) -> None:
+        members: dict[str, Any] = {"op": event.operation_id, "key": event.key, "kind": event.kind}
+        if event.kind != OperationKind.TAKE:
+            members["number"] = event.fencing_token
+        if event.kind == OperationKind.SET:
+            members |= {"value": event.data.decode(), "revision": event.revision}
+        self.log("reg.call", **members)
+
+    def _log_ballot_ended(self, event: BallotEnded) -> None:
+        members: dict[str, Any] = {"op": event.operation_id, "outcome": event.outcome}
+        if event.outcome == Outcome.OK:
+            members |= {
+                "number": event.fencing_token,
+                "owner": self.name,
+                "revision": event.revision,
+                "value": event.data.decode() or None,
+            }
+        self.log("reg.end", **members)
 
     async def work(self) -> None:
+        """Send effects for the keys whose leases it holds."""
+        manager = self.register.lease_manager
         while True:
-            for key in self.register.told.keys:
+            for key in self.register.config.keys:
                 now = monotonic_ticks()  # whatever stops us after the look, the look was then
-                number = self.register.owner.fencing_token(key, now)
-                if not number:
+                fencing_token = manager.fencing_token(key, now)
+                if not fencing_token:
                     continue
-                self.count += 1
-                self.log("act", now, key=key, number=number, id=f"{self.name}/{self.count}")
+                self.effects += 1
+                self.log("act", now, key=key, number=fencing_token, id=f"{self.name}/{self.effects}")
+                text = f"{key} {fencing_token} {self.name} {manager.incarnation}/{self.effects}"
                 for store in self.stores:
-                    text = f"{key} {number} {self.name} {self.register.owner.life}/{self.count}"
-                    try:
-                        self.sock.sendto(text.encode(), store)
-                    except OSError:
-                        pass
-            await asyncio.sleep(PAUSE)
-
-    async def ask(self) -> None:
-        """Changes what it owns, reads what it does not."""
-        asked = 0
+                    with contextlib.suppress(OSError):
+                        self.socket.sendto(text.encode(), store)
+            await asyncio.sleep(WORK_PAUSE_SECONDS)
+
+    async def query(self) -> None:
+        """Change the data of keys whose leases it holds, and read the others."""
+        reads = 0
         while True:
-            for key in self.register.told.keys:
+            for key in self.register.config.keys:
                 if self.register.fencing_token(key):
-                    await self.register.put(key, b"%s/%d" % (self.name.encode(), self.count))
+                    await self.register.put(key, b"%s/%d" % (self.name.encode(), self.effects))
                     continue
-                asked += 1
-                op = f"{self.name}/{self.register.owner.life}/read/{asked}"
-                self.log("reg.call", op=op, key=key, kind="read")
-                value = await self.register.read(key)
-                if value is None:
-                    self.log("reg.end", op=op, outcome="unknown")
-                else:
-                    self.log(
-                        "reg.end",
-                        op=op,
-                        outcome="ok",
-                        number=value.number,
-                        owner=value.owner,
-                        revision=value.revision,
-                        value=value.data.decode() or None,
-                    )
-            await asyncio.sleep(0.1)
-
-
-async def main(charter: str, events: str, *stores: str) -> None:
+                reads += 1
+                await self._read(key, reads)
+            await asyncio.sleep(QUERY_PAUSE_SECONDS)
+
+    async def _read(self, key: str, count: int) -> None:
+        operation_id = f"{self.name}/{self.register.lease_manager.incarnation}/read/{count}"
+        self.log("reg.call", op=operation_id, key=key, kind="read")
+        value = await self.register.read(key)
+        if value is None:
+            self.log("reg.end", op=operation_id, outcome="unknown")
+            return
+        self.log(
+            "reg.end",
+            op=operation_id,
+            outcome="ok",
+            number=value.fencing_token,
+            owner=value.holder,
+            revision=value.revision,
+            value=value.data.decode() or None,
+        )
+
+
+async def main(file: str, events: str, *stores: str) -> None:
+    """Run until SIGTERM."""
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    told_by = read_configuration(Path(charter))
-    logbook.open_log(told_by.log.level, told_by.log.form)
-    register = RegisterDriver(register_config(told_by), Ground(), SystemRandom(), Counters())
-    worked = Worked(register, Path(events), list(stores))
-    worked.log("member.began", life=register.owner.life)
+    configuration = read_configuration(Path(file))
+    logbook.open_log(configuration.log.level, configuration.log.form)
+    register = RegisterDriver(register_config(configuration), Ground(), SystemRandom(), Counters())
+    worker = Worker(register, Path(events), list(stores))
+    worker.log("member.began", life=register.lease_manager.incarnation)
     register.begin()
-    tasks = [asyncio.create_task(worked.work()), asyncio.create_task(worked.ask())]
+    tasks = [asyncio.create_task(worker.work()), asyncio.create_task(worker.query())]
     await stop.wait()
     register.stop()
     for task in tasks:
         task.cancel()
-    await asyncio.sleep(3 * register.owner.pace / 10_000)
+    await asyncio.sleep(STOP_PACES * register.lease_manager.pace / SECOND)
     register.end()
-    worked.log("member.ended", why="left")
+    worker.log("member.ended", why="left")
 
 
 if __name__ == "__main__":
--- a/pathsaddle/emulator/ownership/smoke.py
+++ b/pathsaddle/emulator/ownership/smoke.py
@@ -1,7 +1,7 @@
 """What a plan of owners says, in virtual time; figures last; exit 0 only if every bound holds.
 
-python -m pathsaddle experiment run experiments/owner-smoke.toml
-python -m pathsaddle.emulator.ownership.smoke PLAN [--seeds N] [--first N] [--members N] [--voters N] [--only trouble]
+python -m pathsaddle experiment run experiments/owner-smoke.toml python -m pathsaddle.emulator.ownership.smoke
+PLAN [--seeds N] [--first N] [--members N] [--voters N] [--only trouble]
 """
 
 from __future__ import annotations
@@ -9,6 +9,8 @@
 import argparse
 import sys
 import time
+from collections import Counter
+from dataclasses import dataclass, field
 from random import Random
 from typing import Annotated, Literal
 
@@ -18,100 +20,136 @@
 from pathsaddle.config.schema import ConfigTable, Count
 from pathsaddle.config.units import Duration
 from pathsaddle.config.validation import InvalidConfigError, NotAllowedValueError, load_toml, validate
+from pathsaddle.consensus.messages import Ticks
 from pathsaddle.emulator.ownership import linear
-from pathsaddle.emulator.ownership.faults import troubled
-from pathsaddle.emulator.ownership.ground import Ground, MemberHost
+from pathsaddle.emulator.ownership.faults import layout_with_faults, run_with_faults
+from pathsaddle.emulator.ownership.hosts import MemberHost
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.ownership.mutants import FOUND, mutant
+from pathsaddle.emulator.ownership.simulation import Layout, Simulation
 from pathsaddle.trade import MILLISECOND, SECOND
 
 FAULTS = ("kill", "stop", "cut", "sigterm")
-# Where ways are good, until another owns the key: a lease by a voter's fast clock, the spread of those that
-# come after it, a ballot outbid and another. From SIGTERM: a spread and two ballots.
-BOUND = {fault: (lambda lease: lease * 3 // 2 + SECOND // 2) for fault in FAULTS} | {
-    "sigterm": lambda lease: lease // 4 + SECOND // 2
-}
+USAGE_CODE = 2
+LARGE_FLEET = 40
+TOTALS = ("effects", "refused", "owners", "calls")  # in the order in which they are printed
+MAX_FINDINGS = 3  # of one seed
+TICKS_PER_MILLISECOND = 10
 
 
-def trouble(seeds: list[int], members: int, voters: int, seconds: int) -> tuple[list[str], dict[str, int]]:
-    wrong, sums = [], {"effects": 0, "refused": 0, "owners": 0, "calls": 0}
+def longest_allowed_gap(fault: str, lease_ticks: Ticks) -> Ticks:
+    """Return for how long a key may have no lease holder after a fault, where links are good.
+
+    A lease by an acceptor's fast clock, the spread of those that come after it, a ballot that is outbid and
+    another. From SIGTERM: a spread and two ballots.
+    """
+    if fault == "sigterm":
+        return lease_ticks // 4 + SECOND // 2
+    return lease_ticks * 3 // 2 + SECOND // 2
+
+
+@dataclass
+class FaultRuns:
+    """What runs with faults gave."""
+
+    findings: list[str] = field(default_factory=list)
+    totals: Counter[str] = field(default_factory=Counter)
+
+
+def run_seeds(seeds: list[int], members: int, acceptors: int, fault_seconds: int) -> FaultRuns:
+    """Run simulations with faults and check their logs."""
+    runs = FaultRuns()
     for seed in seeds:
-        ground = troubled(seed, members, seconds, voters=voters, keys=1 + seed % 2)
-        verdict = judge(ground.events.rows)
-        wrong += [f"seed {seed}: {name}: {text}" for name, text in verdict.findings[:3]]
-        wrong += [
-            f"seed {seed}: register-not-linearizable: {why}"
-            for why in linear.check(ground.events.rows).values()
-        ]
-        for key in ground.keys:
-            if not any(
-                isinstance(host, MemberHost) and host.owner.fencing_token(key, host.now())
-                for host in ground.hosts.values()
-            ):
-                wrong.append(f"seed {seed}: {key} has no owner after the calm")
-        for name, more in (
-            ("effects", verdict.effects),
-            ("refused", verdict.refused),
-            ("owners", verdict.owners),
-            ("calls", sum(map(len, linear.calls(ground.events.rows).values()))),
-        ):
-            sums[name] += more
-    return wrong, sums
-
-
-def without(fault: str, lease: int, seed: int) -> int:
-    """Ticks in which nobody may act: from the fault on (cut: from the owner's own last moment)."""
-    ground = Ground(seed, members=5, lease=lease, pause=0, unpreferred=2)
-    chance = Random(seed)
-    ground.run(3 * lease + chance.randrange(lease))
-
-    def owner() -> str:
-        return next(
-            (
-                name
-                for name, host in ground.hosts.items()
-                if isinstance(host, MemberHost)
-                and host.up
-                and ground.at >= host.stood
-                and host.owner.fencing_token("k0", host.now())
-            ),
-            "",
+        simulation = run_with_faults(
+            seed, layout_with_faults(members, acceptors, 1 + seed % 2), fault_seconds
         )
+        rows = simulation.events.rows
+        verdict = judge(rows)
+        runs.findings += [f"seed {seed}: {name}: {text}" for name, text in verdict.findings[:MAX_FINDINGS]]
+        runs.findings += [
+            f"seed {seed}: register-not-linearizable: {reason}" for reason in linear.check(rows).values()
+        ]
+        runs.findings += [
+            f"seed {seed}: {key} has no owner after the calm"
+            for key in simulation.keys
+            if not lease_holder(simulation, key)
+        ]
+        runs.totals["effects"] += verdict.effects
+        runs.totals["refused"] += verdict.refused
+        runs.totals["owners"] += verdict.owners
+        runs.totals["calls"] += sum(map(len, linear.register_calls(rows).values()))
+    return runs
 
-    name = owner()
-    host = ground.hosts[name]
+
+def lease_holder(simulation: Simulation, key: str) -> str:
+    """Return the name of the member that may act for a key now, or nothing."""
+    for name, host in simulation.hosts.items():
+        if isinstance(host, MemberHost) and host.lease_manager.fencing_token(key, host.now()):
+            return name
+    return ""
+
+
+def active_lease_holder(simulation: Simulation) -> str:
+    """Return the name of the member that runs, is not paused and may act for the first key, or nothing."""
+    for name, host in simulation.hosts.items():
+        is_active = isinstance(host, MemberHost) and host.is_up and simulation.now >= host.paused_until
+        if is_active and isinstance(host, MemberHost) and host.lease_manager.fencing_token("k0", host.now()):
+            return name
+    return ""
+
+
+def measure_gap(fault: str, lease_ticks: Ticks, seed: int) -> Ticks:
+    """Return for how long nobody may act after a fault (cut: after the lease holder's own last moment)."""
+    layout = Layout(lease_ticks=lease_ticks, work_interval_ticks=0, not_preferred=2)
+    simulation = Simulation(seed, layout)
+    rng = Random(seed)
+    simulation.run(3 * lease_ticks + rng.randrange(lease_ticks))
+    name = active_lease_holder(simulation)
+    host = simulation.hosts[name]
     assert isinstance(host, MemberHost)
-    begun = ground.at
+    start = simulation.now
     if fault == "kill":
         host.kill()
     elif fault == "stop":
-        host.stood = ground.at + 10 * lease
+        host.paused_until = simulation.now + 10 * lease_ticks
     elif fault == "cut":
-        for voter in ground.voters:
-            ground.cuts[name, voter] = ground.cuts[voter, name] = None
+        for acceptor in simulation.acceptors:
+            simulation.cut_links[name, acceptor] = simulation.cut_links[acceptor, name] = None
     else:
         host.terminate()
-    while owner() in ("", name) and ground.at < begun + 20 * lease:
-        if owner() == name:
-            begun = ground.at + 1
-        ground.run(ground.at + MILLISECOND)
-    return ground.at - begun
-
-
-def renewals(keys: int, lease: int = 3 * SECOND) -> dict[str, float]:
-    """By second, of one owner with so many keys."""
-    ground = Ground(1, members=1, keys=keys, lease=lease, pause=0, off=0.0)
-    ground.run(2 * lease)
-    ground.weigh, ground.bytes, sent, syncs = True, 0, ground.sent, ground.syncs
-    begun = time.process_time()
-    ground.run(ground.at + 5 * lease)
-    spent, span = time.process_time() - begun, 5 * lease / SECOND
-    return {
-        "messages": (ground.sent - sent) / span,
-        "bytes": ground.bytes / span,
-        "syncs": (ground.syncs - syncs) / span,
-        "cpu_ms": spent * 1000 / span,
-    }
+    while active_lease_holder(simulation) in ("", name) and simulation.now < start + 20 * lease_ticks:
+        if active_lease_holder(simulation) == name:
+            start = simulation.now + 1
+        simulation.run(simulation.now + MILLISECOND)
+    return simulation.now - start
+
+
+@dataclass
+class RenewalCost:
+    """What one lease holder's renewals cost in a second, the lease holder and three acceptors together."""
+
+    messages: float
+    bytes: float
+    syncs: float
+    cpu_ms: float
+
+
+def measure_renewals(keys: int, lease_ticks: Ticks = 3 * SECOND) -> RenewalCost:
+    """Measure what the renewals of so many keys cost."""
+    layout = Layout(members=1, keys=keys, lease_ticks=lease_ticks, work_interval_ticks=0, clock_error=0.0)
+    simulation = Simulation(1, layout)
+    simulation.run(2 * lease_ticks)
+    simulation.count_bytes, simulation.sent_bytes = True, 0
+    sent, syncs = simulation.sent, simulation.syncs
+    start = time.process_time()
+    simulation.run(simulation.now + 5 * lease_ticks)
+    cpu_seconds, seconds = time.process_time() - start, 5 * lease_ticks / SECOND
+    return RenewalCost(
+        (simulation.sent - sent) / seconds,
+        simulation.sent_bytes / seconds,
+        (simulation.syncs - syncs) / seconds,
+        cpu_seconds * 1000 / seconds,
+    )
 
 
 class Plan(ConfigTable):
@@ -150,7 +188,7 @@
 
 
 def read(path: str) -> Plan:
-    """A plan, checked whole. Raises Faulty."""
+    """Return a plan that is valid. Raises InvalidConfigError."""
     plan = validate(Plan, load_toml(path), path)
     if unknown := [
         NotAllowedValueError(path, f"mutants.{name}", shown=repr(name), may=f"one of {', '.join(FOUND)}")
@@ -161,86 +199,113 @@
     return plan
 
 
-def main(words: list[str]) -> int:
+def main(arguments: list[str]) -> int:
+    """Run the plan that the arguments name and return the end code."""
     parser = argparse.ArgumentParser(
         prog="pathsaddle.emulator.ownership.smoke",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("plan")
-    for word in ("seeds", "first", "members", "voters"):
-        parser.add_argument(f"--{word}", type=int)
+    for name in ("seeds", "first", "members", "voters"):
+        parser.add_argument(f"--{name}", type=int)
     parser.add_argument("--only", choices=("trouble",))
-    said = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     try:
-        plan = read(said.plan)
-    except InvalidConfigError as fault:
-        print(fault, file=sys.stderr)
-        return 2
+        plan = read(options.plan)
+    except InvalidConfigError as error:
+        print(error, file=sys.stderr)
+        return USAGE_CODE
     return play(
         msgspec.structs.replace(
             plan,
             **{
-                word: getattr(said, word)
-                for word in ("seeds", "first", "members", "voters")
-                if getattr(said, word) is not None
+                name: getattr(options, name)
+                for name in ("seeds", "first", "members", "voters")
+                if getattr(options, name) is not None
             },
         ),
-        said.only is not None,
+        options.only is not None,
     )
 
 
-def play(plan: Plan, trouble_alone: bool = False) -> int:
-    """The end code: 0 only if every bound holds; figures printed last."""
-    wrong, figures, begun = [], [], time.monotonic()
+@dataclass
+class Report:
+    """What a plan's run found wrong, and its figures."""
+
+    findings: list[str] = field(default_factory=list)
+    figures: list[str] = field(default_factory=list)
 
-    seeds = [*range(plan.first, plan.first + plan.seeds), *([] if trouble_alone else plan.kept)]
-    for members, some in ((plan.members, seeds), (40, [] if trouble_alone else list(range(plan.large)))):
+
+def play(plan: Plan, only_faults: bool = False) -> int:
+    """Run a plan, print its figures last, and return the end code: 0 only if every invariant holds."""
+    report, start = Report(), time.monotonic()
+    _run_faults(plan, report, only_faults)
+    if not only_faults:
+        _run_mutants(plan, report)
+        _measure_gaps(plan, report)
+        _measure_costs(plan, report)
+    for text in report.findings:
+        print(f"BROKEN {text}")
+    for text in report.figures:
+        print(text)
+    result = "broken" if report.findings else "every bound holds"
+    print(f"{plan.name}: {result}, {time.monotonic() - start:.1f} s")
+    return 1 if report.findings else 0
+
+
+def _run_faults(plan: Plan, report: Report, only_faults: bool) -> None:
+    seeds = [*range(plan.first, plan.first + plan.seeds), *([] if only_faults else plan.kept)]
+    large_seeds = [] if only_faults else list(range(plan.large))
+    for members, some in ((plan.members, seeds), (LARGE_FLEET, large_seeds)):
         if some:
-            faults, sums = trouble(some, members, plan.voters, plan.seconds)
-            wrong += faults
-            figures.append(
+            runs = run_seeds(some, members, plan.voters, plan.seconds)
+            report.findings += runs.findings
+            report.figures.append(
                 f"{len(some)} seeds of {plan.seconds} s of trouble, {members} members, "
-                f"{plan.voters} voters: " + ", ".join(f"{value} {name}" for name, value in sums.items())
+                f"{plan.voters} voters: " + ", ".join(f"{runs.totals[name]} {name}" for name in TOTALS)
+            )
+
+
+def _run_mutants(plan: Plan, report: Report) -> None:
+    for name, seed in plan.mutants.items():
+        with mutant(name):
+            simulation = run_with_faults(seed)
+        found = [one for one, _ in judge(simulation.events.rows).findings if one in FOUND[name]]
+        if found:
+            report.figures.append(f"mutant {name}: {found[0]}")
+        else:
+            report.findings.append(f"mutant {name} was not found at seed {seed}")
+
+
+def _measure_gaps(plan: Plan, report: Report) -> None:
+    for lease in plan.leases:
+        for fault in FAULTS:
+            gaps = sorted(measure_gap(fault, lease, seed) for seed in range(plan.plays))
+            lease_ms = lease / TICKS_PER_MILLISECOND
+            p50, p99, longest = (
+                gap / TICKS_PER_MILLISECOND
+                for gap in (gaps[len(gaps) // 2], gaps[len(gaps) * 99 // 100], gaps[-1])
             )
-    if not trouble_alone:
-        for name, seed in plan.mutants.items():
-            with mutant(name):
-                ground = troubled(seed)
-            found = [one for one, _ in judge(ground.events.rows).findings if one in FOUND[name]]
-            if found:
-                figures.append(f"mutant {name}: {found[0]}")
-            else:
-                wrong.append(f"mutant {name} was not found at seed {seed}")
-        for lease in plan.leases:
-            for fault in FAULTS:
-                spans = sorted(without(fault, lease, seed) for seed in range(plan.plays))
-                if spans[-1] > BOUND[fault](lease):
-                    wrong.append(
-                        f"{spans[-1] / 10:.0f} ms without an owner after {fault} with a lease of "
-                        f"{lease / 10:.0f} ms"
-                    )
-                figures.append(
-                    f"lease {lease / 10:.0f} ms, {fault}: without an owner p50 "
-                    f"{spans[len(spans) // 2] / 10:.0f}, "
-                    f"p99 {spans[len(spans) * 99 // 100] / 10:.0f}, most {spans[-1] / 10:.0f} ms"
+            if gaps[-1] > longest_allowed_gap(fault, lease):
+                report.findings.append(
+                    f"{longest:.0f} ms without an owner after {fault} with a lease of {lease_ms:.0f} ms"
                 )
-        for keys in plan.keys:
-            cost = renewals(keys)
-            if cost["syncs"]:
-                wrong.append(f"{cost['syncs']} syncs a second for renewals alone")
-            figures.append(
-                f"{keys} keys, lease 3 s: {cost['messages']:.0f} messages, {cost['bytes']:.0f} "
-                f"bytes, "
-                f"{cost['syncs']:.0f} syncs, {cost['cpu_ms']:.2f} ms of CPU a second (owner and 3 "
-                f"voters, emulated)"
+            report.figures.append(
+                f"lease {lease_ms:.0f} ms, {fault}: without an owner p50 {p50:.0f}, "
+                f"p99 {p99:.0f}, most {longest:.0f} ms"
             )
-    for text in wrong:
-        print(f"BROKEN {text}")
-    for text in figures:
-        print(text)
-    print(f"{plan.name}: {'broken' if wrong else 'every bound holds'}, {time.monotonic() - begun:.1f} s")
-    return 1 if wrong else 0
+
+
+def _measure_costs(plan: Plan, report: Report) -> None:
+    for keys in plan.keys:
+        cost = measure_renewals(keys)
+        if cost.syncs:
+            report.findings.append(f"{cost.syncs} syncs a second for renewals alone")
+        report.figures.append(
+            f"{keys} keys, lease 3 s: {cost.messages:.0f} messages, {cost.bytes:.0f} bytes, "
+            f"{cost.syncs:.0f} syncs, {cost.cpu_ms:.2f} ms of CPU a second (owner and 3 voters, emulated)"
+        )
 
 
 if __name__ == "__main__":
--- a/pathsaddle/federation/spec_register.py
+++ b/pathsaddle/federation/spec_register.py
@@ -21,7 +21,17 @@
 import msgspec
 
 from pathsaddle.config.units import Duration
-from pathsaddle.consensus.lease_manager import Happened
+from pathsaddle.consensus.events import (
+    BallotEnded,
+    BallotStarted,
+    LeaseAcquired,
+    LeaseEvent,
+    LeaseLost,
+    LeaseRenewed,
+    OperationKind,
+    Outcome,
+    OwnLeaseReleased,
+)
 from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver, monotonic_ticks
 from pathsaddle.errors import access, why
 from pathsaddle.federation.disk import synced, version_at
@@ -128,8 +138,8 @@
         )
         self.tell, self.name, self.asked = tell, name, 0
         self.register = RegisterDriver(told, Ground(), chance, Counters())
-        self.register.owner.histories = True
-        self.register.hear.append(self._hear)
+        self.register.lease_manager.record_history()
+        self.register.on_event.append(self._log_event)
 
     def begin(self) -> None:
         self.register.begin()
@@ -137,7 +147,7 @@
     async def end(self) -> None:
         """The key is given back, and that may be lost once."""
         self.register.stop()
-        await asyncio.sleep(2 * self.register.owner.pace / SECOND)
+        await asyncio.sleep(2 * self.register.lease_manager.pace / SECOND)
         self.register.end()
 
     async def read(self) -> tuple[int, tuple[Entry, ...]] | None:
@@ -145,7 +155,7 @@
         Raises NoWay.
         """
         self.asked += 1
-        op = f"{self.name}/{self.register.owner.life}/read/{self.asked}"
+        op = f"{self.name}/{self.register.lease_manager.incarnation}/read/{self.asked}"
         self.tell("reg.call", who=self.name, op=op, key=KEY, kind="read")
         value = await self.register.read(KEY)
         if value is None:
@@ -156,12 +166,12 @@
             who=self.name,
             op=op,
             outcome="ok",
-            number=value.number,
-            owner=value.owner,
+            number=value.fencing_token,
+            owner=value.holder,
             revision=value.revision,
             value=value.data.hex() or None,
         )
-        return value.number, entries(value.data)
+        return value.fencing_token, entries(value.data)
 
     async def first(self, until: float) -> tuple[Entry, ...]:
         """Raises NoWay where no majority proves anything before `until` (of `time.monotonic`)."""
@@ -206,34 +216,63 @@
             "already is told as such",
         )
 
-    def _hear(self, one: Happened) -> None:
-        more: dict[str, Any] = {"who": self.name, "key": one.key, "number": one.number}
-        life = self.register.owner.life
-        if one.what in ("owner", "held"):
-            # The log's clock and the register's are not the same one where a machine sleeps.
-            now = int(time.monotonic() * SECOND)
-            self.tell(
-                "lease", now, **more, life=life, until=one.until - monotonic_ticks() + now, **{"from": now}
-            )
-        elif one.what in ("lost", "given"):
-            self.tell("lease.end", **more, life=life, why=one.why)
-        elif one.what == "call":
-            more = {"who": self.name, "op": one.op, "key": one.key, "kind": one.kind}
-            if one.kind != "take":
-                more["number"] = one.number
-            if one.kind == "set":
-                more |= {"value": one.data.hex(), "revision": one.revision}
-            self.tell("reg.call", **more)
-        elif one.what == "end":
-            more = {"who": self.name, "op": one.op, "outcome": one.why}
-            if one.why == "ok":
-                more |= {
-                    "number": one.number,
-                    "owner": self.name,
-                    "revision": one.revision,
-                    "value": one.data.hex() or None,
-                }
-            self.tell("reg.end", **more)
+    def _log_event(self, event: LeaseEvent) -> None:
+        incarnation = self.register.lease_manager.incarnation
+        match event:
+            case LeaseAcquired() | LeaseRenewed():
+                # The log's clock and the register's are not the same one where a machine sleeps.
+                now = int(time.monotonic() * SECOND)
+                self.tell(
+                    "lease",
+                    now,
+                    who=self.name,
+                    key=event.key,
+                    number=event.fencing_token,
+                    life=incarnation,
+                    until=event.lease_end - monotonic_ticks() + now,
+                    **{"from": now},
+                )
+            case LeaseLost() | OwnLeaseReleased():
+                self.tell(
+                    "lease.end",
+                    who=self.name,
+                    key=event.key,
+                    number=event.fencing_token,
+                    life=incarnation,
+                    why=event.reason,
+                )
+            case BallotStarted():
+                self._log_ballot_started(event)
+            case BallotEnded():
+                self._log_ballot_ended(event)
+
+    def _log_ballot_started(self, event: BallotStarted) -> None:
+        members: dict[str, Any] = {
+            "who": self.name,
+            "op": event.operation_id,
+            "key": event.key,
+            "kind": event.kind,
+        }
+        if event.kind != OperationKind.TAKE:
+            members["number"] = event.fencing_token
+        if event.kind == OperationKind.SET:
+            members |= {"value": event.data.hex(), "revision": event.revision}
+        self.tell("reg.call", **members)
+
+    def _log_ballot_ended(self, event: BallotEnded) -> None:
+        members: dict[str, Any] = {
+            "who": self.name,
+            "op": event.operation_id,
+            "outcome": event.outcome,
+        }
+        if event.outcome == Outcome.OK:
+            members |= {
+                "number": event.fencing_token,
+                "owner": self.name,
+                "revision": event.revision,
+                "value": event.data.hex() or None,
+            }
+        self.tell("reg.end", **members)
 
 
 class Texts:
--- a/tests/test_ownership_processes.py
+++ b/tests/test_consensus_processes.py
@@ -95,15 +95,22 @@
         try:
             while True:
                 key, number, by, one = self.store.recv(200).decode().split()
-                let_in = self.fence.look(key, int(number)).let_in
+                is_admitted = self.fence.admit(key, int(number)).is_admitted
                 self.events.append(
                     Event(
                         monotonic_ticks(),
                         "effect",
-                        {"who": "s", "key": key, "number": int(number), "by": by, "taken": let_in, "id": one},
+                        {
+                            "who": "s",
+                            "key": key,
+                            "number": int(number),
+                            "by": by,
+                            "taken": is_admitted,
+                            "id": one,
+                        },
                     )
                 )
-                if let_in:
+                if is_admitted:
                     self.heard[by] = monotonic_ticks()
         except OSError:
             pass
@@ -208,7 +215,7 @@
         return sorted(rows, key=lambda event: (event.at, event.what == "effect"))
 
 
-class OwnershipProcessStory(unittest.TestCase):
+class ConsensusProcessTest(unittest.TestCase):
     def test_owners_stopped_killed_cut_off_and_sent_home_and_voters_whose_disks_are_gone(self):
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(self.story(folder))
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -23,7 +23,7 @@
 from pathsaddle.placement.invariants import violations
 from pathsaddle.placement.inventory import State
 from pathsaddle.placement.ledger import made
-from tests.test_ownership_processes import CHARTER
+from tests.test_consensus_processes import CHARTER
 from tests.test_placement_processes import Hands, Planner, inventory
 
 ROOT = Path(__file__).resolve().parent.parent
