--- a/pathsaddle/emulator/ownership/hosts.py
+++ b/pathsaddle/emulator/ownership/hosts.py
@@ -8,18 +8,17 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
+from random import Random
+from typing import Any, Protocol
 
 from pathsaddle.consensus.acceptor import Acceptor
 from pathsaddle.consensus.campaign import NEVER
+from pathsaddle.consensus.events import LeaseEvent
 from pathsaddle.consensus.lease_manager import LeaseManager
 from pathsaddle.consensus.messages import FencingToken, Incarnation, Message, Outgoing, Ticks
 from pathsaddle.consensus.stored_state import DiskWrite, StoredState
 from pathsaddle.trade import SECOND
 
-if TYPE_CHECKING:
-    from pathsaddle.emulator.ownership.simulation import Simulation
-
 DEFAULT_SYNC_TICKS = 5
 MAX_INBOX_MESSAGES = 4096
 DISK_RETRY_TICKS = SECOND  # until an acceptor whose disk was full starts again
@@ -74,6 +73,39 @@
     message: Message
 
 
+class HostEnvironment(Protocol):
+    """What hosts ask of the simulation that they are in; `simulation.py` says what each is."""
+
+    rng: Random
+    now: Ticks
+    lease_ticks: Ticks
+    work_interval_ticks: Ticks
+    acceptors: list[str]
+    keys: list[str]
+    stores: list[str]
+    syncs: int
+    answer_before_sync: bool
+    release_before_stop: bool
+
+    def call_at(self, moment: Ticks, action: Callable[[], None]) -> None:
+        """Act at a moment of true time."""
+
+    def send(self, host: Host, outgoing: list[Outgoing]) -> None:
+        """Send a host's messages."""
+
+    def delays(self, sender: str, receiver: str) -> list[Ticks]:
+        """Draw the delays of all copies of one packet."""
+
+    def receive_effect(self, store: str, key: str, fencing_token: FencingToken, sender: str) -> None:
+        """Let an effect reach a store."""
+
+    def log(self, what: str, who: str, **members: Any) -> None:
+        """Add an event to the log."""
+
+    def on_lease_event(self, host: MemberHost, event: LeaseEvent) -> None:
+        """Log what happened in a host's lease manager."""
+
+
 class Host:
     """A machine with a process.
 
@@ -84,7 +116,7 @@
         starts: How often the process started.
     """
 
-    def __init__(self, simulation: Simulation, name: str, clock_rate: float) -> None:
+    def __init__(self, simulation: HostEnvironment, name: str, clock_rate: float) -> None:
         self.simulation, self.name, self.clock_rate = simulation, name, clock_rate
         self.clock_offset = simulation.rng.randrange(MAX_CLOCK_OFFSET_TICKS)
         self.is_up, self.paused_until, self.starts = True, 0, 0
@@ -140,7 +172,7 @@
 class AcceptorHost(Host):
     """A host with an acceptor and its disk."""
 
-    def __init__(self, simulation: Simulation, name: str, clock_rate: float) -> None:
+    def __init__(self, simulation: HostEnvironment, name: str, clock_rate: float) -> None:
         super().__init__(simulation, name, clock_rate)
         self.disk = Disk()
         self.inbox: list[Packet] = []
@@ -242,7 +274,7 @@
     While it holds a lease it acts: it looks at its lease, and a while later its effect is on its way.
     """
 
-    def __init__(self, simulation: Simulation, name: str, clock_rate: float, is_preferred: bool) -> None:
+    def __init__(self, simulation: HostEnvironment, name: str, clock_rate: float, is_preferred: bool) -> None:
         super().__init__(simulation, name, clock_rate)
         self.is_preferred = is_preferred
         self.start()
