--- a/pathsaddle/consensus/campaign.py
+++ b/pathsaddle/consensus/campaign.py
@@ -43,6 +43,7 @@
 MAX_PHASE_SENDS = 4  # how often a phase of a ballot is sent before the ballot is given up
 RELEASE_SENDS = 2  # further times that a release is sent: a datagram may be lost
 MAX_BACKOFF_DOUBLINGS = 12  # beyond it the lease bounds the backoff anyway
+EARLY_RENEWAL_PART = 12  # of a lease: renewals due within it go together with those that are due
 RENEWAL_PART = 3  # a lease is renewed after a third of it, so that a renewal may be lost and repeated
 # Whoever is not preferred, or holds much already, comes later, by eighths of the span.
 PREFERENCE_SPAN_PART = 8
@@ -180,7 +181,7 @@
 
     def is_early_renewal(self, now: Ticks) -> bool:
         """Whether the lease can be renewed a little early, together with others that are due."""
-        early = now + self._shared.lease_ticks // 12
+        early = now + self._shared.lease_ticks // EARLY_RENEWAL_PART
         return self.next_wakeup <= early and self.proposer.phase == Phase.CHOSEN and not self._phase_sends
 
     def _repeat_release(self, pending: PendingRelease, now: Ticks) -> None:
@@ -196,7 +197,7 @@
 
     def _renew(self, now: Ticks) -> None:
         proposer = self.proposer
-        if now < self._renewal_time(proposer) - self._shared.lease_ticks // 12:
+        if now < self._renewal_time(proposer) - self._shared.lease_ticks // EARLY_RENEWAL_PART:
             self.next_wakeup = min(self._renewal_time(proposer), proposer.lease_end)
             return
         self._repeat(now, min(now + self._shared.retry_ticks, proposer.lease_end))
--- a/tests/test_consensus_processes.py
+++ b/tests/test_consensus_processes.py
@@ -1,5 +1,6 @@
-"""Voters and candidates as real processes: kill -9, SIGSTOP, relays cut, disks lost and exchanged;
-the judge reads their logs.
+"""Acceptors and members as real processes: kill -9, SIGSTOP, relays cut, disks lost and exchanged.
+
+The invariant checkers read their logs.
 """
 
 import asyncio
@@ -53,33 +54,37 @@
 
 
 class Fleet:
-    """Three voters, others that stand for the key `k`; what they send one another passes through relays."""
+    """Three acceptors, and members that campaign for the key `k`; relays carry what they send one another."""
 
-    def __init__(self, case, folder, members=3):
-        self.case, self.folder = case, Path(folder)
+    def __init__(self, case, directory, members=3):
+        self.case, self.directory = case, Path(directory)
         self.names = ["v0", "v1", "v2", *(f"m{i}" for i in range(members))]
         ports = udp_places(2 * len(self.names))
-        self.own = dict(zip(self.names, ports[::2], strict=True))
-        self.ours = dict(zip(self.names, ports[1::2], strict=True))
+        self.addresses = dict(zip(self.names, ports[::2], strict=True))
+        self.relayed_addresses = dict(zip(self.names, ports[1::2], strict=True))
         self.air = Air(Random(1), lambda one, other: 0.0)
         self.relays = Relays(
-            self.now, self.air, {name: (self.own[name], self.ours[name]) for name in self.names}
+            self.now,
+            self.air,
+            {name: (self.addresses[name], self.relayed_addresses[name]) for name in self.names},
         )
-        self.processes, self.files, self.events, self.heard = {}, [], [], {}
-        self.fence, self.lives = Fence(), 0
+        self.processes, self.files, self.events, self.last_effects = {}, [], [], {}
+        self.fence, self.starts = Fence(), 0
         self.store = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.store.setblocking(False)
         self.store.bind(("127.0.0.1", 0))
-        asyncio.get_running_loop().add_reader(self.store.fileno(), self.comes)
+        asyncio.get_running_loop().add_reader(self.store.fileno(), self.receive_effects)
         for name in self.names:
-            (self.folder / name).mkdir()
-            voters = "\n".join(f'{voter} = "{self.ours[voter]}"' for voter in self.names[:3])
-            self.charter(name).write_text(
+            (self.directory / name).mkdir()
+            voters = "\n".join(
+                f'{acceptor} = "{self.relayed_addresses[acceptor]}"' for acceptor in self.names[:3]
+            )
+            self.config_file(name).write_text(
                 CHARTER.format(
                     fleet=udp_places(1)[0],
                     name=name,
-                    own=self.own[name],
-                    folder=self.folder / name,
+                    own=self.addresses[name],
+                    folder=self.directory / name,
                     voters=voters,
                     keys='"k"' if name[0] == "m" else "",
                 )
@@ -88,13 +93,13 @@
     def now(self):
         return monotonic_ticks()
 
-    def charter(self, name):
-        return self.folder / f"{name}.toml"
+    def config_file(self, name):
+        return self.directory / f"{name}.toml"
 
-    def comes(self):
+    def receive_effects(self):
         try:
             while True:
-                key, number, by, one = self.store.recv(200).decode().split()
+                key, number, by, effect_id = self.store.recv(200).decode().split()
                 is_admitted = self.fence.admit(key, int(number)).is_admitted
                 self.events.append(
                     Event(
@@ -106,22 +111,22 @@
                             "number": int(number),
                             "by": by,
                             "taken": is_admitted,
-                            "id": one,
+                            "id": effect_id,
                         },
                     )
                 )
                 if is_admitted:
-                    self.heard[by] = monotonic_ticks()
+                    self.last_effects[by] = monotonic_ticks()
         except OSError:
             pass
 
-    def run(self, *words):
-        with (self.folder / "said").open("ab") as said:
+    def run(self, *arguments):
+        with (self.directory / "stderr").open("ab") as stderr:
             process = subprocess.Popen(
-                [sys.executable, "-m", *words],
+                [sys.executable, "-m", *arguments],
                 cwd=ROOT,
                 stdout=subprocess.DEVNULL,
-                stderr=said,
+                stderr=stderr,
                 start_new_session=True,
             )
 
@@ -133,18 +138,18 @@
         self.case.addCleanup(end)
         return process
 
-    def found(self):
+    def found_registers(self):
         for process in [
-            self.run("pathsaddle.ownership", "found", str(self.charter(name))) for name in self.names[:3]
+            self.run("pathsaddle.ownership", "found", str(self.config_file(name))) for name in self.names[:3]
         ]:
             self.case.assertEqual(process.wait(30), 0)
 
-    def begin(self, name):
-        self.lives += 1
-        self.files.append(self.folder / f"{name}.{self.lives}.events")
+    def start(self, name):
+        self.starts += 1
+        self.files.append(self.directory / f"{name}.{self.starts}.events")
         self.processes[name] = self.run(
             "pathsaddle.emulator.ownership.process",
-            str(self.charter(name)),
+            str(self.config_file(name)),
             str(self.files[-1]),
             "{}:{}".format(*self.store.getsockname()),
         )
@@ -156,37 +161,37 @@
             self.processes[name].wait()
             self.events.append(Event(monotonic_ticks(), "member.ended", {"who": name, "why": "killed"}))
 
-    async def until(self, holds, what):
+    async def wait_until(self, condition, what):
         by = time.monotonic() + 30
-        while not (found := holds()):
+        while not (result := condition()):
             if time.monotonic() > by:
-                self.case.fail(f"{what}: not within 30 s; " + (self.folder / "said").read_text()[-3000:])
+                self.case.fail(f"{what}: not within 30 s; " + (self.directory / "stderr").read_text()[-3000:])
             await asyncio.sleep(0.02)
-        return found
+        return result
 
-    async def owner(self, *others):
-        """Whoever has effect from now on, and is none of `others`."""
+    async def lease_holder(self, *others):
+        """Return who has effect from now on, and is none of `others`."""
         since = monotonic_ticks()
-        return await self.until(
+        return await self.wait_until(
             lambda: next(
-                (by for by, at in sorted(self.heard.items()) if at > since and by not in others), ""
+                (by for by, at in sorted(self.last_effects.items()) if at > since and by not in others), ""
             ),
-            f"an owner that is none of {others}",
+            f"a lease holder that is none of {others}",
         )
 
-    def told(self, word):
-        return (self.folder / "said").read_text().count(f'"event": "{word}"')
+    def count_logged(self, event):
+        return (self.directory / "stderr").read_text().count(f'"event": "{event}"')
 
-    def cut(self, one, others, oneway=False):
-        blight = Blight(frozenset(one), frozenset(others), oneway=oneway, lost=1.0)
+    def cut(self, cut_off, others, oneway=False):
+        blight = Blight(frozenset(cut_off), frozenset(others), oneway=oneway, lost=1.0)
         self.air.blights[blight] = None
         return blight
 
     async def end(self):
-        """All are told to end; what their logs say when they have."""
+        """End all processes, check their logs, and return the history."""
         for process in self.processes.values():
             process.send_signal(signal.SIGTERM)
-        await self.until(
+        await self.wait_until(
             lambda: all(process.poll() is not None for process in self.processes.values()), "all end"
         )
         self.relays.end()
@@ -200,7 +205,7 @@
             sum(1 for event in history if event.what == "reg.end" and event.more["outcome"] == "ok"), 20
         )
         self.case.assertGreater(verdict.effects, 100)
-        self.case.assertNotIn("fault-ownership", (self.folder / "said").read_text())
+        self.case.assertNotIn("fault-ownership", (self.directory / "stderr").read_text())
         return history
 
     def history(self):
@@ -211,97 +216,103 @@
                     rows.append(msgspec.json.decode(line, type=Event))
                 except msgspec.DecodeError:
                     pass  # the last of one that was killed
-        # Of one tick: who got a number wrote that before it acted, whatever receiver's line was read first.
+        # Of one tick: who got a fencing token wrote that before it acted, whatever line was read first.
         return sorted(rows, key=lambda event: (event.at, event.what == "effect"))
 
 
 class ConsensusProcessTest(unittest.TestCase):
-    def test_owners_stopped_killed_cut_off_and_sent_home_and_voters_whose_disks_are_gone(self):
-        with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(self.story(folder))
+    def test_lease_holders_paused_killed_cut_off_and_terminated_and_acceptors_with_lost_disks(self):
+        with tempfile.TemporaryDirectory() as directory:
+            asyncio.run(self.run_all_faults(directory))
 
-    async def story(self, folder):
-        fleet = Fleet(self, folder)
-        fleet.found()
+    async def run_all_faults(self, directory):
+        fleet = Fleet(self, directory)
+        fleet.found_registers()
         for name in fleet.names:
-            fleet.begin(name)
-        first = await fleet.owner()
+            fleet.start(name)
+        first = await fleet.lease_holder()
 
         # Stopped for longer than lease and takeover, then it goes on.
         fleet.processes[first].send_signal(signal.SIGSTOP)
-        second = await fleet.owner(first)
+        second = await fleet.lease_holder(first)
         fleet.processes[first].send_signal(signal.SIGCONT)
 
-        # The next is cut off: what it says to voters is lost, what they say to it comes.
+        # The next is cut off: what it sends to acceptors is lost, what they send to it arrives.
         blight = fleet.cut([second], fleet.names[:3], oneway=True)
-        third = await fleet.owner(second)
+        third = await fleet.lease_holder(second)
         fleet.air.blights.pop(blight)
 
         # Killed, and back under its name at once.
         fleet.kill(third)
-        await fleet.owner(third)
-        fleet.begin(third)
+        await fleet.lease_holder(third)
+        fleet.start(third)
 
-        # A voter back on an empty disk is let in; then it is needed for a majority.
-        shutil.copytree(fleet.folder / "v2", fleet.folder / "copy")
-        outs, ins = fleet.told("voter-out"), fleet.told("voter-in")
+        # An acceptor back on an empty disk rejoins; then it is needed for a majority.
+        shutil.copytree(fleet.directory / "v2", fleet.directory / "copy")
+        left, rejoined = fleet.count_logged("voter-out"), fleet.count_logged("voter-in")
         fleet.kill("v0")
-        shutil.rmtree(fleet.folder / "v0")
-        (fleet.folder / "v0").mkdir()
-        fleet.begin("v0")
-        await fleet.until(lambda: fleet.told("voter-in") > ins, "the empty voter is let in")
-        self.assertGreater(fleet.told("voter-out"), outs)
+        shutil.rmtree(fleet.directory / "v0")
+        (fleet.directory / "v0").mkdir()
+        fleet.start("v0")
+        await fleet.wait_until(
+            lambda: fleet.count_logged("voter-in") > rejoined, "the empty acceptor rejoins"
+        )
+        self.assertGreater(fleet.count_logged("voter-out"), left)
         fleet.kill("v1")
-        await fleet.owner()
-        fleet.begin("v1")
+        await fleet.lease_holder()
+        fleet.start("v1")
 
         # One back on an old disk, which is a copy.
-        await fleet.until(lambda: fleet.told("voter-in") > ins + 1, "the killed voter is back")
-        outs, ins = fleet.told("voter-out"), fleet.told("voter-in")
+        await fleet.wait_until(
+            lambda: fleet.count_logged("voter-in") > rejoined + 1, "the killed acceptor is back"
+        )
+        left, rejoined = fleet.count_logged("voter-out"), fleet.count_logged("voter-in")
         fleet.kill("v2")
-        shutil.rmtree(fleet.folder / "v2")
-        shutil.copytree(fleet.folder / "copy", fleet.folder / "v2")
-        fleet.begin("v2")
-        await fleet.until(lambda: fleet.told("voter-in") > ins, "the voter with an old disk is let in")
-        self.assertGreater(fleet.told("voter-out"), outs)
+        shutil.rmtree(fleet.directory / "v2")
+        shutil.copytree(fleet.directory / "copy", fleet.directory / "v2")
+        fleet.start("v2")
+        await fleet.wait_until(
+            lambda: fleet.count_logged("voter-in") > rejoined, "the acceptor with an old disk rejoins"
+        )
+        self.assertGreater(fleet.count_logged("voter-out"), left)
 
-        # All voters at once; their disks are whole.
+        # All acceptors at once; their disks are intact.
         fleet.kill(*fleet.names[:3])
         for name in fleet.names[:3]:
-            fleet.begin(name)
-        last = await fleet.owner()
+            fleet.start(name)
+        last = await fleet.lease_holder()
 
         # SIGTERM: the next has it at once, not after the lease's end.
-        asked = monotonic_ticks()
+        terminated_at = monotonic_ticks()
         fleet.processes[last].send_signal(signal.SIGTERM)
-        await fleet.owner(last)
-        self.assertLess(monotonic_ticks() - asked, 5 * SECOND)
-        given = [
+        await fleet.lease_holder(last)
+        self.assertLess(monotonic_ticks() - terminated_at, 5 * SECOND)
+        released = [
             event
             for event in fleet.history()
             if event.what == "lease.end" and event.more["who"] == last and event.more["why"] == "stopping"
         ]
-        self.assertEqual(len(given), 1)
+        self.assertEqual(len(released), 1)
 
         history = await fleet.end()
         self.assertGreaterEqual(judge(history).owners, 5)
 
-    def test_seven_processes_under_random_stops_cuts_and_kills(self):
-        with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(self.random(folder, Random(20)))
+    def test_seven_processes_under_random_pauses_cuts_and_kills(self):
+        with tempfile.TemporaryDirectory() as directory:
+            asyncio.run(self.run_random_faults(directory, Random(20)))
 
-    async def random(self, folder, chance):
-        fleet = Fleet(self, folder, members=4)
-        fleet.found()
+    async def run_random_faults(self, directory, rng):
+        fleet = Fleet(self, directory, members=4)
+        fleet.found_registers()
         for name in fleet.names:
-            fleet.begin(name)
-        await fleet.owner()
+            fleet.start(name)
+        await fleet.lease_holder()
         end = time.monotonic() + SECONDS
         while time.monotonic() < end:
-            kind, name = chance.choice(("stop", "stop", "cut", "oneway", "kill")), chance.choice(fleet.names)
-            if kind != "cut" and chance.random() < 0.5:  # the owner, if there is one
-                name = max(fleet.heard, key=lambda by: fleet.heard[by])
-            span = chance.uniform(0.2, 2.0)
+            kind, name = rng.choice(("stop", "stop", "cut", "oneway", "kill")), rng.choice(fleet.names)
+            if kind != "cut" and rng.random() < 0.5:  # the lease holder, if there is one
+                name = max(fleet.last_effects, key=lambda by: fleet.last_effects[by])
+            span = rng.uniform(0.2, 2.0)
             if kind == "stop":
                 fleet.processes[name].send_signal(signal.SIGSTOP)
                 await asyncio.sleep(span)
@@ -309,21 +320,19 @@
             elif kind == "kill":
                 fleet.kill(name)
                 await asyncio.sleep(span / 4)
-                fleet.begin(name)
+                fleet.start(name)
             else:
-                others = chance.sample(
-                    [other for other in fleet.names if other != name], chance.randrange(1, 7)
-                )
+                others = rng.sample([other for other in fleet.names if other != name], rng.randrange(1, 7))
                 blight = fleet.cut([name], others, oneway=kind == "oneway")
                 await asyncio.sleep(span)
                 fleet.air.blights.pop(blight)
-            await asyncio.sleep(chance.uniform(0, 0.3))
-        await fleet.owner()
+            await asyncio.sleep(rng.uniform(0, 0.3))
+        await fleet.lease_holder()
         history = await fleet.end()
         self.assertGreater(judge(history).owners, 3)
 
-    def test_dispatchers_that_vote_and_stand_themselves_have_one_owner_and_the_next_at_sigterm(self):
-        with tempfile.TemporaryDirectory() as folder:
+    def test_dispatchers_that_are_acceptors_and_campaign_have_one_lease_holder_and_the_next_at_sigterm(self):
+        with tempfile.TemporaryDirectory() as directory:
             names = ["v0", "v1", "v2"]
             own = dict(zip(names, udp_places(3), strict=True))
             rows = "\n".join(f'{name} = "{address}"' for name, address in own.items())
@@ -336,14 +345,14 @@
 
             self.addCleanup(end)
             for name in names:
-                (Path(folder) / name).mkdir()
-                path = Path(folder) / f"{name}.toml"
+                (Path(directory) / name).mkdir()
+                path = Path(directory) / f"{name}.toml"
                 path.write_text(
                     CHARTER.format(
                         fleet=udp_places(1)[0],
                         name=name,
                         own=own[name],
-                        folder=Path(folder) / name,
+                        folder=Path(directory) / name,
                         voters=rows,
                         keys='"k"',
                     )
@@ -351,55 +360,60 @@
                 subprocess.run(
                     [sys.executable, "-m", "pathsaddle.ownership", "found", str(path)], cwd=ROOT, check=True
                 )
-                with (Path(folder) / name / "said").open("wb") as said:
+                with (Path(directory) / name / "stderr").open("wb") as output:
                     processes[name] = subprocess.Popen(
                         [sys.executable, "-m", "pathsaddle", "serve", str(path)],
                         cwd=ROOT,
-                        stdout=said,
+                        stdout=output,
                         stderr=subprocess.STDOUT,
                     )
 
-            def owners():
+            def logged_owners():
                 return [
                     (name, line)
                     for name in names
-                    for line in (Path(folder) / name / "said").read_text().splitlines()
+                    for line in (Path(directory) / name / "stderr").read_text().splitlines()
                     if '"event": "owner"' in line
                 ]
 
             async def until(count):
                 async with asyncio.timeout(30):
-                    while len(owners()) < count:
+                    while len(logged_owners()) < count:
                         await asyncio.sleep(0.02)
 
             asyncio.run(until(1))
-            ((first, line),) = owners()
+            ((first, line),) = logged_owners()
             self.assertIn('"number": 1', line)
             processes[first].send_signal(signal.SIGTERM)
             asyncio.run(until(2))
             self.assertEqual(
                 [
                     (name != first, '"number": 2' in line)
-                    for name, line in owners()
+                    for name, line in logged_owners()
                     if '"number": 1' not in line
                 ],
                 [(True, True)],
             )
 
-    def test_a_voter_of_other_voters_and_a_second_founding_are_refused_with_what_to_do(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "charter.toml"
+    def test_another_set_of_acceptors_and_a_second_founding_are_refused_with_what_to_do(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = Path(directory) / "charter.toml"
             voters = {name: address for name, address in zip("abc", udp_places(3), strict=True)}
 
-            def ends(word, **names):
+            def run_command(command, **names):
                 rows = "\n".join(f'{name} = "{address}"' for name, address in names.items())
                 path.write_text(
                     CHARTER.format(
-                        fleet=udp_places(1)[0], name="a", own=voters["a"], folder=folder, voters=rows, keys=""
+                        fleet=udp_places(1)[0],
+                        name="a",
+                        own=voters["a"],
+                        folder=directory,
+                        voters=rows,
+                        keys="",
                     )
                 )
                 done = subprocess.run(
-                    [sys.executable, "-m", "pathsaddle.ownership", word, str(path)],
+                    [sys.executable, "-m", "pathsaddle.ownership", command, str(path)],
                     cwd=ROOT,
                     capture_output=True,
                     text=True,
@@ -408,13 +422,13 @@
                 )
                 return done.returncode, done.stderr
 
-            self.assertEqual(ends("found", **voters), (0, ""))
-            code, said = ends("found", **voters)
+            self.assertEqual(run_command("found", **voters), (0, ""))
+            code, stderr = run_command("found", **voters)
             self.assertEqual(code, 2)
-            self.assertIn("ownership.founded", said)
+            self.assertIn("ownership.founded", stderr)
             changed = {"a": voters["a"], "b": voters["b"], "d": voters["c"]}
-            code, said = ends("serve", **changed)
+            code, stderr = run_command("serve", **changed)
             self.assertEqual(code, 2)
-            self.assertIn("write the same names at fleet.owners.voters", said)
-            code, said = ends("serve", a=voters["a"])
-            self.assertIn("3 or 5 may", said)
+            self.assertIn("write the same names at fleet.owners.voters", stderr)
+            code, stderr = run_command("serve", a=voters["a"])
+            self.assertIn("3 or 5 may", stderr)
