--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -24,7 +24,7 @@
 from pathsaddle.placement.invariants import find_violations
 from pathsaddle.placement.inventory import UnitState
 from pathsaddle.placement.ledger_file import create_ledger
-from tests.test_ownership_processes import CHARTER
+from tests.test_consensus_processes import CHARTER
 from tests.test_placement_processes import Hands, Planner, inventory
 
 ROOT = Path(__file__).resolve().parent.parent
