--- a/pathsaddle/emulator/hollow/members.py
+++ b/pathsaddle/emulator/hollow/members.py
@@ -50,7 +50,7 @@
     "records_kept": ("count", "carried records that a hollow member keeps, on the mean (emulated)"),
     "held_back_s": (
         "1/s",
-        "datagrams that a member's rate_limiter refused, over the whole play, mean (hollow, emulated)",
+        "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)",
     ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran (hollow, emulated)"),
 } | peak_figures({"deaths": "a few are killed, two seconds apart, until all know"})
--- a/pathsaddle/emulator/hollow/members_load.py
+++ b/pathsaddle/emulator/hollow/members_load.py
@@ -39,7 +39,7 @@
     ),
     "held_back_s": (
         "1/s",
-        "datagrams that a member's rate_limiter refused while all tell, on the mean (hollow, emulated)",
+        "datagrams that a member's purse refused while all tell, on the mean (hollow, emulated)",
     ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran (hollow, emulated)"),
 } | peak_figures({"load": "each tells a load record at the pace of the overload gate's driver"})
--- a/pathsaddle/emulator/hollow/members_peaks.py
+++ b/pathsaddle/emulator/hollow/members_peaks.py
@@ -33,7 +33,7 @@
     "region_known_s": ("s", "from the end of a region's minute apart until all know all (hollow, emulated)"),
     "held_back_s": (
         "1/s",
-        "datagrams that a member's rate_limiter refused, over the whole play, mean (hollow, emulated)",
+        "datagrams that a member's purse refused, over the whole play, mean (hollow, emulated)",
     ),
     "wrong_deaths": ("count", "judgements `dead` of members that ran, but for the region apart (emulated)"),
 } | peak_figures(
--- a/pathsaddle/emulator/settings/history.py
+++ b/pathsaddle/emulator/settings/history.py
@@ -34,7 +34,9 @@
         calls += 1
         begun[digest] = None
         group, op = world.groups[digest], f"{who}/{calls}"
-        puts = {put.key: None if put.value is None else msgspec.json.decode(put.value) for put in group.changes}
+        puts = {
+            put.key: None if put.value is None else msgspec.json.decode(put.value) for put in group.changes
+        }
         says(
             at,
             "settings.call",
--- a/pathsaddle/emulator/settings/judge.py
+++ b/pathsaddle/emulator/settings/judge.py
@@ -113,7 +113,7 @@
                 ]
                 if not any(permits(key, used, one) for one in (value_at(key, force), *later)):
                     finds("in-force", event.at, f"{who}: {key} {used!r}, which {force}, in force, forbids")
-        elif event.what == "rate_limiter":
+        elif event.what == "purse":
             if more["worst"] > more["most"]:
                 finds(
                     "bytes",
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -569,7 +569,7 @@
         )
         for name, process in self.processes.items():
             self.log(
-                "rate_limiter",
+                "purse",
                 name=name,
                 most=self.plan.keeper_bytes if process.keeper else self.plan.bytes,
                 worst=worst(process.sent),
--- a/tests/data/write_consensus.py
+++ b/tests/data/write_consensus.py
@@ -45,7 +45,14 @@
 
 def datagrams() -> dict[str, list[str]]:
     said = forms.Said("fleet", forms.group_of(VOTERS), "m", "a", 3, [1, 2, 1 << 50], [])
-    written = {name: [forms.encode(forms.Said(*(getattr(said, field) for field in said.__struct_fields__[:-1]), [m]), KEY).hex()] for name, m in MESSAGES.items()}
+    written = {
+        name: [
+            forms.encode(
+                forms.Said(*(getattr(said, field) for field in said.__struct_fields__[:-1]), [m]), KEY
+            ).hex()
+        ]
+        for name, m in MESSAGES.items()
+    }
     written["all, thrice"] = [data.hex() for data in forms.packed(said, [*MESSAGES.values()] * 3, KEY)]
     return written
 
@@ -69,7 +76,10 @@
 def control_answers(folder: Path) -> dict[str, object]:
     log.found(folder, "a", ("a",))
     told = driver.Told("a", "fleet", KEY, {"a": "127.0.0.1:9"}, "127.0.0.1:0", folder, 30_000)
-    with mock.patch.object(driver, "steady", return_value=NOW), mock.patch.object(driver, "life_of", return_value=1234):
+    with (
+        mock.patch.object(driver, "steady", return_value=NOW),
+        mock.patch.object(driver, "life_of", return_value=1234),
+    ):
         register = driver.Register(told, Machine(), Random(1), Counters())
         answers: dict[str, object] = {"at start": register.view()}
         register.owner.stand("key", NOW)
@@ -97,13 +107,19 @@
 def event_digests() -> dict[str, str]:
     """Each seed's whole history: draws, order of events and moments."""
     return {
-        f"seed {seed}, {members} members, {voters} voters, {keys} keys": troubled(seed, members, 20, 5, voters, keys).events.digest()
+        f"seed {seed}, {members} members, {voters} voters, {keys} keys": troubled(
+            seed, members, 20, 5, voters, keys
+        ).events.digest()
         for seed, members, voters, keys in ((1, 5, 3, 1), (2, 5, 3, 2), (3, 5, 5, 1), (4, 12, 3, 3))
     }
 
 
 def main() -> None:
-    with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as two, tempfile.TemporaryDirectory() as three:
+    with (
+        tempfile.TemporaryDirectory() as one,
+        tempfile.TemporaryDirectory() as two,
+        tempfile.TemporaryDirectory() as three,
+    ):
         written = {
             "commit": "f469a1f",
             "datagrams": datagrams(),
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -840,7 +840,9 @@
             self.fellows.begin()
             self.assertIn("tried again", str((await self.logged())["then"]))
             self.fellows.timer.schedule(0)  # as datagrams in a burst would
-            self.assertGreaterEqual(self.fellows.timer.due_at, begun + self.fellows.told.options.probe_interval)
+            self.assertGreaterEqual(
+                self.fellows.timer.due_at, begun + self.fellows.told.options.probe_interval
+            )
             await asyncio.wait_for(woke.wait(), 10.0)
         self.assertEqual((self.fellows.ended, self.unheard), ("", []))
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -255,7 +255,7 @@
         driver = ConfigServerDriver(self.config("k", "keepers"), voters, Random(1), self.log)
         self.addCleanup(driver.directory.close)
         self.addCleanup(driver.sock.close)
-        self.addCleanup(driver.register.sock.close)
+        self.addCleanup(driver.register.channel.close)
         driver.core.on_message(SyncRequest("m", 7, 2, 2, digest_of(TWO)), 20_000_000)
         self.assertEqual(self.answers(driver, SERVER_REQUESTS), GOLDEN["control"]["server"])
         driver.logged_revision = 0
@@ -271,7 +271,7 @@
             for seed in range(seeds):
                 with self.subTest(name, seed=seed):
                     world = World(Plan(**fields), seed).run()
-                    rows = [row for row in world.events.rows if row.what != "rate_limiter"]
+                    rows = [row for row in world.events.rows if row.what != "purse"]
                     digest = hashlib.blake2b(digest_size=12)
                     for row in rows:
                         digest.update(msgspec.json.encode(row))
