--- a/pathsaddle/emulator/hollow/budgets.py
+++ b/pathsaddle/emulator/hollow/budgets.py
@@ -171,7 +171,7 @@
         "take_us": 1e6
         * taking
         / sum(
-            budget.taken + budget.refused
+            budget.acquired_units + budget.refused_units
             for core in cores.values()
             for budget in core.limiter.budgets.values()
         )
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -306,9 +306,9 @@
             return
         now = place.clock()
         mine = shared.carry.mine
-        if (mine.life, mine.seen) != place.put and mine.seen:
-            place.put = mine.life, mine.seen
-            self.log("state.put", who=place.name, life=mine.life, version=mine.seen)
+        if (mine.incarnation, mine.complete_up_to) != place.put and mine.complete_up_to:
+            place.put = mine.incarnation, mine.complete_up_to
+            self.log("state.put", who=place.name, life=mine.incarnation, version=mine.complete_up_to)
         shared.say(now)
         for address, data in shared.out:
             self.send(place, int(address[1:]), data)
@@ -333,8 +333,8 @@
         if usable != place.rights:
             place.rights = usable
             self.log("share.rights", who=place.name, budget=BUDGET, units=usable)
-        changes = [loan.until for loan in state.lent] + [row[3].until for row in state.held]
-        changes.append(state.started_at + state._surely())
+        changes = [lease.until for lease in state.lent] + [lease.until for lease in state.held]
+        changes.append(state.earlier_leases_end())
         later = [until for until in changes if until > now]
         if later:
             when = place.moment(min(later))
@@ -482,7 +482,7 @@
                         version=shown.version,
                         least=shown.least,
                         most=shown.most,
-                        sure=shown.sure,
+                        sure=shown.confirmed_ago_ticks,
                     )
 
     def run(self) -> Events:
--- a/pathsaddle/emulator/state/mutants.py
+++ b/pathsaddle/emulator/state/mutants.py
@@ -10,88 +10,86 @@
 from pathsaddle.emulator.state.ground import Ground, varied
 from pathsaddle.emulator.state.judge import judge
 from pathsaddle.fleet.gossip.gossip import Gossip
-from pathsaddle.fleet.quota import leases, quota_limiter
-from pathsaddle.fleet.quota.leases import Grant, Lease, QuotaLedger, Release
-from pathsaddle.fleet.quota.quota_limiter import QuotaBudget, QuotaLimiter
+from pathsaddle.fleet.gossip.messages import DigestEntry
+from pathsaddle.fleet.gossip.records import MemberRecords, RecordStore
+from pathsaddle.fleet.quota import exchange, leases
+from pathsaddle.fleet.quota.leases import Grant, QuotaLedger, Release, ReleaseOutcome
+from pathsaddle.fleet.quota.local_quota import LocalQuota
+from pathsaddle.fleet.quota.quota_limiter import QuotaLimiter
 from pathsaddle.fleet.rate_limiter import SECOND
 
-_lent_by, _own, _asked, _fallback, _take, _life, _claimed, _row, _returns, _fall, _ended = (
+_lent_by, _asked, _check_isolation, _digest_entry = (
     QuotaLedger.lent_by,
-    QuotaLedger.own,
     QuotaLimiter.asked,
-    QuotaLimiter._fallback,
-    Gossip._take,
-    Gossip._life,
-    Gossip.on_new_incarnation,
-    Gossip._row,
-    QuotaLedger.returns,
-    QuotaLimiter._fallback,
-    Gossip.on_member_left,
+    QuotaLimiter._check_isolation,
+    RecordStore.digest_entry,
 )
 
 
-def _by_arrival(self: QuotaLedger, lend: Grant, now: int) -> QuotaLedger:
-    after = _lent_by(self, lend, now)
+def _by_arrival(self: QuotaLedger, grant: Grant, now: int) -> QuotaLedger:
+    after = _lent_by(self, grant, now)
     return replace(
         after,
         held=tuple(
-            (*row[:3], Lease(row[3].units, now + self.lease)) if row not in self.held else row
-            for row in after.held
+            replace(lease, until=now + self.lease_ticks) if lease not in self.held else lease
+            for lease in after.held
         ),
     )
 
 
-def _twice(self: QuotaLedger, lend: Grant, now: int) -> QuotaLedger:
-    """The asking stays open, and what it brought is not looked for."""
-    after = _lent_by(self, lend, now)
-    return replace(after, open=self.open)
+def _twice(self: QuotaLedger, grant: Grant, now: int) -> QuotaLedger:
+    """The request stays pending, and what it brought is not looked for."""
+    after = _lent_by(self, grant, now)
+    return replace(after, pending=self.pending)
 
 
-def _new_life_forgets(self: QuotaLedger, now: int) -> int:
-    return self.part - sum(loan.units for loan in self.lent if now < loan.until)
+def _new_incarnation_forgets(self: QuotaLedger, now: int) -> int:
+    return self.part - sum(lease.units for lease in self.lent if now < lease.until)
 
 
-def _forgets(self: QuotaLimiter, one: QuotaBudget, now: int) -> None:
-    """Takes silence for the end of what it lent."""
-    _fallback(self, one, now)
-    if now - self.heard_at > one.dealt.lease // 4:
-        one.state = replace(one.state, lent=())
+def _forgets(self: QuotaLimiter, quota: LocalQuota, now: int) -> None:
+    """Takes silence for the end of what it granted."""
+    _check_isolation(self, quota, now)
+    if now - self.heard_at > quota.dealt.lease // 4:
+        quota.state = replace(quota.state, lent=())
 
 
-def _all_lives(self: Gossip, name: str, life: int) -> None:
-    """What an older life put is let stand."""
-    self.lives[name] = max(life, self.lives.get(name, 0))
+def _all_incarnations(self: RecordStore, name: str, incarnation: int) -> None:
+    """What an older incarnation put is let stand."""
+    self.incarnations[name] = max(incarnation, self.incarnations.get(name, 0))
 
 
-def _no_end(self: Gossip, name: str, life: int) -> None:
+def _no_end(self: Gossip, name: str, incarnation: int) -> None:
     self.peers.pop(name, None)
 
 
-def _used_before(self: QuotaLimiter, budget: str, want: Any, now: int) -> None:
-    """Lends also what it used within the last window."""
-    one = self.budgets[budget]
-    kept, one.sum, one.need = one.sum, 0, 0
-    _asked(self, budget, want, now)
-    one.sum = kept
+def _used_before(self: QuotaLimiter, quota_name: str, request: Any, now: int) -> None:
+    """Grants also what it used within the last window."""
+    quota = self.budgets[quota_name]
+    used, quota.used, quota.demand = quota.used, 0, 0
+    _asked(self, quota_name, request, now)
+    quota.used = used
 
 
-def _by_the_border(self: QuotaLimiter, one: QuotaBudget, now: int) -> None:
+def _by_the_border(self: LocalQuota, now: int) -> None:
     """Counts from the last whole second, not from a second ago."""
-    while one.spent and one.spent[0][0] < now // SECOND * SECOND:
-        one.sum -= one.spent.popleft()[1]
-    while one.wants and one.wants[0][0] <= now - self.window:
-        one.wants.popleft()
+    while self.uses and self.uses[0].at < now // SECOND * SECOND:
+        self.used -= self.uses.popleft().units
+    while self.refusals and self.refusals[0].at <= now - self.window_ticks:
+        self.refusals.popleft()
 
 
-def _goes_on(self: QuotaLedger, number: int, now: int) -> tuple[QuotaLedger, Release]:
-    """Gives back what it goes on using."""
-    return self.at(now), Release(self.name, self.life, number)
+def _still_uses(self: QuotaLedger, number: int, now: int) -> ReleaseOutcome:
+    """Releases what it goes on using."""
+    return ReleaseOutcome(self.at(now), Release(self.name, self.incarnation, number))
 
 
-def _sure_by_arrival(self: Gossip, name: str, origin: Any, now: int) -> Any:
+def _sure_by_arrival(self: RecordStore, name: str, member: MemberRecords, now: int) -> DigestEntry:
     """Tells others that all it has was the last just now."""
-    row = _row(self, name, origin, now)
-    return row if origin is self.mine else type(row)(row.name, row.life, row.seen, 0)
+    entry = _digest_entry(self, name, member, now)
+    if member is self.own:
+        return entry
+    return DigestEntry(entry.member, entry.incarnation, entry.complete_up_to, 0)
 
 
 AIMED: dict[str, dict[str, Any]] = {  # plans that come to the point sooner than the usual mix
@@ -128,22 +126,25 @@
 MUTANTS: dict[str, tuple[str, list[tuple[Any, str, Any]]]] = {
     "lease by the taker's arrival": ("rights-over-budget", [(QuotaLedger, "lent_by", _by_arrival)]),
     "transfer credited twice": ("rights-over-budget", [(QuotaLedger, "lent_by", _twice)]),
-    "new life forgets what was lent": ("rights-over-budget", [(QuotaLedger, "own", _new_life_forgets)]),
-    "fallback forgets what was lent": ("rights-over-budget", [(QuotaLimiter, "_fallback", _forgets)]),
+    "new life forgets what was lent": (
+        "rights-over-budget",
+        [(QuotaLedger, "own", _new_incarnation_forgets)],
+    ),
+    "fallback forgets what was lent": ("rights-over-budget", [(QuotaLimiter, "_check_isolation", _forgets)]),
     "owner's lease too short": (
         "rights-over-budget",
-        [(QuotaLedger, "_surely", lambda self: self.lease // 2)],
+        [(QuotaLedger, "certain_lease_ticks", lambda self: self.lease_ticks // 2)],
     ),
-    "given back and used on": ("rights-over-budget", [(QuotaLedger, "returns", _goes_on)]),
+    "given back and used on": ("rights-over-budget", [(QuotaLedger, "release", _still_uses)]),
     "no rest after a lease": (
         "spent-over-budget",
-        [(quota_limiter, "new_ledger", lambda *told: leases.new_ledger(*told[:5]))],
+        [(exchange, "new_ledger", lambda *args: leases.new_ledger(*args[:5]))],
     ),
     "lent though just used": ("spent-over-budget", [(QuotaLimiter, "asked", _used_before)]),
-    "counted by the second's border": ("spent-over-budget", [(QuotaLimiter, "_clear", _by_the_border)]),
-    "an old life's records live on": ("old-life", [(Gossip, "_life", _all_lives)]),
+    "counted by the second's border": ("spent-over-budget", [(LocalQuota, "forget_old", _by_the_border)]),
+    "an old life's records live on": ("old-life", [(RecordStore, "observe_incarnation", _all_incarnations)]),
     "a dead member's records stay": ("old-life", [(Gossip, "on_member_left", _no_end)]),
-    "sure by arrival": ("sure-outside", [(Gossip, "_row", _sure_by_arrival)]),
+    "sure by arrival": ("sure-outside", [(RecordStore, "digest_entry", _sure_by_arrival)]),
 }
 
 
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -72,11 +72,11 @@
             # ends at its time, also while we stand still.
             own, left = state.own(now), state.usable(now)
             steps = []
-            for loan in sorted(
-                (row[3] for row in state.held if row[3].until > now), key=lambda loan: loan.until
+            for lease in sorted(
+                (lease for lease in state.held if lease.until > now), key=lambda lease: lease.until
             ):
-                left -= loan.units
-                steps.append((loan.until - self.base, left))
+                left -= lease.units
+                steps.append((lease.until - self.base, left))
             rights = own, steps
             if rights != self.rights.get(name):
                 self.rights[name] = rights
@@ -121,7 +121,7 @@
                     version=shown.version,
                     least=shown.least,
                     most=shown.most,
-                    sure=shown.sure,
+                    sure=shown.confirmed_ago_ticks,
                 )
 
     async def run(self) -> None:
--- a/pathsaddle/federation/spare_capacity.py
+++ b/pathsaddle/federation/spare_capacity.py
@@ -54,12 +54,12 @@
         """In any second from now on."""
         if now < self.opens:
             return 0
-        held = sum(row[3].units for row in self.shares.held if now + SECOND < row[3].until)
+        held = sum(lease.units for lease in self.shares.held if now + SECOND < lease.until)
         return self.shares.own(now) + held
 
     def until(self, now: int) -> tuple[int, int]:
         """Until when that stands if nothing more is heard, and what stands after."""
-        ends = [row[3].until - SECOND for row in self.shares.held if now + SECOND < row[3].until]
+        ends = [lease.until - SECOND for lease in self.shares.held if now + SECOND < lease.until]
         return (min(ends) if ends else 1 << 60), self.shares.own(now)
 
     def asked(self, scheme: str, rule: Rule, here: str, free: ReleaseNotice, now: int) -> str:
--- a/tests/test_golden_gossip.py
+++ b/tests/test_golden_gossip.py
@@ -7,18 +7,18 @@
 from random import Random
 
 from pathsaddle.fleet.gossip.messages import (
-    Ask,
+    Chunk,
+    ChunkRequest,
     Delta,
     Digest,
+    DigestEntry,
     DigestReply,
+    Dissemination,
+    Envelope,
     GrantMessage,
-    News,
-    Packet,
-    Piece,
     QuotaRequestMessage,
     ReleaseMessage,
-    Row,
-    Told,
+    WireRecord,
     decode,
     encode,
 )
@@ -30,18 +30,18 @@
 SECOND = 10_000
 KEY = b"sixteen bytes or more"
 DOCUMENT = bytes(range(32))
-DELTA = Delta("b", 9, 3, 5, [Told("spare", 5, b"body", 12, 345), Told("level", 4, b"", 0, -1)])
-ROWS = [Row("a", 7, 1, 0), Row("b", 9, 5, 1234), Row("c", 1, 0, -1)]
+DELTA = Delta("b", 9, 3, 5, [WireRecord("spare", 5, b"body", 12, 345), WireRecord("level", 4, b"", 0, -1)])
+ENTRIES = [DigestEntry("a", 7, 1, 0), DigestEntry("b", 9, 5, 1234), DigestEntry("c", 1, 0, -1)]
 MESSAGES = {
-    "news": News([DELTA]),
-    "news, empty": News([]),
-    "digest": Digest(1 << 52, "a", "c", ROWS),
+    "news": Dissemination([DELTA]),
+    "news, empty": Dissemination([]),
+    "digest": Digest(1 << 52, "a", "c", ENTRIES),
     "digest, empty": Digest(0, "", "", []),
-    "digest reply": DigestReply(1 << 52, ROWS, [DELTA], True),
+    "digest reply": DigestReply(1 << 52, ENTRIES, [DELTA], True),
     "digest reply, empty": DigestReply(0, [], [], False),
-    "chunk request": Ask(DOCUMENT, 8, b"\x03\xff"),
-    "chunk request, default": Ask(DOCUMENT, 1),
-    "chunk": Piece(DOCUMENT, 2000, 1, bytes(900)),
+    "chunk request": ChunkRequest(DOCUMENT, 8, b"\x03\xff"),
+    "chunk request, default": ChunkRequest(DOCUMENT, 1),
+    "chunk": Chunk(DOCUMENT, 2000, 1, bytes(900)),
     "quota request": QuotaRequestMessage("gpu", 17, 40, 16),
     "quota request, default": QuotaRequestMessage("gpu", 17, 40),
     "grant": GrantMessage("gpu", 9, 17, 20, 100_000),
@@ -103,21 +103,21 @@
                     cores[address[3:]].on_datagram(data, now)
         if step in (700, 1500, 1900, 2999):
             views.update({f"{name} at {step}": json.dumps(core.view(now)) for name, core in cores.items()})
-    trace.update(json.dumps([core.carry.chance.random() for core in cores.values()]).encode())
+    trace.update(json.dumps([core.carry.rng.random() for core in cores.values()]).encode())
     return trace.hexdigest(), views
 
 
 class GoldenTest(unittest.TestCase):
     def test_each_datagram_decodes_to_the_same_values_and_is_written_with_the_same_bytes(self):
-        packets = {label: [message] for label, message in MESSAGES.items()}
-        packets["all together"] = [message for label, message in MESSAGES.items() if label != "chunk"]
-        self.assertEqual(set(packets), set(GOLDEN["datagrams"]))
-        for label, messages in packets.items():
+        envelopes = {label: [message] for label, message in MESSAGES.items()}
+        envelopes["all together"] = [message for label, message in MESSAGES.items() if label != "chunk"]
+        self.assertEqual(set(envelopes), set(GOLDEN["datagrams"]))
+        for label, messages in envelopes.items():
             with self.subTest(label):
                 data = bytes.fromhex(GOLDEN["datagrams"][label])
-                packet = Packet("f", "a", 7, "b", messages)
-                self.assertEqual(decode(data, KEY, "f"), packet)
-                self.assertEqual(encode(packet, KEY), data)
+                envelope = Envelope("f", "a", 7, "b", messages)
+                self.assertEqual(decode(data, KEY, "f"), envelope)
+                self.assertEqual(encode(envelope, KEY), data)
 
     def test_four_members_exchange_the_same_datagrams_and_answer_with_the_same_json(self):
         trace, views = play()
--- a/tests/test_carry.py
+++ b/tests/test_gossip.py
@@ -1,6 +1,4 @@
-"""Stories of what members share: records and their ages, documents, rights and uses,
-with what is between them broken.
-"""
+"""Gossip and quotas of members: records and their ages, documents, units and uses, under faults of the network."""
 
 import unittest
 from random import Random
@@ -12,8 +10,10 @@
 from pathsaddle.emulator.state.ground import BUDGET, Ground, Plan, varied
 from pathsaddle.emulator.state.judge import judge
 from pathsaddle.fleet.gossip import model_checker
-from pathsaddle.fleet.gossip.gossip import MAX_DIGEST_ROWS, Gossip, Origin
+from pathsaddle.fleet.gossip.anti_entropy import MAX_DIGEST_ENTRIES
+from pathsaddle.fleet.gossip.gossip import Gossip
 from pathsaddle.fleet.gossip.messages import MAX_RECORD_BYTES, Digest, decode
+from pathsaddle.fleet.gossip.records import MemberRecords, RecordStore
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest
 from pathsaddle.fleet.quota.model_checker import InvariantViolationError
 from pathsaddle.fleet.quota.quota_limiter import WINDOW, QuotaConfig, QuotaLimiter
@@ -23,8 +23,8 @@
 KEY = b"sixteen bytes or more"
 
 
-class Few:
-    """Carriers with nothing between them but what a story lets through."""
+class SmallFleet:
+    """Members with nothing between them but what a test lets through."""
 
     def __init__(self, *names, bytes_=24_000):
         self.now = 0
@@ -38,7 +38,7 @@
         self.lost = lambda sender, taker: False
         self.sent = dict.fromkeys(names, 0)
 
-    def plays(self, seconds):
+    def play(self, seconds):
         for _ in range(int(seconds * 50)):
             self.now += SECOND // 50
             for name, one in self.all.items():
@@ -51,107 +51,107 @@
                     if taker in self.all and not self.lost(name, taker):
                         self.all[taker].on_datagram(data, self.now)
 
-    def seen(self, name, topic="t"):
+    def bodies(self, name, topic="t"):
         return {shown.member: shown.body for shown in self.all[name].records(topic, self.now)}
 
 
-class RecordStory(unittest.TestCase):
+class RecordTest(unittest.TestCase):
     def test_a_record_is_known_by_all_and_its_age_is_an_interval_that_holds_the_truth(self):
-        few = Few("a", "b", "c", "d")
-        few.plays(5)
-        few.all["a"].put("t", b"one", few.now)
-        put = few.now
-        few.plays(5)
+        fleet = SmallFleet("a", "b", "c", "d")
+        fleet.play(5)
+        fleet.all["a"].put("t", b"one", fleet.now)
+        put = fleet.now
+        fleet.play(5)
         for name in "bcd":
-            [shown] = few.all[name].records("t", few.now)
+            [shown] = fleet.all[name].records("t", fleet.now)
             self.assertEqual(shown.body, b"one")
-            self.assertLessEqual(shown.least, few.now - put)
+            self.assertLessEqual(shown.least, fleet.now - put)
             self.assertIsNotNone(shown.most)
-            self.assertTrue(few.now - put <= shown.most <= few.now - put + 6 * SECOND, shown)
-            self.assertLess(shown.sure, 5 * SECOND)
-
-    def test_what_only_news_told_has_no_greatest_age_until_somebody_answers_for_it(self):
-        few = Few("a", "b")
-        few.lost = lambda sender, taker: sender == "b"  # b's questions are lost: it only ever hears
-        few.all["a"].put("t", b"one", few.now)
-        few.plays(3)
-        [shown] = few.all["b"].records("t", few.now)
-        self.assertEqual((shown.body, shown.most, shown.sure), (b"one", None, None))
-        few.lost = lambda sender, taker: False
-        few.plays(4)
-        self.assertIsNotNone(few.all["b"].records("t", few.now)[0].sure)
-
-    def test_gaps_are_mended_by_comparing_also_more_than_an_answer_holds(self):
-        few = Few("a", "b", "c")
-        few.lost = lambda sender, taker: "c" in (sender, taker)
+            self.assertTrue(fleet.now - put <= shown.most <= fleet.now - put + 6 * SECOND, shown)
+            self.assertLess(shown.confirmed_ago_ticks, 5 * SECOND)
+
+    def test_a_record_that_was_only_disseminated_has_no_greatest_age_until_somebody_answers_for_it(self):
+        fleet = SmallFleet("a", "b")
+        fleet.lost = lambda sender, taker: sender == "b"  # b's questions are lost: it only ever hears
+        fleet.all["a"].put("t", b"one", fleet.now)
+        fleet.play(3)
+        [shown] = fleet.all["b"].records("t", fleet.now)
+        self.assertEqual((shown.body, shown.most, shown.confirmed_ago_ticks), (b"one", None, None))
+        fleet.lost = lambda sender, taker: False
+        fleet.play(4)
+        self.assertIsNotNone(fleet.all["b"].records("t", fleet.now)[0].confirmed_ago_ticks)
+
+    def test_gaps_are_repaired_by_anti_entropy_also_more_than_a_reply_holds(self):
+        fleet = SmallFleet("a", "b", "c")
+        fleet.lost = lambda sender, taker: "c" in (sender, taker)
         for n in range(20):
-            few.all["a"].put(f"t{n}", bytes(300), few.now)
-            few.plays(0.5)
-        self.assertEqual(few.all["c"].origins.get("a"), None)
-        before = dict(few.sent)
-        few.lost = lambda sender, taker: False
-        few.plays(12)
-        self.assertEqual(few.all["c"].origins["a"].seen, 20)
-        self.assertEqual(len(few.all["c"].origins["a"].records), 20)
+            fleet.all["a"].put(f"t{n}", bytes(300), fleet.now)
+            fleet.play(0.5)
+        self.assertEqual(fleet.all["c"].origins.get("a"), None)
+        before = dict(fleet.sent)
+        fleet.lost = lambda sender, taker: False
+        fleet.play(12)
+        self.assertEqual(fleet.all["c"].origins["a"].complete_up_to, 20)
+        self.assertEqual(len(fleet.all["c"].origins["a"].records), 20)
         # No burst: what brought 6,000 bytes there was paid from the rate_limiter like all else.
-        self.assertLess(max(few.sent[n] - before[n] for n in "abc"), 12 * 3000)
-
-    def test_an_old_life_ends_once_and_comes_back_by_no_late_message(self):
-        few = Few("a", "b", "c")
-        few.all["a"].put("t", b"old", few.now)
-        few.all["a"].wake(few.now)
-        late = [data for taker, data in few.all["a"].out if taker == "b"]
-        few.plays(3)
-        b = few.all["b"]
+        self.assertLess(max(fleet.sent[n] - before[n] for n in "abc"), 12 * 3000)
+
+    def test_an_old_incarnation_ends_once_and_comes_back_by_no_late_message(self):
+        fleet = SmallFleet("a", "b", "c")
+        fleet.all["a"].put("t", b"old", fleet.now)
+        fleet.all["a"].wake(fleet.now)
+        late = [data for taker, data in fleet.all["a"].out if taker == "b"]
+        fleet.play(3)
+        b = fleet.all["b"]
         b.on_member_joined("a", 9, "a")
         b.on_member_joined("a", 9, "a")
         b.on_member_left("a", 7)
         self.assertEqual(b.over, [("a", 7)])
-        self.assertEqual(b.records("t", few.now), [])
+        self.assertEqual(b.records("t", fleet.now), [])
         self.assertTrue(late)
         for data in late:
-            b.on_datagram(data, few.now)
-        few.plays(5)  # c still believes in the old one, and tells of it
-        self.assertEqual(few.seen("c"), {"a": b"old"})
-        self.assertEqual(b.records("t", few.now), [])
+            b.on_datagram(data, fleet.now)
+        fleet.play(5)  # c still believes in the old one, and tells of it
+        self.assertEqual(fleet.bodies("c"), {"a": b"old"})
+        self.assertEqual(b.records("t", fleet.now), [])
 
     def test_a_member_taken_for_dead_by_mistake_comes_back_with_all_that_it_put(self):
-        few = Few("a", "b")
-        few.all["a"].put("t", b"one", few.now)
-        few.plays(3)
-        few.all["b"].on_member_left("a", 7)
-        self.assertEqual(few.seen("b"), {})
-        few.all["b"].on_member_joined("a", 7, "a")
-        few.plays(4)
-        self.assertEqual(few.seen("b"), {"a": b"one"})
-
-    def test_who_has_another_life_puts_all_anew_in_it(self):
-        few = Few("a", "b")
-        few.all["a"].put("t", b"one", few.now)
-        few.plays(3)
-        few.all["a"].on_new_incarnation(12, few.now)
-        few.all["b"].on_member_joined("a", 12, "a")
-        few.plays(4)
-        [shown] = few.all["b"].records("t", few.now)
+        fleet = SmallFleet("a", "b")
+        fleet.all["a"].put("t", b"one", fleet.now)
+        fleet.play(3)
+        fleet.all["b"].on_member_left("a", 7)
+        self.assertEqual(fleet.bodies("b"), {})
+        fleet.all["b"].on_member_joined("a", 7, "a")
+        fleet.play(4)
+        self.assertEqual(fleet.bodies("b"), {"a": b"one"})
+
+    def test_a_member_with_another_incarnation_puts_all_its_records_again_in_it(self):
+        fleet = SmallFleet("a", "b")
+        fleet.all["a"].put("t", b"one", fleet.now)
+        fleet.play(3)
+        fleet.all["a"].on_new_incarnation(12, fleet.now)
+        fleet.all["b"].on_member_joined("a", 12, "a")
+        fleet.play(4)
+        [shown] = fleet.all["b"].records("t", fleet.now)
         self.assertEqual((shown.life, shown.body), (12, b"one"))
 
-    def test_what_is_no_fellows_is_counted_and_changes_nothing(self):
-        few = Few("a", "b")
-        b = few.all["b"]
+    def test_a_datagram_of_no_member_is_counted_and_changes_nothing(self):
+        fleet = SmallFleet("a", "b")
+        b = fleet.all["b"]
         b.put("t", b"x", 0)
         b.wake(0)
         [data] = {data for _, data in b.out}
         for wrong, reason in ((data[:-1] + b"?", "stranger"), (data[:10], "cut"), (data, "misdirected")):
             b.on_datagram(wrong, 1)
             self.assertEqual(b.counts.pop(f"refused {reason}"), 1)
-        few.all["a"].on_member_left("b", 7)
-        few.all["a"].on_datagram(data, 1)
-        self.assertEqual(few.all["a"].counts, {"refused unknown": 1})
+        fleet.all["a"].on_member_left("b", 7)
+        fleet.all["a"].on_datagram(data, 1)
+        self.assertEqual(fleet.all["a"].counts, {"refused unknown": 1})
         with self.assertRaises(ValueError):
             b.put("t", bytes(401), 0)
 
 
-class TurnsStory(unittest.TestCase):
+class TurnsTest(unittest.TestCase):
     """More names than a page holds: the first of 50 was compared once in 50 times, most in every second."""
 
     NAMES = tuple(f"m{n:02}" for n in range(50))
@@ -160,40 +160,42 @@
         self.one = Gossip("m25", 7, "f", KEY, RateLimiter(24_000, 60, 0), SECOND, Random(5), 0)
         for name in self.NAMES:
             self.one.on_member_joined(name, 7, name)
-            self.one.origins.setdefault(name, Origin(7, seen=1))
+            self.one.origins.setdefault(name, MemberRecords(7, complete_up_to=1))
 
     def compared(self, beats):
         """How often each name was, over so many beats; of how many comparisons."""
         times, pages = dict.fromkeys(self.NAMES, 0), 0
-        for now in range(self.one.compare_due, self.one.compare_due + beats * SECOND, SECOND // 50):
+        for now in range(self.one.anti_entropy.due, self.one.anti_entropy.due + beats * SECOND, SECOND // 50):
             self.one.wake(now)
             for _, data in self.one.out:
-                for said in decode(data, KEY, "f").said:
-                    if isinstance(said, Digest):
+                for message in decode(data, KEY, "f").messages:
+                    if isinstance(message, Digest):
                         pages += 1
-                        for row in said.rows:
-                            times[row.name] += 1
+                        for entry in message.entries:
+                            times[entry.member] += 1
             self.one.out.clear()
         return times, pages
 
     def test_each_name_is_compared_as_often_as_any_other(self):
         times, pages = self.compared(60)
-        rounds = pages // -(-len(self.NAMES) // MAX_DIGEST_ROWS)
+        rounds = pages // -(-len(self.NAMES) // MAX_DIGEST_ENTRIES)
         self.assertGreater(rounds, 10)
         self.assertLessEqual(max(times.values()) - min(times.values()), 1, times)
         self.assertGreaterEqual(min(times.values()), rounds - 1)
 
-    def test_a_comparison_that_the_purse_refuses_is_not_the_names_turn(self):
+    def test_a_digest_that_the_rate_limiter_refuses_is_not_the_names_turn(self):
         self.compared(1)
-        before = self.one.compared
+        before = self.one.anti_entropy.last_name
         self.one.rate_limiter.left[0] = -24_000  # and what a beat brings back
-        self.one.wake(self.one.compare_due)
-        self.assertEqual((self.one.counts["held back"], self.one.compared, self.one.out), (1, before, []))
+        self.one.wake(self.one.anti_entropy.due)
+        self.assertEqual(
+            (self.one.counts["held back"], self.one.anti_entropy.last_name, self.one.out), (1, before, [])
+        )
 
-    def test_names_that_end_or_come_between_two_pages_take_nobodys_turn(self):
+    def test_names_that_leave_or_join_between_two_pages_take_no_others_turn(self):
         self.compared(1)
         self.one.on_member_left(
-            self.one.compared or self.NAMES[-1], 7
+            self.one.anti_entropy.last_name or self.NAMES[-1], 7
         )  # that which the next page begins behind
         times, _ = self.compared(8)
         there = [times[name] for name in self.NAMES if name in self.one.origins]
@@ -201,67 +203,71 @@
         self.assertGreaterEqual(min(there), 1)
 
 
-class EveryOrderStory(unittest.TestCase):
-    """Three members, one that writes two topics and begins anew: compared, passed on, lost, doubled, late."""
+class EveryOrderTest(unittest.TestCase):
+    """Three members, one that writes two topics and restarts: exchanged, passed on, lost, duplicated, late."""
 
-    def test_nothing_is_lacked_up_to_what_was_seen_and_no_old_life_shown_in_every_world_within_six_steps(
+    def test_records_are_complete_as_stated_and_no_old_incarnation_is_shown_in_every_state_within_six_steps(
         self,
     ):
         count = model_checker.check(6)
-        print(f"carry: {count} worlds to depth 6", flush=True)
+        print(f"gossip: {count} states to depth 6", flush=True)
         self.assertGreater(count, 20_000)
 
-    def test_what_breaks_that_is_found(self):
-        take = Gossip._take
+    def test_mutants_that_break_it_are_found(self):
+        apply_delta = RecordStore.apply_delta
 
-        def over_gaps(self, delta, now, asked):
-            take(self, delta, now, asked)
-            origin = self.origins.get(delta.name)
-            if origin is not None and origin.life == delta.life:
-                origin.seen = max(origin.seen, delta.upto)
+        def over_gaps(self, delta, now, asked_at):
+            has_new = apply_delta(self, delta, now, asked_at)
+            member = self.members.get(delta.member)
+            if member is not None and member.incarnation == delta.incarnation:
+                member.complete_up_to = max(member.complete_up_to, delta.up_to_version)
+            return has_new
 
-        for name, instead in (("_take", over_gaps), ("_life", mutants._all_lives)):
+        for name, instead in (
+            ("apply_delta", over_gaps),
+            ("observe_incarnation", mutants._all_incarnations),
+        ):
             with (
                 self.subTest(name),
-                mock.patch.object(Gossip, name, instead),
+                mock.patch.object(RecordStore, name, instead),
                 self.assertRaises(InvariantViolationError),
             ):
                 model_checker.check(5)
 
 
-class DocumentStory(unittest.TestCase):
-    def test_a_quarter_of_a_mebibyte_comes_in_pieces_through_loss_and_is_checked_whole(self):
-        few = Few("a", "b", "c")
+class DocumentTest(unittest.TestCase):
+    def test_a_quarter_of_a_mebibyte_arrives_in_chunks_through_loss_and_is_verified_whole(self):
+        fleet = SmallFleet("a", "b", "c")
         chance = Random(4)
-        few.lost = lambda sender, taker: chance.random() < 0.2
+        fleet.lost = lambda sender, taker: chance.random() < 0.2
         whole = Random(1).randbytes(256 << 10)
-        digest = few.all["a"].keep(whole)
+        digest = fleet.all["a"].keep(whole)
         for name in "bc":
-            few.all[name].need(digest, "a", 0)
-        few.plays(90)
-        self.assertEqual(few.all["b"].document(digest), whole)
-        self.assertEqual(few.all["c"].document(digest), whole)
-        self.assertLess(max(few.sent.values()), 90 * 24_000)
+            fleet.all[name].need(digest, "a", 0)
+        fleet.play(90)
+        self.assertEqual(fleet.all["b"].document(digest), whole)
+        self.assertEqual(fleet.all["c"].document(digest), whole)
+        self.assertLess(max(fleet.sent.values()), 90 * 24_000)
         with self.assertRaises(ValueError):
-            few.all["a"].keep(bytes(1 + (256 << 10)))
+            fleet.all["a"].keep(bytes(1 + (256 << 10)))
 
-    def test_a_false_piece_is_found_and_the_document_comes_from_another(self):
-        few = Few("a", "b", "c")
+    def test_a_corrupt_chunk_is_found_and_the_document_is_fetched_from_another(self):
+        fleet = SmallFleet("a", "b", "c")
         whole = Random(1).randbytes(5000)
-        digest = few.all["a"].keep(whole)
-        few.all["c"].documents[digest] = bytes(5000)  # c tells something else under its digest
-        few.all["b"].need(digest, "c", 0)
-        few.plays(30)
-        self.assertGreaterEqual(few.all["b"].counts["document false"], 1)
-        self.assertEqual(few.all["b"].document(digest), whole)
+        digest = fleet.all["a"].keep(whole)
+        fleet.all["c"].documents[digest] = bytes(5000)  # c tells something else under its digest
+        fleet.all["b"].need(digest, "c", 0)
+        fleet.play(30)
+        self.assertGreaterEqual(fleet.all["b"].counts["document false"], 1)
+        self.assertEqual(fleet.all["b"].document(digest), whole)
 
 
-class LimiterStory(unittest.TestCase):
+class LimiterTest(unittest.TestCase):
     def limiter(self, part, now=10 * SECOND, rate=10):
         one = QuotaLimiter("a", 1, {"r": QuotaConfig(rate, part, 10 * SECOND)}, Random(1), 0)
         return one, now
 
-    def test_no_second_wherever_it_begins_holds_more_uses_than_there_are_rights(self):
+    def test_no_second_wherever_it_begins_holds_more_uses_than_there_are_units(self):
         one, now = self.limiter(4)
         taken = [at for at in range(now, now + 5 * SECOND, 97) if one.try_acquire("r", 1, at)]
         for at in taken:
@@ -269,11 +275,11 @@
         self.assertGreater(len(taken), 16)
         self.assertFalse(one.try_acquire("r", 5, now + 9 * SECOND))
 
-    def test_a_new_life_uses_nothing_for_as_long_as_its_old_one_may_have_used_before(self):
+    def test_a_new_incarnation_uses_nothing_for_as_long_as_its_old_one_may_have_used_before(self):
         one, _ = self.limiter(4)
         self.assertEqual((one.free("r", WINDOW - 1), one.free("r", WINDOW)), (0, 2))
 
-    def test_it_lends_what_it_neither_used_in_the_last_second_nor_wanted_of_late(self):
+    def test_it_grants_what_it_neither_used_in_the_last_second_nor_wanted_of_late(self):
         one, now = self.limiter(6, 30 * SECOND)
         self.assertTrue(one.try_acquire("r", 4, now))
         one.asked("r", QuotaRequest("b", 3, 1, 9), now + 1)
@@ -297,7 +303,7 @@
         self.assertEqual((b.free("r", late), a.free("r", late)), (5, 3))
         self.assertEqual(a.free("r", late + 2 * SECOND), 5)
 
-    def test_who_leaves_gives_back_what_it_holds_and_uses_its_own_to_the_end(self):
+    def test_a_member_that_leaves_releases_what_it_holds_and_uses_its_own_to_the_end(self):
         b = QuotaLimiter("b", 1, {"r": QuotaConfig(10, 5, 10 * SECOND)}, Random(1), 0)
         b.there, now = ["a"], 30 * SECOND
         self.assertFalse(b.try_acquire("r", 7, now))
@@ -309,7 +315,7 @@
             ([(to, back.number) for to, _, back in b.out], b.free("r", now + 2)), ([("a", want.number)], 5)
         )
 
-    def test_who_hears_nobody_for_a_lease_says_so_once_and_when_it_is_over(self):
+    def test_a_member_isolated_for_a_lease_reports_it_once_and_when_it_is_over(self):
         one, now = self.limiter(4)
         one.there = ["b"]
         one.wake(now)
@@ -318,13 +324,13 @@
         one.wake(now + SECOND)
         self.assertEqual([note.what for note in one.notes], ["alone", "back"])
 
-    def test_a_limiter_whose_name_is_anothers_too_uses_and_lends_nothing_more(self):
+    def test_a_limiter_whose_name_another_process_has_too_uses_and_grants_nothing_more(self):
         one, now = self.limiter(6, 30 * SECOND)
         one.close()
         one.asked("r", QuotaRequest("b", 3, 1, 9), now)
         self.assertEqual((one.try_acquire("r", 1, now), one.out), (False, []))
 
-    def test_what_is_wrong_in_a_charters_budgets_is_said(self):
+    def test_what_is_invalid_in_a_configurations_quotas_is_reported(self):
         from pathsaddle.config.fleet import equal_part
         from pathsaddle.config.schema import FleetTable
         from pathsaddle.config.validation import InvalidConfigError, validate
@@ -345,8 +351,8 @@
         self.assertEqual([equal_part(10, 4, number) for number in range(4)], [3, 3, 2, 2])
 
 
-class SpareStory(unittest.TestCase):
-    """What a member tells that it would lend goes into one record."""
+class SpareTest(unittest.TestCase):
+    """What a member publishes that it would lend fits into one record."""
 
     def told(self, length):
         names = [f"{n:02d}".ljust(length, "x") for n in range(16)]
@@ -366,21 +372,23 @@
         self.assertLessEqual(len(body), MAX_RECORD_BYTES)
         return names, msgspec.msgpack.decode(body), one.carry.counts.get("spare untold", 0)
 
-    def test_sixteen_budgets_with_the_longest_names_are_told_as_far_as_a_record_has_room_the_most_first(self):
+    def test_sixteen_quotas_with_the_longest_names_are_published_as_far_as_a_record_has_room_the_most_first(
+        self,
+    ):
         names, told, untold = self.told(32)
         self.assertEqual(len(told) + untold, 16)
         self.assertGreaterEqual(len(told), 10)
         self.assertEqual(set(told), set(names[-len(told) :]))
         self.assertEqual(told[names[-1]], 18)  # half of 35
 
-    def test_names_that_have_room_are_all_told(self):
+    def test_names_that_fit_are_all_published(self):
         for length in (2, 21):
             names, told, untold = self.told(length)
             self.assertEqual((list(told), untold), (names, 0))
 
 
-class HardStory(unittest.TestCase):
-    """On the ground, by the judge: rights at each instant, uses in each second, ages, lives."""
+class HardTest(unittest.TestCase):
+    """In simulation, by the judge: units at each instant, uses in each second, ages, incarnations."""
 
     def play(self, plan, *script):
         ground = Ground(plan)
@@ -408,7 +416,7 @@
                 ground.kill(place)
                 ground.at(ground.now + 1, ground.restart, place, False)
 
-    def test_a_third_hears_nothing_for_a_minute_and_uses_the_while(self):
+    def test_a_third_receives_nothing_for_a_minute_and_uses_meanwhile(self):
         def cut(ground):
             ground.cuts[1] = lambda one, other: (one < 2) != (other < 2)
 
@@ -423,7 +431,7 @@
         }
         self.assertEqual(apart, {f"d{n}" for n in range(6)})
 
-    def test_a_way_is_cut_one_way_while_units_are_lent(self):
+    def test_a_link_is_cut_one_way_while_units_are_lent(self):
         self.play(
             self.calm(4, 2, lease=2.0),
             *(
@@ -432,12 +440,12 @@
             ),
         )
 
-    def test_owners_are_killed_after_sending_takers_before_their_time(self):
+    def test_owners_are_killed_after_a_grant_and_takers_before_its_end(self):
         for who in (self.kill_of_owners, self.kill_of_takers):
             ground, _ = self.play(self.calm(5, 3, lease=4.0), *((at, who) for at in range(6, 28, 2)))
             self.assertGreater(sum(e.what == "member.ended" for e in ground.events.rows), 3)
 
-    def test_all_but_one_die_and_it_has_its_part(self):
+    def test_the_last_member_alive_has_its_part(self):
         def die(ground):
             for place in ground.places[1:]:
                 ground.kill(place)
@@ -447,14 +455,14 @@
             ground.places[0].shared.limiter.budgets[BUDGET].state.usable(ground.places[0].clock()), 20
         )
 
-    def test_two_hundred_members_for_a_budget_of_ten(self):
+    def test_two_hundred_members_for_a_quota_of_ten(self):
         ground, _ = self.play(
             self.calm(200, 5, rate=10, hot=0.02, seconds=20, lease=4.0, want=3.0, quiet=True)
         )
         users = {e.more["who"] for e in ground.events.rows if e.what == "share.spend"}
         self.assertTrue(any(int(name[1:]) >= 10 for name in users), users)  # who has no part was lent one
 
-    def test_a_budget_is_lowered_by_charters_that_differ_for_a_while(self):
+    def test_a_quota_is_lowered_by_configurations_that_differ_for_a_while(self):
         plan = self.calm(6, 6, hot=1.0, others={0: 50, 1: 50, 2: 50})
 
         def reread(ground):
@@ -488,8 +496,8 @@
         self.assertLessEqual(verdict.most_bytes, 12_000)
         self.assertEqual(len(ground.places[0].shared.carry.peers), 104)
 
-    def test_random_faults_of_all_kinds_break_no_bound(self):
-        """A few seeds; five hundred are an experiment (`python -m pathsaddle.emulator.state.smoke
+    def test_random_faults_of_all_kinds_break_no_invariant(self):
+        """A fleet seeds; five hundred are an experiment (`python -m pathsaddle.emulator.state.smoke
         --seeds`).
         """
         for members, seeds in ((5, range(12)), (20, range(4)), (60, range(1))):
@@ -501,8 +509,8 @@
         self.assertEqual(Ground(varied(5, 1)).run().digest(), Ground(varied(5, 1)).run().digest())
 
 
-class MutantStory(unittest.TestCase):
-    def test_each_is_caught_under_its_name(self):
+class MutantTest(unittest.TestCase):
+    def test_each_mutant_is_caught_under_its_name(self):
         for name in mutants.MUTANTS:
             with self.subTest(name):
                 mutants.caught(name)
--- a/tests/test_carry_processes.py
+++ b/tests/test_gossip_processes.py
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class ProcessStory(unittest.TestCase):
-    def test_seven_processes_never_use_more_than_the_budget_through_seven_kinds_of_faults(self):
+class ProcessTest(unittest.TestCase):
+    def test_seven_processes_never_use_more_than_the_quota_through_seven_kinds_of_faults(self):
         process = subprocess.Popen(
             [sys.executable, "-m", "pathsaddle.emulator.state.processes", "--seconds", "28"],
             cwd=ROOT,
@@ -38,7 +38,7 @@
         self.assertEqual(process.returncode, 0, said)
         self.assertIn("halves, loss, oneway, owner, stall, taker, third", said)
 
-    def test_the_budgets_of_a_running_dispatcher_are_shown(self):
+    def test_the_quotas_of_a_running_dispatcher_are_shown(self):
         with tempfile.TemporaryDirectory() as folder:
             listen, control = udp_ports(1)[0], tcp_port()
             path = Path(folder) / "charter.toml"
@@ -91,7 +91,7 @@
                 process.communicate()
 
 
-class JudgeStory(unittest.TestCase):
+class JudgeTest(unittest.TestCase):
     """Planted histories, each found under its name; and two good ones that look bad."""
 
     def judged(self, *rows):
@@ -105,7 +105,7 @@
     def spend(self, at, who, units=1):
         return at, "share.spend", {"who": who, "budget": "b", "units": units}
 
-    def test_what_is_planted_is_found(self):
+    def test_planted_violations_are_found(self):
         told = (0, "share.budget", {"who": "a", "budget": "b", "units": 3})
         put = (0, "state.put", {"who": "a", "life": 1, "version": 1})
         again = (9_000, "state.put", {"who": "a", "life": 1, "version": 2})
@@ -151,7 +151,7 @@
         ):
             self.assertEqual(self.judged(*rows), [name], name)
 
-    def test_what_only_looks_bad_passes(self):
+    def test_valid_histories_that_look_bad_pass(self):
         told = (0, "share.budget", {"who": "a", "budget": "b", "units": 3})
         self.assertEqual(
             self.judged(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -328,7 +328,7 @@
                     sent = len(carry.out)
                     for n in range(8):
                         carry.put(f"t{n}", bytes([sent % 256]) * 300, 0)
-                    carry.compare_due = carry.news_due = 0
+                    carry.anti_entropy.due = carry.dissemination.due = 0
                     carry.wake(0)
                 self.assertGreater(carry.counts["held back"], 0)
                 core.learn(
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -21,7 +21,7 @@
 from pathsaddle.config.reload import RESTART_REASONS, reloaded, restart_reasons
 from pathsaddle.config.schema import RELOADABLE_KEYS, Configuration
 from pathsaddle.config.validation import InvalidConfigError, explain_keys, validate
-from pathsaddle.fleet.quota.leases import Grant, Lease, QuotaRequest, Release
+from pathsaddle.fleet.quota.leases import Grant, HeldLease, QuotaRequest, Release
 from pathsaddle.fleet.quota.quota_limiter import WINDOW, QuotaConfig, QuotaLimiter
 from pathsaddle.fleet.rate_limiter import SECOND as TICKS
 from pathsaddle.jobs.job_service import JobService, JobServiceOptions
@@ -456,7 +456,7 @@
         owner.asked("b", QuotaRequest(taker.name, 1, 1, 10), self.now)
         self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Grant)], [10])
         one = owner.budgets["b"]
-        one.state = dataclasses.replace(one.state, held=(("m2", 1, 1, Lease(20, self.now + 100 * TICKS)),))
+        one.state = dataclasses.replace(one.state, held=(HeldLease("m2", 1, 1, 20, self.now + 100 * TICKS),))
         owner.retune({"b": self.dealt(20, 0)}, self.now)
         owner.asked("b", QuotaRequest(taker.name, 1, 2, 10, renews=1), self.now)
         self.assertEqual([said.units for _, _, said in owner.out if isinstance(said, Grant)], [10, 4])
