--- a/pathsaddle/consensus/fleet_member.py
+++ b/pathsaddle/consensus/fleet_member.py
@@ -13,6 +13,7 @@
 from pathsaddle.config.schema import Configuration
 from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
 from pathsaddle.control_metrics import NullMeter
+from pathsaddle.fleet.control_messages import ForeignReply
 from pathsaddle.fleet.udp_driver import MembershipDriver
 
 
@@ -58,7 +59,7 @@
             register_config(configuration, self.told.file), self.ground, SystemRandom(), self.counters
         )
 
-    def metered(self, meter: NullMeter, control: Callable[[], dict[str, Any]]) -> None:
+    def metered(self, meter: NullMeter, control: Callable[[], ForeignReply]) -> None:
         """Count what both parts cost. `MembershipDriver` says what the arguments are."""
         super().metered(meter, control)
         self.register.meter = meter
--- a/pathsaddle/fleet/control_messages.py
+++ b/pathsaddle/fleet/control_messages.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Mapping
 from enum import StrEnum
 from typing import Any
 
@@ -20,7 +21,7 @@
 from pathsaddle.fleet.messages import STATES
 
 TICKS_PER_MS = 10
-ForeignReply = dict[str, Any]  # a JSON object that another package made
+ForeignReply = Mapping[str, object]  # a JSON object that another package made
 
 
 class ControlQuery(StrEnum):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -344,7 +344,7 @@
                     sent = len(gossip.out)
                     for n in range(8):
                         gossip.put(f"t{n}", bytes([sent % 256]) * 300, 0)
-                    gossip.compare_due = gossip.news_due = 0
+                    gossip.anti_entropy.due = gossip.dissemination.due = 0
                     gossip.wake(0)
                 self.assertGreater(gossip.counts["held back"], 0)
                 core.learn(
