--- a/pathsaddle/cli/show.py
+++ b/pathsaddle/cli/show.py
@@ -8,8 +8,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import RULES, Row, Verdict
+from pathsaddle.event_log import Event
 
 TABLES = ("a table", "a table each")  # of which each key is said by itself
 MEANS = {
--- a/pathsaddle/emulator/federation/judge.py
+++ b/pathsaddle/emulator/federation/judge.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 from pathsaddle.trade import SECOND
 
 FAR = 1 << 60
--- a/pathsaddle/emulator/federation/world.py
+++ b/pathsaddle/emulator/federation/world.py
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.federation.ground import Ground
 from pathsaddle.emulator.federation.keepers import KeeperMan
 from pathsaddle.emulator.federation.member import Member, Txn
 from pathsaddle.emulator.federation.plans import KINDS, REGIONS, WORK, Plan, Trouble, text_of
 from pathsaddle.emulator.federation.pool import Pool
+from pathsaddle.event_log import EventLog
 from pathsaddle.federation.spec import Spec, parse
 from pathsaddle.leased_versions import Version
 from pathsaddle.trade import SECOND
@@ -28,7 +28,7 @@
     """One run. `events`: what happened."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
-        self.plan, self.events = plan, Events()
+        self.plan, self.events = plan, EventLog()
         self.ground = Ground(REGIONS, seed)
         self.clients = Random(seed * 7919 + 1)  # the same clients whatever the variant does with chance
         self.alive = dict.fromkeys(REGIONS, True)
@@ -85,7 +85,7 @@
                 )
         return found
 
-    def run(self) -> Events:
+    def run(self) -> EventLog:
         ground, plan = self.ground, self.plan
         for member in self.members.values():
             member.began()
--- a/pathsaddle/emulator/hollow/gangs.py
+++ b/pathsaddle/emulator/hollow/gangs.py
@@ -24,8 +24,8 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.hollow.waits import keyed, percentile
+from pathsaddle.event_log import Event
 
 TICKS = 10_000  # in a second
 
--- a/pathsaddle/emulator/judges/crossings.py
+++ b/pathsaddle/emulator/judges/crossings.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from pathsaddle.config.schema import Configuration
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import FAR, SECOND, Finding
+from pathsaddle.event_log import Event
 
 ENDS_WITHIN = 7 * SECOND // 10
 MOST_EXPIRY = 3 * SECOND
--- a/pathsaddle/emulator/judges/fleet_judge.py
+++ b/pathsaddle/emulator/judges/fleet_judge.py
@@ -20,7 +20,7 @@
 from math import log2, log10
 
 from pathsaddle.config.schema import FleetTable
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 FAR = 1 << 60
 SECOND = 10_000
--- a/pathsaddle/emulator/judges/judge.py
+++ b/pathsaddle/emulator/judges/judge.py
@@ -38,8 +38,8 @@
 from hdrh.histogram import HdrHistogram
 
 from pathsaddle.config.schema import Configuration, RequestClassTable
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges import fleet_judge
+from pathsaddle.event_log import Event
 
 FAR = 1 << 60
 SECOND = 10_000
--- a/pathsaddle/emulator/overload/around.py
+++ b/pathsaddle/emulator/overload/around.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Any, Protocol
 
-from pathsaddle.emulator.events import Events
+from pathsaddle.event_log import EventLog
 
 
 class Around(Protocol):
@@ -15,7 +15,7 @@
     def seed(self) -> int: ...
 
     @property
-    def events(self) -> Events: ...
+    def events(self) -> EventLog: ...
 
     @property
     def members(self) -> Sequence[Any]:
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -16,9 +16,9 @@
 from math import exp
 from random import Random
 
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.overload.plan import Plan, Trouble
 from pathsaddle.emulator.overload.policies import Decided, Policy, fleet, gate_options, policy
+from pathsaddle.event_log import EventLog
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
@@ -246,7 +246,7 @@
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.seed = plan, seed
         self.now = 0
-        self.events = Events()
+        self.events = EventLog()
         self.due: list[tuple[int, int, Callable[[], object]]] = []
         self.count = 0
         self.jobs = 0
@@ -279,7 +279,7 @@
         elif member.alive:
             call()
 
-    def run(self) -> Events:
+    def run(self) -> EventLog:
         plan = self.plan
         capacity = plan.workers * plan.slots
         self.events.add(
--- a/pathsaddle/emulator/overload/judge.py
+++ b/pathsaddle/emulator/overload/judge.py
@@ -26,7 +26,7 @@
 from itertools import pairwise
 from typing import Any
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 SECOND = 10_000
 SLOT = SECOND // 4
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 from pathsaddle.fleet.incarnation_store import IncarnationStore
 from pathsaddle.fleet.membership import MembershipOptions as FleetWays
 from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
--- a/pathsaddle/emulator/overload/processes.py
+++ b/pathsaddle/emulator/overload/processes.py
@@ -20,11 +20,11 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.emulator.events import Event, read
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_places
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.overload.judge import Judge
+from pathsaddle.event_log import Event, read
 from pathsaddle.trade import SECOND
 
 MEMBERS, COULD, LEASE = 9, 12.0, 3 * SECOND
--- a/pathsaddle/emulator/ownership/judge.py
+++ b/pathsaddle/emulator/ownership/judge.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 
 class Finding(NamedTuple):
--- a/pathsaddle/emulator/ownership/linear.py
+++ b/pathsaddle/emulator/ownership/linear.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 ALWAYS = 1 << 62  # the end of a call that has none
 MAX_ATTEMPTS = 2_000_000  # steps of a search, then it is undecided
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -33,7 +33,7 @@
 )
 from pathsaddle.consensus.fleet_member import register_config
 from pathsaddle.consensus.udp_driver import RegisterDriver, monotonic_ticks
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
--- a/pathsaddle/emulator/ownership/simulation.py
+++ b/pathsaddle/emulator/ownership/simulation.py
@@ -34,8 +34,8 @@
     Ticks,
     encoded_size,
 )
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.ownership.hosts import AcceptorHost, Host, MemberHost, Packet
+from pathsaddle.event_log import EventLog
 from pathsaddle.trade import MILLISECOND, SECOND
 
 LINK_TICKS = 5  # a link's shortest delay
@@ -85,7 +85,7 @@
         self.now: Ticks = 0
         self._sequence = 0
         self._queue: list[tuple[Ticks, int, Callable[[], None]]] = []
-        self.events = Events()
+        self.events = EventLog()
         self.lease_ticks, self.work_interval_ticks = layout.lease_ticks, layout.work_interval_ticks
         self.acceptors = [f"v{i}" for i in range(layout.acceptors)]
         self.keys = [f"k{i}" for i in range(layout.keys)]
--- a/pathsaddle/emulator/placement/judge.py
+++ b/pathsaddle/emulator/placement/judge.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 Finding = tuple[int, str, str]  # at, name, what
 
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.placement.policies import Choose
+from pathsaddle.event_log import EventLog
 from pathsaddle.placement import changes
 from pathsaddle.placement.audit_events import AuditEvent
 from pathsaddle.placement.changes import Change
@@ -295,7 +295,7 @@
         self.site, self.choose, self.walk = site, choose, walk
         self.random = Random(seed)  # of planners, hands and trouble
         self.jobs_random = Random(seed * 7919 + 1)  # the same jobs whatever the policy
-        self.events = Events()
+        self.events = EventLog()
         self.bench = Bench()
         self.free: dict[str, int] = {}  # of serving units
         self.kind: dict[str, str] = {}
--- a/pathsaddle/emulator/served/world.py
+++ b/pathsaddle/emulator/served/world.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from pathsaddle.config.schema import Configuration
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.ground.links import Host, Net
 from pathsaddle.emulator.ground.speech import Hearing, Said
 from pathsaddle.emulator.plan import Plan
+from pathsaddle.event_log import EventLog
 from pathsaddle.net.service import pump
 
 TICKS = 10_000
@@ -37,7 +37,7 @@
         # A virtual host's own clock may be off; the run's is not.
         self.true_time: Callable[[], float] = getattr(loop, "true_time", loop.time)
         self.begun = loop.time()
-        self.events = Events()
+        self.events = EventLog()
         self.weather = Weather(self)
 
     def now(self) -> int:
--- a/pathsaddle/emulator/settings/history.py
+++ b/pathsaddle/emulator/settings/history.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.settings.world import World
+from pathsaddle.event_log import Event
 
 
 def _value(text: str | None) -> Any:
--- a/pathsaddle/emulator/settings/judge.py
+++ b/pathsaddle/emulator/settings/judge.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 from pathsaddle.settings.active_terms import permits
 
 
--- a/pathsaddle/emulator/settings/world.py
+++ b/pathsaddle/emulator/settings/world.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Events
+from pathsaddle.event_log import EventLog
 from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.settings import commit_round
 from pathsaddle.settings.commit_round import PendingChange, PlannedChange, Verdict
@@ -248,7 +248,7 @@
     """One run. `events`: what happened; `run()` plays it to its end."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
-        self.plan, self.rng, self.events = plan, Random(seed), Events()
+        self.plan, self.rng, self.events = plan, Random(seed), EventLog()
         self.now, self.order = 0, 0
         self.dues: list[tuple[int, int, Callable[[], None]]] = []
         self.busy = int(plan.seconds * SECOND)
--- a/pathsaddle/emulator/stage.py
+++ b/pathsaddle/emulator/stage.py
@@ -16,7 +16,6 @@
 from loguru import logger
 
 from pathsaddle.config.loader import platform_config
-from pathsaddle.emulator.events import Events
 from pathsaddle.emulator.faults.faults import ServedFaults
 from pathsaddle.emulator.ground.air import Air
 from pathsaddle.emulator.ground.links import Host, Net, VirtualGround
@@ -27,6 +26,7 @@
 from pathsaddle.emulator.served.discovery import DiscoveryServer
 from pathsaddle.emulator.served.workers import Memories, Worker
 from pathsaddle.emulator.served.world import TICKS, Hosts, Sites, SocketSites, VirtualSites, World
+from pathsaddle.event_log import EventLog
 from pathsaddle.net.service.txn_service import TxnService
 
 if TYPE_CHECKING:  # earlier commits of ours, over which this is laid, have no jobs
@@ -559,7 +559,7 @@
 class Outcome:
     """What is left of a run."""
 
-    def __init__(self, events: Events, digest: str, steps: int, connections: int) -> None:
+    def __init__(self, events: EventLog, digest: str, steps: int, connections: int) -> None:
         self.events = events
         self.digest = digest
         self.steps = steps
--- a/pathsaddle/emulator/state/ground.py
+++ b/pathsaddle/emulator/state/ground.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.emulator.events import Events
+from pathsaddle.event_log import EventLog
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
 from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
 from pathsaddle.fleet.rate_limiter import SECOND, RateLimiter
@@ -126,7 +126,7 @@
 class Ground:
     def __init__(self, plan: Plan) -> None:
         self.plan, self.chance = plan, Random(f"state {plan.seed} {plan.members}")
-        self.events = Events()
+        self.events = EventLog()
         self.now = 0
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count = 0
@@ -485,7 +485,7 @@
                         sure=shown.confirmed_ago_ticks,
                     )
 
-    def run(self) -> Events:
+    def run(self) -> EventLog:
         plan = self.plan
         self.places = [Place(self, n) for n in range(plan.members)]
         for place in self.places:
--- a/pathsaddle/emulator/state/judge.py
+++ b/pathsaddle/emulator/state/judge.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 SECOND = 10_000
 
--- a/pathsaddle/emulator/state/processes.py
+++ b/pathsaddle/emulator/state/processes.py
@@ -25,11 +25,11 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event, read
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.state.judge import Verdict, judge
+from pathsaddle.event_log import Event, read
 from pathsaddle.fleet.rate_limiter import SECOND
 
 BUDGET, RATE, LEASE = "uses", 140, 2
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -21,7 +21,7 @@
 from pathsaddle.config.fleet import membership_config as fellow
 from pathsaddle.config.schema import Configuration
 from pathsaddle.config.validation import validate
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 from pathsaddle.fleet.incarnation_store import IncarnationStore
 from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
 from pathsaddle.fleet.udp_driver import MembershipDriver
--- a/pathsaddle/experiment/run.py
+++ b/pathsaddle/experiment/run.py
@@ -47,6 +47,7 @@
 # Of a commit from before the control packages got the field's names, today's emulator finds none of these modules:
 # they are laid over too, so that decisions and server are that commit's, and control is today's.
 RENAMED = ("consensus", "federation", "fleet", "jobs", "placement", "settings")
+SHARED_MODULES = ("errors.py", "event_log.py")
 RENAMED_MODULES = ("control_metrics.py", "leased_versions.py")
 BASE = Variant(name="base")
 
@@ -138,8 +139,7 @@
         for package in OURS + RENAMED if is_older else OURS:
             shutil.rmtree(root / "pathsaddle" / package, ignore_errors=True)
             shutil.copytree(ROOT / "pathsaddle" / package, root / "pathsaddle" / package)
-        # The errors are theirs, and no decision's.
-        for module in ("errors.py", *RENAMED_MODULES) if is_older else ("errors.py",):
+        for module in SHARED_MODULES + RENAMED_MODULES if is_older else SHARED_MODULES:
             shutil.copy(ROOT / "pathsaddle" / module, root / "pathsaddle")
     return root, name
 
--- a/pathsaddle/histories/logs.py
+++ b/pathsaddle/histories/logs.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.errors import access, why
+from pathsaddle.event_log import Event
 from pathsaddle.histories.faults import HistoryError, Malformed, NoLogs, Unreadable
 
 __all__ = [
--- a/pathsaddle/placement/commands.py
+++ b/pathsaddle/placement/commands.py
@@ -16,8 +16,8 @@
 import click
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.errors import Error
+from pathsaddle.event_log import Event
 from pathsaddle.placement import changes
 from pathsaddle.placement.changes import Change
 from pathsaddle.placement.clocks import wall_clock_ticks
--- a/pathsaddle/placement/planner_events.py
+++ b/pathsaddle/placement/planner_events.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
+from pathsaddle.event_log import Event
 
 
 class PlannerEvent(msgspec.Struct, frozen=True):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -36,13 +36,13 @@
 from pathsaddle.consensus.model_state import CheckerOptions
 from pathsaddle.consensus.stored_state import KeyWrite, OwnIncarnationWrite, PeerIncarnationWrite, StoredState
 from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.faults import layout_with_faults, run_with_faults
 from pathsaddle.emulator.ownership.hosts import Disk
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.ownership.mutants import LeaseFromAnswer, ReusedToken, mutant
 from pathsaddle.emulator.ownership.simulation import Layout, Simulation
+from pathsaddle.event_log import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground as Machine
--- a/tests/test_consensus_processes.py
+++ b/tests/test_consensus_processes.py
@@ -20,12 +20,12 @@
 
 from pathsaddle.consensus.fencing import Fence
 from pathsaddle.consensus.udp_driver import monotonic_ticks
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_places
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.judge import judge
+from pathsaddle.event_log import Event
 from pathsaddle.trade import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_crossings_virtual.py
+++ b/tests/test_crossings_virtual.py
@@ -9,10 +9,10 @@
 from unittest import mock
 
 from pathsaddle.emulator import plan, stage
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges import crossings
 from pathsaddle.emulator.judges.crossings import judge_crossings
 from pathsaddle.emulator.judges.judge import judge
+from pathsaddle.event_log import Event
 from pathsaddle.net.service.start import Dispatcher
 
 PLAN = Path(__file__).parent.parent / "experiments/crossings.toml"
--- a/tests/test_federation_dispatchers.py
+++ b/tests/test_federation_dispatchers.py
@@ -10,9 +10,9 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.emulator.events import read
 from pathsaddle.emulator.federation.judge import judged
 from pathsaddle.emulator.ground.ports import udp_ports
+from pathsaddle.event_log import read
 from tests.ports import tcp_port
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_federation_processes.py
+++ b/tests/test_federation_processes.py
@@ -15,9 +15,9 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.emulator.events import read
 from pathsaddle.emulator.federation.judge import judged
 from pathsaddle.emulator.ground.ports import udp_ports
+from pathsaddle.event_log import read
 from pathsaddle.federation import datagrams
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_federation_world.py
+++ b/tests/test_federation_world.py
@@ -6,10 +6,10 @@
 from functools import cache
 from pathlib import Path
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.federation.judge import earned, judged, turned
 from pathsaddle.emulator.federation.plans import COURSES, Plan, Trouble
 from pathsaddle.emulator.federation.world import World
+from pathsaddle.event_log import Event
 from pathsaddle.federation.routing import BACK, FIRST, IN_A_ROW, RegionRouter, RoutedRequest
 from pathsaddle.federation.spare_capacity import ReleaseNotice, SpareCapacityLender, parts
 from pathsaddle.federation.spec import parse
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,10 +12,10 @@
 import unittest
 from pathlib import Path
 
-from pathsaddle.emulator.events import read
 from pathsaddle.emulator.ground.air import Air, Blight
 from pathsaddle.emulator.ground.ports import udp_ports
 from pathsaddle.emulator.ground.relays import Streams
+from pathsaddle.event_log import read
 from tests.ports import tcp_port
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_hollow_load.py
+++ b/tests/test_hollow_load.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.hollow import gangs, jobs_store, open_sockets, open_txns, starts, starts_peaks
 from pathsaddle.emulator.hollow.waits import percentile
+from pathsaddle.event_log import Event
 from pathsaddle.trade import SECOND
 
 PLANS = Path(__file__).resolve().parent.parent / "experiments" / "scale"
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 from random import Random
 
-from pathsaddle.emulator.events import Event, read
 from pathsaddle.emulator.federation.judge import judged
 from pathsaddle.emulator.ground.ports import udp_places
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.placement.judge import judged as placed
+from pathsaddle.event_log import Event, read
 from pathsaddle.placement.changes import ReportUnitFound, ReportUnitWarm
 from pathsaddle.placement.clocks import wall_clock_ticks
 from pathsaddle.placement.invariants import find_violations
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 from pathsaddle.emulator import plan, stage
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import Judge, judge
 from pathsaddle.emulator.judges.mutants import FLEET_MUTANTS, JOB_MUTANTS, MUTANTS, mutated
+from pathsaddle.event_log import Event
 
 ROOT = Path(__file__).parent.parent
 PLAN = ROOT / "experiments/mutants.toml"
--- a/tests/test_overload_ground.py
+++ b/tests/test_overload_ground.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.overload.ground import Ground
 from pathsaddle.emulator.overload.judge import Judge, cut_off, most_in
 from pathsaddle.emulator.overload.plan import Plan, Trouble
+from pathsaddle.event_log import Event
 from pathsaddle.trade import SECOND
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,11 +8,11 @@
 from tempfile import TemporaryDirectory
 from time import monotonic
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.placement.judge import judged
 from pathsaddle.emulator.placement.mutants import MUTANTS, Unnumbered, Unrevised
 from pathsaddle.emulator.placement.policies import POLICIES
 from pathsaddle.emulator.placement.world import Site, Trouble, World
+from pathsaddle.event_log import Event
 from pathsaddle.placement.changes import (
     AddUnits,
     BeginPlanner,
--- a/tests/test_placement_processes.py
+++ b/tests/test_placement_processes.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.placement.judge import judged
+from pathsaddle.event_log import Event
 from pathsaddle.placement.changes import ReportUnitFound, ReportUnitPulled, ReportUnitWarm
 from pathsaddle.placement.clocks import wall_clock_ticks
 from pathsaddle.placement.invariants import find_violations
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from random import Random
 
-from pathsaddle.emulator.events import Event, read
 from pathsaddle.emulator.ground.air import Air, Blight, Meter
 from pathsaddle.emulator.ground.ports import udp_places
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.errors import Error
+from pathsaddle.event_log import Event, read
 from pathsaddle.net.wire.terms import peer_of
 from pathsaddle.settings.control_client import query
 from pathsaddle.settings.documents import content_hash
--- a/tests/test_settings_world.py
+++ b/tests/test_settings_world.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 from pathsaddle.config.validation import InvalidConfigError
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.hollow import settings as hollow
 from pathsaddle.emulator.settings import smoke
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.emulator.settings.mutants import MUTANTS, planted
 from pathsaddle.emulator.settings.world import SECOND, Plan, World
+from pathsaddle.event_log import Event
 
 PLANS = Path(__file__).parent.parent / "experiments"
 
--- a/tests/test_untrue.py
+++ b/tests/test_untrue.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from pathsaddle.emulator import plan, stage
-from pathsaddle.emulator.events import Event
 from pathsaddle.emulator.judges.judge import judge
 from pathsaddle.emulator.served.workers import Worker
+from pathsaddle.event_log import Event
 
 BASE: dict[str, Any] = {
     "name": "untrue",
