--- a/pathsaddle/fleet/gossip/gossip.py
+++ b/pathsaddle/fleet/gossip/gossip.py
@@ -64,7 +64,7 @@
         counts: by the names of `counters.py`.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917, RUF100  # the driver's interface: what a member is told at its start
+    def __init__(  # noqa: PLR0913, PLR0917  # the driver's interface: what a member is told at its start
         self,
         name: str,
         incarnation: int,
--- a/pathsaddle/fleet/quota/exchange.py
+++ b/pathsaddle/fleet/quota/exchange.py
@@ -54,7 +54,7 @@
         due: when `wake` is to be called.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917, RUF100  # what a member is told at its start
+    def __init__(  # noqa: PLR0913, PLR0917  # what a member is told at its start
         self,
         name: str,
         incarnation: int,
--- a/pathsaddle/fleet/quota/leases.py
+++ b/pathsaddle/fleet/quota/leases.py
@@ -345,7 +345,7 @@
     release: Release
 
 
-def new_ledger(  # noqa: PLR0913, PLR0917, RUF100  # what a member knows of a quota at its start
+def new_ledger(  # noqa: PLR0913, PLR0917  # what a member knows of a quota at its start
     name: str, incarnation: int, part: int, lease_ticks: int, now: int, guard_ticks: int = 0
 ) -> QuotaLedger:
     """The ledger of an incarnation that begins: it knows nothing but the configuration."""
--- a/pathsaddle/fleet/quota/quota_limiter.py
+++ b/pathsaddle/fleet/quota/quota_limiter.py
@@ -51,7 +51,7 @@
 class QuotaLimiter(QuotaExchange):
     """Several quotas of one member; see `QuotaExchange` for the arguments and attributes."""
 
-    def __init__(  # noqa: PLR0913, PLR0917, RUF100  # what a member is told at its start
+    def __init__(  # noqa: PLR0913, PLR0917  # what a member is told at its start
         self,
         name: str,
         incarnation: int,
--- a/pathsaddle/fleet/quota/shared_state.py
+++ b/pathsaddle/fleet/quota/shared_state.py
@@ -58,7 +58,7 @@
         meter: measures what quotas cost, apart from gossip.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917, RUF100  # the driver's interface: what a member is told at its start
+    def __init__(  # noqa: PLR0913, PLR0917  # the driver's interface: what a member is told at its start
         self,
         name: str,
         incarnation: int,
