--- a/pathsaddle/emulator/served/members.py
+++ b/pathsaddle/emulator/served/members.py
@@ -123,11 +123,8 @@
         """Returns (name, incarnation, ticks since it was last seen) by the member's own clock, which may drift."""
         driver = self.drivers[number]
         now = self.hosts[number].context.run(driver.clock.now)
-        return [
-            (name, member.record.incarnation, now - member.last_seen)
-            for name, member in driver.core.members.items()
-            if member.last_seen > 0
-        ]
+        members = driver.core.members.items()
+        return [(name, m.record.incarnation, now - m.last_seen) for name, m in members if m.last_seen > 0]
 
     def end(self) -> None:
         """Logs what each member has sent."""
--- a/pathsaddle/fleet/last_seen_log.py
+++ b/pathsaddle/fleet/last_seen_log.py
@@ -50,17 +50,12 @@
     def recent_ages(self, now: int) -> list[SeenAge]:
         """Returns the ages of a few members drawn from those last seen."""
         members = self.table.members
-        recent = {
-            member.record.name: member
-            for member in self.recent
-            if member.is_present and members.get(member.record.name) is member
-        }
+        recent = {m.record.name: m for m in self.recent if m.is_present and members.get(m.record.name) is m}
         drawn = self.rng.sample(list(recent.values()), min(MAX_REPORTED, len(recent)))
-        return [
-            SeenAge(
-                member.record.name,
-                member.record.incarnation,
-                int((now - member.last_seen) * (1 + 2 * CLOCK_DRIFT)) + 1,
-            )
-            for member in drawn
-        ]
+        return [_seen_age(member, now) for member in drawn]
+
+
+def _seen_age(member: Member, now: int) -> SeenAge:
+    """Returns the age lengthened by what the reader's clock may run slower than ours."""
+    age = int((now - member.last_seen) * (1 + 2 * CLOCK_DRIFT)) + 1
+    return SeenAge(member.record.name, member.record.incarnation, age)
