--- a/tests/test_hollow_load.py
+++ b/tests/test_hollow_load.py
@@ -161,8 +161,8 @@
         now = 100 * jobs_store.DAY
         rows = jobs_store.writes(50, 1, jobs_store.Setting(open=5), now)
         self.assertEqual([len(job) for job in rows], [3] * 45 + [1] * 5)
-        self.assertTrue(all(now - 30 * jobs_store.DAY <= job[0].accepted <= now for job in rows))
-        self.assertTrue(all(job[0].expires >= now + 3600 * SECOND for job in rows[45:]))
+        self.assertTrue(all(now - 30 * jobs_store.DAY <= job[0].accepted_at <= now for job in rows))
+        self.assertTrue(all(job[0].expires_at >= now + 3600 * SECOND for job in rows[45:]))
 
 
 class StartsPeaks(Measures):
