--- a/pathsaddle/control_metrics.py
+++ b/pathsaddle/control_metrics.py
@@ -305,7 +305,7 @@
             except GeneratorExit:
                 inner.close()
                 raise
-            except BaseException as error:  # noqa: BLE001
+            except BaseException as error:  # noqa: BLE001  # thrown into the wrapper, meant for the inner one
                 # Whatever is thrown in is meant for the inner coroutine.
                 step = partial(inner.throw, error)
             else:
--- a/pathsaddle/federation/disk.py
+++ b/pathsaddle/federation/disk.py
@@ -1,7 +1,7 @@
 """Files: what a member goes by, synced before it says so; and a register for one machine.
 
 `FolderRegister` is one voter: a file a number, made by a link that fails where the number is taken. Whoever
-wants the register to outlast a machine names voters instead (`voted.py`).
+wants the register to outlast a machine names voters instead (`spec_register.py`).
 """
 
 from __future__ import annotations
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -61,7 +61,7 @@
         due = now + PUBLISH_INTERVAL_TICKS
         try:
             due = self.membership.meter.runs("level", lambda: self._update(now))
-        except Exception as error:  # noqa: BLE001
+        except Exception as error:  # noqa: BLE001  # a defect of ours, whatever it is
             # A defect of ours, whatever it is, must not end the timer: the gate goes by its own share
             # meanwhile.
             self.membership.counters.add("fleet.fault")
