--- a/pathsaddle/consensus/__main__.py
+++ b/pathsaddle/consensus/__main__.py
@@ -1,7 +1,8 @@
-"""python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
-python -m pathsaddle.ownership serve CHARTER: votes and stands for the charter's keys, and nothing else,
-until SIGTERM.
-"""  # noqa: D205  # it is what the command prints where it is called wrongly
+"""The command `python -m pathsaddle.ownership`, which founds a voter's register or runs a voter.
+
+Called by an operator; `pathsaddle/ownership/` is the entry of that name. It owns the process from its
+configuration file to SIGTERM and decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -22,6 +23,9 @@
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.trade import SECOND
 
+USAGE = """python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
+python -m pathsaddle.ownership serve CHARTER: votes and stands for the charter's keys, and nothing else,
+until SIGTERM."""
 USAGE_CODE = 2
 STOP_PACES = 3  # between stop and end: a release is sent so often that one datagram may be lost
 
@@ -54,7 +58,7 @@
         case [("found" | "serve") as command, file]:
             pass
         case _:
-            print(__doc__, file=sys.stderr)
+            print(USAGE, file=sys.stderr)
             return USAGE_CODE
     try:
         configuration = read_configuration(Path(file))
