--- a/tests/data/write_consensus.py
+++ b/tests/data/write_consensus.py
@@ -10,14 +10,13 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.fleet.lives import Lives
-from pathsaddle.ownership.forms import Ballot, Value
-from pathsaddle.ownership.voter import Write
-
 from pathsaddle.emulator.ownership.faults import troubled
+from pathsaddle.fleet.lives import Lives
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground as Machine
 from pathsaddle.ownership import driver, forms, log
+from pathsaddle.ownership.forms import Ballot, Value
+from pathsaddle.ownership.voter import Write
 
 KEY = b"sixteen bytes or more"
 VOTERS = ("a", "b", "c")
--- a/tests/data/write_jobs.py
+++ b/tests/data/write_jobs.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 
 import jobs_steps
-from pathsaddle.jobs.life import End, Kind, Record
 
 from pathsaddle.jobs import call as submitted_call
+from pathsaddle.jobs.life import End, Kind, Record
 from pathsaddle.jobs.store import Accepted, Store, ThreadWriter, backup, final_sum
 from pathsaddle.net.wire.http import Message
 from pathsaddle.trade import Semantics
--- a/tests/data/write_membership.py
+++ b/tests/data/write_membership.py
@@ -137,12 +137,11 @@
 
 def main(output):
     """Imports the old names and writes the file."""
+    from pathsaddle.fleet import wire
     from pathsaddle.fleet.driver import Fellows
     from pathsaddle.fleet.lives import Lives
     from pathsaddle.fleet.members import Membership, Ways, life_of
 
-    from pathsaddle.fleet import wire
-
     def make(name, incarnation, address, seeds, rng, now, lifeguard):
         ways = Ways(
             "f", KEY, most_bytes=9000, most_datagrams=40, most_dead=3, forget=20 * SECOND, lifeguard=lifeguard
--- a/tests/data/write_overload.py
+++ b/tests/data/write_overload.py
@@ -13,13 +13,12 @@
 from pathlib import Path
 from random import Random
 
+from pathsaddle.emulator.overload.ground import Ground
+from pathsaddle.emulator.overload.plan import Plan, Trouble
 from pathsaddle.fleet.overload.gate import Gate, Ways
 from pathsaddle.fleet.overload.standing import Ask, band, drawn
 from pathsaddle.fleet.overload.word import Word, packed, read, short
 
-from pathsaddle.emulator.overload.ground import Ground
-from pathsaddle.emulator.overload.plan import Plan, Trouble
-
 SECOND = 10_000
 SECRET = b"a golden secret"
 
--- a/tests/data/write_placement.py
+++ b/tests/data/write_placement.py
@@ -170,9 +170,8 @@
     from dataclasses import replace
     from types import SimpleNamespace
 
-    from pathsaddle.placement.faults import Refused
-
     from pathsaddle.placement import __main__ as program
+    from pathsaddle.placement.faults import Refused
     from pathsaddle.placement.inventory import Demand, State, Target, Unit
     from pathsaddle.placement.ledger import File
 
--- a/tests/data/write_settings.py
+++ b/tests/data/write_settings.py
@@ -21,12 +21,11 @@
 
 sys.path.insert(0, str(Path.cwd()))
 
-from pathsaddle.settings.driver import Electorate, KeeperProcess, MemberDriver, Told, packed
-from pathsaddle.settings.forms import Group, Put, digest_of, encoded
-
 from pathsaddle.emulator.settings.world import Plan, World
 from pathsaddle.settings import sync, wire
 from pathsaddle.settings.disk import Folder
+from pathsaddle.settings.driver import Electorate, KeeperProcess, MemberDriver, Told, packed
+from pathsaddle.settings.forms import Group, Put, digest_of, encoded
 from pathsaddle.settings.store import Store
 
 KEY = b"sixteen bytes or more"
