--- a/pathsaddle/cli/jobs.py
+++ b/pathsaddle/cli/jobs.py
@@ -9,7 +9,7 @@
 
 import click
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 if TYPE_CHECKING:
     from pathsaddle.jobs.state_machine import JobStateMachine
--- a/pathsaddle/config/assembly.py
+++ b/pathsaddle/config/assembly.py
@@ -18,7 +18,7 @@
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.forms import Words
-from pathsaddle.trade import Terms
+from pathsaddle.scheduler_types import Terms
 
 if TYPE_CHECKING:
     from pathsaddle.control_metrics import ControlMeter
--- a/pathsaddle/config/metering.py
+++ b/pathsaddle/config/metering.py
@@ -25,7 +25,7 @@
 from pathsaddle.net.wire.forms import Words
 from pathsaddle.net.wire.http import Calling, Message
 from pathsaddle.net.wire.terms import Peer
-from pathsaddle.trade import Report, Worker
+from pathsaddle.scheduler_types import Report, Worker
 
 # In seconds: over so long the mean of processor time is compared with the budget, and so far apart are two
 # lines of one kind.
--- a/pathsaddle/config/reload.py
+++ b/pathsaddle/config/reload.py
@@ -24,7 +24,7 @@
 from pathsaddle.config.schema import Configuration, RequestClassTable, TenantTable
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import terms
-from pathsaddle.trade import Customer, Scheme
+from pathsaddle.scheduler_types import Customer, Scheme
 
 NamedTable = TypeVar("NamedTable", RequestClassTable, TenantTable)
 V = TypeVar("V")
--- a/pathsaddle/consensus/__main__.py
+++ b/pathsaddle/consensus/__main__.py
@@ -21,7 +21,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 USAGE = """python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
 python -m pathsaddle.ownership serve CHARTER: votes and stands for the charter's keys, and nothing else,
--- a/pathsaddle/consensus/acceptor.py
+++ b/pathsaddle/consensus/acceptor.py
@@ -52,7 +52,7 @@
     PeerIncarnationWrite,
     StoredState,
 )
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 SYNC_RETRY_TICKS = 200 * MILLISECOND  # between two requests of an acceptor that starts
 SYNC_PATIENCE_TICKS = 1000 * MILLISECOND  # how long one with an intact disk waits for enough of the others
--- a/pathsaddle/consensus/acceptor_host.py
+++ b/pathsaddle/consensus/acceptor_host.py
@@ -25,7 +25,7 @@
 from pathsaddle.control_metrics import NullMeter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 MAX_INBOX_MESSAGES = 2048  # further messages are dropped, as any link may drop them
 RECOVERY_DELAY_TICKS = SECOND  # until an acceptor whose disk failed is tried again
--- a/pathsaddle/consensus/lease_manager.py
+++ b/pathsaddle/consensus/lease_manager.py
@@ -27,7 +27,7 @@
 )
 from pathsaddle.consensus.proposer import Proposer, Reply
 from pathsaddle.consensus.register_reads import RegisterReads
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 # An unanswered request is sent again after a twelfth of the lease, within these bounds: some round trips of
 # a far link, and soon enough that several retries fit into any lease.
--- a/pathsaddle/consensus/udp_driver.py
+++ b/pathsaddle/consensus/udp_driver.py
@@ -42,7 +42,7 @@
 from pathsaddle.fleet.incarnation_store import IncarnationStore
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 __all__ = ["RegisterConfig", "RegisterDriver", "monotonic_ticks"]
 
--- a/pathsaddle/drill/codec.py
+++ b/pathsaddle/drill/codec.py
@@ -6,7 +6,7 @@
 
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.terms import passed
-from pathsaddle.trade import ListNews, Outcome, Report, Standing, Worker
+from pathsaddle.scheduler_types import ListNews, Outcome, Report, Standing, Worker
 
 OUTCOMES = {
     "1": Outcome.SETTLED,
--- a/pathsaddle/drill/stand.py
+++ b/pathsaddle/drill/stand.py
@@ -12,10 +12,10 @@
 from typing import Any, TextIO
 
 from pathsaddle.drill import codec
-from pathsaddle.loop import Loop
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.terms import TICK, limit, passed
-from pathsaddle.trade import Posting, Txn, Worker
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import Posting, Txn, Worker
 
 WAKE = "wake"
 
--- a/pathsaddle/emulator/federation/ground.py
+++ b/pathsaddle/emulator/federation/ground.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 
 @dataclass(frozen=True)
--- a/pathsaddle/emulator/federation/judge.py
+++ b/pathsaddle/emulator/federation/judge.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pathsaddle.event_log import Event
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 FAR = 1 << 60
 
--- a/pathsaddle/emulator/federation/keepers.py
+++ b/pathsaddle/emulator/federation/keepers.py
@@ -9,7 +9,7 @@
 from pathsaddle.emulator.federation.member import Member
 from pathsaddle.emulator.federation.plans import LEASE, REGIONS
 from pathsaddle.leased_versions import AppliedAck, CommitNotice, SyncRequest, Version, VersionServer
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 class KeeperMan:
--- a/pathsaddle/emulator/federation/member.py
+++ b/pathsaddle/emulator/federation/member.py
@@ -14,7 +14,7 @@
 from pathsaddle.federation.spare_capacity import SpareCapacityLender, parts
 from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaRequest
 from pathsaddle.leased_versions import CommitNotice, LeaseRenewal, Version, VersionSubscriber, new_subscriber
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 
 @dataclass(eq=False)
--- a/pathsaddle/emulator/federation/plans.py
+++ b/pathsaddle/emulator/federation/plans.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 REGIONS = ["north", "south", "west"]
 WORK = 4 * SECOND // 10  # the mean of a job
--- a/pathsaddle/emulator/federation/smoke.py
+++ b/pathsaddle/emulator/federation/smoke.py
@@ -23,7 +23,7 @@
 from pathsaddle.emulator.steps import Steps
 from pathsaddle.federation.model_checker import InvariantViolationError
 from pathsaddle.federation.model_checker import check as every_order
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 HOWS = ("off", "plain", "on")
 
--- a/pathsaddle/emulator/federation/world.py
+++ b/pathsaddle/emulator/federation/world.py
@@ -21,7 +21,7 @@
 from pathsaddle.event_log import EventLog
 from pathsaddle.federation.spec import Spec, parse
 from pathsaddle.leased_versions import Version
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 class World:
--- a/pathsaddle/emulator/hollow/jobs_store.py
+++ b/pathsaddle/emulator/hollow/jobs_store.py
@@ -27,7 +27,7 @@
 from pathsaddle.jobs.store import Store
 from pathsaddle.jobs.store_rows import DeleteEndedJobs, JobRecord, StoreWrite
 from pathsaddle.jobs.store_writer import EmulatedDiskWriter
-from pathsaddle.trade import SECOND, Semantics
+from pathsaddle.scheduler_types import SECOND, Semantics
 
 DAY = 24 * 3600 * SECOND
 READY_WITHIN = 50.0  # seconds
--- a/pathsaddle/emulator/hollow/open_txns.py
+++ b/pathsaddle/emulator/hollow/open_txns.py
@@ -17,11 +17,11 @@
 from pathsaddle.config.loader import platform_config
 from pathsaddle.config.schema import Configuration
 from pathsaddle.config.validation import validate
-from pathsaddle.loop import Loop
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.wire.birth import Birth, birth
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
 
 LAST = 100  # arrivals and looks that are timed
 WATCHED = 60  # tenths of a second over which watching is timed: some times of silence
--- a/pathsaddle/emulator/hollow/owners.py
+++ b/pathsaddle/emulator/hollow/owners.py
@@ -22,7 +22,7 @@
 from pathsaddle.emulator.hollow.places import Place, places
 from pathsaddle.emulator.ownership.hosts import AcceptorHost, Host, MemberHost
 from pathsaddle.emulator.ownership.simulation import Layout, Simulation
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 KEY = b"the hollow owners' own secret"
 TENTH = SECOND // 10
--- a/pathsaddle/emulator/hollow/owners_peaks.py
+++ b/pathsaddle/emulator/hollow/owners_peaks.py
@@ -16,7 +16,7 @@
 from pathsaddle.emulator.hollow.owners import TENTH, OwnersGround, part, sizes
 from pathsaddle.emulator.hollow.owners import Setting as Rest
 from pathsaddle.emulator.ownership.hosts import AcceptorHost, MemberHost
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 LOOK = SECOND // 20  # between looks at who owns: by so much a span may be told too long
 
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -19,14 +19,14 @@
 
 import msgspec
 
-from pathsaddle.beliefs import Book
 from pathsaddle.config.loader import platform_config
 from pathsaddle.config.schema import Configuration
 from pathsaddle.config.validation import validate
-from pathsaddle.loop import Loop
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
-from pathsaddle.trade import MILLISECOND, SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
+from pathsaddle.worker_state import Book
 
 LOOK_TAKES = 2 * MILLISECOND  # until a look is answered
 CHANGES = 100  # changes of the list, one at a time
--- a/pathsaddle/emulator/hollow/served.py
+++ b/pathsaddle/emulator/hollow/served.py
@@ -21,7 +21,7 @@
 from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.ground import speech
 from pathsaddle.emulator.ground.speech import Hearing, Said
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 BEAT = 2.0  # seconds between signs of life on a watch
 NOTICED = 0.3  # seconds after which the machine's agent tells of a process that died
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -24,13 +24,12 @@
 
 import msgspec
 
-from pathsaddle.beliefs import Account
-from pathsaddle.choice import HANDFUL
 from pathsaddle.config.loader import platform_settings, read_configuration
 from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.hollow.serving import Ground, rss_mib
-from pathsaddle.loop import Loop
-from pathsaddle.trade import (
+from pathsaddle.scheduler import HANDFUL
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import (
     SECOND,
     Customer,
     Group,
@@ -44,6 +43,7 @@
     Txn,
     Worker,
 )
+from pathsaddle.worker_state import Account
 
 JOB = SECOND // 10  # how long a job runs at a worker in process
 RELOADS = 5
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -12,7 +12,6 @@
 from typing import Any
 from unittest import mock
 
-from pathsaddle.choice import Choice
 from pathsaddle.fleet import anti_entropy
 from pathsaddle.fleet.membership import Membership
 from pathsaddle.fleet.messages import MemberRecord
@@ -24,7 +23,8 @@
 from pathsaddle.jobs.store_rows import JobRecord
 from pathsaddle.jobs.submitted_call import idempotency_key_of
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.trade import SECOND, Outcome, Posting, Semantics, Standing, Txn
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import SECOND, Outcome, Posting, Semantics, Standing, Txn
 
 Patches = list[Any]
 FAR = 1 << 60
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -14,7 +14,6 @@
 from typing import Any
 from unittest import mock
 
-from pathsaddle.choice import Choice
 from pathsaddle.fleet.overload.admission_gate import GateOptions, OverloadGate
 from pathsaddle.fleet.overload.load_summary import decode_summary
 from pathsaddle.fleet.overload.peer_summaries import PeerSummary
@@ -22,7 +21,8 @@
 from pathsaddle.fleet.overload.scheduler_gate import WORKER_GROUPS, SchedulerAdmissionGate
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
-from pathsaddle.trade import SECOND, Txn
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import SECOND, Txn
 
 LATE = 3 * SECOND // 10
 TELLS = SECOND // 2
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -22,7 +22,7 @@
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 VALUES = (1.0, 2.0, 4.0, 12.0)  # by scheme
 LATE = 0.3  # what a late answer earns
--- a/pathsaddle/emulator/overload/leases.py
+++ b/pathsaddle/emulator/overload/leases.py
@@ -9,7 +9,7 @@
 from pathsaddle.emulator.overload.around import Member
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 LEASE = 4 * SECOND
 LIFE = 1
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -29,7 +29,7 @@
 from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 RUN = SECOND // 5
 VALUES = (1.0, 2.0, 4.0, 12.0)
--- a/pathsaddle/emulator/overload/policies.py
+++ b/pathsaddle/emulator/overload/policies.py
@@ -33,7 +33,7 @@
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind
 from pathsaddle.fleet.overload.shed_level import ShedLevel
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest, rank_band, rank_hash
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 SECRET = b"an emulated fleet's key"
 COME_BACK = SECOND  # today's advice: the same for all
--- a/pathsaddle/emulator/overload/processes.py
+++ b/pathsaddle/emulator/overload/processes.py
@@ -25,7 +25,7 @@
 from pathsaddle.emulator.ground.relays import Relays
 from pathsaddle.emulator.overload.judge import Judge
 from pathsaddle.event_log import Event, read
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 MEMBERS, COULD, LEASE = 9, 12.0, 3 * SECOND
 RATE = 2 * COULD / 0.2 / (MEMBERS + 2)  # txns a second, each; the first one has three times as much
--- a/pathsaddle/emulator/ownership/faults.py
+++ b/pathsaddle/emulator/ownership/faults.py
@@ -12,7 +12,7 @@
 
 from pathsaddle.emulator.ownership.hosts import DEFAULT_SYNC_TICKS, AcceptorHost, Disk, MemberHost
 from pathsaddle.emulator.ownership.simulation import Layout, Simulation
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 # A kind that stands twice is drawn twice as often.
 KINDS = (
--- a/pathsaddle/emulator/ownership/hosts.py
+++ b/pathsaddle/emulator/ownership/hosts.py
@@ -17,7 +17,7 @@
 from pathsaddle.consensus.lease_manager import LeaseManager
 from pathsaddle.consensus.messages import FencingToken, Incarnation, Message, Outgoing, Ticks
 from pathsaddle.consensus.stored_state import DiskWrite, StoredState
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 DEFAULT_SYNC_TICKS = 5
 MAX_INBOX_MESSAGES = 4096
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -38,7 +38,7 @@
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 WORK_PAUSE_SECONDS = 0.01
 QUERY_PAUSE_SECONDS = 0.1
--- a/pathsaddle/emulator/ownership/simulation.py
+++ b/pathsaddle/emulator/ownership/simulation.py
@@ -36,7 +36,7 @@
 )
 from pathsaddle.emulator.ownership.hosts import AcceptorHost, Host, MemberHost, Packet
 from pathsaddle.event_log import EventLog
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 LINK_TICKS = 5  # a link's shortest delay
 LINK_JITTER_TICKS = 30  # rarely reached: the fourth power of a uniform draw
--- a/pathsaddle/emulator/ownership/smoke.py
+++ b/pathsaddle/emulator/ownership/smoke.py
@@ -27,7 +27,7 @@
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.emulator.ownership.mutants import FOUND, mutant
 from pathsaddle.emulator.ownership.simulation import Layout, Simulation
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 FAULTS = ("kill", "stop", "cut", "sigterm")
 USAGE_CODE = 2
--- a/pathsaddle/emulator/placement/world.py
+++ b/pathsaddle/emulator/placement/world.py
@@ -43,7 +43,7 @@
     Rollout,
     StopRollout,
 )
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 CLAIM = 5 * SECOND  # a planner's lease on being the planner
 LEASE = 8 * SECOND  # on a reservation
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -27,7 +27,7 @@
 from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 class User:
--- a/pathsaddle/experiment/baseline.py
+++ b/pathsaddle/experiment/baseline.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from pathsaddle.beliefs import Book
-from pathsaddle.choice import Choice
-from pathsaddle.trade import Txn
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import Txn
+from pathsaddle.worker_state import Book
 
 Pick = Callable[[Choice, list[Book]], Book]
 
--- a/pathsaddle/experiment/throughput.py
+++ b/pathsaddle/experiment/throughput.py
@@ -413,7 +413,7 @@
     from pathsaddle.jobs.store import Store
     from pathsaddle.jobs.store_rows import JobRecord
     from pathsaddle.jobs.store_writer import EmulatedDiskWriter
-    from pathsaddle.trade import SECOND, Semantics
+    from pathsaddle.scheduler_types import SECOND, Semantics
 
     with tempfile.TemporaryDirectory() as space:
         folder = Path(space)
--- a/pathsaddle/federation/remote_region.py
+++ b/pathsaddle/federation/remote_region.py
@@ -23,7 +23,7 @@
 from pathsaddle.federation.spec import Rule
 from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaRequest
 from pathsaddle.leased_versions import VersionSubscriber
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 WORK = 10 * MILLISECOND  # what a drill's job is taken to need
 PATIENCE = 20 * SECOND // 10  # of its caller
--- a/pathsaddle/federation/request_handler.py
+++ b/pathsaddle/federation/request_handler.py
@@ -31,7 +31,7 @@
 from pathsaddle.net.service.workers import Lost, NeverSent
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import MILLISECOND, Outcome, Semantics, Txn
+from pathsaddle.scheduler_types import MILLISECOND, Outcome, Semantics, Txn
 
 CROSSED = b"crossed-from"
 LAST = 30 * MILLISECOND  # before its expiry an answer is given, whatever is out
--- a/pathsaddle/federation/routing.py
+++ b/pathsaddle/federation/routing.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from pathsaddle.federation.spec import Rule, Spec
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 IN_A_ROW = 4  # unanswered askings, ours and our fellows', by which a region is lost
 BACK = 3  # answers in a row by which it is back
--- a/pathsaddle/federation/spare_capacity.py
+++ b/pathsaddle/federation/spare_capacity.py
@@ -17,7 +17,7 @@
 
 from pathsaddle.federation.spec import Rule
 from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT, Grant, QuotaLedger, QuotaRequest, new_ledger
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 LEASE = 4 * SECOND  # of a loan among members
 
--- a/pathsaddle/federation/spec_register.py
+++ b/pathsaddle/federation/spec_register.py
@@ -40,7 +40,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 KEY = "spec"
 LATEST = 32  # committed versions that the value names: 29 bytes each at most, of the 1,024 that it may have
--- a/pathsaddle/federation/udp_driver.py
+++ b/pathsaddle/federation/udp_driver.py
@@ -54,7 +54,7 @@
 )
 from pathsaddle.net.service.place import unhad
 from pathsaddle.net.wire.terms import peer_of
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 BYTES = 200_000  # that one process sends in any second
 COMMITTER = "committer"
--- a/pathsaddle/fleet/control_endpoint.py
+++ b/pathsaddle/fleet/control_endpoint.py
@@ -17,7 +17,7 @@
 from pathsaddle.fleet.fault_log import FaultLog, describe
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 CONNECTION_TICKS = 2 * SECOND  # for one query and its answer
 MAX_CONNECTIONS = 8  # at a time; further ones are closed at once
--- a/pathsaddle/fleet/fault_log.py
+++ b/pathsaddle/fleet/fault_log.py
@@ -8,7 +8,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 LOG_INTERVAL_TICKS = SECOND  # between two log lines: defects in between are counted alone
 
--- a/pathsaddle/fleet/overload/admission_gate.py
+++ b/pathsaddle/fleet/overload/admission_gate.py
@@ -30,7 +30,7 @@
 from pathsaddle.fleet.overload.shed_level import LoadTotals, ShedLevel
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest, rank_band, rank_hash
 from pathsaddle.fleet.overload.tenant_excess import excess_shares
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 UPDATE_INTERVAL_TICKS = SECOND // 10
 # Two hundred summaries each tenth of a second would take a fortieth of a core; three updates a second are
--- a/pathsaddle/fleet/overload/driver.py
+++ b/pathsaddle/fleet/overload/driver.py
@@ -14,7 +14,7 @@
 from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 TOPIC = "load"
 PUBLISH_INTERVAL_TICKS = SECOND // 2
--- a/pathsaddle/fleet/overload/offered_load.py
+++ b/pathsaddle/fleet/overload/offered_load.py
@@ -10,7 +10,7 @@
 from pathsaddle.fleet.overload.decaying_rate import DecayingRate
 from pathsaddle.fleet.overload.load_summary import MAX_TENANTS
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS, AdmissionRequest
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 LOAD_WINDOW_TICKS = SECOND  # over which offered load is averaged
 SUSTAINED_WINDOW_TICKS = 4 * SECOND  # over which all of it is averaged besides, against bursts
--- a/pathsaddle/fleet/overload/retry_advice.py
+++ b/pathsaddle/fleet/overload/retry_advice.py
@@ -18,7 +18,7 @@
 
 from __future__ import annotations
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 MIN_IDLE_SHARE = 0.1  # used also where nothing is idle, so that some clients try
 GOLDEN_RATIO = 0.618  # spreads the rounding of a partly used second evenly over the seconds
--- a/pathsaddle/fleet/overload/scheduler_gate.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -15,10 +15,10 @@
 from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, OverloadGate
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
-from pathsaddle.trade import SECOND, Standing, Txn, Worker
+from pathsaddle.scheduler_types import SECOND, Standing, Txn, Worker
 
 if TYPE_CHECKING:
-    from pathsaddle.choice import Choice
+    from pathsaddle.scheduler import Choice
 
 MAX_OPEN_VERDICTS = 4096  # rejections whose advice was not yet asked for
 # Groups of workers, each with budgets of its own: a configuration names budgets before it knows any worker.
--- a/pathsaddle/fleet/overload/shed_level.py
+++ b/pathsaddle/fleet/overload/shed_level.py
@@ -31,7 +31,7 @@
 
 from pathsaddle.fleet.overload.load_summary import LoadSummary, TenantHash
 from pathsaddle.fleet.overload.shed_rank import RANK_BANDS
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 MAX_RISE_BANDS_PER_SECOND = 12.0  # harm comes quickly
 MAX_FALL_BANDS_PER_SECOND = 4.0  # the whole scale in four seconds: trust comes back slowly
--- a/pathsaddle/fleet/overload/shed_rank.py
+++ b/pathsaddle/fleet/overload/shed_rank.py
@@ -18,7 +18,7 @@
 from math import floor, log2
 from typing import NamedTuple
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 RANK_BANDS = (
     16  # half octaves: value for work may differ by 256 to 1 before two requests share the outermost band
--- a/pathsaddle/fleet/udp_driver.py
+++ b/pathsaddle/fleet/udp_driver.py
@@ -41,7 +41,7 @@
 from pathsaddle.fleet.wakeup_timer import WakeupTimer
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 __all__ = ["MAX_TIMER_FAILURES", "Environment", "MembershipConfig", "MembershipDriver"]
 
--- a/pathsaddle/jobs/admission.py
+++ b/pathsaddle/jobs/admission.py
@@ -27,7 +27,7 @@
 from pathsaddle.net.memory.ledger import Answer, Entry
 from pathsaddle.net.service import logbook
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import SECOND, Txn
+from pathsaddle.scheduler_types import SECOND, Txn
 
 FULL_LOG_INTERVAL: Ticks = 60 * SECOND  # between two log lines of memory that is full of open jobs
 JOB_ID_RANDOM_BITS = 32  # so that the ids of two stores differ
--- a/pathsaddle/jobs/cancellation.py
+++ b/pathsaddle/jobs/cancellation.py
@@ -15,7 +15,7 @@
 from pathsaddle.jobs.state_machine import CancelRequested, Ticks
 from pathsaddle.net.memory.ledger import Answer
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 CANCEL_COMMIT_TIMEOUT: Ticks = (
     SECOND  # for the wish to be on disk; afterwards the client is told to come back
--- a/pathsaddle/jobs/http_answers.py
+++ b/pathsaddle/jobs/http_answers.py
@@ -14,7 +14,7 @@
 from pathsaddle.jobs.active_job import ActiveJob
 from pathsaddle.jobs.state_machine import Ticks
 from pathsaddle.net.memory.ledger import Answer
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 RETRY_AFTER_FAILED_COMMIT: Ticks = SECOND
 RETRY_WHILE_RECOVERING: Ticks = SECOND // 2
--- a/pathsaddle/jobs/job_host.py
+++ b/pathsaddle/jobs/job_host.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.wire.forms import Words
-from pathsaddle.trade import Outcome, Posting, Txn, Worker
+from pathsaddle.scheduler_types import Outcome, Posting, Txn, Worker
 
 Notify = Callable[[bool], None]  # told whether the end is on disk; at once where that is not known in time
 
--- a/pathsaddle/jobs/job_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -39,7 +39,7 @@
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire.forms import Callback, Row
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import ListNews, Outcome, Posting, Report, Txn
+from pathsaddle.scheduler_types import ListNews, Outcome, Posting, Report, Txn
 
 __all__ = ["JobService", "JobServiceOptions"]
 
--- a/pathsaddle/jobs/leases.py
+++ b/pathsaddle/jobs/leases.py
@@ -22,7 +22,7 @@
 from pathsaddle.jobs.worker_client import LeaseAnswer
 from pathsaddle.net.memory.ledger import Exchange
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.trade import MILLISECOND, Outcome
+from pathsaddle.scheduler_types import MILLISECOND, Outcome
 
 
 class JobLeases:
--- a/pathsaddle/jobs/model_checker.py
+++ b/pathsaddle/jobs/model_checker.py
@@ -35,7 +35,7 @@
     LeaseIntended,
     LeaseReport,
 )
-from pathsaddle.trade import Semantics
+from pathsaddle.scheduler_types import Semantics
 
 MAX_LEASES = 2  # of a job
 EXPIRES_AT = 1 << 40  # after every moment of the model, whose clock stands still at 0
--- a/pathsaddle/jobs/polling.py
+++ b/pathsaddle/jobs/polling.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.memory.ledger import Answer
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 
 @dataclass(slots=True, frozen=True)
--- a/pathsaddle/jobs/recovery.py
+++ b/pathsaddle/jobs/recovery.py
@@ -22,7 +22,7 @@
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.net.wire.http import Broken
-from pathsaddle.trade import MILLISECOND, Outcome, Posting, Semantics
+from pathsaddle.scheduler_types import MILLISECOND, Outcome, Posting, Semantics
 
 JOBS_PER_SLICE = 100  # jobs taken up between two turns of the event loop
 MAX_CONCURRENT_QUERIES = 64  # at a time
--- a/pathsaddle/jobs/retention.py
+++ b/pathsaddle/jobs/retention.py
@@ -10,7 +10,7 @@
 from pathsaddle.jobs.job_context import JobContext
 from pathsaddle.jobs.state_machine import Ticks
 from pathsaddle.jobs.store_rows import DeleteEndedJobs
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 SWEEP_INTERVAL_SECONDS = 1.0
 # The longest between two deletions: an eighth of a month's jobs at once keeps the disk for seconds.
--- a/pathsaddle/jobs/run_queue.py
+++ b/pathsaddle/jobs/run_queue.py
@@ -15,7 +15,7 @@
 from pathsaddle.jobs.submitted_call import decode_call
 from pathsaddle.net.memory.ledger import Entry
 from pathsaddle.net.wire.http import Broken
-from pathsaddle.trade import Outcome, Posting
+from pathsaddle.scheduler_types import Outcome, Posting
 
 MAX_RUNNING_JOBS = (
     512  # before the decisions at once: their cost of a turn grows with all that they have open
--- a/pathsaddle/jobs/state_machine.py
+++ b/pathsaddle/jobs/state_machine.py
@@ -23,7 +23,7 @@
 from enum import Enum
 from typing import TypeAlias
 
-from pathsaddle.trade import Semantics
+from pathsaddle.scheduler_types import Semantics
 
 Ticks: TypeAlias = (
     int  # tenths of a millisecond; a moment counts from the Unix epoch, so that it outlasts a process
--- a/pathsaddle/jobs/store_commits.py
+++ b/pathsaddle/jobs/store_commits.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 RETRY_INTERVAL: Ticks = SECOND // 10  # between attempts at a commit that failed
 FAILING_PERIOD: Ticks = SECOND  # after a failed commit: new jobs are rejected at once
--- a/pathsaddle/jobs/store_rows.py
+++ b/pathsaddle/jobs/store_rows.py
@@ -24,7 +24,7 @@
     LeaseIntended,
     Ticks,
 )
-from pathsaddle.trade import Semantics
+from pathsaddle.scheduler_types import Semantics
 
 SELECT_JOB = "SELECT job, owner, key, digest, semantics, accepted, expires, call, sum FROM jobs"
 SELECT_LEASE = "SELECT job, number, worker, at, never_ran FROM leases"
--- a/pathsaddle/net/__init__.py
+++ b/pathsaddle/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the decisions of choice.py behind HTTP on sockets."""
+"""The real dispatcher: the decisions of scheduler.py behind HTTP on sockets."""
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import Posting, Scheme, Txn
+from pathsaddle.scheduler_types import Posting, Scheme, Txn
 
 SPENT = 4096  # ids of txns that are over: as many as come in the longest expiry, and no memory to speak of
 Answer = Callable[[int, bytes, tuple[str, ...], bool], None]
--- a/pathsaddle/net/service/clock.py
+++ b/pathsaddle/net/service/clock.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 class Clock:
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -12,7 +12,7 @@
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.http import MOST_RECORD, Broken, Calling
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.trade import LIST_SILENT, SECOND, ListNews
+from pathsaddle.scheduler_types import LIST_SILENT, SECOND, ListNews
 
 COMES_UP = SECOND  # in which discovery's machine must take our connection
 # In which a call, its connection and all, must bring its first line: discovery gives up on callers sooner, and two that
--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.http import Broken, Called, Message
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.trade import MILLISECOND, SECOND
+from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
 BACKLOG = 1024
 UNREAD = 10 * SECOND  # time in which a peer must take what is written to it
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -18,7 +18,7 @@
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.birth import WHERE, Birth, birth
-from pathsaddle.trade import MILLISECOND, SECOND, ListNews
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews
 
 SPARE = 12  # descriptors for the listener, discovery's watch and connections on their way out
 CONNECTION_MB = 0.02  # what a connection takes of us and of our tasks, measured
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -12,7 +12,6 @@
 from functools import partial
 from typing import Any
 
-from pathsaddle.loop import Loop
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Ledger, Sending
 from pathsaddle.net.service import logbook
@@ -21,7 +20,18 @@
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.forms import Callback, Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import MILLISECOND, ListNews, Outcome, Posting, Report, Standing, Terms, Txn, Worker
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import (
+    MILLISECOND,
+    ListNews,
+    Outcome,
+    Posting,
+    Report,
+    Standing,
+    Terms,
+    Txn,
+    Worker,
+)
 
 AFTER_FAULT = 10 * MILLISECOND  # until the next turn: not at once, against spinning on the same fault
 ON_ITS_WAY = 50 * MILLISECOND  # in which the end of a connection reaches a worker
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.wire.http import Broken, Calling, Message
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 # A second answer to a call may come some milliseconds after the first; answers name no call, so a connection rests for
 # the protocol's slack before the next one: what comes in its rest ends it, what comes later is the next call's own.
--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -10,7 +10,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.terms import Amiss, Reach, Told, peer_of
-from pathsaddle.trade import SECOND, Terms
+from pathsaddle.scheduler_types import SECOND, Terms
 
 WHERE = "GW_CONFIG"  # the variable that says where the rest stands
 USUAL_SOCKETS = 1024  # where no limit is told: what a process gets by itself on most machines
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -14,7 +14,7 @@
 
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import (
+from pathsaddle.scheduler_types import (
     MILLISECOND,
     SECOND,
     Customer,
--- a/pathsaddle/net/wire/terms.py
+++ b/pathsaddle/net/wire/terms.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pathsaddle.trade import SECOND, Customer, Group, Report, Scheme, Semantics, Terms
+from pathsaddle.scheduler_types import SECOND, Customer, Group, Report, Scheme, Semantics, Terms
 
 TICK = 100_000  # nanoseconds in a tenth of a millisecond
 
--- a/pathsaddle/placement/clocks.py
+++ b/pathsaddle/placement/clocks.py
@@ -4,7 +4,7 @@
 
 import time
 
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 NANOSECONDS = 10**9  # of a second
 
--- a/pathsaddle/placement/leadership.py
+++ b/pathsaddle/placement/leadership.py
@@ -25,7 +25,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.placement.errors import InventoryUnreadableError
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 PLANNER_KEY = "plan"
 
--- a/pathsaddle/placement/planner.py
+++ b/pathsaddle/placement/planner.py
@@ -31,7 +31,7 @@
     RolloutStep,
     StopRollout,
 )
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 POLL_INTERVAL_S = 0.1  # between two looks at the ledger
 ORDER_REPEAT_S = 60  # an order is printed again until it is done
--- a/pathsaddle/choice.py
+++ b/pathsaddle/scheduler.py
@@ -20,9 +20,9 @@
 from random import Random
 from typing import Any
 
-from pathsaddle.beliefs import FAR, Account, Book, Type, Usual
+from pathsaddle.worker_state import FAR, Account, Book, Type, Usual
 
-from pathsaddle.trade import (  # isort: skip  # as many to a line as fit: these names are most of the trade
+from pathsaddle.scheduler_types import (  # isort: skip  # as many to a line as fit: these names are most of the trade
     LIST_ANSWER,
     LIST_MOVED,
     LIST_SILENT,
--- a/pathsaddle/loop.py
+++ b/pathsaddle/scheduler_driver.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pathsaddle.choice import Choice
-from pathsaddle.trade import (
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import (
     Cancel,
     Decline,
     Door,
--- a/pathsaddle/settings/cluster_file.py
+++ b/pathsaddle/settings/cluster_file.py
@@ -17,8 +17,8 @@
 from pathsaddle.config.units import Duration
 from pathsaddle.config.validation import load_toml, validate
 from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.scheduler_types import SECOND
 from pathsaddle.settings.errors import ClusterFileError
-from pathsaddle.trade import SECOND
 
 E = TypeVar("E")
 MIN_KEY_CHARS = 16
--- a/pathsaddle/beliefs.py
+++ b/pathsaddle/worker_state.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 from collections import deque
 
-from pathsaddle.trade import SECOND, Posting, Report, Scheme, Worker
+from pathsaddle.scheduler_types import SECOND, Posting, Report, Scheme, Worker
 
 Type = tuple[float, int | None]  # what the paper calls j: slot count and the machine a scheme needs
 FAR = 1 << 60
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from pathsaddle.loop import Loop
-from pathsaddle.trade import (
+from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_types import (
     SECOND,
     Customer,
     Group,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -22,7 +22,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Callback, Row, Words
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.trade import SECOND, ListNews, Outcome, Worker
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Worker
 from tests import test_sockets
 from tests.fakehost import SETTINGS
 
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -13,8 +13,8 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.choice import Choice
-from pathsaddle.trade import SECOND, ListNews, Outcome, Posting, Report, Standing, Worker
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Report, Standing, Worker
 from tests.fakehost import FakeHost, scheme
 
 MEAN = SECOND // 4  # the true mean job
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from pathsaddle.experiment import capacity, scale
 from pathsaddle.net.service import logbook
 from pathsaddle.net.wire.birth import birth
-from pathsaddle.trade import Semantics
+from pathsaddle.scheduler_types import Semantics
 
 ROOT = Path(__file__).parent.parent
 GOOD = """
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -32,8 +32,8 @@
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
 from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Worker
 from pathsaddle.settings import configuration
-from pathsaddle.trade import SECOND, ListNews, Outcome, Worker
 from tests.fakehost import FakeHost, scheme
 from tests.test_program import ROOT
 from tests.test_shutdown import Shutdown, job, one_answer
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -46,7 +46,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.ground import Ground as Machine
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 def lease_holder(simulation, key="k0"):
--- a/tests/test_consensus_processes.py
+++ b/tests/test_consensus_processes.py
@@ -26,7 +26,7 @@
 from pathsaddle.emulator.ownership import linear
 from pathsaddle.emulator.ownership.judge import judge
 from pathsaddle.event_log import Event
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
 SECONDS = float(os.environ.get("OWNERSHIP_SECONDS", "15"))  # of random trouble; longer by hand
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -567,7 +567,7 @@
         numbers = ours[: ours.index("[[assumptions]]")]
         row = (
             '[[rows]]\nrole = "worker"\nwhat = "w"\nfigure = "tally.bytes"\nat = "workers"\nlimit = 3\n'
-            'mechanism = "choice.py"\n'
+            'mechanism = "scheduler.py"\n'
         )
         target = self.file(numbers + row, "target.toml")
         self.says(
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -3,8 +3,18 @@
 import unittest
 from unittest import mock
 
-from pathsaddle.choice import Choice
-from pathsaddle.trade import SECOND, Customer, Group, ListNews, Outcome, Report, Scheme, Standing, Worker
+from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler_types import (
+    SECOND,
+    Customer,
+    Group,
+    ListNews,
+    Outcome,
+    Report,
+    Scheme,
+    Standing,
+    Worker,
+)
 from tests.fakehost import ONCE_ONLY, REFERENCED, FakeHost, full, idle, scheme
 
 
--- a/tests/test_federation_world.py
+++ b/tests/test_federation_world.py
@@ -13,7 +13,7 @@
 from pathsaddle.federation.routing import BACK, FIRST, IN_A_ROW, RegionRouter, RoutedRequest
 from pathsaddle.federation.spare_capacity import ReleaseNotice, SpareCapacityLender, parts
 from pathsaddle.federation.spec import parse
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 ROOT = Path(__file__).resolve().parent.parent
 SPEC = parse("""[regions.north]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import deque
 
-from pathsaddle.trade import LIST_SILENT, LIST_TOLD, SECOND, ListNews, Outcome, Report, Worker
+from pathsaddle.scheduler_types import LIST_SILENT, LIST_TOLD, SECOND, ListNews, Outcome, Report, Worker
 from tests.fakehost import ONCE_ONLY, FakeHost, full, scheme
 
 MOMENT = SECOND // 100
--- a/tests/test_golden_jobs.py
+++ b/tests/test_golden_jobs.py
@@ -29,7 +29,7 @@
     to_worker_call,
 )
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import Semantics
+from pathsaddle.scheduler_types import Semantics
 from tests import test_jobs
 from tests.data import jobs_steps
 
--- a/tests/test_golden_overload.py
+++ b/tests/test_golden_overload.py
@@ -19,7 +19,7 @@
 from pathsaddle.fleet.overload.peer_summaries import PeerRecord
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest, rank_band, rank_hash
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 SECRET = b"a golden secret"
 GOLDEN: dict[str, Any] = json.loads((Path(__file__).parent / "data" / "overload.json").read_text())
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -70,7 +70,7 @@
         seen = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True
         )
-        for word in ("fleet", "choice", "loop", "net", "jobs", "placement.", "federation."):
+        for word in ("fleet", "scheduler", "scheduler_driver", "net", "jobs", "placement.", "federation."):
             self.assertNotIn(f"pathsaddle.{word}", seen.stdout)
 
 
--- a/tests/test_hollow_load.py
+++ b/tests/test_hollow_load.py
@@ -11,7 +11,7 @@
 from pathsaddle.emulator.hollow import gangs, jobs_store, open_sockets, open_txns, starts, starts_peaks
 from pathsaddle.emulator.hollow.waits import percentile
 from pathsaddle.event_log import Event
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 PLANS = Path(__file__).resolve().parent.parent / "experiments" / "scale"
 
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -26,7 +26,7 @@
 from pathsaddle.net.wire import forms, terms
 from pathsaddle.net.wire.forms import Callback, Words
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.trade import SECOND, ListNews, Outcome, Standing
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Standing
 
 SHORT = workers.Setting(
     rate=50.0, run=0.02, rest=0.2, steady=0.4, changes=4, changes_rate=50.0, cold=0.4, full=0.4
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -41,18 +41,27 @@
 )
 # Of each part: what it may not import, wherever in its source the import stands.
 BELOW = {
-    "trade": ("beliefs", "choice", "loop", "net", "fleet", "jobs", "config", *ABOVE),
-    "beliefs": ("choice", "loop", "net", "fleet", "jobs", "config", *ABOVE),
-    "choice": ("net", "fleet", "jobs", "config", *ABOVE),
-    "loop": ("net", "fleet", "jobs", "config", *ABOVE),
+    "scheduler_types": (
+        "worker_state",
+        "scheduler",
+        "scheduler_driver",
+        "net",
+        "fleet",
+        "jobs",
+        "config",
+        *ABOVE,
+    ),
+    "worker_state": ("scheduler", "scheduler_driver", "net", "fleet", "jobs", "config", *ABOVE),
+    "scheduler": ("net", "fleet", "jobs", "config", *ABOVE),
+    "scheduler_driver": ("net", "fleet", "jobs", "config", *ABOVE),
     "net": ("fleet", *ABOVE),
     "fleet": ABOVE,
     "jobs": ABOVE,
     "event_log": (
-        "trade",
-        "beliefs",
-        "choice",
-        "loop",
+        "scheduler_types",
+        "worker_state",
+        "scheduler",
+        "scheduler_driver",
         "net",
         "fleet",
         "jobs",
@@ -195,8 +204,8 @@
     def test_what_only_types_need_counts_and_what_a_function_imports_counts_apart(self):
         source = (
             "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from pathsaddle.emulator.stage import Stage\n"
-            "def one():\n    from pathsaddle.cli import main\nimport pathsaddle.trade\n"
+            "def one():\n    from pathsaddle.cli import main\nimport pathsaddle.scheduler_types\n"
         )
         loaded, later = imports(source, self.known)
-        self.assertEqual((loaded, later), ({"emulator.stage", "trade"}, {"cli.main"}))
+        self.assertEqual((loaded, later), ({"emulator.stage", "scheduler_types"}, {"cli.main"}))
         self.assertEqual(upward("net.service.txn_service", loaded | later), ["emulator.stage", "cli.main"])
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -44,7 +44,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import MILLISECOND, SECOND, ListNews, Semantics, Worker
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Semantics, Worker
 from tests.fakehost import SETTINGS
 
 PLATFORM_SETTINGS: dict[str, Any] = {
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -14,7 +14,7 @@
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.trade import MILLISECOND
+from pathsaddle.scheduler_types import MILLISECOND
 
 REST, KEEP = 50, 1000
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -22,7 +22,15 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.terms import Peer
-from pathsaddle.trade import LIST_MOVED, LIST_SILENT, LIST_SURE, MILLISECOND, SECOND, ListNews, Standing
+from pathsaddle.scheduler_types import (
+    LIST_MOVED,
+    LIST_SILENT,
+    LIST_SURE,
+    MILLISECOND,
+    SECOND,
+    ListNews,
+    Standing,
+)
 from tests.fakehost import SETTINGS, FakeHost, scheme
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -42,7 +42,7 @@
 )
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.trade import SECOND, Outcome, Scheme
+from pathsaddle.scheduler_types import SECOND, Outcome, Scheme
 from tests.fakehost import ONCE_ONLY, FakeHost, idle, scheme
 
 
@@ -405,7 +405,7 @@
 class WithoutAGate(unittest.TestCase):
     def test_the_program_loads_nothing_of_the_package(self) -> None:
         code = (
-            "import sys, pathsaddle.loop, pathsaddle.cli.main, pathsaddle.net.service.start;"
+            "import sys, pathsaddle.scheduler_driver, pathsaddle.cli.main, pathsaddle.net.service.start;"
             "print([name for name in sys.modules if 'overload' in name])"
         )
         out = subprocess.run(
--- a/tests/test_overload_ground.py
+++ b/tests/test_overload_ground.py
@@ -11,7 +11,7 @@
 from pathsaddle.emulator.overload.judge import Judge, cut_off, most_in
 from pathsaddle.emulator.overload.plan import Plan, Trouble
 from pathsaddle.event_log import Event
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 def check_run(seed: int = 1, **plan_fields: Any) -> Judge:
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -7,7 +7,7 @@
 
 from pathsaddle.emulator.overload.judge import Judge
 from pathsaddle.emulator.overload.processes import Times, play
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 
 class Processes(unittest.TestCase):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -527,7 +527,7 @@
 
     def test_the_program_itself_loads_nothing_of_it(self):
         code = (
-            "import sys, pathsaddle.net.service.start, pathsaddle.choice\n"
+            "import sys, pathsaddle.net.service.start, pathsaddle.scheduler\n"
             "sys.exit(any(name.startswith(('highspy', 'pathsaddle.placement')) for name in sys.modules))"
         )
         self.assertEqual(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pathsaddle.trade import SECOND, Group, ListNews, Outcome, Standing
+from pathsaddle.scheduler_types import SECOND, Group, ListNews, Outcome, Standing
 from tests.fakehost import ONCE_ONLY, REFERENCED, FakeHost, idle, scheme
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.birth import Birth, Lacks, Unfit, birth
-from pathsaddle.trade import SECOND, Group, Semantics
+from pathsaddle.scheduler_types import SECOND, Group, Semantics
 from tests.fakehost import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -24,7 +24,7 @@
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Message
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.trade import MILLISECOND, SECOND, ListNews, Outcome, Worker
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Outcome, Worker
 from tests.fakehost import SETTINGS
 
 Answering = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.trade import SECOND, ListNews, Outcome, Posting, Semantics, Standing, Worker
+from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Semantics, Standing, Worker
 from tests.fakehost import SETTINGS
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,7 @@
 from pathsaddle.net.wire.forms import Words
 from pathsaddle.net.wire.http import MOST_BODY, Broken, Called, Calling, Message
 from pathsaddle.net.wire.ring import BASE, Ring
-from pathsaddle.trade import ListNews, Outcome, Semantics, Standing
+from pathsaddle.scheduler_types import ListNews, Outcome, Semantics, Standing
 from tests.fakehost import SETTINGS
 
 JOB = (
