--- a/pathsaddle/config/assembly.py
+++ b/pathsaddle/config/assembly.py
@@ -18,7 +18,7 @@
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.forms import Words
-from pathsaddle.scheduler_types import Terms
+from pathsaddle.scheduler_types import SchedulerConfig
 
 if TYPE_CHECKING:
     from pathsaddle.control_metrics import ControlMeter
@@ -32,7 +32,7 @@
 class ServiceArguments(NamedTuple):
     """What every `TxnService` is made with, in the order of its constructor."""
 
-    terms: Terms
+    terms: SchedulerConfig
     words: Words
     seed: int
     clock: Clock
--- a/pathsaddle/config/metering.py
+++ b/pathsaddle/config/metering.py
@@ -25,7 +25,7 @@
 from pathsaddle.net.wire.forms import Words
 from pathsaddle.net.wire.http import Calling, Message
 from pathsaddle.net.wire.terms import Peer
-from pathsaddle.scheduler_types import Report, Worker
+from pathsaddle.scheduler_types import LoadReport, Worker
 
 # In seconds: over so long the mean of processor time is compared with the budget, and so far apart are two
 # lines of one kind.
@@ -117,12 +117,12 @@
         metered.meter = meter
         return metered
 
-    def report(self, load: Any) -> Report | None:
+    def report(self, load: Any) -> LoadReport | None:
         """Reads a worker's load report, wherever it stood."""
         self.meter.came("reports", len(load if isinstance(load, str) else str(load)))
         return self.meter.runs("reports", lambda: Words.report(self, load))
 
-    def report_in(self, answer: Message) -> Report | None:
+    def report_in(self, answer: Message) -> LoadReport | None:
         """Reads the load report in an answer; that of a probe counts with all its bytes."""
         if self.meter.within("looks"):
             headers_bytes = sum(
--- a/pathsaddle/drill/codec.py
+++ b/pathsaddle/drill/codec.py
@@ -6,7 +6,7 @@
 
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.terms import passed
-from pathsaddle.scheduler_types import ListNews, Outcome, Report, Standing, Worker
+from pathsaddle.scheduler_types import ListedState, ListUpdate, LoadReport, Outcome, Worker
 
 OUTCOMES = {
     "1": Outcome.SETTLED,
@@ -18,8 +18,8 @@
     "7": Outcome.CANCELLED,
     "8": Outcome.MOOT,
 }
-NEWS = {"D": ListNews.CHANGES, "F": ListNews.WHOLE, "C": ListNews.REMEMBERED, "X": ListNews.FAILED}
-STANDINGS = {"Ready": Standing.READY, "Terminating": Standing.DRAINING, "Gone": Standing.GONE}
+NEWS = {"D": ListUpdate.CHANGES, "F": ListUpdate.WHOLE, "C": ListUpdate.REMEMBERED, "X": ListUpdate.FAILED}
+STANDINGS = {"Ready": ListedState.READY, "Terminating": ListedState.DRAINING, "Gone": ListedState.GONE}
 
 
 class Malformed(Exception):
@@ -30,7 +30,7 @@
     return None if part == "-" else part
 
 
-def report(row: str, fields: list[str]) -> Report | None:
+def report(row: str, fields: list[str]) -> LoadReport | None:
     return None if row in ("-", "") else terms.report(list(zip(fields, row.split(","))))
 
 
--- a/pathsaddle/drill/stand.py
+++ b/pathsaddle/drill/stand.py
@@ -14,7 +14,7 @@
 from pathsaddle.drill import codec
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.terms import TICK, limit, passed
-from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import Posting, Txn, Worker
 
 WAKE = "wake"
@@ -43,7 +43,7 @@
         self.fields = terms.report_fields(told)
         self.workers: dict[str, Worker] = {}
         self.txns: dict[str, Txn] = {}
-        self.loop = decide(Loop, self, self.terms, seed, now)
+        self.loop = decide(SchedulerDriver, self, self.terms, seed, now)
 
     # What the loop asks of a door.
 
@@ -92,19 +92,19 @@
             slots=float(codec.optional(width) or 1),
             memory=float(amount) if amount is not None else None,
             key=codec.optional(entity),
-            repeat=bool(options & 2),
+            is_retry=bool(options & 2),
         )
         self.txns[tag] = txn
-        decide(self.loop.arrive, txn)
+        decide(self.loop.start_txn, txn)
 
     def settled(self, parts: list[str]) -> None:
         _, _, tag, spent, closes, _, _, number, outcome, row = parts
         txn = self.txns.get(tag)
         posting = txn.postings[int(number)] if txn is not None and int(number) < len(txn.postings) else None
-        if txn is None or posting is None or not posting.out:
+        if txn is None or posting is None or not posting.is_in_flight:
             raise codec.Malformed("an outcome for a posting that is not out")
         decide(
-            self.loop.ended,
+            self.loop.on_posting_ended,
             posting,
             codec.OUTCOMES[outcome],
             passed(int(codec.optional(spent) or 0)),
@@ -116,25 +116,25 @@
     def hangup(self, parts: list[str]) -> None:
         txn = self.txns.get(parts[2])
         if txn is not None:
-            decide(self.loop.hang_up, txn)
+            decide(self.loop.abandon_txn, txn)
             self._forget(txn)
 
     def notice(self, parts: list[str]) -> None:
         txn = self.txns.get(parts[2])
         if txn is not None and int(parts[3]) < len(txn.postings):
             posting = txn.postings[int(parts[3])]
-            if posting.out:
+            if posting.is_in_flight:
                 level = codec.optional(parts[6]) if len(parts) > 6 else None
                 share = float(level) if level and parts[5] == "2" else 0.0
-                decide(self.loop.news, posting, parts[5] == "1", share)
+                decide(self.loop.on_progress, posting, parts[5] == "1", share)
 
     def elapsed(self, parts: list[str]) -> None:
         if parts[2] == WAKE:
-            decide(self.loop.woken)
+            decide(self.loop.on_wakeup)
 
     def ping_result(self, parts: list[str]) -> None:
         decide(
-            self.loop.probed,
+            self.loop.on_probe_result,
             self.workers[parts[2]],
             codec.OUTCOMES[parts[3]],
             passed(int(codec.optional(parts[4]) or 0)),
@@ -146,21 +146,21 @@
         for row in rows:
             known = self.workers.setdefault(row.tag, row)
             if known is not row:
-                known.follows(row)
+                known.update_from(row)
             told.append(known)
-        decide(self.loop.listed, codec.NEWS[parts[2]], told)
+        decide(self.loop.on_list_update, codec.NEWS[parts[2]], told)
 
     def ignore(self, parts: list[str]) -> None:
         """Streams and peers: no scheme streams here, and dispatchers share nothing."""
 
     def turn(self) -> None:
-        decide(self.loop.turn)
+        decide(self.loop.run_pending)
         if len(self.txns) > 64:
-            for txn in [txn for txn in self.txns.values() if txn.closed]:
+            for txn in [txn for txn in self.txns.values() if txn.is_closed]:
                 self._forget(txn)
 
     def _forget(self, txn: Txn) -> None:
-        if txn.closed and not any(posting.out for posting in txn.postings):
+        if txn.is_closed and not any(posting.is_in_flight for posting in txn.postings):
             self.txns.pop(txn.tag, None)
 
 
@@ -267,7 +267,7 @@
         if instance is None:
             raise codec.Malformed("no such instance has been born")
         self.touched[number] = None
-        instance.loop.at(self.now)
+        instance.loop.set_now(self.now)
         self._guard(number, lambda: act(instance))
 
     def _guard(self, number: str, act: Callable[[], None]) -> None:
--- a/pathsaddle/emulator/hollow/open_txns.py
+++ b/pathsaddle/emulator/hollow/open_txns.py
@@ -20,8 +20,8 @@
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.wire.birth import Birth, birth
 from pathsaddle.net.wire.http import Message
-from pathsaddle.scheduler_driver import Loop
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
+from pathsaddle.scheduler_driver import SchedulerDriver
+from pathsaddle.scheduler_types import SECOND, ListUpdate, LoadReport, Outcome, Posting, Txn, Worker
 
 LAST = 100  # arrivals and looks that are timed
 WATCHED = 60  # tenths of a second over which watching is timed: some times of silence
@@ -101,16 +101,18 @@
         self.now = 100 * SECOND
         self.ledger = Ledger()
         self.door = Door(self.ledger)
-        self.loop = Loop(self.door, self.born.terms, seed, self.now)
-        self.loop.at(self.now)
+        self.loop = SchedulerDriver(self.door, self.born.terms, seed, self.now)
+        self.loop.set_now(self.now)
         self.workers = [row.worker for row in self.born.rows]
-        self.loop.listed(ListNews.WHOLE, self.workers)
+        self.loop.on_list_update(ListUpdate.WHOLE, self.workers)
         self.reports(self.workers, free)
         self.count = 0
 
     def reports(self, workers: list[Worker], free: float) -> None:
         for worker in workers:
-            self.loop.probed(worker, Outcome.SETTLED, 10, Report(free=free, waiting=0.0, held=8.0))
+            self.loop.on_probe_result(
+                worker, Outcome.SETTLED, 10, LoadReport(free_slots=free, queued_jobs=0.0, held_slots=8.0)
+            )
 
     def txn(self) -> Entry:
         self.count += 1
@@ -137,14 +139,14 @@
     def passes(self) -> None:
         """A tenth of a second in which nothing happens."""
         self.now += SECOND // 10
-        self.loop.at(self.now)
-        self.loop.woken()
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.on_wakeup()
+        self.loop.run_pending()
 
     def takes(self, turn: bool) -> None:
-        self.loop.arrive(self.txn().txn)
+        self.loop.start_txn(self.txn().txn)
         if turn:
-            self.loop.turn()
+            self.loop.run_pending()
 
 
 def answers_nothing(status: int, body: bytes, lines: tuple[str, ...], keep: bool) -> None:
@@ -198,9 +200,9 @@
             member.takes(turn=name == "posted")
         found[f"{name}_bytes"] = (tracemalloc.get_traced_memory()[0] - before) / point
         tracemalloc.stop()
-        member.loop.turn()
+        member.loop.run_pending()
         out = sum(bool(entry.exchanges) for entry in member.ledger.unanswered())
-        found[name] = out if name == "posted" else len(member.loop.choice.waiting)
+        found[name] = out if name == "posted" else len(member.loop.scheduler.waiting)
         if name == "held":
             found |= looks(member)
         else:
@@ -211,18 +213,18 @@
         entries = member.ledger.unanswered()
         begun = time.process_time()
         for entry in entries:
-            member.loop.hasten(entry.txn, member.now + by)
+            member.loop.shorten_deadline(entry.txn, member.now + by)
         found[f"hasten_{name}_s"] = time.process_time() - begun
         member.now += by
-        member.loop.at(member.now)
-        member.loop.turn()
+        member.loop.set_now(member.now)
+        member.loop.run_pending()
         answered += sum(entry.txn.tag in member.door.answers for entry in entries) / len(entries) / 2
     return {**found, "answered": answered, "adopt_us": adoption(point, seed, setting)}
 
 
 def looks(member: Member) -> dict[str, float]:
     """With as many held as the point says: what more txns, looks and a free slot cost."""
-    choice, loop = member.loop.choice, member.loop
+    choice, loop = member.loop.scheduler, member.loop
 
     def each(times: int, what: Any) -> float:
         begun = time.process_time()
@@ -235,8 +237,8 @@
     worker = member.workers[0]
 
     def freed() -> None:
-        member.reports([worker], 1.0 + len(choice.books[worker].out))
-        loop.turn()
+        member.reports([worker], 1.0 + len(choice.workers[worker].in_flight))
+        loop.run_pending()
 
     return {"look_us": look, "arrival_us": arrival, "freed_us": each(LAST, freed)}
 
@@ -248,6 +250,6 @@
     for i, entry in enumerate(entries):
         posting = Posting(entry.txn, member.workers[i % len(member.workers)], 0, member.now - SECOND)
         entry.exchanges.append(Exchange(posting, entry, 600 * SECOND, begun=True, accepted=True))
-        member.loop.resume(entry.txn, [posting])
-    member.loop.turn()
+        member.loop.resume_txn(entry.txn, [posting])
+    member.loop.run_pending()
     return (time.process_time() - begun) / point * 1e6
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -24,9 +24,18 @@
 from pathsaddle.config.validation import validate
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
-from pathsaddle.scheduler_driver import Loop
-from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Outcome, Posting, Report, Txn, Worker
-from pathsaddle.worker_state import Book
+from pathsaddle.scheduler_driver import SchedulerDriver
+from pathsaddle.scheduler_types import (
+    MILLISECOND,
+    SECOND,
+    ListUpdate,
+    LoadReport,
+    Outcome,
+    Posting,
+    Txn,
+    Worker,
+)
+from pathsaddle.worker_state import WorkerState
 
 LOOK_TAKES = 2 * MILLISECOND  # until a look is answered
 CHANGES = 100  # changes of the list, one at a time
@@ -146,20 +155,20 @@
         self.index = 1
         known = {"index": 1, "snapshot": True, "endpoints": []}
         self.born = birth(json.dumps(platform_config(charter(setting), known)))
-        self.born.terms.beats = (
+        self.born.terms.has_watch_heartbeats = (
             False  # the list here speaks by lines alone: no beat tells that it is still there
         )
         self.scheme = self.born.terms.schemes[0]
         self.run = int(setting.run * SECOND)
         self.known: dict[str, Worker] = {}
         self.out: dict[Worker, int] = {}
-        self.loop = Loop(self, self.born.terms, seed, self.now)
+        self.loop = SchedulerDriver(self, self.born.terms, seed, self.now)
 
     # What the loop asks for.
 
     def post(self, posting: Posting, within: int) -> None:
         self.out[posting.worker] = self.out.get(posting.worker, 0) + 1
-        self.later(MILLISECOND, lambda: self.loop.taken(posting))
+        self.later(MILLISECOND, lambda: self.loop.on_posting_accepted(posting))
         self.later(self.run, lambda: self._settles(posting))
 
     def cancel(self, posting: Posting) -> None:
@@ -174,7 +183,8 @@
     def probe(self, worker: Worker) -> None:
         self.looks += 1
         self.later(
-            LOOK_TAKES, lambda: self.loop.probed(worker, Outcome.SETTLED, LOOK_TAKES, self._report(worker))
+            LOOK_TAKES,
+            lambda: self.loop.on_probe_result(worker, Outcome.SETTLED, LOOK_TAKES, self._report(worker)),
         )
 
     def subscribe(self) -> None:
@@ -188,14 +198,16 @@
 
     # The workers' part.
 
-    def _report(self, worker: Worker) -> Report:
+    def _report(self, worker: Worker) -> LoadReport:
         held = float(self.setting.slots if self.full else self.out.get(worker, 0))
-        return Report(free=self.setting.slots - held, waiting=0.0, held=held)
+        return LoadReport(free_slots=self.setting.slots - held, queued_jobs=0.0, held_slots=held)
 
     def _settles(self, posting: Posting) -> None:
         self.out[posting.worker] -= 1
         self.settled += posting.outcome is None
-        self.loop.ended(posting, Outcome.SETTLED, self.now - posting.sent, True, self._report(posting.worker))
+        self.loop.on_posting_ended(
+            posting, Outcome.SETTLED, self.now - posting.sent_at, True, self._report(posting.worker)
+        )
 
     def later(self, after: int, act: Callable[[], None]) -> None:
         self.order += 1
@@ -206,9 +218,9 @@
     def goes(self, act: Callable[[], None]) -> None:
         """One event and the turn behind it, timed."""
         begun = time.thread_time_ns()
-        self.loop.at(self.now)
+        self.loop.set_now(self.now)
         act()
-        self.loop.turn()
+        self.loop.run_pending()
         self.spent.append(time.thread_time_ns() - begun)
 
     def until(self, moment: int) -> None:
@@ -221,14 +233,14 @@
             self.now = max(self.now, due)
             if self.alarm is not None and self.alarm <= self.now:
                 self.alarm = None
-                self.goes(self.loop.woken)
+                self.goes(self.loop.on_wakeup)
             else:
                 self.goes(heapq.heappop(self.queue)[2])
         self.now = moment
 
     def arrives(self, tag: str) -> None:
         txn = Txn(tag, self.scheme, None, self.now, self.now + self.scheme.expiry, hint=self.run)
-        self.goes(lambda: self.loop.arrive(txn))
+        self.goes(lambda: self.loop.start_txn(txn))
 
     def hears(self, line: bytes) -> tuple[int, int]:
         """A line of the list, read and told; nanoseconds for reading, and for the rest."""
@@ -238,17 +250,17 @@
         self.follows(news, rows)
         return read - begun, time.thread_time_ns() - read
 
-    def follows(self, news: ListNews, rows: Iterable[Row]) -> None:
+    def follows(self, news: ListUpdate, rows: Iterable[Row]) -> None:
         """As the txn service does it."""
         told_now = []
         for row in rows:
             known = self.known.setdefault(row.worker.tag, row.worker)
             if known is not row.worker:
-                known.follows(row.worker)
+                known.update_from(row.worker)
             told_now.append(known)
-        self.loop.at(self.now)
-        self.loop.listed(news, told_now)
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.on_list_update(news, told_now)
+        self.loop.run_pending()
 
     # The parts of a play.
 
@@ -287,17 +299,17 @@
         gc.collect()
         fresh = tracemalloc.get_traced_memory()[0]
         door.txns(64)
-        choice = door.loop.choice
+        choice = door.loop.scheduler
         scans = scanned = ranked = 0
         rooms, load = choice.rooms, choice.load
 
-        def rooms_counted(books: Iterable[Book]) -> dict[Book, float]:
+        def rooms_counted(books: Iterable[WorkerState]) -> dict[WorkerState, float]:
             nonlocal scans, scanned
             several = list(books)
             scans, scanned = scans + 1, scanned + len(several)
             return rooms(several)
 
-        def load_counted(book: Book, room: float, txn: Txn) -> float:
+        def load_counted(book: WorkerState, room: float, txn: Txn) -> float:
             nonlocal ranked
             ranked += 1
             return load(book, room, txn)
@@ -361,20 +373,20 @@
     door.hears(line)
     begun = time.thread_time_ns()
     for n in range(ORDERS):
-        door.loop.choice.order(f"key {n}")
+        door.loop.scheduler.order(f"key {n}")
     figures["order_ms"] = (time.thread_time_ns() - begun) / ORDERS / 1e6
     # Every worker is full, and says so.
     door.full = True
     for worker in list(door.known.values()):
-        full = Report(free=0.0, waiting=2.0, held=door.setting.slots + 2.0)
+        full = LoadReport(free_slots=0.0, queued_jobs=2.0, held_slots=door.setting.slots + 2.0)
         for _ in range(2):
-            door.goes(lambda w=worker, r=full: door.loop.probed(w, Outcome.SETTLED, 10, r))  # type: ignore[misc]
+            door.goes(lambda w=worker, r=full: door.loop.on_probe_result(w, Outcome.SETTLED, 10, r))  # type: ignore[misc]
     for n in range(setting.held):
         door.arrives(f"h{n}")
     door.spent.clear()
     for _ in range(setting.looks):
         door.now += 10 * MILLISECOND
-        door.loop.choice.look_due = door.now
+        door.loop.scheduler.look_due = door.now
         door.goes(lambda: None)
     figures["held_us"] = sum(door.spent) / setting.looks / 1e3
     return {**figures, **counted(setting, seed, point)}
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -28,22 +28,22 @@
 from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.hollow.serving import Ground, rss_mib
 from pathsaddle.scheduler import HANDFUL
-from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     SECOND,
     Customer,
-    Group,
-    ListNews,
+    DeduplicationGroup,
+    ListUpdate,
+    LoadReport,
     Outcome,
     Posting,
-    Report,
+    SchedulerConfig,
     Scheme,
     Semantics,
-    Terms,
     Txn,
     Worker,
 )
-from pathsaddle.worker_state import Account
+from pathsaddle.worker_state import CustomerUsage
 
 JOB = SECOND // 10  # how long a job runs at a worker in process
 RELOADS = 5
@@ -285,33 +285,33 @@
             value=1.0,
             late_value=0.0,
             stretch=0.0,
-            group=Group.ALL,
+            group=DeduplicationGroup.ALL,
             window=0,
         )
         self.scheme = scheme
-        terms = Terms(
+        terms = SchedulerConfig(
             schemes=[scheme],
             customers=customers,
             dispatchers=dispatchers,
             number=0,
             zone=0,
             tick=20,
-            must_ask=False,
-            ask_within=10 * SECOND,
+            list_needs_subscription=False,
+            list_poll_interval=10 * SECOND,
             answer_slack=0,
             drain_grace=5000,
-            cold_share=0.3,
-            cold_time=9 * SECOND,
-            fall_multiple=4.0,
-            fall_time=2 * SECOND,
+            slow_start_share=0.3,
+            slow_start_time=9 * SECOND,
+            overload_multiple=4.0,
+            overload_window=2 * SECOND,
             max_postings=4,
-            two_at_once=True,
-            may_cancel=True,
-            may_probe=False,
-            come_back_most=0,
-            progress_every=0,
-            tells_start=False,
-            over_share=0.1,
+            allows_hedging=True,
+            can_cancel=True,
+            can_probe=False,
+            max_retry_after=0,
+            progress_interval=0,
+            reports_start=False,
+            over_share_value=0.1,
             value_by_work=False,
             price_cross=0.0,
             price_probe=0.0,
@@ -323,17 +323,17 @@
         )
         self.settled = self.declined = 0
         self.alarm = -1
-        self.loop = Loop(self, terms, seed, self.now)
-        self.loop.at(self.now)
-        self.loop.listed(ListNews.WHOLE, [Worker(f"w{i}") for i in range(workers)])
-        self.loop.turn()
+        self.loop = SchedulerDriver(self, terms, seed, self.now)
+        self.loop.set_now(self.now)
+        self.loop.on_list_update(ListUpdate.WHOLE, [Worker(f"w{i}") for i in range(workers)])
+        self.loop.run_pending()
 
     def later(self, when: int, what: Callable[[], None]) -> None:
         heapq.heappush(self.heap, (when, next(self.count), what))
 
     def at(self, now: int) -> None:
         self.now = now
-        self.loop.at(now)
+        self.loop.set_now(now)
 
     def run(self, until: int) -> None:
         """All that is due before that moment."""
@@ -345,19 +345,23 @@
 
     def arrive(self, tag: str, customer: Customer) -> Txn:
         txn = Txn(tag, self.scheme, customer, self.now, self.now + self.scheme.expiry, hint=10)
-        self.loop.arrive(txn)
-        self.loop.turn()
+        self.loop.start_txn(txn)
+        self.loop.run_pending()
         return txn
 
     def post(self, posting: Posting, within: int) -> None:
         begun = self.now
 
         def ends() -> None:
-            self.settled += not posting.txn.closed
-            self.loop.ended(
-                posting, Outcome.SETTLED, self.now - begun, True, Report(free=8.0, waiting=0.0, held=0.0)
+            self.settled += not posting.txn.is_closed
+            self.loop.on_posting_ended(
+                posting,
+                Outcome.SETTLED,
+                self.now - begun,
+                True,
+                LoadReport(free_slots=8.0, queued_jobs=0.0, held_slots=0.0),
             )
-            self.loop.turn()
+            self.loop.run_pending()
 
         self.later(begun + JOB, ends)
 
@@ -366,8 +370,8 @@
 
         def rings() -> None:
             if due == self.alarm:
-                self.loop.woken()
-                self.loop.turn()
+                self.loop.on_wakeup()
+                self.loop.run_pending()
 
         self.later(due, rings)
 
@@ -411,9 +415,9 @@
     chance = Random(seed)
     customers = [Customer(i, 5.25, 1 / teams) for i in range(teams)]
     door = HollowDoor(customers, 1, 1, seed)
-    choice = door.loop.choice
+    choice = door.loop.scheduler
     for account in choice.accounts.values():
-        account.asked.extend(sorted(door.now - chance.randrange(60 * SECOND) for _ in range(10)))
+        account.arrivals.extend(sorted(door.now - chance.randrange(60 * SECOND) for _ in range(10)))
     looks = max(20, 20_000 // teams)
 
     def look() -> None:
@@ -447,7 +451,7 @@
     for number, (moment, team, hers) in enumerate(sorted(arrivals)):
         door.run(moment)
         txn = door.arrive(f"t{number}", customers[team])
-        over[hers].append(txn.over)
+        over[hers].append(txn.is_over_share)
         if hers and not right and granted(door) >= 0.9:
             right = moment - move
     return {
@@ -460,7 +464,7 @@
 
 def granted(door: HollowDoor) -> float:
     """What part of a team's share this dispatcher takes to be its own to grant, as `Choice.appraise` has it."""
-    return 1.15 * door.loop.choice.part
+    return 1.15 * door.loop.scheduler.part
 
 
 def hop_times(teams: int, setting: Setting) -> float:
@@ -468,7 +472,7 @@
     share = setting.busy / teams
     even, within = 1.15 / setting.dispatchers, 0
     for second in range(setting.hops):
-        account = Account(share / SECOND, second * SECOND, HANDFUL)
+        account = CustomerUsage(share / SECOND, second * SECOND, HANDFUL)
         sends = max(10, int(10 * share))
-        within += sum(account.pays(second * SECOND + i * SECOND // sends, even) for i in range(sends))
+        within += sum(account.try_consume(second * SECOND + i * SECOND // sends, even) for i in range(sends))
     return within / (share * setting.hops)
--- a/pathsaddle/emulator/judges/mutants.py
+++ b/pathsaddle/emulator/judges/mutants.py
@@ -23,8 +23,8 @@
 from pathsaddle.jobs.store_rows import JobRecord
 from pathsaddle.jobs.submitted_call import idempotency_key_of
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.scheduler import Choice
-from pathsaddle.scheduler_types import SECOND, Outcome, Posting, Semantics, Standing, Txn
+from pathsaddle.scheduler import Scheduler
+from pathsaddle.scheduler_types import SECOND, ListedState, Outcome, Posting, Semantics, Txn
 
 Patches = list[Any]
 FAR = 1 << 60
@@ -32,7 +32,7 @@
 
 def _declines_anything() -> Patches:
     """A once-only txn is declined though it may have run."""
-    return [mock.patch.object(Choice, "may_decline", lambda self, txn: True)]
+    return [mock.patch.object(Scheduler, "may_decline", lambda self, txn: True)]
 
 
 def _posts_after_the_answer() -> Patches:
@@ -57,35 +57,35 @@
 
 def _repeats_outside_the_group() -> Patches:
     """A referenced txn that may have run goes to a worker that does not know its mark."""
-    return [mock.patch.object(Choice, "same_group", lambda self, scheme, one, other: True)]
+    return [mock.patch.object(Scheduler, "same_group", lambda self, scheme, one, other: True)]
 
 
 def _repeats_after_the_window() -> Patches:
     """A referenced txn is posted again after the workers have forgotten its mark, and outside its group."""
 
-    def until(self: Choice, txn: Txn, but: Posting | None = None) -> int:
+    def until(self: Scheduler, txn: Txn, but: Posting | None = None) -> int:
         return FAR if len(txn.postings) - (but is not None) < self.max_postings else 0
 
-    def silent(self: Choice, txn: Txn, posting: Posting) -> bool:
-        return self.now - posting.sent > txn.scheme.window + SECOND // 10
+    def silent(self: Scheduler, txn: Txn, posting: Posting) -> bool:
+        return self.now - posting.sent_at > txn.scheme.window + SECOND // 10
 
-    def look(self: Choice, posting: Posting) -> int:
+    def look(self: Scheduler, posting: Posting) -> int:
         window = posting.txn.scheme.window
-        return max(self.now + SECOND // 10, posting.sent + window + SECOND // 5) if window else FAR
+        return max(self.now + SECOND // 10, posting.sent_at + window + SECOND // 5) if window else FAR
 
     return [
-        mock.patch.object(Choice, "may_go_on_until", until),
-        mock.patch.object(Choice, "elsewhere", silent),
-        mock.patch.object(Choice, "look_again_at", look),
-        mock.patch.object(Choice, "worth_posting_until", lambda self, txn: txn.expires),
+        mock.patch.object(Scheduler, "may_go_on_until", until),
+        mock.patch.object(Scheduler, "elsewhere", silent),
+        mock.patch.object(Scheduler, "look_again_at", look),
+        mock.patch.object(Scheduler, "worth_posting_until", lambda self, txn: txn.expires_at),
     ]
 
 
 def _repeats_once_only() -> Patches:
     """A once-only txn whose posting ended in doubt is posted again."""
-    whole = Choice.may_go_on_until
+    whole = Scheduler.may_go_on_until
 
-    def until(self: Choice, txn: Txn, but: Posting | None = None) -> int:
+    def until(self: Scheduler, txn: Txn, but: Posting | None = None) -> int:
         if (
             txn.scheme.semantics is Semantics.ONCE_ONLY
             and len(txn.postings) - (but is not None) < self.max_postings
@@ -93,18 +93,18 @@
             return FAR
         return whole(self, txn, but)
 
-    return [mock.patch.object(Choice, "may_go_on_until", until)]
+    return [mock.patch.object(Scheduler, "may_go_on_until", until)]
 
 
 def _two_at_once() -> Patches:
     """A second copy goes out though the charter forbids two at once."""
-    make = Choice.__init__
+    make = Scheduler.__init__
 
-    def made(self: Choice, *args: Any) -> None:
+    def made(self: Scheduler, *args: Any) -> None:
         make(self, *args)
         self.two_at_once = True
 
-    return [mock.patch.object(Choice, "__init__", made)]
+    return [mock.patch.object(Scheduler, "__init__", made)]
 
 
 def _ignores_drains() -> Patches:
@@ -113,8 +113,8 @@
 
     def deaf(self: TxnService, news: Any, rows: Any) -> None:
         for row in rows:
-            if row.worker.standing is Standing.DRAINING:
-                row.worker.standing = Standing.READY
+            if row.worker.standing is ListedState.DRAINING:
+                row.worker.standing = ListedState.READY
         listed(self, news, rows)
 
     return [mock.patch.object(TxnService, "listed", deaf)]
@@ -123,9 +123,9 @@
 def _floods_the_cold() -> Patches:
     """A worker that has just started gets as much as any other, and the next one, and the next."""
     return [
-        mock.patch.object(Choice, "cold_allows", lambda self, book, txn: True),
-        mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
-        mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0)),
+        mock.patch.object(Scheduler, "cold_allows", lambda self, book, txn: True),
+        mock.patch.object(Scheduler, "room", lambda self, book, *args: 9.0),
+        mock.patch.object(Scheduler, "load", lambda self, book, *args: -float(book.worker.started_at or 0)),
     ]
 
 
@@ -141,7 +141,7 @@
                 self.ledger._entries[txn.tag] = entry
                 reverse(self, txn)
 
-        self._events.call_later(max(0, txn.expires - self.clock.now() + SECOND // 10) / SECOND, now)
+        self._events.call_later(max(0, txn.expires_at - self.clock.now() + SECOND // 10) / SECOND, now)
 
     return [mock.patch.object(TxnService, "reverse", held)]
 
@@ -241,20 +241,20 @@
 
 def _forgets_the_others() -> Patches:
     """Each dispatcher alone keeps under half of a cold worker's budget, as if nobody else sent there."""
-    make = Choice.__init__
+    make = Scheduler.__init__
 
-    def made(self: Choice, *args: Any) -> None:
+    def made(self: Scheduler, *args: Any) -> None:
         make(self, *args)
         self.dispatchers, self.cold_by_turns = 1, False
 
-    def newer(self: Choice, txn: Txn, near: Any, far: Any) -> bool:
+    def newer(self: Scheduler, txn: Txn, near: Any, far: Any) -> bool:
         return near is None or (far.worker.started or 0) > (near.worker.started or 0)
 
     return [
-        mock.patch.object(Choice, "__init__", made),
-        mock.patch.object(Choice, "crossing_pays", newer),
-        mock.patch.object(Choice, "room", lambda self, book, *args: 9.0),
-        mock.patch.object(Choice, "load", lambda self, book, *args: -float(book.worker.started or 0)),
+        mock.patch.object(Scheduler, "__init__", made),
+        mock.patch.object(Scheduler, "crossing_pays", newer),
+        mock.patch.object(Scheduler, "room", lambda self, book, *args: 9.0),
+        mock.patch.object(Scheduler, "load", lambda self, book, *args: -float(book.worker.started_at or 0)),
     ]
 
 
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -21,7 +21,7 @@
 from pathsaddle.fleet.overload.scheduler_gate import WORKER_GROUPS, SchedulerAdmissionGate
 from pathsaddle.fleet.quota.leases import Grant, QuotaRequest, Release
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig, QuotaLimiter
-from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler import Scheduler
 from pathsaddle.scheduler_types import SECOND, Txn
 
 LATE = 3 * SECOND // 10
@@ -44,7 +44,7 @@
         self.inbox: deque[tuple[int, str, int, int, bytes]] = deque()
         self.tell_at, self.version = 0, 0
 
-    def update_if_due(self, choice: Choice) -> None:
+    def update_if_due(self, choice: Scheduler) -> None:
         now = choice.now
         while self.inbox and self.inbox[0][0] + LATE <= now:
             at, name, life, version, body = self.inbox.popleft()
@@ -61,8 +61,8 @@
             self.limiter.wake(now)
         self.says(now)
 
-    def goes_out(self, txn: Txn, worker: Any, choice: Choice) -> bool:
-        goes = super().goes_out(txn, worker, choice)
+    def permits_posting(self, txn: Txn, worker: Any, choice: Scheduler) -> bool:
+        goes = super().permits_posting(txn, worker, choice)
         self.says(choice.now)
         return goes
 
@@ -86,9 +86,9 @@
     """While it holds, each Choice that is made has a gate. rate: txns a second that can be served, which budgets are
     parts of: repeats a fifth, trials a twentieth, looks as many as six a txn, since they come by threes.
     """
-    mail, begin = Mail(), Choice.__init__
+    mail, begin = Mail(), Scheduler.__init__
 
-    def made(self: Choice, terms: Any, seed: int, now: int, door: Any, gate: Any = None) -> None:
+    def made(self: Scheduler, terms: Any, seed: int, now: int, door: Any, gate: Any = None) -> None:
         begin(self, terms, seed, now, door, gate)
         name = f"d{terms.number}"
         wholes: dict[str, float] = {
@@ -128,12 +128,12 @@
         core = OverloadGate(ways, name, terms.number, limiter, now)
         self.gate = mail.members[name] = Told(core, limiter, mail)
 
-    keeps = Choice.housekeeping
+    keeps = Scheduler.housekeeping
 
-    def kept(self: Choice) -> int:
+    def kept(self: Scheduler) -> int:
         if isinstance(self.gate, Told):
             self.gate.update_if_due(self)
         return keeps(self)
 
-    with mock.patch.object(Choice, "__init__", made), mock.patch.object(Choice, "housekeeping", kept):
+    with mock.patch.object(Scheduler, "__init__", made), mock.patch.object(Scheduler, "housekeeping", kept):
         yield
--- a/pathsaddle/experiment/baseline.py
+++ b/pathsaddle/experiment/baseline.py
@@ -10,31 +10,31 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler import Scheduler
 from pathsaddle.scheduler_types import Txn
-from pathsaddle.worker_state import Book
+from pathsaddle.worker_state import WorkerState
 
-Pick = Callable[[Choice, list[Book]], Book]
+Pick = Callable[[Scheduler, list[WorkerState]], WorkerState]
 
 
-def _random(choice: Choice, books: list[Book]) -> Book:
+def _random(choice: Scheduler, books: list[WorkerState]) -> WorkerState:
     return choice.choose(books)
 
 
-def _round_robin(choice: Choice, books: list[Book]) -> Book:
+def _round_robin(choice: Scheduler, books: list[WorkerState]) -> WorkerState:
     turn: int = choice.__dict__.get("turn", -1) + 1
     choice.__dict__["turn"] = turn
     return books[turn % len(books)]
 
 
-def _least_outstanding(choice: Choice, books: list[Book]) -> Book:
-    least = min(len(book.out) for book in books)
-    return choice.choose([book for book in books if len(book.out) == least])
+def _least_outstanding(choice: Scheduler, books: list[WorkerState]) -> WorkerState:
+    least = min(len(book.in_flight) for book in books)
+    return choice.choose([book for book in books if len(book.in_flight) == least])
 
 
-def _two_choices(choice: Choice, books: list[Book]) -> Book:
+def _two_choices(choice: Scheduler, books: list[WorkerState]) -> WorkerState:
     one, other = choice.choose(books), choice.choose(books)
-    return one if len(one.out) <= len(other.out) else other
+    return one if len(one.in_flight) <= len(other.in_flight) else other
 
 
 POLICIES: dict[str, Pick] = {
@@ -55,14 +55,14 @@
         return
     pick = POLICIES[policy]
 
-    def best(self: Choice, txn: Txn, rooms: dict[Book, float], blind: bool) -> Book | None:
-        books = [book for book in rooms or self.rooms(self.books.values()) if self.eligible(book, txn)]
+    def best(self: Scheduler, txn: Txn, rooms: dict[WorkerState, float], blind: bool) -> WorkerState | None:
+        books = [book for book in rooms or self.rooms(self.workers.values()) if self.eligible(book, txn)]
         return pick(self, books) if books else None
 
     with (
-        mock.patch.object(Choice, "best", best),
-        mock.patch.object(Choice, "need", lambda self, txn: -1e9),
-        mock.patch.object(Choice, "look", lambda self, *args: False),
+        mock.patch.object(Scheduler, "best", best),
+        mock.patch.object(Scheduler, "need", lambda self, txn: -1e9),
+        mock.patch.object(Scheduler, "look", lambda self, *args: False),
     ):
         yield
 
--- a/pathsaddle/federation/request_handler.py
+++ b/pathsaddle/federation/request_handler.py
@@ -130,7 +130,7 @@
             elsewhere = Entry(txn, call, answer)
             place = self._choose(txn, [], {}, 0)
             if place.what == "send" and self._sets_out(elsewhere, place, 0):
-                txn.closed = True  # to the decisions here: they never see it
+                txn.is_closed = True  # to the decisions here: they never see it
                 return elsewhere
             why = place.code if place.what != "run" else self._lent(scheme, rule, now)
         else:
@@ -185,7 +185,7 @@
             await super()._carry(exchange)
             return
         self._end(exchange, Outcome.MOOT)
-        if not txn.closed:
+        if not txn.is_closed:
             if (
                 any(one.sent for one in exchange.entry.exchanges)
                 and txn.scheme.semantics is not Semantics.REPEATABLE
@@ -193,12 +193,12 @@
                 self.reverse(txn)
             else:
                 super().decline(txn, 0, True)
-            self.loop.hang_up(txn)
+            self.loop.abandon_txn(txn)
 
     def _choose(self, txn: Txn, unknown: list[str], again: dict[str, int], own_wait: int) -> Candidate:
         member, now = self.member, self.member.now()
         holder, name = member.holder, self.names[txn.scheme.index]
-        left = now + txn.expires - self.clock.now() - LAST
+        left = now + txn.expires_at - self.clock.now() - LAST
         job = RoutedRequest(txn.tag, name, txn.scheme.sla_time, left, member.region, unknown, again)
         member.abroad.ways.own_wait = own_wait
         place = member.abroad.ways.choose(
@@ -267,7 +267,7 @@
             line=place.line,
             **{"from": member.region},
         )
-        due = seconds(txn.expires - self.clock.now() - LAST)
+        due = seconds(txn.expires_at - self.clock.now() - LAST)
         crossing.alarm = self._events.call_later(max(0.0, due), self._overdue, crossing)
         crossing.task = self._start(self._cross(crossing, entry.call, place, doors, come_back))
         return True
@@ -280,7 +280,7 @@
         self.workers.located(name, door)
         # Its decline must be back before ours is due: silence would be all that we know.
         way = self.member.abroad.ways.ways[place.region].patience()
-        left = crossing.txn.expires - self.clock.now() - 2 * LAST - way
+        left = crossing.txn.expires_at - self.clock.now() - 2 * LAST - way
         headers = [row for row in forms.posting_headers(call, left) if row[0].lower() != CROSSED]
 
         def begins(sending: Sending) -> None:
@@ -352,7 +352,7 @@
         if outcome != "declined":
             crossing.unknown.append(crossing.region)
         crossing.again[crossing.region] = now + int(member.abroad.ways.ways[crossing.region].trip)
-        if self.stopping is not None or self.clock.now() + 2 * LAST >= txn.expires:
+        if self.stopping is not None or self.clock.now() + 2 * LAST >= txn.expires_at:
             return False
         place = self._choose(txn, crossing.unknown, crossing.again, FAR)
         if place.what == "send":
@@ -365,11 +365,11 @@
         if self._lent(scheme, rule, now):
             return False
         self._lets_in(txn, scheme, rule, now)
-        crossing.entry.answer, txn.closed = crossing.answer, False
+        crossing.entry.answer, txn.is_closed = crossing.answer, False
         self.ledger.open(crossing.entry)
         self.counters.add("txn.taken")
         self._at()
-        self._guard(txn, lambda: self.loop.arrive(txn))
+        self._guard(txn, lambda: self.loop.start_txn(txn))
         return True
 
     def hang_up(self, entry: Entry) -> None:
@@ -387,7 +387,7 @@
 
     def stop(self, by: int) -> None:
         for crossing in self.crossings.values():
-            if crossing.txn.cut_to(by) and crossing.alarm is not None:
+            if crossing.txn.shorten_deadline(by) and crossing.alarm is not None:
                 crossing.alarm.cancel()
                 due = seconds(by - self.clock.now() - LAST)
                 crossing.alarm = self._events.call_later(max(0.0, due), partial(self._overdue, crossing))
--- a/pathsaddle/fleet/overload/scheduler_gate.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -1,11 +1,11 @@
-"""The gate beside a real `Choice`: it translates the scheduler's calls (`trade.Gate`) into the fleet's terms.
+"""Translates the scheduler's calls (`scheduler_types.AdmissionGate`) into the terms of the fleet's gate.
 
 It reads the scheduler's state and writes one thing only: a suspect worker whose trial is refused is closed
 for a moment. A request is identified everywhere by its tenant, its affinity key (its hint and size where it
 has none) and its class, by the numbers of the configuration. Workers share a few budgets by the lot that is
 drawn from their names. List calls take from no budget: rule 3 needs no other dispatcher.
 
-`choice.py` calls the four methods of `trade.Gate`, whose names are that protocol's.
+`scheduler.py` calls the four methods of `scheduler_types.AdmissionGate`, whose names are that protocol's.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from pathsaddle.fleet.overload.admission_gate import AdmissionVerdict, OverloadGate
 from pathsaddle.fleet.overload.retry_budgets import BudgetKind, budget_kind
 from pathsaddle.fleet.overload.shed_rank import AdmissionRequest
-from pathsaddle.scheduler_types import SECOND, Standing, Txn, Worker
+from pathsaddle.scheduler_types import SECOND, ListedState, Txn, Worker
 
 if TYPE_CHECKING:
-    from pathsaddle.scheduler import Choice
+    from pathsaddle.scheduler import Scheduler
 
 MAX_OPEN_VERDICTS = 4096  # rejections whose advice was not yet asked for
 # Groups of workers, each with budgets of its own: a configuration names budgets before it knows any worker.
@@ -32,11 +32,11 @@
 
     Workers of one group are together limited by what limits each of them.
     """
-    return f"w{worker.lot % WORKER_GROUPS}"
+    return f"w{worker.name_hash % WORKER_GROUPS}"
 
 
 class SchedulerAdmissionGate:
-    """Implements `trade.Gate`.
+    """Implements `scheduler_types.AdmissionGate`.
 
     Attributes:
         core: This member's gate; whoever carries records feeds and asks it directly.
@@ -49,7 +49,7 @@
         self.update_due = 0
         self.verdicts: dict[Txn, AdmissionVerdict] = {}
 
-    def admission_request(self, txn: Txn, choice: Choice) -> AdmissionRequest:
+    def admission_request(self, txn: Txn, choice: Scheduler) -> AdmissionRequest:
         """Return what the gate has to know of a request."""
         run_ticks = choice.run_of(txn)
         key = txn.key if txn.key is not None else f"{txn.hint} {txn.slots} {txn.memory}"
@@ -64,18 +64,20 @@
             time_left_ticks=choice.in_time_until(txn) + int(run_ticks) - choice.now,
             run_ticks=int(run_ticks),
             spent_slot_ticks=sum(lost_slot_ticks for attempt in txn.postings if attempt.may_have_run),
-            is_retry=txn.repeat,
+            is_retry=txn.is_retry,
         )
 
-    def observe_workers(self, choice: Choice) -> None:
+    def observe_workers(self, choice: Scheduler) -> None:
         """Hand the core what the scheduler believes of the workers."""
-        states = [state for state in choice.books.values() if state.worker.standing is Standing.READY]
-        slots = {state: state.size or choice.least_slots for state in states}
+        states = [
+            state for state in choice.workers.values() if state.worker.listed_state is ListedState.READY
+        ]
+        slots = {state: state.slot_count or choice.least_slots for state in states}
         # A worker that only this member can't reach counts whole: the others are served by it, and queues
         # show a sum that is too high.
         capacity_slots = sum(size / state.pace for state, size in slots.items())
         fresh = [
-            (slots[state], choice.room(state)) for state in states if choice.now - state.reported < SECOND
+            (slots[state], choice.room(state)) for state in states if choice.now - state.reported_at < SECOND
         ]
         fresh_slots = sum(size for size, _ in fresh)
         idle_share = queue_per_slot = 0.0
@@ -86,7 +88,7 @@
         self.core.observe_workers(capacity_slots, idle_share, queue_per_slot)
         self.core.rejection_rate = min(1.0, choice.doubt())
 
-    def update_if_due(self, choice: Choice) -> None:
+    def update_if_due(self, choice: Scheduler) -> None:
         """Update the core where its next update is due."""
         if choice.now >= self.update_due:
             self.observe_workers(choice)
@@ -94,7 +96,7 @@
 
     # trade.Gate.
 
-    def lets_in(self, txn: Txn, choice: Choice) -> bool:
+    def admits(self, txn: Txn, choice: Scheduler) -> bool:
         """Return whether the request may have its first attempt.
 
         Rule 2 comes first: a request that has been sent may have run, and is the scheduler's alone from then
@@ -110,20 +112,20 @@
                 del self.verdicts[next(iter(self.verdicts))]
         return verdict.is_admitted
 
-    def goes_out(self, txn: Txn, worker: Worker, choice: Choice) -> bool:
+    def permits_posting(self, txn: Txn, worker: Worker, choice: Scheduler) -> bool:
         """Return whether this attempt may go to this worker now; if so, it counts as sent."""
-        kind = budget_kind(bool(txn.postings), choice.books[worker].suspect)
+        kind = budget_kind(bool(txn.postings), choice.workers[worker].is_suspect)
         if kind is None or self.core.try_acquire(kind, worker_group(worker), choice.now):
             return True
         if kind is BudgetKind.TRIAL:
-            choice.books[worker].shut_until = choice.now + REFUSED_TRIAL_PAUSE_TICKS
+            choice.workers[worker].ejected_until = choice.now + REFUSED_TRIAL_PAUSE_TICKS
         return False
 
-    def may_look(self, worker: Worker, choice: Choice) -> bool:
+    def can_probe(self, worker: Worker, choice: Scheduler) -> bool:
         """Return whether this worker may be probed now; if so, it counts as sent."""
         return self.core.try_acquire(BudgetKind.LOOK, worker_group(worker), choice.now)
 
-    def come_back(self, txn: Txn, choice: Choice) -> int:
+    def retry_after(self, txn: Txn, choice: Scheduler) -> int:
         """Return the ticks that the client of a rejected request is told to wait; 0: no advice.
 
         A wait beyond the longest that the deployment allows is not told either: cut down to it, all would be
@@ -134,4 +136,4 @@
             wait_ticks = verdict.retry_after_ticks
         else:
             wait_ticks = self.core.advise_retry(self.admission_request(txn, choice), choice.now)
-        return wait_ticks if wait_ticks <= choice.come_back else 0
+        return wait_ticks if wait_ticks <= choice.max_retry_after else 0
--- a/pathsaddle/jobs/admission.py
+++ b/pathsaddle/jobs/admission.py
@@ -100,9 +100,9 @@
         # Its commit comes before that of its first intent, which is waited for: it needs no wait of its own.
         self._commits.put(job.record)
         # A short call gives up no more than half of its time for the sync of its end.
-        request.expires -= min(self._options.margin_ticks, (request.expires - request.arrived) // 2)
+        request.expires_at -= min(self._options.margin_ticks, (request.expires_at - request.arrived_at) // 2)
         if host.stopping is not None:
-            request.cut_to(host.stopping)
+            request.shorten_deadline(host.stopping)
         entry = job.entry = Entry(request, call, answer)
         host.ledger.open(entry)
         host.counters.add("txn.taken")
@@ -120,9 +120,9 @@
         job_id, semantics = request.tag, request.scheme.semantics
         stored_call = encode_call(call)
         record = JobRecord(
-            job_id, owner, key, digest, semantics, request.arrived, request.expires, stored_call
+            job_id, owner, key, digest, semantics, request.arrived_at, request.expires_at, stored_call
         )
-        return ActiveJob(JobStateMachine(job_id, semantics, request.arrived, request.expires), record)
+        return ActiveJob(JobStateMachine(job_id, semantics, request.arrived_at, request.expires_at), record)
 
     async def _accept(self, job: ActiveJob, accept_commit: asyncio.Future[None], answer: Answer) -> None:
         try:
--- a/pathsaddle/jobs/cancellation.py
+++ b/pathsaddle/jobs/cancellation.py
@@ -68,11 +68,11 @@
         if machine.is_open:
             machine.apply(CancelRequested(machine.job_id, clock.now()))
             entry = job.entry
-            if entry is not None and not entry.txn.closed:
+            if entry is not None and not entry.txn.is_closed:
                 for exchange in entry.exchanges:
                     attempt = exchange.posting
-                    if attempt.out and not attempt.cancelled:
-                        attempt.cancelled = True
+                    if attempt.is_in_flight and not attempt.is_cancelled:
+                        attempt.is_cancelled = True
                         self._host.cancel(attempt)
                 self._host.abandon_request(entry.txn)
             end_commit = self._host.end_job(job, CANCELLED_BY_CLIENT)
--- a/pathsaddle/jobs/completion.py
+++ b/pathsaddle/jobs/completion.py
@@ -91,7 +91,7 @@
     def succeed(self, job: ActiveJob, result: bytes) -> None:
         """End a job with a worker's result, also where its lease was given up."""
         entry = job.entry
-        if entry is not None and not entry.txn.closed and entry.txn.run is not None:
+        if entry is not None and not entry.txn.is_closed and entry.txn.lifecycle is not None:
             self._host.answer_success(entry, result)
             self._host.abandon_request(entry.txn)
         else:
--- a/pathsaddle/jobs/job_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -39,7 +39,7 @@
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire.forms import Callback, Row
 from pathsaddle.net.wire.http import Message
-from pathsaddle.scheduler_types import ListNews, Outcome, Posting, Report, Txn
+from pathsaddle.scheduler_types import ListUpdate, LoadReport, Outcome, Posting, Txn
 
 __all__ = ["JobService", "JobServiceOptions"]
 
@@ -123,12 +123,12 @@
         self._at()
         for entry in self.ledger.unanswered():
             if entry.answer is not None:
-                self._guard(entry.txn, partial(self.loop.hasten, entry.txn, by))
+                self._guard(entry.txn, partial(self.loop.shorten_deadline, entry.txn, by))
 
-    def listed(self, news: ListNews, rows: list[Row]) -> None:
+    def listed(self, news: ListUpdate, rows: list[Row]) -> None:
         """Take the endpoint list over; the recovery waits for its first."""
         super().listed(news, rows)
-        if news in (ListNews.WHOLE, ListNews.CHANGES):
+        if news in (ListUpdate.WHOLE, ListUpdate.CHANGES):
             self.recovery.endpoints_known.set()
 
     # What clients bring.
@@ -213,7 +213,7 @@
             await super()._carry(exchange)
 
     def _end(
-        self, exchange: Exchange, outcome: Outcome, report: Report | None = None, result: bytes = b""
+        self, exchange: Exchange, outcome: Outcome, report: LoadReport | None = None, result: bytes = b""
     ) -> None:
         self._leases.on_attempt_ending(exchange, outcome)
         super()._end(exchange, outcome, report, result)
@@ -260,22 +260,22 @@
 
     def submit_request(self, request: Txn) -> None:
         """Have the decisions serve a new request."""
-        self._guard(request, lambda: self.loop.arrive(request))
+        self._guard(request, lambda: self.loop.start_txn(request))
 
     def resume_request(self, request: Txn, attempts: list[Posting]) -> None:
         """Have the decisions serve a request whose earlier attempts may still run."""
         self._at()
-        self._guard(request, lambda: self.loop.resume(request, attempts))
+        self._guard(request, lambda: self.loop.resume_txn(request, attempts))
 
     def abandon_request(self, request: Txn) -> None:
         """Tell the decisions that nothing more is wanted of a request."""
         self._at()
-        self._guard(request, lambda: self.loop.hang_up(request))
+        self._guard(request, lambda: self.loop.abandon_txn(request))
 
     def note_progress(self, attempt: Posting) -> None:
         """Tell the decisions that a worker still has an attempt."""
         self._at()
-        self._guard(attempt.txn, lambda: self.loop.news(attempt, False, 0.0))
+        self._guard(attempt.txn, lambda: self.loop.on_progress(attempt, False, 0.0))
 
     def end_attempt(self, exchange: Exchange, outcome: Outcome, result: bytes = b"") -> None:
         """Give an attempt its one outcome; a successful one answers its request."""
--- a/pathsaddle/jobs/leases.py
+++ b/pathsaddle/jobs/leases.py
@@ -51,12 +51,12 @@
         intent = LeaseIntended(machine.job_id, now, machine.next_lease_number, attempt.worker.tag)
         machine.apply(intent)
         lease = machine.leases[-1]
-        if not await self._commits.put_until(attempt.sent + exchange.within - MILLISECOND, intent):
+        if not await self._commits.put_until(attempt.sent_at + exchange.within - MILLISECOND, intent):
             lease.never_ran = True
             self._host.end_attempt(exchange, Outcome.MOOT)
             return False
         self._polling.answer_polls(job)
-        if not attempt.out or attempt.txn.closed or self._commits.store.is_fenced:
+        if not attempt.is_in_flight or attempt.txn.is_closed or self._commits.store.is_fenced:
             self.clear(machine, lease)
             self._host.end_attempt(exchange, Outcome.MOOT)
             return False
@@ -71,7 +71,7 @@
         """Clear the lease of an attempt that is known never to have run, just before it gets its outcome."""
         attempt = exchange.posting
         job = self._registry.jobs.get(attempt.txn.tag)
-        if job is not None and attempt.out and outcome.never_ran:
+        if job is not None and attempt.is_in_flight and outcome.never_ran:
             lease = job.machine.find_lease(attempt.worker.tag)
             if lease is not None and not lease.never_ran:
                 self.clear(job.machine, lease)
@@ -86,8 +86,8 @@
         """While a lease is out: a sign of life renews it; after silence for its time its worker is asked."""
         attempt, machine, clock = exchange.posting, job.machine, self._host.clock
         queried_at = clock.now()
-        while attempt.out and machine.is_open:
-            last_sign = max(attempt.sent, attempt.noted or 0, queried_at)
+        while attempt.is_in_flight and machine.is_open:
+            last_sign = max(attempt.sent_at, attempt.last_progress_at or 0, queried_at)
             remaining = last_sign + self._lease_ticks - clock.now()
             if remaining > 0:
                 await asyncio.sleep(seconds(remaining))
@@ -96,7 +96,7 @@
                 return
             answer = await self._worker_client.query_lease(machine.job_id, lease)
             queried_at = clock.now()
-            if not attempt.out or not machine.is_open:
+            if not attempt.is_in_flight or not machine.is_open:
                 return
             self._act_on_lapse(machine, exchange, lease, answer, queried_at)
 
--- a/pathsaddle/jobs/recovery.py
+++ b/pathsaddle/jobs/recovery.py
@@ -138,7 +138,7 @@
             worker = self._host.known.get(lease.worker)
             if worker is None:
                 continue  # its report may still come, as a late result
-            attempt = Posting(entry.txn, worker, i, lease.intended_at, taken=lease.intended_at)
+            attempt = Posting(entry.txn, worker, i, lease.intended_at, accepted_at=lease.intended_at)
             exchange = Exchange(attempt, entry, NO_TIME_LIMIT, begun=True, sending=Whole(), accepted=True)
             entry.exchanges.append(exchange)
             attempts.append(attempt)
@@ -174,7 +174,7 @@
         return True
 
     def _continue(self, job: ActiveJob, entry: Entry, attempts: list[Posting]) -> None:
-        is_out = any(attempt.out for attempt in attempts)
+        is_out = any(attempt.is_in_flight for attempt in attempts)
         has_caller = job.record.key is not None
         if not has_caller and not job.machine.leases_in_doubt():
             self._run_queue.discard_entry(entry)
--- a/pathsaddle/jobs/run_queue.py
+++ b/pathsaddle/jobs/run_queue.py
@@ -88,7 +88,7 @@
         """
         call = decode_call(job.record.call)
         request = (job.request_parser or self._host.words).txn(call, self._host.clock.now())
-        request.expires = job.machine.expires_at - self._margin_ticks
+        request.expires_at = job.machine.expires_at - self._margin_ticks
         job.entry, job.request_parser = Entry(request, call, None), None
         self._host.ledger.open(job.entry)
         return job.entry
@@ -105,7 +105,7 @@
         """Close a request that the decisions have never seen, since its job has ended."""
         for exchange in entry.exchanges:
             exchange.posting.outcome = exchange.posting.outcome or Outcome.MOOT
-        entry.txn.closed = True
+        entry.txn.is_closed = True
         self._host.ledger.close(entry)
 
     def occupy_slot(self, job: ActiveJob) -> None:
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -59,7 +59,7 @@
 
     @property
     def done(self) -> bool:
-        return self.txn.closed and not any(exchange.posting.out for exchange in self.exchanges)
+        return self.txn.is_closed and not any(exchange.posting.is_in_flight for exchange in self.exchanges)
 
 
 class Ledger:
@@ -94,7 +94,7 @@
         entry = self._entries.get(tag)
         if entry is not None:
             for exchange in reversed(entry.exchanges):
-                if exchange.posting.worker.tag == worker and exchange.posting.out:
+                if exchange.posting.worker.tag == worker and exchange.posting.is_in_flight:
                     return exchange
         return None
 
@@ -111,4 +111,4 @@
         return list(dict.fromkeys(entry.txn.scheme for entry in self._entries.values()))
 
     def unanswered(self) -> list[Entry]:
-        return [entry for entry in self._entries.values() if not entry.txn.closed]
+        return [entry for entry in self._entries.values() if not entry.txn.is_closed]
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -12,7 +12,7 @@
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.http import MOST_RECORD, Broken, Calling
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.scheduler_types import LIST_SILENT, SECOND, ListNews
+from pathsaddle.scheduler_types import LIST_SILENCE_TIMEOUT, SECOND, ListUpdate
 
 COMES_UP = SECOND  # in which discovery's machine must take our connection
 # In which a call, its connection and all, must bring its first line: discovery gives up on callers sooner, and two that
@@ -68,7 +68,7 @@
                 self.discovery.service.listed(news, rows)
             elif self.lines:
                 # Nothing has changed since our version, or the line before.
-                self.discovery.service.listed(ListNews.CHANGES, [])
+                self.discovery.service.listed(ListUpdate.CHANGES, [])
 
     def read_out(self) -> bool:
         """What has reached us by now is what was told, also what the kernel has handed over while its reader has not
@@ -127,7 +127,7 @@
         if address != self.address:
             self.stop("moved")
             self.address, self.index = address, 0
-            self.service.listed(ListNews.MOVED, [])
+            self.service.listed(ListUpdate.MOVED, [])
 
     def stop(self, why: str) -> None:
         watch, self._watch = self._watch, None
@@ -163,7 +163,7 @@
             if sock is not None:
                 asyncio.get_running_loop().call_soon(sock.close)
         self._watch = None
-        self.service.listed(ListNews.SILENT if code in ("silent", "unanswered") else ListNews.FAILED, [])
+        self.service.listed(ListUpdate.SILENT if code in ("silent", "unanswered") else ListUpdate.FAILED, [])
 
     async def _listen(self, sock: Tallied, peer: tuple[str, int], begun: float) -> str:
         """Until the watch ends; says how."""
@@ -177,7 +177,7 @@
         )
         while not watch.ended:
             # Bytes that never make a line are no word.
-            within, lines = LIST_SILENT if watch.lines else FIRST, watch.lines
+            within, lines = LIST_SILENCE_TIMEOUT if watch.lines else FIRST, watch.lines
             try:
                 async with asyncio.timeout_at(watch.heard + seconds(within)):
                     count = await events.sock_recv_into(sock, watch.inward.space())
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -18,7 +18,7 @@
 from pathsaddle.net.service.ground import Ground
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.birth import WHERE, Birth, birth
-from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate
 
 SPARE = 12  # descriptors for the listener, discovery's watch and connections on their way out
 CONNECTION_MB = 0.02  # what a connection takes of us and of our tasks, measured
@@ -47,7 +47,9 @@
             max(FEW, int(min(free, spare / 3 / CONNECTION_MB))), int(max(FEW_MB, min(1e3, spare / 4)) * 1e6)
         )
         self.workers = Workers(told.reach, free // 4, self.clock, self.counters, ground.stream)
-        told.terms.most_open = min(told.terms.most_open, min(room.connections, free - free // 4) * 3 // 4)
+        told.terms.max_open_txns = min(
+            told.terms.max_open_txns, min(room.connections, free - free // 4) * 3 // 4
+        )
         self.service = ground.service(
             told.terms,
             told.words,
@@ -59,7 +61,7 @@
         )
         self.discovery = ground.watch(told.discovery, told.index, self.service, self.counters)
         self.service.catch_up = self.discovery.catch_up
-        self.service.listed(ListNews.REMEMBERED, told.rows)
+        self.service.listed(ListUpdate.REMEMBERED, told.rows)
         try:
             self.front = Front(
                 told.listen, free, room, self.service, self.clock, self.counters, ground.stream
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -20,15 +20,15 @@
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.forms import Callback, Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     MILLISECOND,
-    ListNews,
+    ListedState,
+    ListUpdate,
+    LoadReport,
     Outcome,
     Posting,
-    Report,
-    Standing,
-    Terms,
+    SchedulerConfig,
     Txn,
     Worker,
 )
@@ -44,7 +44,7 @@
 class TxnService:
     def __init__(
         self,
-        terms: Terms,
+        terms: SchedulerConfig,
         words: Words,
         seed: int,
         clock: Clock,
@@ -52,8 +52,8 @@
         counters: Counters,
         watch: Callable[[], None],
     ) -> None:
-        self.two_at_once = terms.two_at_once
-        self.dropped_stay_open = terms.dropped_stay_open
+        self.two_at_once = terms.allows_hedging
+        self.dropped_stay_open = terms.delisted_workers_usable
         self.look_target = forms.look_target(terms.reports_in_probes)
         self.words = words
         self.clock = clock
@@ -69,7 +69,7 @@
         self._turning = False
         self._alarm: asyncio.TimerHandle | None = None
         self._events = asyncio.get_running_loop()
-        self.loop = Loop(self, terms, seed, clock.now())
+        self.loop = SchedulerDriver(self, terms, seed, clock.now())
         workers.broke = self.broke
 
     # What the loop asks of a door.
@@ -77,7 +77,7 @@
     def post(self, posting: Posting, within: int) -> None:
         txn = posting.txn
         entry = self.ledger[txn.tag]
-        left = txn.expires - self.clock.now()
+        left = txn.expires_at - self.clock.now()
         exchange = Exchange(posting, entry, min(within, left) if within else left)
         entry.exchanges.append(exchange)
         self.counters.add("posting")
@@ -86,7 +86,7 @@
 
     def cancel(self, posting: Posting) -> None:
         exchange = self.ledger[posting.txn.tag].exchanges[posting.number]
-        if not posting.out:
+        if not posting.is_in_flight:
             return
         if exchange.accepted:
             self._start(self._withdraw(exchange))
@@ -144,20 +144,20 @@
         if self.ledger.knows(txn.tag):
             raise Broken(409, "this id is not new")
         if self.stopping is not None:
-            txn.cut_to(self.stopping)
+            txn.shorten_deadline(self.stopping)
         entry = Entry(txn, call, answer)
         self.ledger.open(entry)
         self.counters.add("txn.taken")
-        self._guard(txn, lambda: self.loop.arrive(txn))
+        self._guard(txn, lambda: self.loop.start_txn(txn))
         return entry
 
     def hang_up(self, entry: Entry) -> None:
         entry.answer = None
-        if entry.txn.closed:
+        if entry.txn.is_closed:
             return
         self.counters.add("txn.hung_up")
         self._at()
-        self._guard(entry.txn, lambda: self.loop.hang_up(entry.txn))
+        self._guard(entry.txn, lambda: self.loop.abandon_txn(entry.txn))
         self.ledger.close(entry)
 
     def heard(self, told: Callback, answer: Answer) -> None:
@@ -179,20 +179,22 @@
         elif told.note:
             self._at()
             posting = exchange.posting
-            self._guard(posting.txn, lambda: self.loop.news(posting, told.started, told.level))
+            self._guard(posting.txn, lambda: self.loop.on_progress(posting, told.started, told.level))
 
-    def listed(self, news: ListNews, rows: list[Row]) -> None:
+    def listed(self, news: ListUpdate, rows: list[Row]) -> None:
         told = []
         for row in rows:
             known = self.known.setdefault(row.worker.tag, row.worker)
             if known is not row.worker:
-                known.follows(row.worker)
+                known.update_from(row.worker)
             self.workers.located(known.tag, row.address)
             told.append(known)
         self._at()
-        self._guard(None, lambda: self.loop.listed(news, told))
+        self._guard(None, lambda: self.loop.on_list_update(news, told))
         for worker in self.known.values():
-            if worker.standing is Standing.GONE and not worker.may_get(self.dropped_stay_open):
+            if worker.listed_state is ListedState.GONE and not worker.can_receive_postings(
+                self.dropped_stay_open
+            ):
                 self.workers.links.forget(worker.tag)
 
     def broke(self, worker: str) -> None:
@@ -200,22 +202,22 @@
         known = self.known.get(worker)
         if known is not None:
             self._at()
-            self._guard(None, lambda: self.loop.broke(known))
+            self._guard(None, lambda: self.loop.on_connection_broken(known))
 
     def stop(self, by: int) -> None:
         """We are to end: every txn must have its answer by then, whatever its client would wait."""
         self.stopping = by
         self._at()
         for entry in self.ledger.unanswered():
-            self._guard(entry.txn, partial(self.loop.hasten, entry.txn, by))
+            self._guard(entry.txn, partial(self.loop.shorten_deadline, entry.txn, by))
 
-    def retune(self, terms: Terms, words: Words) -> None:
+    def retune(self, terms: SchedulerConfig, words: Words) -> None:
         """Other terms from the next call on, between two events; no txn that is open is touched. Raises nothing: what
         could be amiss was found before (`config/reload.py`).
         """
         self._at()
-        self.words, self.dropped_stay_open = words, terms.dropped_stay_open
-        self.loop.choice.retune(
+        self.words, self.dropped_stay_open = words, terms.delisted_workers_usable
+        self.loop.scheduler.update_config(
             terms, [scheme for scheme in self.ledger.schemes() if scheme not in terms.schemes]
         )
 
@@ -226,8 +228,8 @@
         """
         return (
             self.stopping is None
-            and self.loop.list_told(self.clock.now())
-            and any(w.standing is Standing.READY for w in self.known.values())
+            and self.loop.is_list_settled(self.clock.now())
+            and any(w.listed_state is ListedState.READY for w in self.known.values())
         )
 
     # One posting, from its order to its one outcome.
@@ -239,13 +241,13 @@
         def begins(sending: Sending) -> None:
             # Connecting took time: its client may have gone, the worker been told to go or started anew.
             self.catch_up()
-            self.loop.at(self.clock.now())
-            if not self.loop.may_begin(posting):
+            self.loop.set_now(self.clock.now())
+            if not self.loop.can_begin_posting(posting):
                 self.counters.add("posting.withheld")
                 raise Withheld
             exchange.begun, exchange.sending = True, sending
             # What is left now: told as of the order, a worker hoped for as much longer as the dial had taken.
-            headers.extend(forms.posting_headers(call, posting.sent + exchange.within - self.clock.now()))
+            headers.extend(forms.posting_headers(call, posting.sent_at + exchange.within - self.clock.now()))
 
         try:
             answer = await self.workers.call(
@@ -261,15 +263,15 @@
             outcome = forms.outcome_of(answer)
             if outcome is None:
                 exchange.accepted = True
-                if posting.out:
+                if posting.is_in_flight:
                     self._at()
-                    self._guard(posting.txn, lambda: self.loop.taken(posting))
+                    self._guard(posting.txn, lambda: self.loop.on_posting_accepted(posting))
             else:
                 self._end(exchange, outcome, self.words.report_in(answer))
 
     def _late(self, exchange: Exchange) -> None:
         """The time it was given is up: no worker that got it in full can be said not to have run it."""
-        if exchange.posting.out:
+        if exchange.posting.is_in_flight:
             if exchange.accepted:
                 self._start(self._delete(exchange))
             else:
@@ -305,10 +307,10 @@
         return any(sending.whole for sending in told)
 
     def _end(
-        self, exchange: Exchange, outcome: Outcome, report: Report | None = None, result: bytes = b""
+        self, exchange: Exchange, outcome: Outcome, report: LoadReport | None = None, result: bytes = b""
     ) -> None:
         posting = exchange.posting
-        if not posting.out:
+        if not posting.is_in_flight:
             return
         if exchange.alarm is not None:
             exchange.alarm.cancel()
@@ -318,11 +320,11 @@
         self.counters.add(f"outcome.{outcome.name.lower()}")
         txn = posting.txn
         self._at()
-        if outcome is Outcome.SETTLED and not txn.closed:
+        if outcome is Outcome.SETTLED and not txn.is_closed:
             self._answer(txn, "settled", 200, result)
-        closes = outcome is Outcome.SETTLED or txn.closed
-        spent = self.loop.now - posting.sent
-        self._guard(txn, lambda: self.loop.ended(posting, outcome, spent, closes, report))
+        closes = outcome is Outcome.SETTLED or txn.is_closed
+        spent = self.loop.now - posting.sent_at
+        self._guard(txn, lambda: self.loop.on_posting_ended(posting, outcome, spent, closes, report))
         self.ledger.close(exchange.entry)
 
     async def _look(self, worker: Worker) -> None:
@@ -341,24 +343,27 @@
         self.counters.add(f"probe.{outcome.name.lower()}")
         self._at()
         spent = self.loop.now - begun
-        self._guard(None, lambda: self.loop.probed(worker, outcome, spent, report))
+        self._guard(None, lambda: self.loop.on_probe_result(worker, outcome, spent, report))
 
     # Driving the loop.
 
     def _at(self) -> None:
-        self.loop.at(self.clock.now())
+        self.loop.set_now(self.clock.now())
         if not self._turning:
             self._turning = True
             self._events.call_soon(self._turn)
 
     def _turn(self) -> None:
         self._turning = False
-        self.loop.at(self.clock.now())
-        if self._guard(None, self.loop.turn):
+        self.loop.set_now(self.clock.now())
+        if self._guard(None, self.loop.run_pending):
             return
         # Whose life has ended in the fault gets its answer; the rest of the turn is made up for.
         for entry in self.ledger.unanswered():
-            if entry.txn.run is None or inspect.getgeneratorstate(entry.txn.run) == inspect.GEN_CLOSED:
+            if (
+                entry.txn.lifecycle is None
+                or inspect.getgeneratorstate(entry.txn.lifecycle) == inspect.GEN_CLOSED
+            ):
                 self._drop(entry.txn)
         self._events.call_later(seconds(AFTER_FAULT), self._at)
 
@@ -368,7 +373,7 @@
             self._alarm = self._events.call_later(seconds(due - now) + 0.0005, self._woken, due)
             return
         self._at()
-        self.loop.woken()
+        self.loop.on_wakeup()
 
     def _guard(self, txn: Txn | None, act: Callable[[], None]) -> bool:
         """A fault in the decisions about one txn reverses that one; the others go on."""
@@ -378,13 +383,13 @@
         except Exception as fault:  # noqa: BLE001  # whatever it is ends this txn alone
             self.counters.add("fault")
             logbook.fault_decisions(fault)
-            if txn is not None and not txn.closed:
+            if txn is not None and not txn.is_closed:
                 self._drop(txn)
             return False
 
     def _drop(self, txn: Txn) -> None:
         self.reverse(txn)
-        self.loop.hang_up(txn)
+        self.loop.abandon_txn(txn)
 
     def _answer(
         self,
--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -10,7 +10,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.terms import Amiss, Reach, Told, peer_of
-from pathsaddle.scheduler_types import SECOND, Terms
+from pathsaddle.scheduler_types import SECOND, SchedulerConfig
 
 WHERE = "GW_CONFIG"  # the variable that says where the rest stands
 USUAL_SOCKETS = 1024  # where no limit is told: what a process gets by itself on most machines
@@ -48,7 +48,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    terms: Terms
+    terms: SchedulerConfig
     words: Words
     reach: Reach
     index: int  # the version of the list as last had, maybe old, and its rows
@@ -109,8 +109,12 @@
     if given and not known.schemes:
         raise Told(given, "settings").amiss("Schemes", "one scheme at least")
     # A list that comes unasked on the bench's wire comes over a watch here, and that has to be asked for.
-    known.must_ask, known.beats, known.pushed = True, True, given.get("Discovery") == "automatic"
-    known.ask_within = known.ask_within or 10 * SECOND
+    known.list_needs_subscription, known.has_watch_heartbeats, known.is_list_pushed = (
+        True,
+        True,
+        given.get("Discovery") == "automatic",
+    )
+    known.list_poll_interval = known.list_poll_interval or 10 * SECOND
     words = Words(given, known)
     index, rows = _known(words, Told(told.get("known"), "known"))
     return Birth(
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -18,12 +18,12 @@
     MILLISECOND,
     SECOND,
     Customer,
-    ListNews,
+    ListedState,
+    ListUpdate,
+    LoadReport,
     Outcome,
-    Report,
+    SchedulerConfig,
     Scheme,
-    Standing,
-    Terms,
     Txn,
     Worker,
 )
@@ -44,7 +44,7 @@
     b"transfer-encoding",
     b"upgrade",
 )
-STANDINGS = {"active": Standing.READY, "leaving": Standing.DRAINING, "left": Standing.GONE}
+STANDINGS = {"active": ListedState.READY, "leaving": ListedState.DRAINING, "left": ListedState.GONE}
 ENDS = {"done": Outcome.SETTLED, "failed": Outcome.ERROR, "returned": Outcome.FULL, "lost": Outcome.RESET}
 ID = re.compile(r"[!-~]{1,128}")
 FIGURE = re.compile(r"[0-9]{1,12}([.][0-9]{1,9})?")
@@ -62,7 +62,7 @@
     started: bool
     level: float
     result: bytes
-    report: Report | None
+    report: LoadReport | None
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
     (`retuned`): whoever holds on to these reads an older call as it was read then.
     """
 
-    def __init__(self, given: dict[str, Any], known: Terms) -> None:
+    def __init__(self, given: dict[str, Any], known: SchedulerConfig) -> None:
         """Raises terms.Amiss: a call goes by these names, and one without or with another's is never reached."""
         told = terms.Told(given, "settings")
         self.schemes: dict[str, Scheme] = dict(zip(self._names(told, "Schemes"), known.schemes))
@@ -145,7 +145,7 @@
             if customer is None:
                 made.customers.pop(name, None)
             elif known is not None:
-                known.allowance, known.portion = customer.allowance, customer.portion
+                known.quota_rate, known.traffic_share = customer.quota_rate, customer.traffic_share
             else:
                 customer.index = next(self._fresh)
                 made.customers[name] = customer
@@ -186,7 +186,7 @@
                 slots=slots,
                 memory=None if memory is None else figure(memory),
                 key=key_of(call.target),
-                repeat=call.text(b"req-retry") == "1",
+                is_retry=call.text(b"req-retry") == "1",
             )
         except ValueError as fault:
             raise Broken(400, f"a figure that is none: {fault}") from None
@@ -215,7 +215,7 @@
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             raise Broken(400, f"no callback: {type(fault).__name__}") from None
 
-    def report(self, load: Any) -> Report | None:
+    def report(self, load: Any) -> LoadReport | None:
         """A load report as an object or as name=value text; one that can't be read says nothing.
 
         Nor does one of zeros alone: a worker asked before its first measurement gives that, and read as full
@@ -229,7 +229,7 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def report_in(self, answer: Message) -> Report | None:
+    def report_in(self, answer: Message) -> LoadReport | None:
         load = answer.text(b"srv-load")
         if load is not None:
             return self.report(load)
@@ -243,19 +243,19 @@
 
     # From discovery.
 
-    def list_line(self, line: bytes) -> tuple[int, ListNews, list[Row]]:
+    def list_line(self, line: bytes) -> tuple[int, ListUpdate, list[Row]]:
         try:
             told = json.loads(line)
             return self.list(told)
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
             raise Broken(400, f"no line of the list: {type(fault).__name__}") from None
 
-    def list(self, told: dict[str, Any]) -> tuple[int, ListNews, list[Row]]:
+    def list(self, told: dict[str, Any]) -> tuple[int, ListUpdate, list[Row]]:
         rows = []
         for entry in told.get("endpoints") or []:
             since, name = int(entry.get("since_ms") or 0), str(entry["name"])
             # Nothing new for a worker whose status we can't read; the others' lines still count.
-            standing = STANDINGS.get(entry.get("status"), Standing.DRAINING)
+            standing = STANDINGS.get(entry.get("status"), ListedState.DRAINING)
             rows.append(
                 Row(
                     Worker(
@@ -271,7 +271,7 @@
                     str(entry.get("address") or ""),
                 )
             )
-        return int(told["index"]), ListNews.WHOLE if told.get("snapshot") else ListNews.CHANGES, rows
+        return int(told["index"]), ListUpdate.WHOLE if told.get("snapshot") else ListUpdate.CHANGES, rows
 
 
 # To workers.
--- a/pathsaddle/net/wire/terms.py
+++ b/pathsaddle/net/wire/terms.py
@@ -10,7 +10,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pathsaddle.scheduler_types import SECOND, Customer, Group, Report, Scheme, Semantics, Terms
+from pathsaddle.scheduler_types import (
+    SECOND,
+    Customer,
+    DeduplicationGroup,
+    LoadReport,
+    SchedulerConfig,
+    Scheme,
+    Semantics,
+)
 
 TICK = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -26,7 +34,7 @@
     "rps": "rate",
     "qps": "rate",
 }
-GROUPS = tuple(group.value for group in Group)
+GROUPS = tuple(group.value for group in DeduplicationGroup)
 # What is meant for ever may come as the longest span that the platform's language has. Nothing is meant beyond.
 MOST = 1 << 63
 LONGEST = 24 * 3600 * SECOND  # no client means to wait for longer
@@ -186,13 +194,13 @@
         value=row.number("Value"),
         late_value=row.number("OverdueValue"),
         stretch=row.number("AimStretch") or float(stretch or 0),
-        group=Group(row.among("Group", GROUPS) or "all"),
+        group=DeduplicationGroup(row.among("Group", GROUPS) or "all"),
         window=limit(row.whole("Window")),
         machine=machine if machine is not None and machine >= 0 else None,
     )
 
 
-def terms(given: dict[str, Any]) -> Terms:
+def terms(given: dict[str, Any]) -> SchedulerConfig:
     """Raises Amiss; docs/settings.md has each key's default, what 0 means there and what is refused."""
     told = Told(given, "settings")
     job, allowed, duty, price, report = map(
@@ -203,7 +211,7 @@
         raise told.amiss("Zone", "a place among those of settings.Azs, from 0,")
     machines = len(told.names("Kinds"))
     advised = limit(allowed.whole("MaxRetryAfter"))
-    return Terms(
+    return SchedulerConfig(
         schemes=[scheme(i, row, job, machines) for i, row in enumerate(told.rows("Schemes"))],
         customers=[
             Customer(i, row.number("AllowancePerS"), row.number("Portion"))
@@ -214,22 +222,22 @@
         number=number,
         zone=zone,
         tick=passed(told.whole("Period")),
-        must_ask=told.among("Discovery", ("automatic", "subscribe")) == "subscribe",
-        ask_within=bound(duty.whole("AskEvery")),
+        list_needs_subscription=told.among("Discovery", ("automatic", "subscribe")) == "subscribe",
+        list_poll_interval=bound(duty.whole("AskEvery")),
         answer_slack=limit(duty.whole("AnswerSlack")),
         drain_grace=limit(duty.whole("DrainGrace")),
-        cold_share=duty.number("ColdShare", most=1),
-        cold_time=passed(duty.whole("RampTime")),
-        fall_multiple=duty.number("FallMultiple"),
-        fall_time=passed(duty.whole("Fall")),
+        slow_start_share=duty.number("ColdShare", most=1),
+        slow_start_time=passed(duty.whole("RampTime")),
+        overload_multiple=duty.number("FallMultiple"),
+        overload_window=passed(duty.whole("Fall")),
         max_postings=allowed.whole("MaxPostings") or 1,
-        two_at_once=allowed.flag("MayDuplicate"),
-        may_cancel=allowed.flag("Cancelling"),
-        may_probe=allowed.flag("Probing"),
-        come_back_most=advised if allowed.flag("RetryAfter") else 0,
-        progress_every=passed(job.whole("Progress")),
-        tells_start=job.flag("TellsStart"),
-        over_share=told.number("ExcessValue"),
+        allows_hedging=allowed.flag("MayDuplicate"),
+        can_cancel=allowed.flag("Cancelling"),
+        can_probe=allowed.flag("Probing"),
+        max_retry_after=advised if allowed.flag("RetryAfter") else 0,
+        progress_interval=passed(job.whole("Progress")),
+        reports_start=job.flag("TellsStart"),
+        over_share_value=told.number("ExcessValue"),
         value_by_work=told.text("ValueBasis") == "work",
         price_cross=price.number("CrossZone"),
         price_probe=price.number("Probe"),
@@ -238,9 +246,9 @@
         price_handshake=price.number("Handshake"),
         reports_in_answers=source == "answers",
         reports_in_probes=source in ("answers", "probe"),
-        overtakes=job.text("QueueOrder") == "backfill",
-        dropped_stay_open=duty.flag("DroppedStayOpen"),
-        most_open=allowed.whole("OpenCap") or 1 << 60,
+        allows_backfill=job.text("QueueOrder") == "backfill",
+        delisted_workers_usable=duty.flag("DroppedStayOpen"),
+        max_open_txns=allowed.whole("OpenCap") or 1 << 60,
     )
 
 
@@ -249,9 +257,9 @@
     return Told(given, "settings").part("Report").names("Fields")
 
 
-def report(figures: list[tuple[str, Any]]) -> Report | None:
+def report(figures: list[tuple[str, Any]]) -> LoadReport | None:
     """Figures that we do not use, and those left out, stay None."""
-    told = Report()
+    told = LoadReport()
     for name, value in figures:
         if name in REPORT_FIELDS and value not in (None, "", "-"):
             setattr(told, REPORT_FIELDS[name], float(value))
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -5,19 +5,19 @@
 from dataclasses import replace
 from typing import Any
 
-from pathsaddle.scheduler_driver import Loop
+from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     SECOND,
     Customer,
-    Group,
-    ListNews,
+    DeduplicationGroup,
+    ListedState,
+    ListUpdate,
+    LoadReport,
     Outcome,
     Posting,
-    Report,
+    SchedulerConfig,
     Scheme,
     Semantics,
-    Standing,
-    Terms,
     Txn,
     Worker,
 )
@@ -80,7 +80,7 @@
         value=1.0,
         late_value=0.0,
         stretch=1.25,
-        group=Group.ALL,
+        group=DeduplicationGroup.ALL,
         window=5 * SECOND,
     )
     return Scheme(**{**given, **more})  # type: ignore[arg-type]
@@ -94,7 +94,7 @@
         *schemes: Scheme,
         workers: int = 2,
         customers: list[Customer] | None = None,
-        news: ListNews = ListNews.WHOLE,
+        news: ListUpdate = ListUpdate.WHOLE,
         seed: int = 7,
         **terms: object,
     ) -> None:
@@ -105,22 +105,22 @@
             number=0,
             zone=0,
             tick=20,
-            must_ask=False,
-            ask_within=10 * SECOND,
+            list_needs_subscription=False,
+            list_poll_interval=10 * SECOND,
             answer_slack=80,
             drain_grace=5000,
-            cold_share=0.3,
-            cold_time=9 * SECOND,
-            fall_multiple=4.0,
-            fall_time=2 * SECOND,
+            slow_start_share=0.3,
+            slow_start_time=9 * SECOND,
+            overload_multiple=4.0,
+            overload_window=2 * SECOND,
             max_postings=4,
-            two_at_once=True,
-            may_cancel=True,
-            may_probe=False,
-            come_back_most=0,
-            progress_every=2 * SECOND,
-            tells_start=False,
-            over_share=0.1,
+            allows_hedging=True,
+            can_cancel=True,
+            can_probe=False,
+            max_retry_after=0,
+            progress_interval=2 * SECOND,
+            reports_start=False,
+            over_share_value=0.1,
             value_by_work=False,
             price_cross=0.0,
             price_probe=0.0,
@@ -130,7 +130,7 @@
             reports_in_answers=True,
             reports_in_probes=True,
         )
-        self.terms = Terms(**{**given, **terms})  # type: ignore[arg-type]
+        self.terms = SchedulerConfig(**{**given, **terms})  # type: ignore[arg-type]
         self.now = 100 * SECOND
         self.posted: list[Posting] = []
         self.answers: dict[str, list[str]] = {}
@@ -140,13 +140,13 @@
         self.subscribed = 0
         self.alarm: int | None = None
         self.workers = [Worker(f"w{i}") for i in range(workers)]
-        self.loop = Loop(self, self.terms, seed, self.now)
-        self.loop.at(self.now)
-        self.loop.listed(news, self.workers)
-        self.loop.turn()
+        self.loop = SchedulerDriver(self, self.terms, seed, self.now)
+        self.loop.set_now(self.now)
+        self.loop.on_list_update(news, self.workers)
+        self.loop.run_pending()
 
     def post(self, posting: Posting, within: int) -> None:
-        assert not posting.txn.closed, "posted after the final answer"
+        assert not posting.txn.is_closed, "posted after the final answer"
         self.posted.append(posting)
 
     def cancel(self, posting: Posting) -> None:
@@ -184,62 +184,64 @@
             self.now + (lasts or asked.expiry),
             **more,
         )  # type: ignore[arg-type]
-        self.loop.at(self.now)
-        self.loop.arrive(txn)
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.start_txn(txn)
+        self.loop.run_pending()
         return txn
 
-    def end(self, posting: Posting, outcome: Outcome = Outcome.SETTLED, report: Report | None = None) -> None:
-        self.loop.at(self.now)
+    def end(
+        self, posting: Posting, outcome: Outcome = Outcome.SETTLED, report: LoadReport | None = None
+    ) -> None:
+        self.loop.set_now(self.now)
         done = outcome is Outcome.SETTLED
         if done:
             self.answers.setdefault(posting.txn.tag, []).append("settled")
-        self.loop.ended(posting, outcome, self.now - posting.sent, done, report)
-        self.loop.turn()
+        self.loop.on_posting_ended(posting, outcome, self.now - posting.sent_at, done, report)
+        self.loop.run_pending()
 
     def take(self, posting: Posting) -> None:
-        self.loop.at(self.now)
-        self.loop.taken(posting)
+        self.loop.set_now(self.now)
+        self.loop.on_posting_accepted(posting)
 
-    def tell(self, worker: Worker, report: Report | None, outcome: Outcome = Outcome.SETTLED) -> None:
+    def tell(self, worker: Worker, report: LoadReport | None, outcome: Outcome = Outcome.SETTLED) -> None:
         """What a look at a worker finds."""
-        self.loop.at(self.now)
-        self.loop.probed(worker, outcome, 10, report)
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.on_probe_result(worker, outcome, 10, report)
+        self.loop.run_pending()
 
-    def list(self, news: ListNews, *workers: Worker) -> None:
-        self.loop.at(self.now)
-        self.loop.listed(news, workers)
-        self.loop.turn()
+    def list(self, news: ListUpdate, *workers: Worker) -> None:
+        self.loop.set_now(self.now)
+        self.loop.on_list_update(news, workers)
+        self.loop.run_pending()
 
-    def standing(self, worker: Worker, standing: Standing) -> None:
-        worker.follows(replace(worker, standing=standing))
-        self.list(ListNews.CHANGES, worker)
+    def standing(self, worker: Worker, standing: ListedState) -> None:
+        worker.update_from(replace(worker, listed_state=standing))
+        self.list(ListUpdate.CHANGES, worker)
 
     def start(self, posting: Posting) -> None:
-        self.loop.at(self.now)
-        self.loop.news(posting, True, 0.0)
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.on_progress(posting, True, 0.0)
+        self.loop.run_pending()
 
     def progress(self, posting: Posting, level: float = 0.1) -> None:
-        self.loop.at(self.now)
-        self.loop.news(posting, False, level)
-        self.loop.turn()
+        self.loop.set_now(self.now)
+        self.loop.on_progress(posting, False, level)
+        self.loop.run_pending()
 
     def passes(self, time: int) -> None:
         """Let time pass, waking the loop whenever it asked to be woken."""
         until = self.now + time
         while self.alarm is not None and self.alarm <= until:
             self.now, self.alarm = self.alarm, None
-            self.loop.at(self.now)
-            self.loop.woken()
-            self.loop.turn()
+            self.loop.set_now(self.now)
+            self.loop.on_wakeup()
+            self.loop.run_pending()
         self.now = until
 
 
-def full(waiting: float = 1.0) -> Report:
-    return Report(free=0.0, waiting=waiting, held=2.0 + waiting)
+def full(waiting: float = 1.0) -> LoadReport:
+    return LoadReport(free_slots=0.0, queued_jobs=waiting, held_slots=2.0 + waiting)
 
 
-def idle(free: float = 2.0) -> Report:
-    return Report(free=free, waiting=0.0, held=2.0 - free)
+def idle(free: float = 2.0) -> LoadReport:
+    return LoadReport(free_slots=free, queued_jobs=0.0, held_slots=2.0 - free)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -22,7 +22,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Callback, Row, Words
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Worker
+from pathsaddle.scheduler_types import SECOND, ListUpdate, Outcome, Worker
 from tests import test_sockets
 from tests.fakehost import SETTINGS
 
@@ -109,7 +109,7 @@
         return sock, connection
 
     def listed(self) -> None:
-        self.service.listed(ListNews.WHOLE, [Row(Worker("w"), self.address)])
+        self.service.listed(ListUpdate.WHOLE, [Row(Worker("w"), self.address)])
 
     def done(self, tag: str, result: bytes = b"!") -> None:
         """As the worker's callback tells it."""
@@ -248,7 +248,7 @@
         self.assertLess(came.index(b"\r\n\r\na"), came.index(b"\r\n\r\nb"))
 
     async def test_nothing_of_one_that_left_while_it_was_held_is_posted_once_there_is_a_worker(self) -> None:
-        self.service.listed(ListNews.WHOLE, [])
+        self.service.listed(ListUpdate.WHOLE, [])
         sock, _ = await self.client(job("a") + job("b"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
         sock.close()
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -13,8 +13,8 @@
 from random import Random
 from unittest import mock
 
-from pathsaddle.scheduler import Choice
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Report, Standing, Worker
+from pathsaddle.scheduler import Scheduler
+from pathsaddle.scheduler_types import SECOND, ListedState, ListUpdate, LoadReport, Outcome, Posting, Worker
 from tests.fakehost import FakeHost, scheme
 
 MEAN = SECOND // 4  # the true mean job
@@ -131,10 +131,10 @@
             dispatchers=self.many,
             number=number,
             seed=self.chance.randrange(1 << 30),
-            cold_share=bears.share,
-            cold_time=bears.ramp,
-            fall_multiple=bears.multiple,
-            fall_time=bears.span,
+            slow_start_share=bears.share,
+            slow_start_time=bears.ramp,
+            overload_multiple=bears.multiple,
+            overload_window=bears.span,
         )
         begun = host.now
         for n in range(2 + min(10, int(self.chance.expovariate(0.2))) if ago else 0):
@@ -142,12 +142,12 @@
             host.ask(f"before{n}", hint=work if self.hinted else None)
             host.now += SECOND // 100
             posting = host.posted[-1]
-            posting.sent = host.now - work  # as if it had run for so long
+            posting.sent_at = host.now - work  # as if it had run for so long
             host.end(posting, report=idle(bears.slots))
         host.now = begun + ago
         host.passes(SECOND // 4)
         host.posted.clear()
-        host.standing(host.workers[0], Standing.DRAINING)
+        host.standing(host.workers[0], ListedState.DRAINING)
         return host
 
     def plays(self) -> "Ramp":
@@ -164,18 +164,18 @@
                 started = self.shift[number] if what == "told" else None
                 for n, lot in enumerate(self.lots):
                     if len(host.workers) <= n + 1:
-                        host.workers.append(Worker(f"new{n}", lot=lot))
-                    host.workers[n + 1].started = started
-                host.list(ListNews.CHANGES, *host.workers[1:])
+                        host.workers.append(Worker(f"new{n}", name_hash=lot))
+                    host.workers[n + 1].started_at = started
+                host.list(ListUpdate.CHANGES, *host.workers[1:])
             elif what == "asks":
                 self.order += 1
                 tag, work = f"{self.order}", self.work()
                 self.jobs[tag] = work
                 host.ask(tag, hint=work if self.hinted else None)
             elif what == "looks":
-                host.loop.at(host.now)
-                host.loop.woken()
-                host.loop.turn()
+                host.loop.set_now(host.now)
+                host.loop.on_wakeup()
+                host.loop.run_pending()
             elif isinstance(of, Posting) and of in host.posted:
                 host.end(
                     of,
@@ -199,8 +199,8 @@
         self.logged[number] = len(host.posted)
 
 
-def idle(slots: float) -> Report:
-    return Report(free=slots, waiting=0.0, held=0.0)
+def idle(slots: float) -> LoadReport:
+    return LoadReport(free_slots=slots, queued_jobs=0.0, held_slots=0.0)
 
 
 SEEDS = {1: 8, 5: 15, 20: 20, 30: 15, 200: 5}
@@ -234,7 +234,7 @@
         self.assertLessEqual(heavy, sum(SEEDS.values()) / 20)
 
     def test_the_judge_finds_dispatchers_that_forget_the_others(self) -> None:
-        with mock.patch.object(Choice, "cold_turn", lambda *_: True):
+        with mock.patch.object(Scheduler, "cold_turn", lambda *_: True):
             for many in (200,):
                 ramps = [Ramp(seed, many, hinted=True, busy=8.0).plays() for seed in range(2)]
                 self.assertGreater(max(worst(ramp.log, ramp.bears) for ramp in ramps), 1.0, many)
@@ -250,8 +250,8 @@
                 host.ask(tag, hint=SECOND)
                 host.end(host.posted[-1], report=idle(2.0))
             host.passes(SECOND)
-            host.workers[0].started = started
-            host.list(ListNews.CHANGES, host.workers[0])
+            host.workers[0].started_at = started
+            host.list(ListUpdate.CHANGES, host.workers[0])
             host.ask("told", hint=SECOND // 10)
             posted.append(len(host.posted))
             host.passes(3 * SECOND // 2)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -75,7 +75,9 @@
         for text, is_open in (("", False), ("[rules]\ndropped_stay_open = true\n", True)):
             self.path.write_text(GOOD + text)
             self.assertIs(
-                birth(json.dumps(platform_config(read_configuration(self.path)))).terms.dropped_stay_open,
+                birth(
+                    json.dumps(platform_config(read_configuration(self.path)))
+                ).terms.delisted_workers_usable,
                 is_open,
             )
 
@@ -120,7 +122,7 @@
         a, b = one.terms.schemes[0], other.terms.schemes[0]
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (Semantics.ONCE_ONLY, 4000, 80_000))
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (b.semantics, b.sla_time, b.expiry))
-        self.assertTrue(one.terms.must_ask and other.terms.must_ask)
+        self.assertTrue(one.terms.list_needs_subscription and other.terms.list_needs_subscription)
 
     def test_a_reload_takes_over_what_may_change_and_names_the_keys_that_stay(self) -> None:
         self.path.write_text(GOOD)
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -32,7 +32,7 @@
 from pathsaddle.net.wire.birth import birth
 from pathsaddle.net.wire.forms import Row
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Worker
+from pathsaddle.scheduler_types import SECOND, ListUpdate, Outcome, Worker
 from pathsaddle.settings import configuration
 from tests.fakehost import FakeHost, scheme
 from tests.test_program import ROOT
@@ -76,7 +76,7 @@
         self.service = self.dispatcher.service(
             born.terms, born.words, 7, Clock(), self.played, Counters(), lambda: None
         )
-        self.service.listed(ListNews.WHOLE, [Row(Worker(f"w{n}"), "x:1") for n in range(4)])
+        self.service.listed(ListUpdate.WHOLE, [Row(Worker(f"w{n}"), "x:1") for n in range(4)])
 
     def reload(self, **more: Any) -> dict[str, str]:
         return self.dispatcher.reload(configuration_of(**more))
@@ -128,7 +128,7 @@
         self.begin()
         old, gone = self.ask("a"), self.ask("b", "charge")
         await self.settle()
-        expires, was = old.txn.expires, old.txn.scheme
+        expires, was = old.txn.expires_at, old.txn.scheme
         changed = {**BASE["schemes"][0], "expiry": "1s", "sla": "500ms", "value": 3.0}
         self.reload(schemes=[changed])
         self.reload(
@@ -137,7 +137,8 @@
         self.assertEqual(self.refused("c", "charge"), 404)
         young, fresh = self.ask("d"), self.ask("e", "sign")
         self.assertEqual(
-            (old.txn.expires, old.txn.scheme.expiry, young.txn.scheme.expiry), (expires, 10 * SECOND, SECOND)
+            (old.txn.expires_at, old.txn.scheme.expiry, young.txn.scheme.expiry),
+            (expires, 10 * SECOND, SECOND),
         )
         self.assertIs(old.txn.scheme, was)
         self.assertEqual(was.index, young.txn.scheme.index)
@@ -146,10 +147,12 @@
         for tag in "abde":
             await self.done(tag)
         self.assertEqual(self.answers, [(200, b"well")] * 4)
-        runs = self.service.loop.choice.runs
+        runs = self.service.loop.scheduler.runs
         self.assertEqual(list(runs[young.txn.scheme]), list(runs[was]))
         self.reload(schemes=BASE["schemes"][:1])
-        self.assertEqual(len(self.service.loop.choice.runs), 1, "what nobody goes by any more is forgotten")
+        self.assertEqual(
+            len(self.service.loop.scheduler.runs), 1, "what nobody goes by any more is forgotten"
+        )
 
     async def test_unchanged_request_classes_and_tenants_stay_the_same_objects(self) -> None:
         self.begin()
@@ -159,8 +162,8 @@
         )
         self.assertIs(self.service.words.schemes["render"], words.schemes["render"])
         self.assertIs(self.service.words.customers["acme"], words.customers["acme"])
-        self.assertEqual(words.customers["acme"].allowance, 1.0)
-        self.assertEqual(self.service.loop.choice.cold_share, 0.5)
+        self.assertEqual(words.customers["acme"].quota_rate, 1.0)
+        self.assertEqual(self.service.loop.scheduler.cold_share, 0.5)
 
     async def test_a_wrong_file_changes_nothing_and_every_error_is_reported(self) -> None:
         self.begin()
@@ -236,7 +239,7 @@
         found = 0
         for n in range(rate * seconds):
             txn = host.ask(f"{customer.index}-{host.now}-{n}", customer=customer)
-            found += txn.over
+            found += txn.is_over_share
             host.passes(SECOND // rate)
         return found
 
@@ -246,30 +249,30 @@
         host = FakeHost(*made.schemes, customers=made.customers)
         acme = made.customers[0]
         self.assertEqual(self.over(host, acme, 10, 10), 0)
-        account = host.loop.choice.accounts[acme]
-        acme.allowance = 2.0
-        host.loop.choice.retune(made)
-        self.assertIs(host.loop.choice.accounts[acme], account)
+        account = host.loop.scheduler.accounts[acme]
+        acme.quota_rate = 2.0
+        host.loop.scheduler.update_config(made)
+        self.assertIs(host.loop.scheduler.accounts[acme], account)
         lowered = self.over(host, acme, 10, 20)
         self.assertGreater(lowered, 100, "eight in ten are beyond it")
-        acme.allowance = 20.0
-        host.loop.choice.retune(made)
+        acme.quota_rate = 20.0
+        host.loop.scheduler.update_config(made)
         host.passes(SECOND)
         self.assertEqual(self.over(host, acme, 10, 10), 0)
 
     def test_a_longer_fall_time_holds_back_from_workers_that_warm_up_until_it_has_passed(self) -> None:
         made = birth(json.dumps(platform_config(configuration_of()))).terms
         host = FakeHost(scheme())
-        choice = host.loop.choice
+        choice = host.loop.scheduler
         host.passes(5 * SECOND)
-        host.loop.at(host.now)
-        made.fall_time = 4 * SECOND
-        choice.retune(made)
+        host.loop.set_now(host.now)
+        made.overload_window = 4 * SECOND
+        choice.update_config(made)
         self.assertEqual(choice.born, host.now)
-        made.fall_time = SECOND
+        made.overload_window = SECOND
         host.passes(SECOND)
-        host.loop.at(host.now)
-        choice.retune(made)
+        host.loop.set_now(host.now)
+        choice.update_config(made)
         self.assertEqual(choice.born, host.now - SECOND)
 
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -55,8 +55,8 @@
     def test_a_fault_in_the_decisions_tells_its_cause(self) -> None:
         stand = Stand(io.StringIO(f"MARK 1000000000\n{BORN}GO\n"), io.StringIO())
         stand.run()
-        stand.instances["3"].loop.choice.books.clear()
-        del stand.instances["3"].loop.choice.waiting
+        stand.instances["3"].loop.scheduler.workers.clear()
+        del stand.instances["3"].loop.scheduler.waiting
         stand.source = io.StringIO(f"MARK 2000000000\n{ASK}GO\n")
         stand.run()
         assert isinstance(stand.sink, io.StringIO)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -3,16 +3,16 @@
 import unittest
 from unittest import mock
 
-from pathsaddle.scheduler import Choice
+from pathsaddle.scheduler import Scheduler
 from pathsaddle.scheduler_types import (
     SECOND,
     Customer,
-    Group,
-    ListNews,
+    DeduplicationGroup,
+    ListedState,
+    ListUpdate,
+    LoadReport,
     Outcome,
-    Report,
     Scheme,
-    Standing,
     Worker,
 )
 from tests.fakehost import ONCE_ONLY, REFERENCED, FakeHost, full, idle, scheme
@@ -23,7 +23,7 @@
         """Late reports: a full worker kept its old report of free slots and got every posting of a txn."""
         host = FakeHost(workers=1)
         host.ask("a")
-        host.end(host.posted[0], Outcome.FULL, Report(free=2.0, waiting=0.0, held=0.0))
+        host.end(host.posted[0], Outcome.FULL, LoadReport(free_slots=2.0, queued_jobs=0.0, held_slots=0.0))
         self.assertEqual(len(host.posted), 1)
 
     def test_a_worker_once_full_is_not_shut_for_good(self) -> None:
@@ -49,16 +49,19 @@
         """All workers full at once: four postings were gone within milliseconds."""
         host = FakeHost(workers=8)
         for worker in host.workers:
-            host.loop.choice.read(host.loop.choice.books[worker], Report(free=1.0, waiting=0.0, held=1.0))
+            host.loop.scheduler.read(
+                host.loop.scheduler.workers[worker],
+                LoadReport(free_slots=1.0, queued_jobs=0.0, held_slots=1.0),
+            )
         for tag in "abc":
             host.ask(tag)
-            while host.posted[-1].out:
+            while host.posted[-1].is_in_flight:
                 host.end(host.posted[-1], Outcome.FULL)
         self.assertLess(len([p for p in host.posted if p.txn.tag == "c"]), 4)
 
     def test_errors_do_not_make_a_worker_the_favourite(self) -> None:
         """A worker that fails quickly sheds its backlog and drew every txn in."""
-        host = FakeHost(scheme(REFERENCED, group=Group.ALL), workers=2)
+        host = FakeHost(scheme(REFERENCED, group=DeduplicationGroup.ALL), workers=2)
         host.ask("a")
         bad = host.posted[0].worker
         host.end(host.posted[0], Outcome.ERROR)
@@ -70,8 +73,8 @@
     def test_a_wide_job_is_not_sent_where_only_one_slot_is_free(self) -> None:
         host = FakeHost()
         for worker, free in zip(host.workers, (1.0, 4.0)):
-            report = Report(free=free, waiting=0.0, held=4.0 - free)
-            host.loop.choice.read(host.loop.choice.books[worker], report)
+            report = LoadReport(free_slots=free, queued_jobs=0.0, held_slots=4.0 - free)
+            host.loop.scheduler.read(host.loop.scheduler.workers[worker], report)
         host.ask("wide", slots=4.0)
         self.assertEqual([p.worker for p in host.posted], [host.workers[1]])
 
@@ -95,7 +98,7 @@
         self.assertEqual(len(host.posted), 1)
 
     def test_where_one_at_a_time_is_the_rule_it_is_cancelled_first(self) -> None:
-        host = FakeHost(scheme(sla_time=6 * SECOND), two_at_once=False)
+        host = FakeHost(scheme(sla_time=6 * SECOND), allows_hedging=False)
         host.ask("a")
         host.passes(4 * SECOND)
         self.assertEqual((len(host.posted), host.cancelled), (1, [host.posted[0]]))
@@ -103,7 +106,7 @@
         self.assertNotEqual(host.posted[1].worker, host.posted[0].worker)
 
     def test_a_once_only_txn_is_not_risked_on_a_suspect(self) -> None:
-        host = FakeHost(scheme(), scheme(ONCE_ONLY, index=1), workers=1, two_at_once=False)
+        host = FakeHost(scheme(), scheme(ONCE_ONLY, index=1), workers=1, allows_hedging=False)
         host.ask("a", lasts=4 * SECOND)
         host.passes(4 * SECOND)
         host.end(host.posted[0], Outcome.TIMED_OUT)
@@ -117,11 +120,11 @@
         """One customer at three times its share filled the queues and made everybody late."""
         heavy, thrifty = Customer(0, 1.0, 0.5), Customer(1, 1.0, 0.5)
         host = FakeHost(workers=1, customers=[heavy, thrifty])
-        host.standing(host.workers[0], Standing.DRAINING)
+        host.standing(host.workers[0], ListedState.DRAINING)
         for tag in "abcd":
             host.ask(tag, customer=heavy)
         host.ask("x", customer=thrifty)
-        host.standing(host.workers[0], Standing.READY)
+        host.standing(host.workers[0], ListedState.READY)
         self.assertEqual([p.txn.tag for p in host.posted], ["a", "x"])
 
     def test_light_traffic_puts_nobody_over_share(self) -> None:
@@ -130,7 +133,7 @@
         host = FakeHost(customers=light)
         over = []
         for number in range(40):
-            over.append(host.ask(f"t{number}", customer=light[number % 2]).over)
+            over.append(host.ask(f"t{number}", customer=light[number % 2]).is_over_share)
             host.end(host.posted[-1], report=idle())
             host.passes(SECOND)
         self.assertNotIn(True, over)
@@ -139,14 +142,16 @@
         """Hundreds of dispatchers: by chance a few came close together, and most were taken to be over."""
         small = [Customer(0, 10.0, 0.5), Customer(1, 10.0, 0.5)]
         host = FakeHost(customers=small, dispatchers=300, workers=8)
-        self.assertEqual([host.ask(f"t{number}", customer=small[0]).over for number in range(8)], [False] * 8)
+        self.assertEqual(
+            [host.ask(f"t{number}", customer=small[0]).is_over_share for number in range(8)], [False] * 8
+        )
 
 
 class Looks(unittest.TestCase):
     """Hundreds of dispatchers: the last word from a worker is long past, and all tied as idle."""
 
     def test_a_posting_waits_for_fresh_word_and_goes_where_it_says(self) -> None:
-        host = FakeHost(workers=3, may_probe=True)
+        host = FakeHost(workers=3, can_probe=True)
         host.ask("a")
         self.assertEqual((len(host.probes), host.posted), (3, []))
         for worker, report in zip(list(host.probes), (full(), idle(), full())):
@@ -155,7 +160,7 @@
 
     def test_a_worker_whose_look_failed_gets_no_posting(self) -> None:
         """A release: each dispatcher paid a posting and a connect time-out for every worker gone."""
-        host = FakeHost(workers=2, may_probe=True)
+        host = FakeHost(workers=2, can_probe=True)
         host.ask("a")
         gone, told = host.probes[0], 0
         for _ in range(6):
@@ -167,7 +172,7 @@
 
     def test_word_belied_by_a_rejection_is_no_longer_bought(self) -> None:
         """Late reports: all dispatchers met at the same few workers that still claimed to be idle."""
-        host = FakeHost(workers=3, may_probe=True)
+        host = FakeHost(workers=3, can_probe=True)
         host.ask("a")
         for worker in list(host.probes):
             host.tell(worker, idle())
@@ -188,7 +193,7 @@
         host = FakeHost(workers=2, price_cross=0.3, value_by_work=True)
         host.workers[1].zone = 1
         host.ask("first", hint=SECOND)
-        host.loop.choice.read(host.loop.choice.books[host.workers[0]], full())
+        host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full())
         host.ask("small", hint=SECOND // 10)
         host.ask("large", hint=2 * SECOND)
         self.assertEqual([p.txn.tag for p in host.posted], ["first", "large"])
@@ -201,7 +206,7 @@
         host = FakeHost(workers=0)
         host.ask("a", hint=SECOND)
         host.passes(2 * SECOND)
-        host.list(ListNews.CHANGES, Worker("late"))
+        host.list(ListUpdate.CHANGES, Worker("late"))
         host.ask("again", hint=SECOND)
         host.ask("other", hint=SECOND + 1)
         self.assertEqual(([p.txn.tag for p in host.posted], host.answers["again"]), (["other"], ["declined"]))
@@ -209,13 +214,13 @@
 
 class TheList(unittest.TestCase):
     def test_a_failed_subscription_is_asked_for_again(self) -> None:
-        host = FakeHost(must_ask=True, news=ListNews.REMEMBERED)
-        host.list(ListNews.FAILED)
+        host = FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED)
+        host.list(ListUpdate.FAILED)
         host.passes(2 * SECOND)
         self.assertEqual(host.subscribed, 2)
 
     def test_a_call_without_any_answer_is_made_again_in_time(self) -> None:
-        host = FakeHost(must_ask=True, news=ListNews.REMEMBERED)
+        host = FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED)
         host.passes(9 * SECOND)
         self.assertEqual(host.subscribed, 2)
 
@@ -223,19 +228,19 @@
         """Read once a list, the mean had left out all whom a complete list names, and was nothing."""
         host = FakeHost()
         host.ask("a")
-        host.list(ListNews.WHOLE, *host.workers, new := Worker("new"))
-        self.assertEqual(list(host.loop.choice.books[new].head.values()), [0.5])
+        host.list(ListUpdate.WHOLE, *host.workers, new := Worker("new"))
+        self.assertEqual(list(host.loop.scheduler.workers[new].initial_backlog.values()), [0.5])
 
     def test_starts_seen_quicker_than_a_tick_make_no_finer_yardstick(self) -> None:
         """On sockets a start at home is seen after 1.5 ms, abroad after 16: postings abroad were "queued"."""
-        host = FakeHost(tells_start=True, tick=50)
-        host.loop.choice.starts.extend([15] * 16 + [160] * 16)
-        host.loop.choice.judge_starts()
-        self.assertGreater(host.loop.choice.late_start, 160)
+        host = FakeHost(reports_start=True, tick=50)
+        host.loop.scheduler.starts.extend([15] * 16 + [160] * 16)
+        host.loop.scheduler.judge_starts()
+        self.assertGreater(host.loop.scheduler.late_start, 160)
 
     def test_over_what_we_can_hold_open_it_is_declined_at_once_and_nothing_else_suffers(self) -> None:
         """With 64 descriptors clients had them all, and no callback found one to say that a txn was done."""
-        host = FakeHost(most_open=2)
+        host = FakeHost(max_open_txns=2)
         for tag in ("a", "b", "c"):
             host.ask(tag)
         self.assertEqual(host.answers, {"c": ["declined"]})
@@ -297,7 +302,7 @@
         one, other = (posting.worker for posting in host.posted)
         for posting in host.posted[:2]:
             host.passes(SECOND // 10)
-            host.end(posting, report=Report(free=3.0, waiting=0.0))
+            host.end(posting, report=LoadReport(free_slots=3.0, queued_jobs=0.0))
         host.ask("c")
         stuck = host.posted[-1].worker
         host.passes(SECOND)
@@ -308,8 +313,8 @@
 
     def test_the_same_reading_again_does_not_stand_over_what_a_start_has_told_since(self) -> None:
         host = self.host(workers=1)
-        choice, worker = host.loop.choice, host.workers[0]
-        told = Report(free=2.9375, waiting=0.0)
+        choice, worker = host.loop.scheduler, host.workers[0]
+        told = LoadReport(free_slots=2.9375, queued_jobs=0.0)
         host.ask("a")
         host.start(host.posted[0])
         host.passes(SECOND // 10)
@@ -317,25 +322,25 @@
         host.ask("b")
         host.passes(SECOND // 2)
         host.start(host.posted[1])
-        line = choice.books[worker].report
-        self.assertGreater(line and line.waiting, 1.0)
+        line = choice.workers[worker].report
+        self.assertGreater(line and line.queued_jobs, 1.0)
         host.end(host.posted[1], report=told)
-        self.assertIs(choice.books[worker].report, line)
+        self.assertIs(choice.workers[worker].report, line)
         host.ask("c")
-        host.end(host.posted[2], report=Report(free=2.875, waiting=0.0))
-        self.assertIsNot(choice.books[worker].report, line, "another reading is news")
+        host.end(host.posted[2], report=LoadReport(free_slots=2.875, queued_jobs=0.0))
+        self.assertIsNot(choice.workers[worker].report, line, "another reading is news")
 
     def test_where_no_scheme_may_run_again_a_suspect_comes_back_by_a_look_and_a_start(self) -> None:
         """Seven of 67 workers that had been silent for a while stayed suspects until the day's end."""
-        host = self.host(workers=1, may_probe=True)
-        host.tell(host.workers[0], Report(free=4.0, waiting=0.0))
+        host = self.host(workers=1, can_probe=True)
+        host.tell(host.workers[0], LoadReport(free_slots=4.0, queued_jobs=0.0))
         host.ask("a")
         host.passes(2 * SECOND)
         host.ask("b")
         host.passes(SECOND // 2)
         self.assertEqual(len(host.posted), 1, "nothing is risked before a look was answered")
         self.assertNotEqual(host.probes, [])
-        host.tell(host.workers[0], Report(free=4.0, waiting=0.0))
+        host.tell(host.workers[0], LoadReport(free_slots=4.0, queued_jobs=0.0))
         self.assertEqual(len(host.posted), 2)
         host.ask("c")
         host.passes(SECOND // 100)
@@ -347,17 +352,17 @@
     def test_where_some_scheme_may_run_again_in_a_group_a_suspect_is_tried_with_it_alone(self) -> None:
         host = FakeHost(
             scheme(ONCE_ONLY),
-            scheme(REFERENCED, index=1, group=Group.CELL),
+            scheme(REFERENCED, index=1, group=DeduplicationGroup.CELL),
             workers=1,
-            may_probe=True,
-            two_at_once=False,
-            progress_every=SECOND,
-            tells_start=True,
+            can_probe=True,
+            allows_hedging=False,
+            progress_interval=SECOND,
+            reports_start=True,
         )
-        host.tell(host.workers[0], Report(free=4.0, waiting=0.0))
+        host.tell(host.workers[0], LoadReport(free_slots=4.0, queued_jobs=0.0))
         host.ask("a")
         host.passes(2 * SECOND)
-        host.tell(host.workers[0], Report(free=4.0, waiting=0.0))
+        host.tell(host.workers[0], LoadReport(free_slots=4.0, queued_jobs=0.0))
         host.ask("b")
         self.assertEqual(len(host.posted), 1, "what a mute worker swallows is lost to it")
         host.ask("c", of=1)
@@ -391,8 +396,8 @@
             **terms,
         )
         for index, worker in enumerate(host.workers):
-            worker.lot = index * 2654435761 % (1 << 32)
-        host.list(ListNews.WHOLE, *host.workers)
+            worker.name_hash = index * 2654435761 % (1 << 32)
+        host.list(ListUpdate.WHOLE, *host.workers)
         return host
 
     def served(self, host: FakeHost, keys: str) -> dict[str, set[str]]:
@@ -435,9 +440,9 @@
         host = self.host(2, workers=3)
         first = next(iter(self.served(host, "k")["k"]))
         lost = next(w for w in host.workers if w.tag == first)
-        host.standing(lost, Standing.GONE)
+        host.standing(lost, ListedState.GONE)
         self.assertNotIn(first, self.served(host, "k")["k"])
-        host.standing(lost, Standing.READY)
+        host.standing(lost, ListedState.READY)
         self.assertIn(first, self.served(host, "kkk")["k"])
 
     def test_where_whatever_fits_starts_first_jobs_as_wide_as_a_worker_have_workers_of_their_own(
@@ -445,12 +450,12 @@
     ) -> None:
         """They waited until a worker was empty: 0.6 s at the median for jobs of 0.1 s."""
         for overtakes in (True, False):
-            host = FakeHost(scheme(expiry=60 * SECOND), workers=16, overtakes=overtakes)
+            host = FakeHost(scheme(expiry=60 * SECOND), workers=16, allows_backfill=overtakes)
             for index, worker in enumerate(host.workers):
-                worker.lot = index * 2654435761 % (1 << 32)
-            host.list(ListNews.WHOLE, *host.workers)
+                worker.name_hash = index * 2654435761 % (1 << 32)
+            host.list(ListUpdate.WHOLE, *host.workers)
             for worker in host.workers:
-                host.tell(worker, Report(free=4.0, waiting=0.0))
+                host.tell(worker, LoadReport(free_slots=4.0, queued_jobs=0.0))
             by_width: dict[float, set[str]] = {1.0: set(), 4.0: set()}
             for n in range(160):
                 slots = 4.0 if n % 16 == 0 else 1.0
@@ -458,7 +463,7 @@
                 if n >= 80:
                     by_width[slots].add(host.posted[-1].worker.tag)
                 host.passes(SECOND)
-                host.end(host.posted[-1], report=Report(free=4.0, waiting=0.0))
+                host.end(host.posted[-1], report=LoadReport(free_slots=4.0, queued_jobs=0.0))
             self.assertEqual(by_width[1.0].isdisjoint(by_width[4.0]), overtakes)
 
     def test_a_job_without_a_key_may_go_anywhere(self) -> None:
@@ -473,9 +478,9 @@
         """Incident i6d62e5 and the first full-size days: the decisions took longer than the day."""
         host = FakeHost(workers=60)
         for worker in host.workers:
-            host.loop.choice.read(host.loop.choice.books[worker], full())
+            host.loop.scheduler.read(host.loop.scheduler.workers[worker], full())
         host.ask("held")
-        with mock.patch.object(Choice, "room_now", autospec=True, return_value=0.0) as worked_out:
+        with mock.patch.object(Scheduler, "room_now", autospec=True, return_value=0.0) as worked_out:
             for tag in range(40):
                 host.ask(f"held too {tag}")
         self.assertLess(worked_out.call_count, 2 * len(host.workers))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,7 +3,15 @@
 import unittest
 from collections import deque
 
-from pathsaddle.scheduler_types import LIST_SILENT, LIST_TOLD, SECOND, ListNews, Outcome, Report, Worker
+from pathsaddle.scheduler_types import (
+    LIST_NOTIFIED_AFTER,
+    LIST_SILENCE_TIMEOUT,
+    SECOND,
+    ListUpdate,
+    LoadReport,
+    Outcome,
+    Worker,
+)
 from tests.fakehost import ONCE_ONLY, FakeHost, full, scheme
 
 MOMENT = SECOND // 100
@@ -28,7 +36,7 @@
         while now < begun + time:
             now += MOMENT
             for host in self.falls.pop(now - begun, []):
-                host.list(ListNews.SILENT)
+                host.list(ListUpdate.SILENT)
             for number, host in enumerate(self.hosts):
                 host.passes(MOMENT)
                 if host.subscribed > asked[number]:
@@ -37,16 +45,16 @@
                     if len(self.queue) < 4 * self.rate:
                         self.queue.append((now, host, True))
                     else:
-                        host.list(ListNews.FAILED)
+                        host.list(ListUpdate.FAILED)
             for place, (at, host, waits) in enumerate(self.queue):
                 if waits and now - at > 2 * SECOND:
                     self.queue[place] = (at, host, False)
-                    host.list(ListNews.FAILED)
+                    host.list(ListUpdate.FAILED)
             if self.queue and now >= done + SECOND // self.rate:
                 done = now
                 _, host, waits = self.queue.popleft()
                 if waits:
-                    host.list(ListNews.WHOLE, *host.workers)
+                    host.list(ListUpdate.WHOLE, *host.workers)
                     self.watching[self.hosts.index(host)] = now - begun
 
 
@@ -58,7 +66,12 @@
         for beats in (False, True):  # on the simulator, on sockets
             hosts = [
                 FakeHost(
-                    must_ask=True, beats=beats, dispatchers=40, number=n, seed=n, news=ListNews.REMEMBERED
+                    list_needs_subscription=True,
+                    has_watch_heartbeats=beats,
+                    dispatchers=40,
+                    number=n,
+                    seed=n,
+                    news=ListUpdate.REMEMBERED,
                 )
                 for n in range(40)
             ]
@@ -73,30 +86,35 @@
         stood in no queue there.
         """
         for many, rate in ((2, 5), (40, 25), (200, 72)):
-            hosts = [FakeHost(must_ask=True, dispatchers=many, number=n, seed=n) for n in range(many)]
+            hosts = [
+                FakeHost(list_needs_subscription=True, dispatchers=many, number=n, seed=n)
+                for n in range(many)
+            ]
             service = SlowList(hosts, rate)
             for n, host in enumerate(hosts):
                 # Each had its last line at a moment of its own, up to a beat before all fell silent.
                 last = (2 * SECOND - 2 * SECOND * n // many) // MOMENT * MOMENT
-                service.falls.setdefault(LIST_SILENT - last, []).append(host)
-            service.plays(LIST_TOLD)
+                service.falls.setdefault(LIST_SILENCE_TIMEOUT - last, []).append(host)
+            service.plays(LIST_NOTIFIED_AFTER)
             self.assertEqual(len(service.watching), many)
             self.assertLessEqual(service.calls, 1.1 * many)
 
     def test_a_call_that_nobody_answers_is_made_again_in_the_same_time(self) -> None:
         """Its connection came up in the moment in which the watches fell silent: it counts as one of them."""
         for seed in range(20):
-            host = FakeHost(must_ask=True, dispatchers=200, seed=seed, news=ListNews.REMEMBERED)
+            host = FakeHost(
+                list_needs_subscription=True, dispatchers=200, seed=seed, news=ListUpdate.REMEMBERED
+            )
             while not host.subscribed:
                 host.passes(MOMENT)
             host.passes(4 * SECOND)
-            host.list(ListNews.SILENT)
+            host.list(ListUpdate.SILENT)
             host.passes(SECOND // 2 + MOMENT)
             self.assertEqual(host.subscribed, 2, seed)
 
     def test_one_alone_asks_at_once(self) -> None:
         """Nobody else is there to be spread from."""
-        self.assertEqual(FakeHost(must_ask=True, news=ListNews.REMEMBERED).subscribed, 1)
+        self.assertEqual(FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED).subscribed, 1)
 
 
 class Word(unittest.TestCase):
@@ -108,16 +126,18 @@
         late = 0
         for seed in range(40):
             host = FakeHost(workers=2, seed=seed)
-            chance = host.loop.choice.random
+            chance = host.loop.scheduler.random
             for n in range(16):
                 for part in "abcd":
                     host.ask(f"{n}{part}")
-                for posting in [p for p in host.posted if p.out and chance() < 0.6]:
+                for posting in [p for p in host.posted if p.is_in_flight and chance() < 0.6]:
                     host.passes(int(chance() * SECOND // 2))
                     held = chance() * 2.0  # whatever the thirty-nine others have there in this moment
-                    host.end(posting, report=Report(free=4.0 - held, waiting=0.0, held=held))
-            host.loop.choice.judge_age()
-            late += host.loop.choice.age > SECOND // 10
+                    host.end(
+                        posting, report=LoadReport(free_slots=4.0 - held, queued_jobs=0.0, held_slots=held)
+                    )
+            host.loop.scheduler.judge_age()
+            late += host.loop.scheduler.age > SECOND // 10
         self.assertLess(late, 5)
 
 
@@ -129,11 +149,11 @@
         posted = []
         for number in (2, 3, 16):
             host = FakeHost(workers=1, dispatchers=40, number=number)
-            host.loop.choice.read(host.loop.choice.books[host.workers[0]], full(4.0))
+            host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full(4.0))
             host.passes(3 * SECOND)
-            new = Worker("new", started=host.now - 4 * SECOND, lot=0)
-            host.list(ListNews.CHANGES, new)
-            host.loop.choice.read(host.loop.choice.books[host.workers[0]], full(4.0))
+            new = Worker("new", started_at=host.now - 4 * SECOND, name_hash=0)
+            host.list(ListUpdate.CHANGES, new)
+            host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full(4.0))
             host.ask("a", hint=SECOND * 7 // 10)
             posted.append([p.worker.tag for p in host.posted])
         self.assertEqual(posted, [["new"], [], ["new"]])
@@ -180,7 +200,7 @@
             worker.zone = 1
         for n in range(80):
             host.ask(f"{n}")
-            while host.posted[-1].out:
+            while host.posted[-1].is_in_flight:
                 # Six settled first; then the zone is lost, and from the fortieth on it is back.
                 lost = host.posted[-1].worker.zone == 1 and 5 < n < 40
                 host.passes(0 if lost else SECOND // 4)
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -26,7 +26,7 @@
 from pathsaddle.net.wire import forms, terms
 from pathsaddle.net.wire.forms import Callback, Words
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Standing
+from pathsaddle.scheduler_types import SECOND, ListedState, ListUpdate, Outcome
 
 SHORT = workers.Setting(
     rate=50.0, run=0.02, rest=0.2, steady=0.4, changes=4, changes_rate=50.0, cold=0.4, full=0.4
@@ -112,7 +112,7 @@
         await self.until(lambda: self.told)
         (word,) = self.told
         self.assertEqual((word.tag, word.worker, word.outcome), ("a", "w00001", Outcome.SETTLED))
-        self.assertEqual((word.report.free, word.report.waiting), (1.0, 0.0))
+        self.assertEqual((word.report.free_slots, word.report.queued_jobs), (1.0, 0.0))
 
     async def test_one_runs_one_waits_the_third_is_turned_away_with_word_of_its_load(self) -> None:
         await self.hollow(1)
@@ -121,14 +121,14 @@
         third = await self.post("w00000", "c")
         self.assertIs(forms.outcome_of(third), Outcome.FULL)
         report = self.words.report_in(third)
-        self.assertEqual((report.free, report.waiting), (0.0, 1.0))
+        self.assertEqual((report.free_slots, report.queued_jobs), (0.0, 1.0))
 
     async def test_a_look_tells_what_runs(self) -> None:
         made = await self.hollow(1, slots=2)
         await self.post("w00000", "a", 5000)
         answer = await self.links.call("w00000", "GET", forms.look_target(True), [])
         self.assertIs(forms.look_outcome(answer), Outcome.SETTLED)
-        self.assertEqual((self.words.report_in(answer).free, made.looked), (1.0, 1))
+        self.assertEqual((self.words.report_in(answer).free_slots, made.looked), (1.0, 1))
 
     async def test_what_waits_is_withdrawn_by_delete(self) -> None:
         made = await self.hollow(1)
@@ -229,7 +229,7 @@
         made = await self.hollow(count)
         told = HollowList(made.rows)
         self.addCleanup(told.end)
-        self.heard: list[tuple[ListNews, list[str]]] = []
+        self.heard: list[tuple[ListUpdate, list[str]]] = []
         given = platform_settings(CHARTER)
 
         class TxnService:
@@ -247,12 +247,12 @@
 
     async def test_who_knows_no_version_of_it_gets_the_whole_list_then_changes(self) -> None:
         told = await self.watched(1)
-        self.assertEqual(self.heard.pop(), (ListNews.WHOLE, [f"w0000{n}" for n in range(5)]))
+        self.assertEqual(self.heard.pop(), (ListUpdate.WHOLE, [f"w0000{n}" for n in range(5)]))
         told.rows["w00003"]["status"] = "leaving"
         told.change("w00003")
         await self.until(lambda: self.heard)
-        self.assertEqual(self.heard, [(ListNews.CHANGES, ["w00003"])])
-        self.assertIs(self.rows[0].worker.standing, Standing.DRAINING)
+        self.assertEqual(self.heard, [(ListUpdate.CHANGES, ["w00003"])])
+        self.assertIs(self.rows[0].worker.standing, ListedState.DRAINING)
         self.assertEqual(self.discovery.index, told.index)
 
     async def test_who_watches_again_gets_what_it_missed(self) -> None:
@@ -265,7 +265,7 @@
         self.heard.clear()
         self.discovery.ask()
         await self.until(lambda: self.heard)
-        self.assertEqual(self.heard, [(ListNews.CHANGES, ["w00001", "w00002"])])
+        self.assertEqual(self.heard, [(ListUpdate.CHANGES, ["w00001", "w00002"])])
 
     async def test_the_whole_list_again_leaves_out_who_is_gone(self) -> None:
         told = await self.watched(1)
@@ -273,7 +273,7 @@
         told.rows["w00000"]["status"] = "left"
         told.whole()
         await self.until(lambda: self.heard)
-        self.assertEqual(self.heard, [(ListNews.WHOLE, [f"w0000{n}" for n in range(1, 5)])])
+        self.assertEqual(self.heard, [(ListUpdate.WHOLE, [f"w0000{n}" for n in range(1, 5)])])
 
     async def test_a_change_is_as_long_whatever_the_list_is(self) -> None:
         sizes = []
@@ -326,7 +326,7 @@
 
     def test_its_door_plays_what_choice_asks_for(self) -> None:
         door = scan.scan(scan.Setting(), 1, 12)
-        self.assertEqual((door.settled, door.ended, len(door.loop.choice.books)), (64, 0, 12))
+        self.assertEqual((door.settled, door.ended, len(door.loop.scheduler.workers)), (64, 0, 12))
         self.assertGreater(door.now, 100 * SECOND)
 
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -44,7 +44,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Semantics, Worker
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate, Semantics, Worker
 from tests.fakehost import SETTINGS
 
 PLATFORM_SETTINGS: dict[str, Any] = {
@@ -333,7 +333,7 @@
             options=self.options,
             rng=Random(1),
         )
-        self.service.listed(ListNews.WHOLE, [Row(Worker(f"w{i}"), "x:1") for i in range(workers)])
+        self.service.listed(ListUpdate.WHOLE, [Row(Worker(f"w{i}"), "x:1") for i in range(workers)])
 
     def start(self, **options: Any) -> None:
         self.host = Host(self.net, "d")
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -23,25 +23,25 @@
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.terms import Peer
 from pathsaddle.scheduler_types import (
-    LIST_MOVED,
-    LIST_SILENT,
-    LIST_SURE,
+    LIST_SILENCE_TIMEOUT,
+    LIST_VALIDITY,
+    LIST_VALIDITY_AFTER_MOVE,
     MILLISECOND,
     SECOND,
-    ListNews,
-    Standing,
+    ListedState,
+    ListUpdate,
 )
 from tests.fakehost import SETTINGS, FakeHost, scheme
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE, CHANGES, FAILED, SILENT, MOVED = (
-    ListNews.WHOLE,
-    ListNews.CHANGES,
-    ListNews.FAILED,
-    ListNews.SILENT,
-    ListNews.MOVED,
+    ListUpdate.WHOLE,
+    ListUpdate.CHANGES,
+    ListUpdate.FAILED,
+    ListUpdate.SILENT,
+    ListUpdate.MOVED,
 )
-Told = tuple[ListNews, list[tuple[str, Standing]]]
+Told = tuple[ListUpdate, list[tuple[str, ListedState]]]
 
 
 def chunk(data: bytes) -> bytes:
@@ -57,7 +57,7 @@
     )
 
 
-def says(news: ListNews, standing: Standing, worker: str = "w") -> Told:
+def says(news: ListUpdate, standing: ListedState, worker: str = "w") -> Told:
     return news, [(worker, standing)]
 
 
@@ -102,8 +102,8 @@
         class TxnService:
             words = Words(SETTINGS, terms.terms(SETTINGS))
 
-            def listed(self, news: ListNews, rows: list[Row]) -> None:
-                story.told.append((news, [(row.worker.tag, row.worker.standing) for row in rows]))
+            def listed(self, news: ListUpdate, rows: list[Row]) -> None:
+                story.told.append((news, [(row.worker.tag, row.worker.listed_state) for row in rows]))
                 if news in (FAILED, SILENT):
                     story.ends.set()
 
@@ -152,19 +152,19 @@
         side = await self.watches()
         side.send(chunk(line(6, "leaving")) + chunk(b"\n"))
         self.discovery.move(self.other.address)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), (CHANGES, []), (MOVED, [])])
+        self.assertEqual(self.told[1:], [says(CHANGES, ListedState.DRAINING), (CHANGES, []), (MOVED, [])])
         self.discovery.ask()
         side = await self.other.asked()
         self.assertIn(b"index=0 ", self.other.calls[0], "the new place's versions are its own")
         side.send(HEAD + chunk(line(2, "active", whole=True)))
         await self.until(lambda: len(self.told) == 5)
-        self.assertEqual((self.told[4], self.discovery.index), (says(WHOLE, Standing.READY), 2))
+        self.assertEqual((self.told[4], self.discovery.index), (says(WHOLE, ListedState.READY), 2))
 
     async def test_what_lies_there_when_a_call_is_given_up_for_another_is_told(self) -> None:
         self.discovery.ask()
         (await self.place.asked()).send(HEAD + chunk(line(5, "leaving", whole=True)))
         self.discovery.ask()
-        self.assertEqual(self.told, [says(WHOLE, Standing.DRAINING)])
+        self.assertEqual(self.told, [says(WHOLE, ListedState.DRAINING)])
         await self.place.asked()
         self.assertIn(b"index=5 ", self.place.calls[1])
 
@@ -179,7 +179,7 @@
         self.after = moves
         side.send(chunk(line(6, "leaving")))
         await self.until(lambda: len(self.told) > 2)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), (MOVED, [])])
+        self.assertEqual(self.told[1:], [says(CHANGES, ListedState.DRAINING), (MOVED, [])])
         self.assertEqual(self.discovery.index, 0)
 
     async def test_both_of_them_in_order(self) -> None:
@@ -194,12 +194,12 @@
         side.send(chunk(line(6, "leaving")))
         await self.until(lambda: len(self.told) > 2)
         self.assertEqual(
-            self.told[1:], [says(CHANGES, Standing.DRAINING), says(CHANGES, Standing.GONE), (MOVED, [])]
+            self.told[1:], [says(CHANGES, ListedState.DRAINING), says(CHANGES, ListedState.GONE), (MOVED, [])]
         )
 
     async def test_after_a_stall_of_our_own_a_watch_that_has_spoken_is_not_silent(self) -> None:
         """Its time is up before what has come is read."""
-        with mock.patch.multiple(discovery_module, LIST_SILENT=SECOND // 5):
+        with mock.patch.multiple(discovery_module, LIST_SILENCE_TIMEOUT=SECOND // 5):
             side = await self.watches()
             await asyncio.sleep(0)
             side.send(chunk(line(6, "leaving")))
@@ -207,7 +207,7 @@
             while time.monotonic() < over:
                 pass
             await self.until(lambda: len(self.told) > 1)
-            self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING)])
+            self.assertEqual(self.told[1:], [says(CHANGES, ListedState.DRAINING)])
             await asyncio.wait_for(self.ends.wait(), 5.0)
         self.assertEqual(self.told[2:], [(SILENT, [])], "and is once it says nothing more")
 
@@ -236,7 +236,8 @@
             await asyncio.wait_for(self.ends.wait(), 5.0)
             with self.subTest(code):
                 self.assertEqual(
-                    self.told, [says(WHOLE, Standing.READY), says(CHANGES, Standing.DRAINING), (FAILED, [])]
+                    self.told,
+                    [says(WHOLE, ListedState.READY), says(CHANGES, ListedState.DRAINING), (FAILED, [])],
                 )
                 self.assertEqual(self.counters[f"watch_end.{code}"], 1)
 
@@ -248,11 +249,11 @@
         side.send(chunk(line(6, "leaving")))
         await self.until(self.socks[0].stirred)
         self.discovery.catch_up()
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING)])
+        self.assertEqual(self.told[1:], [says(CHANGES, ListedState.DRAINING)])
         side.send(chunk(line(7, "left")))
         await self.until(lambda: len(self.told) > 2)
         self.discovery.catch_up()
-        self.assertEqual(self.told[2:], [says(CHANGES, Standing.GONE)])
+        self.assertEqual(self.told[2:], [says(CHANGES, ListedState.GONE)])
 
     async def test_the_same_where_the_kernel_has_handed_it_over_and_its_reader_has_not_resumed(self) -> None:
         side = await self.watches()
@@ -266,10 +267,12 @@
         await self.until(lambda: len(self.told) > 1)
         side.send(chunk(line(7, "left")))
         await self.until(lambda: len(self.told) > 2)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), says(CHANGES, Standing.GONE)])
+        self.assertEqual(
+            self.told[1:], [says(CHANGES, ListedState.DRAINING), says(CHANGES, ListedState.GONE)]
+        )
 
     async def test_what_was_read_so_counts_against_silence_from_then_on(self) -> None:
-        with mock.patch.multiple(discovery_module, LIST_SILENT=SECOND // 2):
+        with mock.patch.multiple(discovery_module, LIST_SILENCE_TIMEOUT=SECOND // 2):
             side = await self.watches()
             begun = asyncio.get_running_loop().time()
             side.send(chunk(b"\n"))
@@ -306,7 +309,7 @@
             side.send(said[at : at + 1])
             await self.until(lambda at=at: self.socks[0].taken == at + 1)  # type: ignore[misc]
         await self.until(lambda: len(self.told) > 1)
-        self.assertEqual(self.told, [says(WHOLE, Standing.DRAINING), says(CHANGES, Standing.GONE)])
+        self.assertEqual(self.told, [says(WHOLE, ListedState.DRAINING), says(CHANGES, ListedState.GONE)])
 
     async def test_an_older_list_is_what_discovery_wrote_last_and_is_told(self) -> None:
         """A place that was set back or whose versions begin elsewhere: by its own word nothing older is had there."""
@@ -314,7 +317,7 @@
         side.send(chunk(line(3, "leaving")))
         side.send(chunk(line(2, "left", whole=True)))
         await self.until(lambda: len(self.told) > 2)
-        self.assertEqual(self.told[1:], [says(CHANGES, Standing.DRAINING), says(WHOLE, Standing.GONE)])
+        self.assertEqual(self.told[1:], [says(CHANGES, ListedState.DRAINING), says(WHOLE, ListedState.GONE)])
         self.discovery.ask()
         await self.place.asked()
         self.assertIn(b"index=2 ", self.place.calls[1])
@@ -336,7 +339,7 @@
     async def test_drops_that_make_no_line_are_no_word(self) -> None:
         """Each byte had put the end of a watch off."""
         self.discovery.ask()
-        with mock.patch.multiple(discovery_module, FIRST=SECOND // 5, LIST_SILENT=SECOND // 5):
+        with mock.patch.multiple(discovery_module, FIRST=SECOND // 5, LIST_SILENCE_TIMEOUT=SECOND // 5):
             side = await self.place.asked()
             side.send(HEAD)
             dripped = 0
@@ -367,7 +370,7 @@
         side = await self.other.asked()
         side.send(HEAD + chunk(line(1, "active", whole=True)))
         await self.until(lambda: len(self.told) > 2)
-        self.assertEqual(self.told, [(MOVED, []), (MOVED, []), says(WHOLE, Standing.READY)])
+        self.assertEqual(self.told, [(MOVED, []), (MOVED, []), says(WHOLE, ListedState.READY)])
         self.assertFalse(self.ends.is_set(), "the dial that was given up has no word of its own")
 
     async def test_twice_in_a_row_and_back(self) -> None:
@@ -385,7 +388,7 @@
         await self.until(lambda: len(self.told) > 4)
         self.assertEqual(
             self.told[1:],
-            [says(CHANGES, Standing.DRAINING), (MOVED, []), (MOVED, []), says(WHOLE, Standing.GONE)],
+            [says(CHANGES, ListedState.DRAINING), (MOVED, []), (MOVED, []), says(WHOLE, ListedState.GONE)],
         )
 
     async def test_to_an_address_where_nobody_is(self) -> None:
@@ -422,12 +425,17 @@
     """
 
     def __init__(
-        self, seed: int, many: int, slow: float = 0.0, news: ListNews = WHOLE, seconds: int = 30
+        self, seed: int, many: int, slow: float = 0.0, news: ListUpdate = WHOLE, seconds: int = 30
     ) -> None:
         self.chance = Random(seed)
         self.slow = slow  # how often a call to a discovery that is well takes longer than reckoned with
         self.host = FakeHost(
-            must_ask=True, beats=news is not WHOLE, dispatchers=many, number=seed % many, seed=seed, news=news
+            list_needs_subscription=True,
+            has_watch_heartbeats=news is not WHOLE,
+            dispatchers=many,
+            number=seed % many,
+            seed=seed,
+            news=news,
         )
         self.begun = self.host.now
         self.log: list[Said] = []
@@ -477,7 +485,7 @@
         last = self.host.now - int(self.chance.random() * 2 * SECOND)
         if kind in ("absent", "mute", "half") or self.chance.random() < 0.2:
             # Silent from its last line on; sometimes reset before that is known.
-            ends = last + LIST_SILENT
+            ends = last + LIST_SILENCE_TIMEOUT
             if self.chance.random() < 0.3:
                 ends = self.host.now + int((ends - self.host.now) * self.chance.random())
                 self.later(ends, lambda: self.tells(mine, FAILED))
@@ -488,7 +496,7 @@
             self.log.append(Said(self.host.now, f"missed {self.host.now}"))
             self.tells(mine, FAILED)
 
-    def tells(self, mine: int, news: ListNews) -> None:
+    def tells(self, mine: int, news: ListUpdate) -> None:
         if mine != self.current:
             return
         if news is WHOLE:
@@ -543,7 +551,7 @@
                 self.looks()
             if arrives <= self.host.now:
                 arrives += SECOND // 4
-                if self.live and self.host.terms.beats:
+                if self.live and self.host.terms.has_watch_heartbeats:
                     self.host.list(CHANGES)
                 self.came += 1
                 self.host.ask(f"t{self.came}", lasts=SECOND)
@@ -559,7 +567,7 @@
             posting = self.host.posted[self.posted]
             self.posted += 1
             self.note("posted")
-            if posting.out:
+            if posting.is_in_flight:
                 self.host.end(posting)
 
     # The judge's side: all that it knows.
@@ -639,7 +647,7 @@
 
     def test_births_that_meet_an_overfull_discovery_withhold_too(self) -> None:
         for seed in range(100):
-            played = Discovery(seed, 200, news=ListNews.REMEMBERED)
+            played = Discovery(seed, 200, news=ListUpdate.REMEMBERED)
             self.assertEqual(broken(played.plays(), played.reachable()), [], seed)
 
     def test_an_outage_in_which_every_call_fails_stops_nobody(self) -> None:
@@ -661,18 +669,18 @@
                     )
 
     def test_a_held_txn_goes_on_once_the_list_is_had(self) -> None:
-        host = FakeHost(must_ask=True, dispatchers=1)
+        host = FakeHost(list_needs_subscription=True, dispatchers=1)
         host.list(SILENT)
-        host.passes(LIST_SURE - LIST_SILENT)
+        host.passes(LIST_VALIDITY - LIST_SILENCE_TIMEOUT)
         txn = host.ask("a", lasts=5 * SECOND)
         host.passes(SECOND)
-        self.assertEqual((host.posted, txn.closed), ([], False))
-        self.assertTrue(host.loop.choice.list_unsure(host.now))
+        self.assertEqual((host.posted, txn.is_closed), ([], False))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
         host.list(WHOLE, *host.workers)
         self.assertEqual([p.txn for p in host.posted], [txn])
 
     def test_where_the_list_need_not_be_asked_for_nothing_waits_for_it(self) -> None:
-        host = FakeHost(must_ask=False)
+        host = FakeHost(list_needs_subscription=False)
         host.list(SILENT)
         host.passes(20 * SECOND)
         host.ask("a")
@@ -687,27 +695,27 @@
                 for fails in range(4):
                     host = FakeHost(
                         scheme(sla_time=60 * SECOND, expiry=60 * SECOND),
-                        must_ask=True,
-                        beats=True,
-                        pushed=pushed,
+                        list_needs_subscription=True,
+                        has_watch_heartbeats=True,
+                        is_list_pushed=pushed,
                         dispatchers=200,
                         seed=seed,
-                        news=ListNews.REMEMBERED,
+                        news=ListUpdate.REMEMBERED,
                     )
                     txn = host.ask("a")
                     for _ in range(fails):
                         self.calls(host)
                         host.list(FAILED)
-                        self.assertTrue(host.loop.choice.list_unsure(host.now))
+                        self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
                     self.calls(host)
-                    self.assertEqual((host.posted, txn.closed), ([], False), (seed, fails))
+                    self.assertEqual((host.posted, txn.is_closed), ([], False), (seed, fails))
                     host.list(WHOLE, *host.workers)
                     self.assertEqual([p.txn for p in host.posted], [txn])
 
     def calls(self, host: FakeHost) -> None:
         before = host.subscribed
         while host.subscribed == before:
-            self.assertTrue(host.loop.choice.list_unsure(host.now))
+            self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
             host.passes(100 * MILLISECOND)
 
     def test_births_ask_within_what_a_watch_may_be_silent_and_rarer_with_each_refusal(self) -> None:
@@ -718,18 +726,28 @@
             asked = []
             for seed in range(200):
                 host = FakeHost(
-                    must_ask=True, beats=True, dispatchers=many, seed=seed, news=ListNews.REMEMBERED
+                    list_needs_subscription=True,
+                    has_watch_heartbeats=True,
+                    dispatchers=many,
+                    seed=seed,
+                    news=ListUpdate.REMEMBERED,
                 )
                 while not host.subscribed:
                     host.passes(10 * MILLISECOND)
                 asked.append(host.now - 100 * SECOND)
-            self.assertLessEqual(max(asked), LIST_SILENT + 10 * MILLISECOND, many)
+            self.assertLessEqual(max(asked), LIST_SILENCE_TIMEOUT + 10 * MILLISECOND, many)
             if many == 200:
                 a_second = max(sum(at <= one < at + SECOND for one in asked) for at in asked)
                 self.assertLessEqual(a_second, 90)
         waits: list[list[int]] = [[], [], []]
         for seed in range(100):
-            host = FakeHost(must_ask=True, beats=True, dispatchers=16, seed=seed, news=ListNews.REMEMBERED)
+            host = FakeHost(
+                list_needs_subscription=True,
+                has_watch_heartbeats=True,
+                dispatchers=16,
+                seed=seed,
+                news=ListUpdate.REMEMBERED,
+            )
             self.calls(host)
             for one in waits:
                 host.list(FAILED)
@@ -754,11 +772,11 @@
         """When each birth had the list, and how many calls were made. `broken`: others, whose watches were reset."""
         hosts = [
             FakeHost(
-                must_ask=True,
-                beats=True,
+                list_needs_subscription=True,
+                has_watch_heartbeats=True,
                 dispatchers=births + broken,
                 seed=1000 * seed + n,
-                news=ListNews.REMEMBERED,
+                news=ListUpdate.REMEMBERED,
             )
             for n in range(births + broken)
         ]
@@ -809,12 +827,18 @@
     def test_a_birth_that_is_refused_at_once_comes_again_as_soon_as_before(self) -> None:
         """Discovery is down, and nobody waits there: its return must not be missed for long."""
         for seed in range(100):
-            host = FakeHost(must_ask=True, beats=True, dispatchers=200, seed=seed, news=ListNews.REMEMBERED)
+            host = FakeHost(
+                list_needs_subscription=True,
+                has_watch_heartbeats=True,
+                dispatchers=200,
+                seed=seed,
+                news=ListUpdate.REMEMBERED,
+            )
             for _ in range(5):
                 asked, since = host.subscribed, host.now
                 while host.subscribed == asked:
                     host.passes(10 * MILLISECOND)
-                self.assertLessEqual(host.now - since, LIST_SURE + 10 * MILLISECOND, seed)
+                self.assertLessEqual(host.now - since, LIST_VALIDITY + 10 * MILLISECOND, seed)
                 host.list(FAILED)
 
 
@@ -822,14 +846,14 @@
     """A process that was stopped and goes on: what discovery wrote or had meanwhile counts as told."""
 
     def host(self) -> FakeHost:
-        return FakeHost(must_ask=True, beats=True, dispatchers=5)
+        return FakeHost(list_needs_subscription=True, has_watch_heartbeats=True, dispatchers=5)
 
     def test_word_stands_for_as_long_as_a_silent_watch_would(self) -> None:
         host = self.host()
         for _ in range(10):
             host.list(CHANGES)
             host.passes(2 * SECOND)
-        host.passes(LIST_SURE - 2 * SECOND - 1)
+        host.passes(LIST_VALIDITY - 2 * SECOND - 1)
         host.ask("a")
         self.assertEqual(len(host.posted), 1)
         host.now += 1  # nothing was read since
@@ -859,7 +883,7 @@
     def test_a_short_trouble_on_a_live_watch_stops_nobody(self) -> None:
         host = self.host()
         host.list(CHANGES)
-        host.passes(LIST_SILENT)
+        host.passes(LIST_SILENCE_TIMEOUT)
         host.list(SILENT)
         host.ask("a")
         self.assertEqual(len(host.posted), 1)
@@ -872,12 +896,12 @@
 
     def host(self, pushed: bool = True) -> FakeHost:
         return FakeHost(
-            must_ask=True,
-            beats=True,
-            pushed=pushed,
+            list_needs_subscription=True,
+            has_watch_heartbeats=True,
+            is_list_pushed=pushed,
             drain_grace=self.GRACE,
             dispatchers=5,
-            news=ListNews.REMEMBERED,
+            news=ListUpdate.REMEMBERED,
         )
 
     def test_from_a_start_on_the_list_as_last_had_is_good_for_nothing_new(self) -> None:
@@ -886,39 +910,39 @@
         """
         for pushed in (True, False):
             host = self.host(pushed)
-            self.assertTrue(host.loop.choice.list_unsure(host.now))
-            host.list(ListNews.WHOLE, *host.workers)
-            self.assertFalse(host.loop.choice.list_unsure(host.now + LIST_SURE - 1))
+            self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
+            host.list(ListUpdate.WHOLE, *host.workers)
+            self.assertFalse(host.loop.scheduler.is_list_stale(host.now + LIST_VALIDITY - 1))
 
     def test_where_no_clock_of_sockets_binds_a_birth_goes_by_what_it_has_until_it_must_ask(self) -> None:
         """On the operators' simulator what was listed counts as told after AskEvery without a call: hcm-prod-later fell
         from 0.908 to 0.695 while births held back there.
         """
-        host = FakeHost(must_ask=True, dispatchers=200, news=ListNews.REMEMBERED)
+        host = FakeHost(list_needs_subscription=True, dispatchers=200, news=ListUpdate.REMEMBERED)
         host.ask("a")
         self.assertEqual(len(host.posted), 1)
-        self.assertTrue(host.loop.choice.list_unsure(host.now + host.terms.ask_within))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now + host.terms.list_poll_interval))
 
     def test_a_broken_watch_binds_a_grace_later_and_each_failed_call_from_its_begin(self) -> None:
         host = self.host()
-        host.list(ListNews.WHOLE, *host.workers)
+        host.list(ListUpdate.WHOLE, *host.workers)
         host.passes(SECOND)
         host.list(FAILED)
-        self.assertFalse(host.loop.choice.list_unsure(host.now))
-        self.assertTrue(host.loop.choice.list_unsure(host.now + self.GRACE))
+        self.assertFalse(host.loop.scheduler.is_list_stale(host.now))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now + self.GRACE))
         host.passes(SECOND)  # the call that follows is out by now, and has no answer
         self.assertEqual(host.subscribed, 1)
         host.ask("a")
         self.assertEqual(host.posted, [])
         host.list(FAILED)  # discovery was down when it was called: its agent is silent and learns nothing
-        self.assertTrue(host.loop.choice.list_unsure(host.now + self.GRACE))
-        host.list(ListNews.WHOLE, *host.workers)
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now + self.GRACE))
+        host.list(ListUpdate.WHOLE, *host.workers)
         self.assertEqual([posting.txn.tag for posting in host.posted], ["a"])
 
 
 class Moved(unittest.TestCase):
     def test_in_a_backed_off_wait_the_new_place_is_asked_at_once(self) -> None:
-        host = FakeHost(must_ask=True, dispatchers=200)
+        host = FakeHost(list_needs_subscription=True, dispatchers=200)
         host.list(FAILED)
         host.list(MOVED)
         self.assertEqual(host.subscribed, 1)
@@ -926,32 +950,32 @@
     def test_where_the_new_place_fails_at_first_its_list_is_had_before_it_counts_as_told(self) -> None:
         """4 s after SIGHUP; the wait after a failure is spread over 5 s among many, and had taken all of it."""
         for seed in range(200):
-            host = FakeHost(must_ask=True, dispatchers=200, seed=seed)
+            host = FakeHost(list_needs_subscription=True, dispatchers=200, seed=seed)
             host.list(MOVED)
             host.list(FAILED)
-            host.passes(LIST_MOVED - SECOND)
+            host.passes(LIST_VALIDITY_AFTER_MOVE - SECOND)
             self.assertEqual(host.subscribed, 2, seed)
 
     def test_a_new_place_that_never_answers_binds_from_then_on_as_any_call(self) -> None:
         """What its agent has counts 4 s after SIGHUP, whatever became of the calls by then; later ones prove again."""
-        host = FakeHost(must_ask=True, dispatchers=40)
+        host = FakeHost(list_needs_subscription=True, dispatchers=40)
         host.list(MOVED)
         host.passes(FIRST)
         host.list(SILENT)
-        self.assertFalse(host.loop.choice.list_unsure(host.now + LIST_MOVED - FIRST - 1))
-        self.assertTrue(host.loop.choice.list_unsure(host.now + LIST_MOVED - FIRST))
+        self.assertFalse(host.loop.scheduler.is_list_stale(host.now + LIST_VALIDITY_AFTER_MOVE - FIRST - 1))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now + LIST_VALIDITY_AFTER_MOVE - FIRST))
         host.passes(SECOND // 2 + FIRST)
         self.assertEqual(host.subscribed, 2)
-        self.assertTrue(host.loop.choice.list_unsure(host.now))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
         host.list(SILENT)
-        self.assertFalse(host.loop.choice.list_unsure(host.now + SECOND))
+        self.assertFalse(host.loop.scheduler.is_list_stale(host.now + SECOND))
 
     def test_moved_again_and_again_nothing_is_put_off(self) -> None:
-        host = FakeHost(must_ask=True, dispatchers=40)
+        host = FakeHost(list_needs_subscription=True, dispatchers=40)
         for _ in range(8):
             host.list(MOVED)
             host.passes(SECOND)
-        self.assertTrue(host.loop.choice.list_unsure(host.now))
+        self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
 
 
 if __name__ == "__main__":
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -355,7 +355,7 @@
     def make_host(self, limiter: FakeLimiter | None = None, *schemes: Scheme) -> FakeHost:
         host = FakeHost(*(schemes or (scheme(), scheme(ONCE_ONLY, index=1))))
         core = OverloadGate(make_options(1), "d0", 0, limiter or FakeLimiter(), host.now)
-        host.loop.choice.gate = SchedulerAdmissionGate(core)
+        host.loop.scheduler.gate = SchedulerAdmissionGate(core)
         self.core = core
         return host
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pathsaddle.scheduler_types import SECOND, Group, ListNews, Outcome, Standing
+from pathsaddle.scheduler_types import SECOND, DeduplicationGroup, ListedState, ListUpdate, Outcome
 from tests.fakehost import ONCE_ONLY, REFERENCED, FakeHost, idle, scheme
 
 
@@ -22,7 +22,7 @@
     def test_told_to_end_what_can_not_run_by_then_is_declined_at_once_and_what_can_is_not(self) -> None:
         host = FakeHost(scheme(sla_time=5 * SECOND), workers=0)
         for tag, run in (("long", 3 * SECOND), ("short", SECOND // 2)):
-            host.loop.hasten(host.ask(tag, hint=run), host.now + 2 * SECOND)
+            host.loop.shorten_deadline(host.ask(tag, hint=run), host.now + 2 * SECOND)
         host.passes(SECOND // 10)
         self.assertEqual(host.answers, {"long": ["declined"]})
         host.passes(2 * SECOND)
@@ -32,8 +32,8 @@
     def test_nothing_follows_a_hang_up(self) -> None:
         host = FakeHost(workers=0)
         txn = host.ask("a")
-        host.loop.hang_up(txn)
-        host.list(ListNews.CHANGES, *FakeHost().workers)
+        host.loop.abandon_txn(txn)
+        host.list(ListUpdate.CHANGES, *FakeHost().workers)
         host.passes(10 * SECOND)
         self.assertEqual((host.posted, host.answers), ([], {}))
 
@@ -49,7 +49,7 @@
         self.assertEqual((len(host.posted), host.answers), (2, {"a": ["reversed"]}))
 
     def test_a_referenced_repeat_stays_in_its_group_and_window(self) -> None:
-        host = FakeHost(scheme(REFERENCED, group=Group.CELL, window=2 * SECOND), workers=4)
+        host = FakeHost(scheme(REFERENCED, group=DeduplicationGroup.CELL, window=2 * SECOND), workers=4)
         for index, worker in enumerate(host.workers):
             worker.cell = index % 2
         host.ask("a")
@@ -66,23 +66,23 @@
 class DrainsKept(unittest.TestCase):
     def test_a_held_txn_does_not_go_to_a_worker_that_drains(self) -> None:
         host = FakeHost(workers=1)
-        host.standing(host.workers[0], Standing.DRAINING)
+        host.standing(host.workers[0], ListedState.DRAINING)
         host.ask("a")
         host.passes(SECOND)
         self.assertEqual(host.posted, [])
 
     def test_a_worker_missing_from_the_whole_list_is_gone(self) -> None:
         host = FakeHost(workers=2)
-        host.list(ListNews.WHOLE, host.workers[1])
+        host.list(ListUpdate.WHOLE, host.workers[1])
         for tag in "abcdef":
             host.ask(tag)
             host.end(host.posted[-1], report=idle())
         self.assertEqual({p.worker for p in host.posted}, {host.workers[1]})
 
     def test_where_dropped_workers_stay_open_one_that_is_gone_is_posted_to_once_it_shows_life(self) -> None:
-        host = FakeHost(workers=1, dropped_stay_open=True, reports_in_answers=False, may_probe=True)
+        host = FakeHost(workers=1, delisted_workers_usable=True, reports_in_answers=False, can_probe=True)
         host.passes(SECOND // 10)
-        host.list(ListNews.WHOLE)
+        host.list(ListUpdate.WHOLE)
         host.ask("a")
         host.passes(SECOND // 4)
         self.assertEqual(host.posted, [], "nobody has heard of it since")
@@ -91,19 +91,19 @@
         self.assertEqual([p.worker for p in host.posted], host.workers)
 
     def test_where_dropped_workers_stay_open_a_draining_binds_also_after_it_is_gone(self) -> None:
-        for last in (Standing.GONE, None):
-            host = FakeHost(workers=1, dropped_stay_open=True, reports_in_answers=False, may_probe=True)
-            host.standing(host.workers[0], Standing.DRAINING)
+        for last in (ListedState.GONE, None):
+            host = FakeHost(workers=1, delisted_workers_usable=True, reports_in_answers=False, can_probe=True)
+            host.standing(host.workers[0], ListedState.DRAINING)
             if last is not None:
                 host.standing(host.workers[0], last)
             else:
-                host.list(ListNews.WHOLE)
+                host.list(ListUpdate.WHOLE)
             looked = len(host.probes)
             host.tell(host.workers[0], idle())
             host.ask("a")
             host.passes(SECOND)
             self.assertEqual((host.posted, len(host.probes)), ([], looked))
-            host.standing(host.workers[0], Standing.READY)
+            host.standing(host.workers[0], ListedState.READY)
             host.tell(host.workers[0], idle())
             host.ask("b")
             host.passes(SECOND // 10)
@@ -114,12 +114,12 @@
     def test_a_cold_worker_gets_no_more_than_our_part(self) -> None:
         host = FakeHost(workers=1, dispatchers=2)
         host.now += 3 * SECOND
-        host.workers[0].started = host.now
-        host.list(ListNews.CHANGES, host.workers[0])
+        host.workers[0].started_at = host.now
+        host.list(ListUpdate.CHANGES, host.workers[0])
         for tag in "abcdefghij":
             host.ask(tag, hint=SECOND // 2)
             for posting in host.posted:
-                if posting.out:
+                if posting.is_in_flight:
                     host.end(posting, report=idle())
         self.assertLessEqual(sum(p.txn.hint or 0 for p in host.posted), 4 * 0.3 * 2 * 2 * SECOND / 2)
 
@@ -131,18 +131,18 @@
         for number in range(40):
             host = FakeHost(workers=1, dispatchers=40, number=number)
             host.now += 3 * SECOND
-            host.workers[0].started = host.now
-            host.list(ListNews.CHANGES, host.workers[0])
+            host.workers[0].started_at = host.now
+            host.list(ListUpdate.CHANGES, host.workers[0])
             for _ in range(16):
                 host.ask("a", hint=SECOND // 4)
                 host.passes(SECOND // 2)
                 for posting in host.posted:
-                    if posting.out:
+                    if posting.is_in_flight:
                         host.end(posting, report=idle())
             sent += [
-                posting.sent - host.workers[0].started
+                posting.sent_at - host.workers[0].started_at
                 for posting in host.posted
-                if posting.sent < host.workers[0].started + 8 * SECOND
+                if posting.sent_at < host.workers[0].started_at + 8 * SECOND
             ]
         self.assertGreaterEqual(len(sent), 4)
         for at in sent:
@@ -157,22 +157,24 @@
         """
         sent = []
         for number in range(11):
-            host = FakeHost(workers=1, dispatchers=11, number=number, fall_multiple=2.5, cold_share=0.32)
+            host = FakeHost(
+                workers=1, dispatchers=11, number=number, overload_multiple=2.5, slow_start_share=0.32
+            )
             worker = host.workers[0]
             for _ in range(8):  # a mean run of a quarter of a second, over all of them
                 host.ask("before")
                 host.passes(SECOND // 4 + (number - 5) * SECOND // 40)
                 host.end(host.posted[-1], report=idle(3.0))
             before = len(host.posted)
-            worker.started = host.now
-            host.list(ListNews.CHANGES, worker)
-            while host.now < worker.started + 8 * SECOND:
+            worker.started_at = host.now
+            host.list(ListUpdate.CHANGES, worker)
+            while host.now < worker.started_at + 8 * SECOND:
                 host.ask("a")
                 host.passes(SECOND // 10)
                 for posting in host.posted:
-                    if posting.out and host.now >= posting.sent + SECOND // 4:
+                    if posting.is_in_flight and host.now >= posting.sent_at + SECOND // 4:
                         host.end(posting, report=idle(3.0))
-            sent += [posting.sent - worker.started for posting in host.posted[before:]]
+            sent += [posting.sent_at - worker.started_at for posting in host.posted[before:]]
         per_span = []
         for at in sent:
             span = [other for other in sent if at <= other < at + 2 * SECOND]
@@ -182,9 +184,9 @@
         self.assertGreater(max(per_span[: len(sent) // 2]), 6, "and it is used")
 
     def test_our_own_restart_does_not_renew_the_part(self) -> None:
-        host = FakeHost(workers=1, news=ListNews.REMEMBERED)
-        host.workers[0].started = host.now - SECOND
-        host.list(ListNews.CHANGES, host.workers[0])
+        host = FakeHost(workers=1, news=ListUpdate.REMEMBERED)
+        host.workers[0].started_at = host.now - SECOND
+        host.list(ListUpdate.CHANGES, host.workers[0])
         host.ask("a", hint=SECOND // 10)
         host.passes(SECOND)
         self.assertEqual(host.posted, [])
@@ -193,14 +195,14 @@
         """Virtual seeds 48, 213 and 245: it had died and come back, and the list said nothing of it."""
 
         def whole_job(lost: bool, broke: bool) -> bool:
-            host = FakeHost(workers=1, must_ask=True, dispatchers=4)
+            host = FakeHost(workers=1, list_needs_subscription=True, dispatchers=4)
             host.passes(3 * SECOND)
             host.ask("first", hint=SECOND // 10)
             host.end(host.posted[0], report=idle())
             if lost:
-                host.list(ListNews.FAILED)
+                host.list(ListUpdate.FAILED)
             if broke:
-                host.loop.broke(host.workers[0])
+                host.loop.on_connection_broken(host.workers[0])
             host.ask("big", hint=4 * SECOND, lasts=60 * SECOND)
             host.passes(SECOND)
             return len(host.posted) > 1
@@ -210,10 +212,10 @@
         self.assertFalse(whole_job(lost=True, broke=True))
 
     def test_it_is_cold_no_longer_than_one_that_is_listed_as_new(self) -> None:
-        host = FakeHost(workers=1, must_ask=True, dispatchers=4)
+        host = FakeHost(workers=1, list_needs_subscription=True, dispatchers=4)
         host.passes(3 * SECOND)
-        host.list(ListNews.FAILED)
-        host.loop.broke(host.workers[0])
+        host.list(ListUpdate.FAILED)
+        host.loop.on_connection_broken(host.workers[0])
         host.ask("small", hint=SECOND // 10)
         host.end(host.posted[0], report=idle())
         host.passes(10 * SECOND)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.birth import Birth, Lacks, Unfit, birth
-from pathsaddle.scheduler_types import SECOND, Group, Semantics
+from pathsaddle.scheduler_types import SECOND, DeduplicationGroup, Semantics
 from tests.fakehost import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -222,7 +222,7 @@
         bare = born(
             "known", "endpoints", to=[{"name": "w", "weight": None, "group": None, "since_ms": None}]
         ).rows[0]
-        self.assertEqual((bare.worker.weight, bare.worker.cell, bare.worker.started), (1.0, 0, None))
+        self.assertEqual((bare.worker.weight, bare.worker.cell, bare.worker.started_at), (1.0, 0, None))
 
     def test_a_scheme(self) -> None:
         for value in self.UNSET:
@@ -234,17 +234,17 @@
             self.assertIs(
                 born(*SCHEME, "Semantics", to=value).terms.schemes[0].semantics, Semantics.ONCE_ONLY
             )
-            self.assertIs(born(*SCHEME, "Group", to=value).terms.schemes[0].group, Group.ALL)
+            self.assertIs(born(*SCHEME, "Group", to=value).terms.schemes[0].group, DeduplicationGroup.ALL)
 
     def test_limits_and_rules(self) -> None:
         for value in self.UNSET:
             self.assertEqual(born(*LIMITS, "MaxPostings", to=value).terms.max_postings, 1)
-            self.assertEqual(born(*LIMITS, "OpenCap", to=value).terms.most_open, 1 << 60)
-            self.assertEqual(born(*LIMITS, "MaxRetryAfter", to=value).terms.come_back_most, 0)
+            self.assertEqual(born(*LIMITS, "OpenCap", to=value).terms.max_open_txns, 1 << 60)
+            self.assertEqual(born(*LIMITS, "MaxRetryAfter", to=value).terms.max_retry_after, 0)
             self.assertEqual(born(*LIMITS, "ConnectTimeout", to=value).reach.connect_within, SECOND)
             self.assertEqual(born(*LIMITS, "IdleClose", to=value).reach.idle_within, 60 * SECOND)
-            self.assertEqual(born(*DUTY, "AskEvery", to=value).terms.ask_within, 10 * SECOND)
-            self.assertEqual(born(*DUTY, "RampTime", to=value).terms.cold_time, 0)
+            self.assertEqual(born(*DUTY, "AskEvery", to=value).terms.list_poll_interval, 10 * SECOND)
+            self.assertEqual(born(*DUTY, "RampTime", to=value).terms.slow_start_time, 0)
             self.assertEqual(born("settings", "Balancers", to=value).terms.dispatchers, 1)
         for key in ("Limits", "Obligations", "Prices", "Report", "FamilyInfo", "Customers", "Azs", "Kinds"):
             for value in (GONE, None):
@@ -254,13 +254,13 @@
     def test_words_that_steer_no_rule_are_as_if_missing_where_we_dont_know_them(self) -> None:
         got = born("settings", "Report", to={"Source": "dreams", "Fields": ["x0", "mood"]}).terms
         self.assertFalse(got.reports_in_answers or got.reports_in_probes)
-        self.assertFalse(born("settings", "FamilyInfo", "QueueOrder", to="lottery").terms.overtakes)
+        self.assertFalse(born("settings", "FamilyInfo", "QueueOrder", to="lottery").terms.allows_backfill)
         self.assertFalse(born("settings", "ValueBasis", to="weight").terms.value_by_work)
         self.assertEqual(len(born("settings", "SomethingNew", to={"x": 1}).terms.schemes), 2)
 
     def test_a_span_shorter_than_a_tick_is_not_taken_for_none_at_all(self) -> None:
         self.assertEqual(born(*LIMITS, "ConnectTimeout", to=50_000).reach.connect_within, 1)
-        self.assertEqual(born(*DUTY, "AskEvery", to=1).terms.ask_within, 1)
+        self.assertEqual(born(*DUTY, "AskEvery", to=1).terms.list_poll_interval, 1)
         self.assertEqual(born(*SCHEME, "Expiry", to=1).terms.schemes[0].expiry, 1)
         self.assertEqual(
             born(*SCHEME, "Window", to=99_999).terms.schemes[0].window, 0, "no repeat beyond a window"
@@ -270,7 +270,7 @@
         ever = (1 << 63) - 1
         self.assertEqual(born(*SCHEME, "Expiry", to=ever).terms.schemes[0].expiry, terms.LONGEST)
         self.assertGreater(born(*LIMITS, "IdleClose", to=ever).reach.idle_within, terms.LONGEST)
-        self.assertGreater(born(*DUTY, "AskEvery", to=ever).terms.ask_within, terms.LONGEST)
+        self.assertGreater(born(*DUTY, "AskEvery", to=ever).terms.list_poll_interval, terms.LONGEST)
 
     def test_one_more_than_our_own_number_are_there_at_least(self) -> None:
         """Told of fewer, it took another's part of what a cold worker bears for its own."""
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -24,7 +24,7 @@
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Message
 from pathsaddle.net.wire.terms import Reach
-from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListNews, Outcome, Worker
+from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate, Outcome, Worker
 from tests.fakehost import SETTINGS
 
 Answering = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -376,7 +376,7 @@
         known = terms.terms(SETTINGS)
         workers = Workers(Reach(2000, 60_000), 8, clock, self.counters)
         service = TxnService(known, Words(SETTINGS, known), 7, clock, workers, self.counters, lambda: None)
-        service.listed(ListNews.WHOLE, [Row(Worker("w"), "127.0.0.1:1")])
+        service.listed(ListUpdate.WHOLE, [Row(Worker("w"), "127.0.0.1:1")])
         self.front = Front("127.0.0.1:0", 10, Room(10, 100_000), service, clock, self.counters)
         self.addCleanup(self.front.sock.close)
         self.address = self.front.sock.getsockname()
@@ -529,17 +529,17 @@
 
 
 class WatchStory(Peers):
-    async def watch(self, answering: Answering) -> list[tuple[ListNews, int]]:
+    async def watch(self, answering: Answering) -> list[tuple[ListUpdate, int]]:
         """What the decisions are told by one watch, until it ends."""
-        told: list[tuple[ListNews, int]] = []
+        told: list[tuple[ListUpdate, int]] = []
         done = asyncio.Event()
 
         class Told:
             words = Words(SETTINGS, terms.terms(SETTINGS))
 
-            def listed(self, news: ListNews, rows: list[Row]) -> None:
+            def listed(self, news: ListUpdate, rows: list[Row]) -> None:
                 told.append((news, len(rows)))
-                if news in (ListNews.FAILED, ListNews.SILENT):
+                if news in (ListUpdate.FAILED, ListUpdate.SILENT):
                     done.set()
 
         self.counters = Counters()
@@ -566,9 +566,9 @@
                 writer.write(self.chunk(piece))
             await reader.read()
 
-        beat = (ListNews.CHANGES, 0)  # each is told: word stands for so long after it, and no longer
+        beat = (ListUpdate.CHANGES, 0)  # each is told: word stands for so long after it, and no longer
         self.assertEqual(
-            await self.watch(beats), [(ListNews.WHOLE, 1), beat, beat, beat, (ListNews.SILENT, 0)]
+            await self.watch(beats), [(ListUpdate.WHOLE, 1), beat, beat, beat, (ListUpdate.SILENT, 0)]
         )
         self.assertIn(b"index=4 ", self.call)
         self.assertEqual((self.discovery.index, self.came, self.counters["watch_end.silent"]), (5, 1, 1))
@@ -577,7 +577,7 @@
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        self.assertEqual(await self.watch(silent), [(ListNews.SILENT, 0)])
+        self.assertEqual(await self.watch(silent), [(ListUpdate.SILENT, 0)])
         self.assertEqual(self.counters["watch_end.unanswered"], 1)
 
     async def test_a_call_that_fails_or_makes_no_sense_is_told_once(self) -> None:
@@ -596,7 +596,7 @@
                 writer.write(said)
 
             told = await self.watch(says)
-            self.assertEqual(told[-1], (ListNews.FAILED, 0))
+            self.assertEqual(told[-1], (ListUpdate.FAILED, 0))
             self.assertEqual((self.came, self.counters[f"watch_end.{code}"]), (1, 1), code)
 
 
@@ -609,9 +609,9 @@
         workers = Workers(Reach(50 * MILLISECOND, 60_000), 8, clock, counters)
         service = TxnService(known, Words(SETTINGS, known), 7, clock, workers, counters, lambda: None)
         worker = Worker("w")
-        service.listed(ListNews.WHOLE, [Row(worker, await self.peer(silent))])
+        service.listed(ListUpdate.WHOLE, [Row(worker, await self.peer(silent))])
         outcomes: list[Outcome] = []
-        service.loop.probed = lambda w, outcome, spent, report: outcomes.append(outcome)  # type: ignore
+        service.loop.on_probe_result = lambda w, outcome, spent, report: outcomes.append(outcome)  # type: ignore
         service.probe(worker)
         await until(lambda: outcomes)
         self.assertEqual(outcomes, [Outcome.TIMED_OUT])
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
 from pathsaddle.net.wire.http import Broken, Message
-from pathsaddle.scheduler_types import SECOND, ListNews, Outcome, Posting, Semantics, Standing, Worker
+from pathsaddle.scheduler_types import SECOND, ListedState, ListUpdate, Outcome, Posting, Semantics, Worker
 from tests.fakehost import SETTINGS
 
 
@@ -80,7 +80,7 @@
             known, Words(told, known), 7, Clock(), self.played, self.counters, lambda: None
         )
         self.rows = [Row(Worker(f"w{n}"), "x:1") for n in range(workers)]
-        self.service.listed(ListNews.WHOLE, self.rows)
+        self.service.listed(ListUpdate.WHOLE, self.rows)
 
     async def ask(self, tag: str = "a", kind: str = "render", within: str = "5000") -> Entry:
         call = Message(
@@ -121,7 +121,7 @@
         self.played.calls[0].write()
         await self.replies(self.played.calls[0], 202)
         await self.back("running")
-        self.assertEqual(entry.txn.postings[0].level, 0.5)
+        self.assertEqual(entry.txn.postings[0].progress, 0.5)
         await self.back("done")
         self.assertEqual(self.answers, [(200, b"done", ())])
         self.assertNotIn("a", self.service.ledger)
@@ -135,8 +135,8 @@
             entry = await self.ask(within="700")
             txn, posting = entry.txn, entry.txn.postings[0]
             if late == "anew":
-                row = Worker("w0", started=self.service.clock.now())
-                self.service.listed(ListNews.CHANGES, [Row(row, "x:1")])
+                row = Worker("w0", started_at=self.service.clock.now())
+                self.service.listed(ListUpdate.CHANGES, [Row(row, "x:1")])
             elif late == "window":
                 txn.scheme = dataclasses.replace(txn.scheme, semantics=Semantics.REFERENCED, window=SECOND)
                 before = Posting(
@@ -144,7 +144,7 @@
                 )
                 txn.postings.insert(0, before)
             elif late == "expired":
-                txn.expires = self.service.clock.now()
+                txn.expires_at = self.service.clock.now()
             self.played.calls[0].write()
             self.assertEqual(self.played.calls[0].withheld, late != "in time", late)
             await self.settle()
@@ -157,7 +157,7 @@
         """A dial of a second, and the worker hoped for a second longer than the client would wait."""
         self.open()
         entry = await self.ask(within="5000")
-        entry.txn.postings[0].sent -= SECOND  # the dial took so long
+        entry.txn.postings[0].sent_at -= SECOND  # the dial took so long
         self.played.calls[0].write()
         self.assertLessEqual(int(dict(self.played.calls[0].headers)[b"Req-Deadline-Ms"]), 4000)
 
@@ -214,7 +214,7 @@
         self.assertNotEqual(second.worker, first.worker)
         second.write()
         await self.back("lost", worker=first.worker)
-        self.assertTrue(entry.txn.postings[1].out)
+        self.assertTrue(entry.txn.postings[1].is_in_flight)
 
     async def test_a_break_before_the_last_byte_is_no_connection_and_after_it_a_reset(self) -> None:
         for written, counted in ((False, "outcome.unconnected"), (True, "outcome.reset")):
@@ -243,25 +243,25 @@
             self.assertEqual(first.reply.cancelled(), not taken)
 
     async def test_where_two_at_once_are_forbidden_the_withdrawal_comes_before_the_outcome(self) -> None:
-        self.open(two_at_once=False)
+        self.open(allows_hedging=False)
         entry = await self.ask()
         self.played.calls[0].write()
         await self.replies(self.played.calls[0], 202)
         posting: Posting = entry.txn.postings[0]
         self.service.cancel(posting)
         await self.settle()
-        self.assertTrue(posting.out, "the worker has not been told yet")
+        self.assertTrue(posting.is_in_flight, "the worker has not been told yet")
         self.played.calls[1].write()
         await self.replies(self.played.calls[1], 204)
         self.assertEqual(self.counters["outcome.cancelled"], 1)
 
     async def test_before_the_202_the_end_of_the_connection_has_time_to_arrive_first(self) -> None:
-        self.open(two_at_once=False)
+        self.open(allows_hedging=False)
         posting = (await self.ask()).txn.postings[0]
         self.played.calls[0].write()
         self.service.cancel(posting)
         await self.settle()
-        self.assertTrue(self.played.calls[0].reply.cancelled() and posting.out)
+        self.assertTrue(self.played.calls[0].reply.cancelled() and posting.is_in_flight)
         await self.settle(0.06)
         self.assertEqual(self.counters["outcome.cancelled"], 1)
 
@@ -277,8 +277,8 @@
     async def test_nothing_is_written_to_a_worker_that_was_told_to_drain_while_we_connected(self) -> None:
         self.open()
         await self.ask()
-        self.rows[0].worker.standing = Standing.DRAINING
-        self.service.listed(ListNews.CHANGES, self.rows)
+        self.rows[0].worker.listed_state = ListedState.DRAINING
+        self.service.listed(ListUpdate.CHANGES, self.rows)
         self.played.calls[0].write()
         await self.settle()
         self.assertTrue(self.played.calls[0].withheld)
@@ -289,10 +289,12 @@
             (False, ["GONE"], True),
             (True, ["DRAINING", "GONE"], True),
         ):
-            self.open(dropped_stay_open=stay_open)
+            self.open(delisted_workers_usable=stay_open)
             await self.ask()
             for standing in told:
-                self.service.listed(ListNews.CHANGES, [Row(Worker("w0", standing=Standing[standing]), "x:1")])
+                self.service.listed(
+                    ListUpdate.CHANGES, [Row(Worker("w0", listed_state=ListedState[standing]), "x:1")]
+                )
             self.played.calls[0].write()
             await self.settle()
             self.assertIs(self.played.calls[0].withheld, withheld, (stay_open, told))
@@ -315,8 +317,8 @@
             call.write()
             await self.replies(call, 400)
         self.assertEqual((len(self.played.calls), [answer[0] for answer in self.answers]), (2, [500]))
-        books = self.service.loop.choice.books.values()
-        self.assertEqual([book.shut_until for book in books], [0, 0, 0])
+        books = self.service.loop.scheduler.workers.values()
+        self.assertEqual([book.ejected_until for book in books], [0, 0, 0])
 
     async def test_a_worker_alone_in_calling_it_unusable_is_shut(self) -> None:
         self.open(workers=2)
@@ -325,12 +327,15 @@
         await self.replies(self.played.calls[0], 400)
         self.played.calls[1].write()
         await self.back("done", worker=self.played.calls[1].worker)
-        failed = {worker.tag: book.failed for worker, book in self.service.loop.choice.books.items()}
+        failed = {
+            worker.tag: book.consecutive_failures
+            for worker, book in self.service.loop.scheduler.workers.items()
+        }
         self.assertEqual(failed, {self.played.calls[0].worker: 1, self.played.calls[1].worker: 0})
 
     async def test_a_fault_in_the_decisions_reverses_one_txn_and_the_next_is_served(self) -> None:
         self.open()
-        with mock.patch.object(self.service.loop.choice, "appraise", side_effect=ZeroDivisionError):
+        with mock.patch.object(self.service.loop.scheduler, "appraise", side_effect=ZeroDivisionError):
             await self.ask("bad")
         await self.ask("good")
         self.assertEqual([answer[0] for answer in self.answers], [500])
@@ -341,7 +346,7 @@
 
     async def test_a_fault_in_a_turn_costs_one_txn_its_life_and_not_its_answer(self) -> None:
         self.open()
-        with mock.patch.object(self.service.loop.choice, "sent", side_effect=ZeroDivisionError):
+        with mock.patch.object(self.service.loop.scheduler, "on_posting_sent", side_effect=ZeroDivisionError):
             await self.ask("bad")
         self.assertEqual([answer[0] for answer in self.answers], [500])
         await self.settle(0.03)
@@ -371,8 +376,8 @@
     async def test_events_that_wait_together_share_one_turn(self) -> None:
         self.open()
         await self.settle()
-        turns, turn = [], self.service.loop.turn
-        self.service.loop.turn = lambda: (turns.append(1), turn())[1]  # type: ignore[method-assign]
+        turns, turn = [], self.service.loop.run_pending
+        self.service.loop.run_pending = lambda: (turns.append(1), turn())[1]  # type: ignore[method-assign]
         for tag in ("a", "b", "c"):
             self.service.take(
                 Message(b"POST", b"/render", headers={b"req-id": tag.encode(), b"req-owner": b"acme"}),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,7 @@
 from pathsaddle.net.wire.forms import Words
 from pathsaddle.net.wire.http import MOST_BODY, Broken, Called, Calling, Message
 from pathsaddle.net.wire.ring import BASE, Ring
-from pathsaddle.scheduler_types import ListNews, Outcome, Semantics, Standing
+from pathsaddle.scheduler_types import ListedState, ListUpdate, Outcome, Semantics
 from tests.fakehost import SETTINGS
 
 JOB = (
@@ -182,7 +182,9 @@
             assert came is not None
             self.assertEqual(forms.outcome_of(came), Outcome.FULL)
             report = words().report_in(came)
-            self.assertEqual(report and (report.held, report.waiting, report.free), (7.0, 2.0, 0.5))
+            self.assertEqual(
+                report and (report.held_slots, report.queued_jobs, report.free_slots), (7.0, 2.0, 0.5)
+            )
 
     def test_bytes_without_a_call_are_no_answer(self) -> None:
         with self.assertRaises(Broken):
@@ -238,10 +240,10 @@
             self.assertEqual(len(lines), 2)
             index, news, rows = words().list_line(lines[0])
             worker = rows[0].worker
-            self.assertEqual((index, news, rows[0].address), (43, ListNews.CHANGES, "10.1.0.18:8000"))
+            self.assertEqual((index, news, rows[0].address), (43, ListUpdate.CHANGES, "10.1.0.18:8000"))
             self.assertEqual(
-                (worker.zone, worker.machine, worker.cell, worker.standing, worker.started),
-                (1, 1, 3, Standing.DRAINING, 12345670),
+                (worker.zone, worker.machine, worker.cell, worker.listed_state, worker.started_at),
+                (1, 1, 3, ListedState.DRAINING, 12345670),
             )
 
     def test_a_list_may_come_indented_and_a_worker_may_be_called_by_a_brace(self) -> None:
@@ -287,14 +289,14 @@
                 "endpoints": [{"name": "a", "status": "dreaming"}, {"name": "b", "status": "active"}],
             }
         )
-        self.assertEqual([row.worker.standing for row in rows], [Standing.DRAINING, Standing.READY])
+        self.assertEqual([row.worker.listed_state for row in rows], [ListedState.DRAINING, ListedState.READY])
 
     def test_a_call_becomes_a_txn_with_every_time_on_the_safe_side(self) -> None:
         call = called(JOB.replace(b"480", b"480.06")).next()
         assert call is not None
         txn = words().txn(call, 1000)
         self.assertEqual(
-            (txn.tag, txn.expires, txn.hint, txn.slots, txn.memory, txn.repeat),
+            (txn.tag, txn.expires_at, txn.hint, txn.slots, txn.memory, txn.is_retry),
             ("a1", 1000 + 4800, 13, 2.0, 1.5, False),
         )
         self.assertIs(txn.scheme.semantics, Semantics.REPEATABLE)
@@ -350,7 +352,7 @@
         self.assertEqual((told.tag, told.worker), ("a1", "s-1"))
         self.assertEqual((told.outcome, told.note), (Outcome.SETTLED, False))
         self.assertEqual(told.result, "é".encode())
-        self.assertEqual(told.report and told.report.free, 1.0)
+        self.assertEqual(told.report and told.report.free_slots, 1.0)
         for body in (b"", b"[]", b"{", b'{"id":"a1"}', b'{"id":1,"from":2,"state":"running","share":"x"}'):
             with self.assertRaises(Broken):
                 words().callback(body)
@@ -358,6 +360,6 @@
     def test_both_forms_of_a_load_report_and_one_that_is_none(self) -> None:
         for body in (b'{"x0":2,"queue":1}', b'{"load":{"x0":2,"waiting":1}}', b"x0=2, queue=1"):
             report = words().report_in(Message(status=200, body=body))
-            self.assertEqual(report and (report.free, report.waiting), (2.0, 1.0))
+            self.assertEqual(report and (report.free_slots, report.queued_jobs), (2.0, 1.0))
         for body in (b"", b"OK", b"{", b"x0=?", b"err_rps=0,rps=0.000,waiting=0,x0=0"):
             self.assertIsNone(words().report_in(Message(status=200, body=body)))
