--- a/pathsaddle/emulator/ground/air.py
+++ b/pathsaddle/emulator/ground/air.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import threading
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
@@ -36,25 +37,30 @@
 
 
 class Meter:
-    """What one of them sent: the most in any second, to a tenth of one more, and in all."""
+    """Counts what one sender has sent: bytes and datagrams by tenth of a second, and in all.
+
+    One thread may add while another reads: a reader works on a copy that is taken between two additions.
+    """
 
     def __init__(self) -> None:
         self.bins: dict[int, list[int]] = {}
         self.bytes = self.datagrams = 0
+        self._lock = threading.Lock()
 
     def add(self, at: float, size: int) -> None:
-        row = self.bins.setdefault(int(at * BINS), [0, 0])
-        row[0] += size
-        row[1] += 1
-        self.bytes += size
-        self.datagrams += 1
+        """Count one datagram of `size` bytes, sent `at` seconds after the start."""
+        with self._lock:
+            row = self.bins.setdefault(int(at * BINS), [0, 0])
+            row[0] += size
+            row[1] += 1
+            self.bytes += size
+            self.datagrams += 1
 
     def most(self, which: int) -> int:
-        """Over any `BINS` neighbouring bins: what lies in a second, if it begins with a bin."""
-        return max(
-            (sum(self.bins.get(first + i, (0, 0))[which] for i in range(BINS)) for first in self.bins),
-            default=0,
-        )
+        """Return the most sent within any `BINS` neighbouring bins: bytes (`which` 0) or datagrams (`which` 1)."""
+        with self._lock:
+            counts = {first: row[which] for first, row in self.bins.items()}
+        return max((sum(counts.get(first + i, 0) for i in range(BINS)) for first in counts), default=0)
 
 
 class Air:
