--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -117,13 +117,13 @@
             terms.dispatchers,
             value / sla,
             {
-                str(customer.index): customer.allowance * sla / SECOND
+                str(customer.index): customer.quota_rate * sla / SECOND
                 for customer in terms.customers
-                if customer.allowance
+                if customer.quota_rate
             },
             rate / 10,
             SECOND // 2,
-            max(SECOND, terms.come_back_most),
+            max(SECOND, terms.max_retry_after),
         )
         core = OverloadGate(ways, name, terms.number, limiter, now)
         self.gate = mail.members[name] = Told(core, limiter, mail)
--- a/pathsaddle/net/wire/terms.py
+++ b/pathsaddle/net/wire/terms.py
@@ -24,15 +24,15 @@
 
 SEMANTICS = {"safe": Semantics.REPEATABLE, "keyed": Semantics.REFERENCED, "unsafe": Semantics.ONCE_ONLY}
 REPORT_FIELDS = {
-    "x0": "free",
-    "waiting": "waiting",
-    "queue": "waiting",
-    "active": "held",
-    "inflight": "held",
-    "err_rps": "errors",
-    "eps": "errors",
-    "rps": "rate",
-    "qps": "rate",
+    "x0": "free_slots",
+    "waiting": "queued_jobs",
+    "queue": "queued_jobs",
+    "active": "held_slots",
+    "inflight": "held_slots",
+    "err_rps": "error_rate",
+    "eps": "error_rate",
+    "rps": "request_rate",
+    "qps": "request_rate",
 }
 GROUPS = tuple(group.value for group in DeduplicationGroup)
 # What is meant for ever may come as the longest span that the platform's language has. Nothing is meant beyond.
--- a/pathsaddle/scheduler.py
+++ b/pathsaddle/scheduler.py
@@ -23,7 +23,7 @@
 
 from pathsaddle.worker_state import FOREVER, CustomerUsage, WorkerState, WorkType, ZoneBaseline
 
-from pathsaddle.scheduler_types import (  # isort: skip  # as many to a line as fit: these names are most of the trade
+from pathsaddle.scheduler_types import (  # isort: skip  # as many to a line as fit
     LIST_ANSWER_TIMEOUT,
     LIST_VALIDITY_AFTER_MOVE,
     LIST_SILENCE_TIMEOUT,
@@ -182,7 +182,7 @@
             if customer.quota_rate > 0
         }
         for customer, account in self.accounts.items():
-            account.quota_rate = customer.allowance / SECOND  # of which ours is a part
+            account.quota_rate = customer.quota_rate / SECOND  # of which ours is a part
         self.for_trials = (
             list(filter(self.runs_again_anywhere, terms.schemes))
             or [s for s in terms.schemes if s.semantics is Semantics.REFERENCED]
@@ -591,7 +591,7 @@
             alike = (txn.scheme, txn.is_over_share, worth, len(txn.postings), txn.key)
             if alike in self.barred or self.now <= txn.key_workers_full_until:
                 continue
-            if self.now < txn.probes_valid_until and any(book.probing for book in txn.probed_workers):
+            if self.now < txn.probes_valid_until and any(book.is_probing for book in txn.probed_workers):
                 self.look_due = min(self.look_due, txn.probes_valid_until)
                 continue
             if txn.postings and not self.may_post_again(txn):
--- a/pathsaddle/scheduler_types.py
+++ b/pathsaddle/scheduler_types.py
@@ -76,7 +76,9 @@
     WHOLE = "the complete list"
     REMEMBERED = "the complete list as last held, maybe out of date"
     FAILED = "a call failed or the subscription broke"
-    SILENT = "nothing came on a subscription for LIST_SILENT, or since the call for it: taken for dead"
+    SILENT = (
+        "nothing came on a subscription for LIST_SILENCE_TIMEOUT, or since the call for it: taken for dead"
+    )
     MOVED = "it is to be had elsewhere from now on"
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -285,10 +285,10 @@
 
     def host(self, workers: int = 2, **more: object) -> FakeHost:
         more = {
-            "two_at_once": False,
-            "may_cancel": True,
-            "progress_every": SECOND,
-            "tells_start": True,
+            "allows_hedging": False,
+            "can_cancel": True,
+            "progress_interval": SECOND,
+            "reports_start": True,
             "max_postings": 3,
             **more,
         }
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -252,7 +252,7 @@
         told.change("w00003")
         await self.until(lambda: self.heard)
         self.assertEqual(self.heard, [(ListUpdate.CHANGES, ["w00003"])])
-        self.assertIs(self.rows[0].worker.standing, ListedState.DRAINING)
+        self.assertIs(self.rows[0].worker.listed_state, ListedState.DRAINING)
         self.assertEqual(self.discovery.index, told.index)
 
     async def test_who_watches_again_gets_what_it_missed(self) -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -544,7 +544,7 @@
 
         self.counters = Counters()
         self.discovery = DiscoveryWatch(await self.peer(answering), 4, Told(), self.counters)  # type: ignore[arg-type]
-        with mock.patch.multiple(discovery_module, LIST_SILENT=SECOND, FIRST=2 * SECOND):
+        with mock.patch.multiple(discovery_module, LIST_SILENCE_TIMEOUT=SECOND, FIRST=2 * SECOND):
             self.discovery.ask()
             await asyncio.wait_for(done.wait(), BOUND)
         await asyncio.sleep(0.1)  # nothing more is told
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -68,9 +68,11 @@
 
 
 class TxnServiceStory(unittest.IsolatedAsyncioTestCase):
-    def open(self, two_at_once: bool = True, workers: int = 1, dropped_stay_open: bool = False) -> None:
-        limits = {**SETTINGS["Limits"], "MayDuplicate": two_at_once, "Probing": False}
-        duty = {**SETTINGS["Obligations"], "DroppedStayOpen": dropped_stay_open}
+    def open(
+        self, allows_hedging: bool = True, workers: int = 1, delisted_workers_usable: bool = False
+    ) -> None:
+        limits = {**SETTINGS["Limits"], "MayDuplicate": allows_hedging, "Probing": False}
+        duty = {**SETTINGS["Obligations"], "DroppedStayOpen": delisted_workers_usable}
         told = {**SETTINGS, "Limits": limits, "Obligations": duty}
         known = terms.terms(told)
         self.played: Any = PlayedWorkers()
