--- a/pathsaddle/jobs/cancellation.py
+++ b/pathsaddle/jobs/cancellation.py
@@ -15,7 +15,7 @@
 from pathsaddle.jobs.state_machine import CancelRequested, Ticks
 from pathsaddle.net.memory.ledger import Answer
 from pathsaddle.net.wire.http import Message
-from pathsaddle.trade import SECOND
+from pathsaddle.scheduler_types import SECOND
 
 CANCEL_COMMIT_TIMEOUT: Ticks = (
     SECOND  # for the wish to be on disk; afterwards the client is told to come back
@@ -68,11 +68,11 @@
         if machine.is_open:
             machine.apply(CancelRequested(machine.job_id, clock.now()))
             entry = job.entry
-            if entry is not None and not entry.txn.closed:
+            if entry is not None and not entry.txn.is_closed:
                 for exchange in entry.exchanges:
                     attempt = exchange.posting
-                    if attempt.out and not attempt.cancelled:
-                        attempt.cancelled = True
+                    if attempt.is_in_flight and not attempt.is_cancelled:
+                        attempt.is_cancelled = True
                         self._host.cancel(attempt)
                 self._host.abandon_request(entry.txn)
             end_commit = self._host.end_job(job, CANCELLED_BY_CLIENT)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -42,7 +42,7 @@
 )
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.trade import SECOND, Outcome, Scheme
+from pathsaddle.scheduler_types import SECOND, Outcome, Scheme
 from tests.fakehost import ONCE_ONLY, FakeHost, idle, scheme
 
 
@@ -355,7 +355,7 @@
     def make_host(self, limiter: FakeLimiter | None = None, *schemes: Scheme) -> FakeHost:
         host = FakeHost(*(schemes or (scheme(), scheme(ONCE_ONLY, index=1))))
         core = OverloadGate(make_options(1), "d0", 0, limiter or FakeLimiter(), host.now)
-        host.loop.choice.gate = SchedulerAdmissionGate(core)
+        host.loop.scheduler.gate = SchedulerAdmissionGate(core)
         self.core = core
         return host
 
@@ -405,7 +405,7 @@
 class WithoutAGate(unittest.TestCase):
     def test_the_program_loads_nothing_of_the_package(self) -> None:
         code = (
-            "import sys, pathsaddle.loop, pathsaddle.cli.main, pathsaddle.net.service.start;"
+            "import sys, pathsaddle.scheduler_driver, pathsaddle.cli.main, pathsaddle.net.service.start;"
             "print([name for name in sys.modules if 'overload' in name])"
         )
         out = subprocess.run(
