--- a/pathsaddle/scheduler_types.py
+++ b/pathsaddle/scheduler_types.py
@@ -1,7 +1,7 @@
-"""The plain types that the decisions, the loop and every door share.
+"""Plain types shared by the scheduler, its driver and the transports.
 
-Times are whole tenths of a millisecond. Objects point to each other; a door that speaks a protocol keeps
-its ids in `tag` fields, and nobody but that door reads them.
+Times are whole ticks (tenths of a millisecond). Objects refer to each other directly; a transport keeps the
+ids of its protocol in `tag` fields, which only that transport reads.
 """
 
 from __future__ import annotations
@@ -13,30 +13,28 @@
 
 MILLISECOND = 10
 SECOND = 10_000
-# The list's clock, as the operators' protocol has it: a watch says something every 2 s; what one that has fallen silent
-# misses counts as told LIST_TOLD later, whether or not it ever comes. docs/fleet.md reckons the sum.
-LIST_SILENCE_TIMEOUT = (
-    3 * SECOND
-)  # without a line, after which a watch, and a call for one, is taken for dead
+# Timing of the worker list, from the operators' protocol: a watch sends a line at least every 2 s. A change
+# that a silent watch missed binds this dispatcher LIST_NOTIFIED_AFTER later, whether or not it has arrived.
+# docs/fleet.md derives the sum.
+LIST_SILENCE_TIMEOUT = 3 * SECOND  # without a line, after which a watch or a call for one counts as broken
 LIST_NOTIFIED_AFTER = 6 * SECOND
-LIST_ANSWER_TIMEOUT = 3 * SECOND // 2  # of that, what the call that asks again may take until it is answered
-LIST_TIMER_SLACK = (
-    SECOND // 10
-)  # and what timers, turns of the event loop and the way of a first byte may take
+LIST_ANSWER_TIMEOUT = 3 * SECOND // 2  # part of LIST_NOTIFIED_AFTER: for the answer to a repeated call
+LIST_TIMER_SLACK = SECOND // 10  # for late timers, event loop iterations and the latency of the first byte
 LIST_VALIDITY = LIST_NOTIFIED_AFTER - LIST_TIMER_SLACK
-LIST_VALIDITY_AFTER_MOVE = (
-    4 * SECOND - LIST_TIMER_SLACK
-)  # after which what the place that we were moved to tells counts as told
+# After a redirect, a change known to the new address binds this dispatcher 4 s later.
+LIST_VALIDITY_AFTER_MOVE = 4 * SECOND - LIST_TIMER_SLACK
 
 
 class Semantics(Enum):
+    """Whether a txn may run more than once."""
+
     REPEATABLE = "may run again"
-    REFERENCED = "carries a mark by which a group of workers knows a repeat"
+    REFERENCED = "carries a key by which a group of workers recognizes a repeat"
     ONCE_ONLY = "must never run twice"
 
 
 class DeduplicationGroup(Enum):
-    """The workers that drop a referenced txn's repeats together."""
+    """The set of workers that deduplicate a referenced txn's repeats among themselves."""
 
     ALL = "all"
     ZONE = "zone"
@@ -48,8 +46,8 @@
 
     SETTLED = "settled"
     ERROR = "the worker answered with an error"
-    UNUSABLE = "the worker says that the call itself is none"
-    FULL = "turned away unseen"
+    UNUSABLE = "the worker rejected the call as invalid"
+    FULL = "rejected unread because the worker is full"
     TIMED_OUT = "no answer in time"
     UNCONNECTED = "no connection"
     RESET = "connection lost"
@@ -58,11 +56,12 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether the worker certainly did not run the posting."""
         return self in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
 
 
 class ListedState(Enum):
-    """What the list says of a worker."""
+    """A worker's state in the worker list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -70,38 +69,38 @@
 
 
 class ListUpdate(Enum):
-    """What kind of word came from the list."""
+    """The kind of an update from the worker list."""
 
     CHANGES = "changed entries only"
     WHOLE = "the complete list"
-    REMEMBERED = "the complete list as last held, maybe out of date"
+    REMEMBERED = "the complete list from a cache, possibly out of date"
     FAILED = "a call failed or the subscription broke"
-    SILENT = (
-        "nothing came on a subscription for LIST_SILENCE_TIMEOUT, or since the call for it: taken for dead"
-    )
-    MOVED = "it is to be had elsewhere from now on"
+    SILENT = "nothing arrived on a subscription, or after the call for one, for LIST_SILENCE_TIMEOUT"
+    MOVED = "the list is served at another address from now on"
 
 
 @dataclass(slots=True, eq=False)
 class Scheme:
-    """A kind of txn: what it is worth, how long it may take, how often it may run."""
+    """A class of txns: their value, their deadlines, and whether they may run again."""
 
     index: int
     semantics: Semantics
     sla_time: int
     expiry: int
     value: float
-    late_value: float
-    stretch: float
+    late_value: float  # factor on `value` after the SLA time; 0: a late answer is worth nothing
+    stretch: float  # multiple of a txn's own running time that is added to its SLA time
     group: DeduplicationGroup
-    window: int
-    machine: int | None = None
+    window: int  # how long workers recognize a repeat, ticks
+    machine: int | None = None  # machine type that it needs; None: any
 
 
 @dataclass(slots=True, eq=False)
 class Customer:
+    """A customer and its share of the fleet."""
+
     index: int
-    quota_rate: float  # txns a second within its share, over all dispatchers; 0 where none is set
+    quota_rate: float  # txns per second within its share, over all dispatchers; 0: no share is set
     traffic_share: float
 
 
@@ -116,14 +115,14 @@
     weight: float = 1.0
     started_at: int | None = None  # when its process last started; None: long ago
     listed_state: ListedState = ListedState.READY
-    name_hash: int = 0  # a number drawn from its name, alike at every dispatcher
-    is_known_draining: bool = False  # we were told that it drains, and not since that it is ready
+    name_hash: int = 0  # a hash of its name, the same at every dispatcher
+    is_known_draining: bool = False  # the list reported it as draining, and not as ready since then
 
     def __post_init__(self) -> None:
         self.is_known_draining = self.listed_state is ListedState.DRAINING
 
     def update_from(self, row: Worker) -> None:
-        """The object stays the same for as long as we live; the list's rows only say what changed."""
+        """Copy the listed attributes from `row`; the object itself lives as long as the process."""
         self.zone, self.cell, self.machine = row.zone, row.cell, row.machine
         self.weight, self.started_at, self.listed_state = row.weight, row.started_at, row.listed_state
         self.is_known_draining = self.listed_state is not ListedState.READY and (
@@ -131,8 +130,11 @@
         )
 
     def can_receive_postings(self, dropped_stay_open: bool) -> bool:
-        """Rule 3: whether something new may go there by the list. Where the settings say that dropped workers
-        stay open, a draining that was told binds alone, also after it is listed as gone or left out.
+        """Return whether the list permits new postings to this worker (rule 3).
+
+        Args:
+            dropped_stay_open: a worker that is listed as gone, or omitted, still accepts postings unless it
+                was reported as draining before.
         """
         return self.listed_state is ListedState.READY or (
             dropped_stay_open and self.listed_state is ListedState.GONE and not self.is_known_draining
@@ -141,7 +143,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A worker's word on its load; None where the site's reports leave a figure out."""
+    """The load that a worker reports; None for figures that the site's reports omit."""
 
     free_slots: float | None = None
     queued_jobs: float | None = None
@@ -152,39 +154,39 @@
 
 @dataclass(slots=True, eq=False)
 class Txn:
+    """One request of a client, and the scheduler's state for it until its final answer."""
+
     tag: str
     scheme: Scheme
     customer: Customer | None
     arrived_at: int
-    expires_at: int  # the last moment for its final answer
-    hint: int | None = None
+    expires_at: int  # deadline for its final answer
+    hint: int | None = None  # the client's estimate of its running time, ticks
     slots: float = 1.0
     memory: float | None = None
-    key: str | None = None  # what it is about; a worker keeps the data of the last few keys that it served
+    key: str | None = None  # data that it needs; a worker caches the data of the last few keys
     is_retry: bool = False
     postings: list[Posting] = field(default_factory=list)
     is_closed: bool = False
-    is_deadline_shortened: bool = False  # its expiry was brought forward, since we are to end
+    is_deadline_shortened: bool = False  # `expires_at` was moved forward by a shutdown
     lifecycle: Generator[Action, Any, None] | None = None
-    queue_entry: tuple[tuple[float, int], int, Txn] | None = None  # where it stands among the held
-    first_seen_at: int = 0  # when its client first asked, as far as we know
-    retry_fingerprint: tuple[Any, ...] = ()  # what its client's next try would have in common with it
-    unused_share: float = 0.0  # what part of its customer's share for the moment was left as it came
-    key_workers_full_until: int = 0  # all keepers of its key have turned us away: until when that holds
-    key_worker_count: float = 0.0  # how many workers its key's part of the traffic fills
-    is_over_share: bool = False  # beyond its customer's share
-    work_type: Any = None  # its type and work, to the design
-    work: int = 1
-    slack_ratio: float = 1.0  # time left over time needed, as of this scan
-    probed_workers: list[Any] = field(
-        default_factory=list
-    )  # what its last look asked, and until when that counts
-    probes_valid_until: int = 0
+    queue_entry: tuple[tuple[float, int], int, Txn] | None = None  # its entry in the queue
+    first_seen_at: int = 0  # when its client first sent it, as far as known
+    retry_fingerprint: tuple[Any, ...] = ()  # attributes that a retry by its client shares with it
+    unused_share: float = 0.0  # fill level of its customer's token bucket at its arrival
+    key_workers_full_until: int = 0  # until then no worker that caches its key has room
+    key_worker_count: float = 0.0  # workers that the traffic for its key keeps busy
+    is_over_share: bool = False  # exceeds its customer's share
+    work_type: Any = None  # slots and machine type, see `worker_state.WorkType`
+    work: int = 1  # hint times slots
+    slack_ratio: float = 1.0  # time left over time needed, as of the last scan
+    probed_workers: list[Any] = field(default_factory=list)  # of the last round of probes for this txn
+    probes_valid_until: int = 0  # when the txn stops waiting for those probes
     probe_rounds: int = 0
-    wait_number: int = 0  # which of its waits is the current one; a timer of an older one is stale
+    wait_number: int = 0  # number of the current wait; timers of earlier waits are stale
 
     def shorten_deadline(self, by: int) -> bool:
-        """Whether its final answer is due earlier by this, since we are to end."""
+        """Move the deadline forward to `by` for a shutdown; return whether that changed it."""
         if by >= self.expires_at:
             return False
         self.expires_at, self.is_deadline_shortened = by, True
@@ -193,6 +195,8 @@
 
 @dataclass(slots=True, eq=False)
 class Posting:
+    """One sending of a txn to a worker."""
+
     txn: Txn
     worker: Worker
     number: int
@@ -200,25 +204,27 @@
     outcome: Outcome | None = None
     ended_at: int = 0
     started_at: int | None = None
-    accepted_at: int | None = None  # when the worker said that it has it, where workers say so
-    last_progress_at: int | None = None  # the last sign of life
+    accepted_at: int | None = None  # when the worker acknowledged it, where workers do so
+    last_progress_at: int | None = None  # when the last progress message arrived
     progress: float = 0.0
     work: int = 0
     is_cancelled: bool = False
-    worker_started_at: int | None = None  # the worker's start, as listed when it was decided
+    worker_started_at: int | None = None  # the worker's listed start when the posting was decided
 
     @property
     def is_in_flight(self) -> bool:
+        """Whether no outcome has arrived yet."""
         return self.outcome is None
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the worker may have started to run it."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True, frozen=True)
 class StartPosting:
-    """Send the txn to a worker; the txn is resumed at once with its Posting."""
+    """Send the txn to a worker; the txn is resumed immediately with its Posting."""
 
     worker: Worker
     timeout: int
@@ -226,80 +232,95 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelPosting:
-    """Stop waiting on a posting; its outcome still comes."""
+    """Cancel a posting; its outcome still arrives."""
 
     posting: Posting
 
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Resumed with a Posting that has news, with a Worker that has room, or with None at `until`."""
+    """Suspend the txn until `until` or an earlier event.
+
+    It is resumed with the Posting that has changed, the Worker that has room for it, or None at `until`.
+    """
 
     until: int
 
 
 @dataclass(slots=True, frozen=True)
 class Decline:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: the txn was not run, and a retry does no harm."""
 
     retry_after: int = 0
-    try_elsewhere: bool = False  # only our own end is in its way: its client had better not come back here
+    try_elsewhere: bool = False  # only this dispatcher's shutdown prevents it: retry at another one
 
 
 @dataclass(slots=True, frozen=True)
 class Reverse:
-    """Final answer: it failed, and nothing is promised of its effect."""
+    """Final answer: the txn failed, and its effect is unknown."""
 
 
 Action = StartPosting | CancelPosting | Wait | Decline | Reverse
 
 
 class Transport(Protocol):
-    """What a protocol offers the dispatcher behind it."""
+    """The operations that a protocol implementation offers to the scheduler."""
 
-    def post(self, posting: Posting, within: int) -> None: ...
+    def post(self, posting: Posting, timeout_ticks: int) -> None:
+        """Send a posting to its worker, which has that long to answer."""
 
-    def cancel(self, posting: Posting) -> None: ...
+    def cancel(self, posting: Posting) -> None:
+        """Cancel a posting; its outcome is still reported."""
 
-    def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None: ...
+    def decline(self, txn: Txn, retry_after_ticks: int, try_elsewhere: bool) -> None:
+        """Answer the client that the txn was not run and may be retried."""
 
-    def reverse(self, txn: Txn) -> None: ...
+    def reverse(self, txn: Txn) -> None:
+        """Answer the client that the txn failed."""
 
-    def probe(self, worker: Worker) -> None: ...
+    def probe(self, worker: Worker) -> None:
+        """Ask a worker for a load report."""
 
-    def subscribe(self) -> None: ...
+    def subscribe(self) -> None:
+        """Call for the worker list."""
 
-    def wake(self, delay: int) -> None: ...
+    def wake(self, delay_ticks: int) -> None:
+        """Call back after that delay."""
 
-    def note(self, text: str) -> None: ...
+    def note(self, text: str) -> None:
+        """Write a line to the log."""
 
 
 class AdmissionGate(Protocol):
-    """What the fleet says of what one dispatcher would do; `choice` is the one who asks. None stands for it alone."""
+    """The fleet's limits on one dispatcher; without a gate the dispatcher decides alone.
+
+    `scheduler` is the calling Scheduler.
+    """
 
-    def admits(self, txn: Txn, choice: Any) -> bool:
-        """Whether its first posting may be looked for; a txn that has one is in."""
+    def admits(self, txn: Txn, scheduler: Any) -> bool:
+        """Return whether the txn may have its first posting; a txn that has one is admitted."""
 
-    def permits_posting(self, txn: Txn, worker: Worker, choice: Any) -> bool:
-        """Whether this posting may go there now: asked just before, and taken as sent if so."""
+    def permits_posting(self, txn: Txn, worker: Worker, scheduler: Any) -> bool:
+        """Return whether this posting may be sent now; if so, it counts as sent."""
 
-    def can_probe(self, worker: Worker, choice: Any) -> bool: ...
+    def can_probe(self, worker: Worker, scheduler: Any) -> bool:
+        """Return whether this worker may be probed now; if so, the probe counts as sent."""
 
-    def retry_after(self, txn: Txn, choice: Any) -> int:
-        """What its client is advised, ticks; 0: nothing."""
+    def retry_after(self, txn: Txn, scheduler: Any) -> int:
+        """Return the wait that the client is advised before a retry, ticks; 0: no advice."""
 
 
 @dataclass(slots=True)
 class SchedulerConfig:
-    """What a dispatcher is told at its start. The decisions turn it into what they use and let it go."""
+    """The settings of one dispatcher. The scheduler copies what it needs and does not keep the object."""
 
     schemes: list[Scheme]
     customers: list[Customer]
     dispatchers: int
-    number: int  # ours among them, from 0
+    number: int  # index of this dispatcher among them, from 0
     zone: int
     tick: int
-    list_needs_subscription: bool  # the list speaks only when asked for
+    list_needs_subscription: bool  # the list is sent only to subscribers
     list_poll_interval: int
     answer_slack: int
     drain_grace: int
@@ -311,8 +332,8 @@
     allows_hedging: bool
     can_cancel: bool
     can_probe: bool
-    max_retry_after: int  # 0 where clients take no advice
-    progress_interval: int  # 0 where workers send no progress
+    max_retry_after: int  # 0: clients ignore advice
+    progress_interval: int  # 0: workers send no progress messages
     reports_start: bool
     over_share_value: float
     value_by_work: bool
@@ -323,14 +344,12 @@
     price_handshake: float
     reports_in_answers: bool
     reports_in_probes: bool
-    allows_backfill: bool = (
-        False  # a worker starts whatever fits first, so that a wide job waits until it is empty
-    )
-    delisted_workers_usable: bool = (
-        False  # a worker listed as gone, or left out, without draining may be posted to
-    )
-    max_open_txns: int = 1 << 60  # txns that we can hold open at once
-    is_list_pushed: bool = False  # the list comes to an agent of ours by itself: what that has counts as told
-    has_watch_heartbeats: bool = (
-        False  # an open watch says at least every 2 s that nothing has changed: word stands no longer
-    )
+    # Workers start any queued job that fits, so a job that needs a whole worker waits until one is empty.
+    allows_backfill: bool = False
+    # Workers that are listed as gone, or omitted, without draining before still accept postings.
+    delisted_workers_usable: bool = False
+    max_open_txns: int = 1 << 60  # limit on simultaneously open txns
+    # The list is pushed to a local agent; a change binds this dispatcher as soon as the agent has it.
+    is_list_pushed: bool = False
+    # An open watch sends a line at least every 2 s; an older list is not valid any longer.
+    has_watch_heartbeats: bool = False
--- a/pathsaddle/worker_state.py
+++ b/pathsaddle/worker_state.py
@@ -1,7 +1,7 @@
-"""What the decisions keep of workers, customers and zones: plain types, with their sums.
+"""Plain state that the scheduler keeps for each worker, customer and zone.
 
-They are told what was seen and hold figures ready; what follows from those is `choice`'s alone. Times are
-tenths of a millisecond.
+These classes record observations and derive simple sums from them; all decisions are made by
+`scheduler.Scheduler`. Times are ticks (tenths of a millisecond).
 """
 
 from __future__ import annotations
@@ -11,84 +11,76 @@
 
 from pathsaddle.scheduler_types import SECOND, LoadReport, Posting, Scheme, Worker
 
-WorkType = tuple[float, int | None]  # what the paper calls j: slot count and the machine a scheme needs
+WorkType = tuple[float, int | None]  # slots that a txn takes, and the machine type that its scheme needs
 FOREVER = 1 << 60
 
 
 class WorkerState:
-    """What this dispatcher knows of one worker from its own traffic."""
+    """What this dispatcher has observed of one worker through its own traffic."""
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
         self.in_flight: list[Posting] = []
-        self.initial_backlog: dict[
-            WorkType, float
-        ] = {}  # what a new worker starts with on top, fading as own jobs finish
-        self.backlog: dict[
-            WorkType, int
-        ] = {}  # backlogged work by type: added at each send, removed at its outcome
-        self.in_flight_history: list[tuple[int, int]] = [(-FOREVER, 0)]  # (when, own out from then)
+        # Backlog that a new worker is assumed to have; it is halved with each own txn that settles there.
+        self.initial_backlog: dict[WorkType, float] = {}
+        # Work in flight by type: added with each posting, removed with its outcome.
+        self.backlog: dict[WorkType, int] = {}
+        self.in_flight_history: list[tuple[int, int]] = [
+            (-FOREVER, 0)
+        ]  # (since when, own postings in flight)
         self.report: LoadReport | None = None
-        self.reported_at = 0  # when the report came
-        self.last_figures: tuple[float | None, ...] = ()  # its last report's figures
-        self.described_at, self.own_in_flight_then = (
-            -FOREVER,
-            0,
-        )  # the moment that it describes, and own postings out then
-        self.others_load: tuple[int, list[float]] | None = (
-            None  # others' load by each guess of the reports' age
-        )
-        self.others_readings: deque[float] = deque(maxlen=8)  # others' jobs there less the slots, as reported
-        self.slot_samples: deque[float] = deque(maxlen=8)  # slots, as the last reports add up
-        self.last_alive_at = 0  # last sign of life: an answer or a progress note
-        self.pace_samples: deque[float] = deque(
-            maxlen=12
-        )  # time taken over time expected, of the last settled ones
+        self.reported_at = 0  # when `report` arrived
+        self.last_figures: tuple[float | None, ...] = ()  # figures of the last report
+        # The moment that `report` describes, and the own postings in flight at that moment.
+        self.described_at, self.own_in_flight_then = -FOREVER, 0
+        # (when, load of other dispatchers under each assumed age of the reports), from the last report
+        self.others_load: tuple[int, list[float]] | None = None
+        self.others_readings: deque[float] = deque(maxlen=8)  # reported jobs of others minus the slots
+        self.slot_samples: deque[float] = deque(maxlen=8)  # slots, as computed from the last reports
+        self.last_alive_at = 0  # last sign of life: an answer or a progress message
+        # Actual over expected running time of the last settled txns.
+        self.pace_samples: deque[float] = deque(maxlen=12)
         self.pace = 1.0
-        self.slot_count = 0.0  # slots: the most that the last reports add up to
-        self.free_slots_estimate = 0.0  # free slots as last worked out
-        self.free_slots_estimate_until = 0  # until when that holds if nothing happens
-        self.start_delays: deque[int] = deque(maxlen=8)  # from posting to start, of the last postings here
-        self.is_probing, self.probed_at = False, 0  # being probed, and when it last was
-        self.consecutive_failures = 0  # failures in a row
-        self.last_full_at = -FOREVER  # when it last turned us away
+        self.slot_count = 0.0  # slots: the maximum of `slot_samples`
+        self.free_slots_estimate = 0.0  # free slots, cached
+        self.free_slots_estimate_until = 0  # end of the cache entry, unless an event clears it earlier
+        self.start_delays: deque[int] = deque(maxlen=8)  # from sending to start, of the last postings here
+        self.is_probing, self.probed_at = False, 0  # a probe is in flight; when the last one was sent
+        self.consecutive_failures = 0
+        self.last_full_at = -FOREVER  # when it last rejected a posting as full
         self.last_success_at = -FOREVER  # when an own txn last settled there
-        self.error_backoff_until = (
-            0  # after an own posting failed there: until when what that loses stays away
-        )
-        self.ejected_until = 0  # after failures: nothing before this moment
-        # Silent for too long, and since when: one posting at a time until it speaks.
+        # After an own posting failed with an error, once-only txns avoid the worker until then.
+        self.error_backoff_until = 0
+        self.ejected_until = 0  # after failures, no posting is sent before this moment
+        # Silent for too long, and since when: one posting at a time until it shows a sign of life.
         self.is_suspect, self.suspected_at = False, 0
-        self.scheme_pauses: dict[
-            Scheme, tuple[int, int]
-        ] = {}  # left untaken here: (until when none go, how often)
-        self.last_reached_at = 0  # when the last posting was sent that has started
-        self.trial_posting: Posting | None = None  # the last posting there since
-        self.lost_trials = 0  # postings in a row that a suspect has swallowed
-        self.recent_sends: deque[tuple[int, int, bool]] = (
-            deque()
-        )  # (when, work, if cold then) of the last sends
+        # Schemes whose postings did not start here: (no posting before, times in a row).
+        self.scheme_pauses: dict[Scheme, tuple[int, int]] = {}
+        self.last_reached_at = 0  # when the last posting that has started was sent
+        self.trial_posting: Posting | None = None  # the last posting sent while it was suspect
+        self.lost_trials = 0  # trial postings in a row that ended without an answer
+        # (when, work, whether the worker was warming up) of the last postings
+        self.recent_sends: deque[tuple[int, int, bool]] = deque()
         self.started_at: int | None = worker.started_at
         self.connection_broken_at = -FOREVER  # when a connection to it last broke or was refused
-        self.may_be_warming_up = (
-            worker.started_at is not None
-        )  # it may be cold: one look for both, in each scan
-        self.delisted_at = -FOREVER  # when the list last called it gone, or left it out
-        self.inferred_restart_at = -FOREVER  # since when it is taken to have started anew, unlisted
+        # One flag that each scan tests before it looks at the listed and the inferred start.
+        self.may_be_warming_up = worker.started_at is not None
+        self.delisted_at = -FOREVER  # when the list last reported it as gone or omitted it
+        self.inferred_restart_at = -FOREVER  # when it presumably restarted without the list saying so
 
     def own_in_flight_at(self, moment: int) -> int:
-        """How many own postings were out there at that moment."""
-        # By halves: ten guesses at a report's age, each looked for from the end, took a third of the CPU.
+        """Return how many own postings were in flight at that moment."""
+        # A binary search: linear scans for ten assumed report ages took a third of the CPU time.
         return self.in_flight_history[max(0, bisect_left(self.in_flight_history, (moment + 1,)) - 1)][1]
 
     def record_in_flight(self, now: int) -> None:
-        """Own postings out have changed."""
+        """Append the current number of own postings in flight to the history."""
         self.in_flight_history.append((now, len(self.in_flight)))
         if len(self.in_flight_history) > 1024:
             del self.in_flight_history[:512]
 
     def mark_alive(self, now: int) -> None:
-        """A sign of life."""
+        """Record a sign of life and clear the suspicion."""
         self.last_alive_at, self.is_suspect, self.lost_trials, self.free_slots_estimate_until = (
             now,
             False,
@@ -98,28 +90,35 @@
 
 
 class CustomerUsage:
-    """A customer's use of its share, as far as it comes through us."""
-
-    def __init__(self, allowance: float, now: int, least: float) -> None:
-        self.quota_rate = allowance  # txns in a tenth of a millisecond, over all dispatchers
-        self.min_bucket_size = least  # txns that its purse holds at the least
-        self.tokens = float("inf")  # full at the start, whatever its size turns out to be
+    """A token bucket for the part of a customer's traffic that passes through this dispatcher.
+
+    Args:
+        quota_rate: txns per tick over all dispatchers.
+        now: current time, ticks.
+        min_bucket_size: the least number of txns that the bucket holds when full.
+    """
+
+    def __init__(self, quota_rate: float, now: int, min_bucket_size: float) -> None:
+        self.quota_rate = quota_rate
+        self.min_bucket_size = min_bucket_size
+        self.tokens = float("inf")  # starts full, at whatever size `bucket_size` returns later
         self.refilled_at, self.arrivals = now, deque[int](maxlen=64)
 
     def arrival_rate(self, now: int) -> float:
-        """Txns in a tenth of a millisecond, over the last ones; 0 while they are too few."""
+        """Return txns per tick over the last arrivals; 0 with fewer than 8 of them."""
         return len(self.arrivals) / max(1, now - self.arrivals[0]) if len(self.arrivals) > 7 else 0.0
 
-    def bucket_size(self, part: float) -> float:
-        """Txns that the purse holds, where that part of the tier's traffic comes through us."""
-        # Fewer txns than that say nothing of a rate: at half a txn a second most of a small customer's were
-        # taken to be over its share, while it was under.
-        return max(self.min_bucket_size, 4 * self.quota_rate * part * SECOND)
+    def bucket_size(self, traffic_share: float) -> float:
+        """Return the txns that a full bucket holds, for this dispatcher's share of the tier's traffic."""
+        # The minimum is there because a rate can't be told from fewer txns: at 0.5 txn/s most txns of a small
+        # customer counted as over its share while it was under.
+        return max(self.min_bucket_size, 4 * self.quota_rate * traffic_share * SECOND)
 
-    def try_consume(self, now: int, part: float) -> bool:
-        """Takes one txn out of the purse, if it is in it."""
+    def try_consume(self, now: int, traffic_share: float) -> bool:
+        """Refill the bucket and take one token; return False if there is none."""
         self.tokens = min(
-            self.bucket_size(part), self.tokens + (now - self.refilled_at) * self.quota_rate * part
+            self.bucket_size(traffic_share),
+            self.tokens + (now - self.refilled_at) * self.quota_rate * traffic_share,
         )
         self.refilled_at = now
         if self.tokens < 1.0:
@@ -129,18 +128,20 @@
 
 
 class ZoneBaseline:
-    """What the last looks at one zone's workers found: what is believed of those not heard from."""
+    """The mean load of one zone's workers, assumed for workers that have not reported."""
 
     def __init__(self) -> None:
-        self.readings: deque[tuple[int, float]] = deque(maxlen=32)  # (when, others' jobs less slots)
+        self.readings: deque[tuple[int, float]] = deque(maxlen=32)  # (when, jobs of others minus the slots)
         self.mean = -1.0
 
-    def add_reading(self, now: int, told: float) -> None:
-        self.readings.append((now, told))
+    def add_reading(self, now: int, excess_jobs: float) -> None:
+        """Add one worker's reading: jobs of other dispatchers minus its slots."""
+        self.readings.append((now, excess_jobs))
         self.update_mean(now)
 
-    def update_mean(self, now: int, lasts: float = FOREVER) -> None:
-        while self.readings and now - self.readings[0][0] > lasts:
+    def update_mean(self, now: int, max_age_ticks: float = FOREVER) -> None:
+        """Drop the readings older than `max_age_ticks` and compute the mean of the rest."""
+        while self.readings and now - self.readings[0][0] > max_age_ticks:
             self.readings.popleft()
-        # A few samples say little: lean on one free slot, which is where a look begins.
-        self.mean = (sum(told for _, told in self.readings) - 3.0) / (len(self.readings) + 3)
+        # With few samples the mean tends to one free slot (-1), at which a probe becomes worthwhile.
+        self.mean = (sum(excess_jobs for _, excess_jobs in self.readings) - 3.0) / (len(self.readings) + 3)
