--- a/pathsaddle/event_log.py
+++ b/pathsaddle/event_log.py
@@ -1,11 +1,11 @@
-"""The log of a run: what happened, as its peers saw it, one event a line.
+"""The event log of a run, as its peers observed it: one JSON event per line.
 
-The emulator, the planner and every process that writes a history log append events; invariant checkers (`emulator/`)
-and history checkers (`histories/`) read them and nothing else. This module knows no kind of event: names and members are
-those of docs/histories.md and of each checker.
+The emulator, the planner and every process that writes a history log append events; invariant checkers
+(`emulator/`) and history checkers (`histories/`) read nothing else. The kinds of events and their members are
+defined in docs/histories.md and by each checker, not in this module.
 
-Peers stamp an event with the moment at which the bytes crossed the program's own sockets, so an event may be appended
-after later ones.
+An event carries the moment at which the bytes crossed the program's own sockets, so events may be appended
+out of order.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class Event(msgspec.Struct):
-    """One thing that happened.
+    """One event.
 
     Attributes:
-        at: when, in ticks (tenths of a millisecond) since the run's start.
-        what: its kind.
-        more: its members, by name.
+        at: ticks (tenths of a millisecond) since the start of the run.
+        what: the kind of the event.
+        more: the event's members, by name.
     """
 
     at: int
@@ -39,7 +39,7 @@
         self.rows: list[Event] = []
 
     def add(self, at: int, what: str, **more: Any) -> None:
-        """Append an event; the arguments are `Event`'s attributes."""
+        """Append an event; see `Event` for the arguments."""
         self.rows.append(Event(at, what, more))
 
     def lines(self) -> Iterable[bytes]:
@@ -47,26 +47,31 @@
         return map(msgspec.json.encode, self.rows)
 
     def digest(self, more: bytes = b"") -> str:
-        """Return a hash of all events: equal for two runs in which the same happened.
+        """Return a hash of all events, equal for two identical runs.
 
         Args:
-            more: a digest of the bytes that crossed, where the environment knows them.
+            more: a digest of the transferred bytes, where the environment records them.
         """
-        whole = hashlib.blake2b(more, digest_size=12)
+        digest = hashlib.blake2b(more, digest_size=12)
         for line in self.lines():
-            whole.update(line)
-        return whole.hexdigest()
+            digest.update(line)
+        return digest.hexdigest()
 
     def write(self, path: Path) -> None:
-        """Write all events to a file. Raises OSError."""
+        """Write all events to a file.
+
+        Raises:
+            OSError: the file can't be written.
+        """
         path.write_bytes(b"\n".join(self.lines()) + b"\n")
 
 
 def read(path: Path) -> list[Event]:
-    """Read a file that `write` wrote.
+    """Read a file written by `EventLog.write`.
 
     Raises:
         OSError: the file can't be read.
-        msgspec.DecodeError, msgspec.ValidationError: a line is no event.
+        msgspec.DecodeError: a line is not valid JSON.
+        msgspec.ValidationError: a line is not an event.
     """
     return [msgspec.json.decode(line, type=Event) for line in path.read_bytes().splitlines() if line]
