--- a/pathsaddle/drill/__init__.py
+++ b/pathsaddle/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: many dispatchers in one process, fed on standard input."""
+"""The wire of the operators' bench: many dispatchers in one process, driven over standard input."""
--- a/pathsaddle/drill/__main__.py
+++ b/pathsaddle/drill/__main__.py
@@ -2,15 +2,16 @@
 
 import sys
 
-from pathsaddle.drill.codec import Malformed
-from pathsaddle.drill.stand import Stand
+from pathsaddle.drill.codec import MalformedLineError
+from pathsaddle.drill.stand import DrillServer
 
 
 def main() -> int:
+    """Serve standard input until it ends; return the exit code."""
     try:
-        Stand(sys.stdin, sys.stdout).run()
-    except Malformed as fault:
-        print(f"pathsaddle.drill: {fault}", file=sys.stderr)
+        DrillServer(sys.stdin, sys.stdout).run()
+    except MalformedLineError as error:
+        print(f"pathsaddle.drill: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/pathsaddle/drill/codec.py
+++ b/pathsaddle/drill/codec.py
@@ -1,4 +1,4 @@
-"""The bench's words, and no others' business: lines in, trade types out, and back."""
+"""Parsing of the fields of the bench's lines into the scheduler's types."""
 
 from __future__ import annotations
 
@@ -18,33 +18,40 @@
     "7": Outcome.CANCELLED,
     "8": Outcome.MOOT,
 }
-NEWS = {"D": ListUpdate.CHANGES, "F": ListUpdate.WHOLE, "C": ListUpdate.REMEMBERED, "X": ListUpdate.FAILED}
-STANDINGS = {"Ready": ListedState.READY, "Terminating": ListedState.DRAINING, "Gone": ListedState.GONE}
+LIST_UPDATES = {
+    "D": ListUpdate.CHANGES,
+    "F": ListUpdate.WHOLE,
+    "C": ListUpdate.REMEMBERED,
+    "X": ListUpdate.FAILED,
+}
+LISTED_STATES = {"Ready": ListedState.READY, "Terminating": ListedState.DRAINING, "Gone": ListedState.GONE}
 
 
-class Malformed(Exception):
-    """A line that breaks the wire's grammar."""
+class MalformedLineError(Exception):
+    """A line does not follow the grammar of the bench's wire."""
 
 
-def optional(part: str) -> str | None:
-    return None if part == "-" else part
+def parse_optional(text: str) -> str | None:
+    """Return a field's text, or None for `-`, which stands for an absent value."""
+    return None if text == "-" else text
 
 
-def report(row: str, fields: list[str]) -> LoadReport | None:
+def parse_report(row: str, fields: list[str]) -> LoadReport | None:
+    """Return the load report in a row of comma-separated figures, one for each of `fields`."""
     return None if row in ("-", "") else terms.report(list(zip(fields, row.split(","))))
 
 
-def worker(parts: list[str]) -> Worker:
-    """ROW share boot type locality block health address"""
-    share, boot, kind, zone, cell, health, tag = parts[1:8]
-    started = int(optional(boot) or 0)
+def parse_worker(parts: list[str]) -> Worker:
+    """Return the worker in the parts of a line: ROW share boot type locality block health address."""
+    weight, boot, machine, zone, cell, health, tag = parts[1:8]
+    started_ns = int(parse_optional(boot) or 0)
     return Worker(
         tag,
-        int(optional(zone) or 0),
-        int(optional(cell) or 0),
-        int(optional(kind) or 0),
-        float(optional(share) or 1),
-        passed(started) if started > 0 else None,
-        STANDINGS[health],
+        int(parse_optional(zone) or 0),
+        int(parse_optional(cell) or 0),
+        int(parse_optional(machine) or 0),
+        float(parse_optional(weight) or 1),
+        passed(started_ns) if started_ns > 0 else None,
+        LISTED_STATES[health],
         crc32(tag.encode()),
     )
--- a/pathsaddle/errors.py
+++ b/pathsaddle/errors.py
@@ -1,9 +1,9 @@
-"""What reaches an operator: one family of errors, each with a stable name, what happened, and what can be done.
+"""The base class of the errors that reach an operator: each has a stable name, a message and a remedy.
 
-This module imports nothing: the platform's program loads it too. Each package states its own errors beside the code
-that raises them, as subclasses; docs/errors.md lists them all, and a test holds page and code together. An error that
-only steers our own code (a datagram refused, a store that another process took over) is none of these and is caught
-where it was meant for.
+This module imports nothing, since the platform's program loads it too. Each package defines its own errors as
+subclasses beside the code that raises them; docs/errors.md lists them all, and a test compares that page with
+the code. Exceptions that only control our own code (a rejected datagram, a store that another process took
+over) are not subclasses and are caught by the code that expects them.
 
     class Taken(Error):
         name = "fleet.taken"
@@ -13,18 +13,21 @@
     raise Taken(file=file, address=address)
 """
 
-CATALOGUE: dict[str, type["Error"]] = {}  # by name, of all modules loaded until now
-FINDING, USAGE = 1, 2  # end codes: what was asked for can't be had now; what was told is wrong
+CATALOGUE: dict[str, type["Error"]] = {}  # all error classes of the loaded modules, by name
+FINDING, USAGE = 1, 2  # exit codes: the request can't be met now; the input is wrong
 
 
 class Error(Exception):
-    """What an operator is told.
+    """An error that is reported to an operator.
 
-    name: stable, `subsystem.what-is-wrong`; scripts and pages go by it. what: what happened. do: what can be done, one
-    sentence that names the very key, file, member or command. code: the process's end code where it ends by it.
+    A subclass defines `what` and `do` once, with {fields} that the raising code fills in. Texts that
+    differ from case to case are arguments instead: `Error(what, do)`, with `name` as a third if it differs too.
 
-    A subclass states `what` and `do` once, with {fields} that whoever raises it fills in; where the words differ from
-    case to case they are handed in whole instead, as `Error(what, do)`, and `name` as a third where it does, too.
+    Attributes:
+        name: stable, `subsystem.what-is-wrong`; scripts and documentation pages refer to it.
+        what: the message: what failed.
+        do: the remedy: one sentence that names the exact key, file, member or command.
+        code: the exit code of a process that ends with this error.
     """
 
     name = ""
@@ -32,45 +35,54 @@
     do = ""
     code = USAGE
 
-    def __init_subclass__(cls, **more: object) -> None:
-        super().__init_subclass__(**more)
-        # A base of several states no name of its own: nobody raises it.
+    def __init_subclass__(cls, **options: object) -> None:
+        super().__init_subclass__(**options)
+        # An abstract base of several errors has no name of its own and is never raised.
         if "name" in cls.__dict__ and CATALOGUE.setdefault(cls.name, cls).__qualname__ != cls.__qualname__:
-            raise TypeError(f"two errors are called {cls.name}")
+            raise TypeError(f"two error classes have the name {cls.name}")
 
     def __init__(self, what: str = "", do: str = "", name: str = "", /, **told: object) -> None:
         self.what = what or type(self).what.format(**told)
         self.do = do or type(self).do.format(**told)
         self.name = name or type(self).name
         self.told = told
-        super().__init__(
-            self.what, self.do, self.name
-        )  # so that it is the same after a way between processes
+        # Unpickling passes these arguments to the constructor, so the error can cross a process boundary.
+        super().__init__(self.what, self.do, self.name)
 
     def __str__(self) -> str:
         return f"{self.what}; {self.do} [{self.name}]"
 
 
-def why(fault: BaseException) -> str:
-    """In words what the kernel, or a library, said: without number, class or path, which the sentence around it has."""
-    told = getattr(fault, "strerror", None) or str(fault) or type(fault).__name__
-    return told[:1].lower() + told[1:] if told[1:2].islower() else told
+def why(error: BaseException) -> str:
+    """Return the message of an operating system or library error, to be embedded in a sentence.
+
+    The message has no error number, class or path, and begins with a lower-case letter unless its first word
+    is an acronym.
+    """
+    message = getattr(error, "strerror", None) or str(error) or type(error).__name__
+    return message[:1].lower() + message[1:] if message[1:2].islower() else message
 
 
-def access(fault: BaseException, path: object, folder: object = "") -> str:
-    """What can be done where a file can't be had: by what the kernel said of it. `folder`: where it is to be made."""
-    if isinstance(fault, FileNotFoundError):
+def access(error: BaseException, path: object, folder: object = "") -> str:
+    """Return the remedy for a file that can't be accessed, by the error's class.
+
+    Args:
+        error: the error that the access raised.
+        path: the file.
+        folder: the folder in which the file was to be created.
+    """
+    if isinstance(error, FileNotFoundError):
         return (
             f"make the folder {folder}"
             if folder
             else f"give the path of a file that is there instead of {path}"
         )
-    if isinstance(fault, PermissionError):
+    if isinstance(error, PermissionError):
         return f"let the user who runs this have {folder or path} (chmod, chown), or name another"
-    if isinstance(fault, NotADirectoryError):
+    if isinstance(error, NotADirectoryError):
         return f"name another path than {path}: a part of it that should be a folder is a file"
-    if isinstance(fault, IsADirectoryError):
+    if isinstance(error, IsADirectoryError):
         return f"name a file instead of the folder {path}"
-    if isinstance(fault, UnicodeError):
+    if isinstance(error, UnicodeError):
         return f"save {path} as text in UTF-8, or name another file"
-    return f"see that {folder or path} can be had by the user who runs this, or name another"
+    return f"check that the user who runs this can access {folder or path}, or name another"
