--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,4 @@
-"""The house's order, read from its source alone: no circle of imports, and none that runs upward."""
+"""Tests of the import graph, read from the sources: no cycles, and no imports of a higher layer."""
 
 import ast
 import tomllib
@@ -7,7 +7,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-# What a module of decisions may not import: clocks, sockets, files, processes, threads, unseeded randomness, logging.
+# Modules that a scheduler module may not import: clocks, sockets, files, processes, threads, unseeded
+# randomness, logging.
 IO_MODULES = {
     "asyncio",
     "io",
@@ -28,8 +29,8 @@
     "time",
     "uvloop",
 }
-ABOVE = ("emulator", "experiment")  # and `cli`, which nobody but `__main__` takes
-RUNS = (
+TOP_LAYERS = ("emulator", "experiment")  # and `cli`, which only `__main__` may import
+EMULATOR_RUNS = (
     "emulator.judges",
     "emulator.stage",
     "emulator.membership",
@@ -39,8 +40,8 @@
     "emulator.federation",
     "emulator.ownership",
 )
-# Of each part: what it may not import, wherever in its source the import stands.
-BELOW = {
+# By package or module: what it may not import, at module level or inside a function.
+FORBIDDEN_IMPORTS = {
     "scheduler_types": (
         "worker_state",
         "scheduler",
@@ -49,14 +50,14 @@
         "fleet",
         "jobs",
         "config",
-        *ABOVE,
+        *TOP_LAYERS,
     ),
-    "worker_state": ("scheduler", "scheduler_driver", "net", "fleet", "jobs", "config", *ABOVE),
-    "scheduler": ("net", "fleet", "jobs", "config", *ABOVE),
-    "scheduler_driver": ("net", "fleet", "jobs", "config", *ABOVE),
-    "net": ("fleet", *ABOVE),
-    "fleet": ABOVE,
-    "jobs": ABOVE,
+    "worker_state": ("scheduler", "scheduler_driver", "net", "fleet", "jobs", "config", *TOP_LAYERS),
+    "scheduler": ("net", "fleet", "jobs", "config", *TOP_LAYERS),
+    "scheduler_driver": ("net", "fleet", "jobs", "config", *TOP_LAYERS),
+    "net": ("fleet", *TOP_LAYERS),
+    "fleet": TOP_LAYERS,
+    "jobs": TOP_LAYERS,
     "event_log": (
         "scheduler_types",
         "worker_state",
@@ -67,7 +68,7 @@
         "jobs",
         "config",
         "histories",
-        *ABOVE,
+        *TOP_LAYERS,
     ),
     "histories": (
         "net",
@@ -78,17 +79,17 @@
         "settings",
         "federation",
         "placement",
-        *ABOVE,
+        *TOP_LAYERS,
     ),
-    "placement": ABOVE,
-    "federation": ABOVE,
-    "consensus": ABOVE,
-    "settings": ABOVE,
-    "config": ABOVE,
+    "placement": TOP_LAYERS,
+    "federation": TOP_LAYERS,
+    "consensus": TOP_LAYERS,
+    "settings": TOP_LAYERS,
+    "config": TOP_LAYERS,
     "emulator": ("experiment",),
-    "emulator.ground": ("emulator.served", "emulator.faults", "emulator.plan", *RUNS),
-    "emulator.served": ("emulator.faults", *RUNS),
-    "emulator.faults": RUNS,
+    "emulator.ground": ("emulator.served", "emulator.faults", "emulator.plan", *EMULATOR_RUNS),
+    "emulator.served": ("emulator.faults", *EMULATOR_RUNS),
+    "emulator.faults": EMULATOR_RUNS,
     "emulator.judges": (
         "emulator.ground",
         "emulator.served",
@@ -99,8 +100,8 @@
 }
 
 
-def modules(root: Path) -> dict[str, Path]:
-    """By name, the package's own left out."""
+def find_modules(root: Path) -> dict[str, Path]:
+    """Return the path of each module by its name without the `pathsaddle` prefix."""
     found = {}
     for path in sorted((root / "pathsaddle").rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
@@ -108,92 +109,97 @@
     return found
 
 
-def imports(source: str, known: dict[str, Path]) -> tuple[set[str], set[str]]:
-    """Modules of ours that a source imports: as it is loaded, or for its types; and those that its functions do."""
+def parse_imports(source: str, known: dict[str, Path]) -> tuple[set[str], set[str]]:
+    """Return our modules that a source imports at module level (also for types only), and inside functions."""
     loaded: set[str] = set()
-    later: set[str] = set()
+    in_functions: set[str] = set()
 
-    def ours(name: str) -> str | None:
+    def own_module(name: str) -> str | None:
         name = (
             name.removeprefix("pathsaddle").removeprefix(".") if name.split(".")[0] == "pathsaddle" else "?"
         )
         return name if name in known else None
 
     def walk(node: ast.AST, found: set[str]) -> None:
-        for part in ast.iter_child_nodes(node):
+        for child in ast.iter_child_nodes(node):
             names = (
-                [alias.name for alias in part.names] if isinstance(part, (ast.Import, ast.ImportFrom)) else []
+                [alias.name for alias in child.names]
+                if isinstance(child, (ast.Import, ast.ImportFrom))
+                else []
             )
-            if isinstance(part, ast.ImportFrom):
-                assert not part.level, "a relative import"
-                # Of a package its modules, of a module its names.
+            if isinstance(child, ast.ImportFrom):
+                assert not child.level, "relative imports are not supported"
+                # The names imported from a package may be modules; those from a module are not.
                 names = [
-                    f"{part.module}.{name}" if ours(f"{part.module}.{name}") else str(part.module)
+                    f"{child.module}.{name}" if own_module(f"{child.module}.{name}") else str(child.module)
                     for name in names
                 ]
-            found.update(name for name in map(ours, names) if name)
-            walk(part, later if isinstance(part, (ast.FunctionDef, ast.AsyncFunctionDef)) else found)
+            found.update(name for name in map(own_module, names) if name)
+            walk(child, in_functions if isinstance(child, (ast.FunctionDef, ast.AsyncFunctionDef)) else found)
 
     walk(ast.parse(source), loaded)
-    return loaded, later
+    return loaded, in_functions
 
 
-def within(name: str, part: str) -> bool:
-    return name == part or name.startswith(part + ".")
+def is_within(name: str, package: str) -> bool:
+    return name == package or name.startswith(package + ".")
 
 
-def upward(name: str, others: set[str]) -> list[str]:
+def forbidden_imports(name: str, others: set[str]) -> list[str]:
     found = [
         other
         for other in sorted(others)
-        for part, barred in BELOW.items()
-        if within(name, part) and any(within(other, bar) for bar in barred)
+        for package, forbidden in FORBIDDEN_IMPORTS.items()
+        if is_within(name, package) and any(is_within(other, entry) for entry in forbidden)
     ]
     return found + [
         other
         for other in sorted(others)
-        if within(other, "cli") and not within(name, "cli") and name != "__main__"
+        if is_within(other, "cli") and not is_within(name, "cli") and name != "__main__"
     ]
 
 
-class TheHouse(unittest.TestCase):
+class ImportGraphTest(unittest.TestCase):
     def setUp(self):
-        self.known = modules(ROOT)
-        self.found = {
-            name: imports(path.read_text(encoding="utf-8"), self.known) for name, path in self.known.items()
+        self.modules = find_modules(ROOT)
+        self.imports = {
+            name: parse_imports(path.read_text(encoding="utf-8"), self.modules)
+            for name, path in self.modules.items()
         }
 
-    def test_no_module_imports_itself_by_way_of_others(self):
+    def test_there_are_no_import_cycles(self):
         try:
-            TopologicalSorter({name: loaded for name, (loaded, _) in self.found.items()}).prepare()
-        except CycleError as fault:
-            self.fail("a circle: " + " <- ".join(fault.args[1]))
-
-    def test_no_import_runs_upward(self):
-        wrong = [
-            f"{name} takes {other}"
-            for name, (loaded, later) in self.found.items()
-            for other in upward(name, loaded | later)
+            TopologicalSorter({name: loaded for name, (loaded, _) in self.imports.items()}).prepare()
+        except CycleError as error:
+            self.fail("import cycle: " + " <- ".join(error.args[1]))
+
+    def test_no_module_imports_a_higher_layer(self):
+        violations = [
+            f"{name} imports {other}"
+            for name, (loaded, in_functions) in self.imports.items()
+            for other in forbidden_imports(name, loaded | in_functions)
         ]
-        self.assertEqual(wrong, [])
+        self.assertEqual(violations, [])
 
-    def test_the_rules_name_parts_that_are_there(self):
-        for part in [*BELOW, *(bar for barred in BELOW.values() for bar in barred)]:
-            self.assertIn(part, self.known)
+    def test_the_rules_name_existing_modules(self):
+        for name in [*FORBIDDEN_IMPORTS, *(entry for names in FORBIDDEN_IMPORTS.values() for entry in names)]:
+            self.assertIn(name, self.modules)
 
-    def test_the_decisions_can_be_read_at_night(self):
-        """Each module under `policy` keeps to the line length and neither waits nor does I/O."""
+    def test_policy_modules_keep_the_line_length_and_do_no_io(self):
+        """Check each module that `policy` in deploy/balancer.toml lists: no long line, no I/O, no `await`."""
         policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
         self.assertTrue(policy)
         for name in policy:
             source = (ROOT / name).read_text(encoding="utf-8")
             self.assertEqual([line for line in source.splitlines() if len(line) > 110], [], name)
             nodes = list(ast.walk(ast.parse(source)))
-            found = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
-            found |= {str(node.module) for node in nodes if isinstance(node, ast.ImportFrom)}
-            self.assertEqual({module for module in found if module.split(".")[0] in IO_MODULES}, set(), name)
-            waiting = [node for node in nodes if isinstance(node, (ast.AsyncFunctionDef, ast.Await))]
-            self.assertEqual(waiting, [], name)
+            imported = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
+            imported |= {str(node.module) for node in nodes if isinstance(node, ast.ImportFrom)}
+            self.assertEqual(
+                {module for module in imported if module.split(".")[0] in IO_MODULES}, set(), name
+            )
+            async_nodes = [node for node in nodes if isinstance(node, (ast.AsyncFunctionDef, ast.Await))]
+            self.assertEqual(async_nodes, [], name)
             calls = {
                 node.func.id
                 for node in nodes
@@ -201,11 +207,14 @@
             }
             self.assertEqual(calls & {"open", "input", "print"}, set(), name)
 
-    def test_what_only_types_need_counts_and_what_a_function_imports_counts_apart(self):
+    def test_type_only_imports_count_and_imports_in_functions_are_separate(self):
         source = (
             "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from pathsaddle.emulator.stage import Stage\n"
             "def one():\n    from pathsaddle.cli import main\nimport pathsaddle.scheduler_types\n"
         )
-        loaded, later = imports(source, self.known)
-        self.assertEqual((loaded, later), ({"emulator.stage", "scheduler_types"}, {"cli.main"}))
-        self.assertEqual(upward("net.service.txn_service", loaded | later), ["emulator.stage", "cli.main"])
+        loaded, in_functions = parse_imports(source, self.modules)
+        self.assertEqual((loaded, in_functions), ({"emulator.stage", "scheduler_types"}, {"cli.main"}))
+        self.assertEqual(
+            forbidden_imports("net.service.txn_service", loaded | in_functions),
+            ["emulator.stage", "cli.main"],
+        )
