--- a/pathsaddle/errors.py
+++ b/pathsaddle/errors.py
@@ -21,7 +21,7 @@
     """An error that is reported to an operator.
 
     A subclass defines `what` and `do` once, with {fields} that the raising code fills in. Texts that
-    differ from case to case are arguments instead: `Error(what, do)`, with `name` as a third if it differs too.
+    differ from case to case are arguments instead: `Error(what, do)`, and `name` as a third if needed.
 
     Attributes:
         name: stable, `subsystem.what-is-wrong`; scripts and documentation pages refer to it.
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -1,4 +1,4 @@
-"""One tiny host for every story: it keeps what the loop orders and plays the workers' part."""
+"""A fake transport for scheduler tests: it records what the driver requests and plays the workers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 REPEATABLE, REFERENCED, ONCE_ONLY = Semantics.REPEATABLE, Semantics.REFERENCED, Semantics.ONCE_ONLY
 
 
-# As the configuration of a dispatcher on sockets gives it.
+# The settings of a dispatcher on sockets, in the form of its configuration.
 SETTINGS: dict[str, Any] = {
     "Azs": ["a", "b"],
     "Balancers": 1,
@@ -71,8 +71,8 @@
 }
 
 
-def scheme(semantics: Semantics = REPEATABLE, **more: object) -> Scheme:
-    given = dict(  # noqa: C408  # reads like the call that it is for
+def scheme(semantics: Semantics = REPEATABLE, **overrides: object) -> Scheme:
+    defaults = dict(  # noqa: C408  # shaped like the constructor call
         index=0,
         semantics=semantics,
         sla_time=SECOND,
@@ -83,11 +83,11 @@
         group=DeduplicationGroup.ALL,
         window=5 * SECOND,
     )
-    return Scheme(**{**given, **more})  # type: ignore[arg-type]
+    return Scheme(**{**defaults, **overrides})  # type: ignore[arg-type]
 
 
 class FakeHost:
-    """A door that writes down what it is asked, and a clock."""
+    """A transport that records every request, with a clock that the test moves."""
 
     def __init__(
         self,
@@ -96,9 +96,9 @@
         customers: list[Customer] | None = None,
         news: ListUpdate = ListUpdate.WHOLE,
         seed: int = 7,
-        **terms: object,
+        **config: object,
     ) -> None:
-        given = dict(  # noqa: C408  # reads like the call that it is for
+        defaults = dict(  # noqa: C408  # shaped like the constructor call
             schemes=list(schemes) or [scheme()],
             customers=customers or [],
             dispatchers=1,
@@ -130,7 +130,7 @@
             reports_in_answers=True,
             reports_in_probes=True,
         )
-        self.terms = SchedulerConfig(**{**given, **terms})  # type: ignore[arg-type]
+        self.terms = SchedulerConfig(**{**defaults, **config})  # type: ignore[arg-type]
         self.now = 100 * SECOND
         self.posted: list[Posting] = []
         self.answers: dict[str, list[str]] = {}
@@ -145,15 +145,15 @@
         self.loop.on_list_update(news, self.workers)
         self.loop.run_pending()
 
-    def post(self, posting: Posting, within: int) -> None:
+    def post(self, posting: Posting, timeout_ticks: int) -> None:
         assert not posting.txn.is_closed, "posted after the final answer"
         self.posted.append(posting)
 
     def cancel(self, posting: Posting) -> None:
         self.cancelled.append(posting)
 
-    def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None:
-        if elsewhere:
+    def decline(self, txn: Txn, retry_after_ticks: int, try_elsewhere: bool) -> None:
+        if try_elsewhere:
             self.sent_on.append(txn.tag)
         self.answers.setdefault(txn.tag, []).append("declined")
 
@@ -166,23 +166,23 @@
     def subscribe(self) -> None:
         self.subscribed += 1
 
-    def wake(self, delay: int) -> None:
-        self.alarm = self.now + delay
+    def wake(self, delay_ticks: int) -> None:
+        self.alarm = self.now + delay_ticks
 
     def note(self, text: str) -> None:
         pass
 
-    # The story's side.
+    # Events that a test triggers.
 
-    def ask(self, tag: str, of: int = 0, lasts: int | None = None, **more: object) -> Txn:
-        asked = self.terms.schemes[of]
+    def ask(self, tag: str, of: int = 0, lasts: int | None = None, **overrides: object) -> Txn:
+        scheme = self.terms.schemes[of]
         txn = Txn(
             tag,
-            asked,
-            more.pop("customer", None),
+            scheme,
+            overrides.pop("customer", None),
             self.now,  # type: ignore[arg-type]
-            self.now + (lasts or asked.expiry),
-            **more,
+            self.now + (lasts or scheme.expiry),
+            **overrides,
         )  # type: ignore[arg-type]
         self.loop.set_now(self.now)
         self.loop.start_txn(txn)
@@ -193,10 +193,10 @@
         self, posting: Posting, outcome: Outcome = Outcome.SETTLED, report: LoadReport | None = None
     ) -> None:
         self.loop.set_now(self.now)
-        done = outcome is Outcome.SETTLED
-        if done:
+        is_settled = outcome is Outcome.SETTLED
+        if is_settled:
             self.answers.setdefault(posting.txn.tag, []).append("settled")
-        self.loop.on_posting_ended(posting, outcome, self.now - posting.sent_at, done, report)
+        self.loop.on_posting_ended(posting, outcome, self.now - posting.sent_at, is_settled, report)
         self.loop.run_pending()
 
     def take(self, posting: Posting) -> None:
@@ -204,18 +204,18 @@
         self.loop.on_posting_accepted(posting)
 
     def tell(self, worker: Worker, report: LoadReport | None, outcome: Outcome = Outcome.SETTLED) -> None:
-        """What a look at a worker finds."""
+        """Deliver the result of a probe."""
         self.loop.set_now(self.now)
         self.loop.on_probe_result(worker, outcome, 10, report)
         self.loop.run_pending()
 
-    def list(self, news: ListUpdate, *workers: Worker) -> None:
+    def list(self, update: ListUpdate, *workers: Worker) -> None:
         self.loop.set_now(self.now)
-        self.loop.on_list_update(news, workers)
+        self.loop.on_list_update(update, workers)
         self.loop.run_pending()
 
-    def standing(self, worker: Worker, standing: ListedState) -> None:
-        worker.update_from(replace(worker, listed_state=standing))
+    def standing(self, worker: Worker, state: ListedState) -> None:
+        worker.update_from(replace(worker, listed_state=state))
         self.list(ListUpdate.CHANGES, worker)
 
     def start(self, posting: Posting) -> None:
@@ -223,14 +223,14 @@
         self.loop.on_progress(posting, True, 0.0)
         self.loop.run_pending()
 
-    def progress(self, posting: Posting, level: float = 0.1) -> None:
+    def progress(self, posting: Posting, progress: float = 0.1) -> None:
         self.loop.set_now(self.now)
-        self.loop.on_progress(posting, False, level)
+        self.loop.on_progress(posting, False, progress)
         self.loop.run_pending()
 
-    def passes(self, time: int) -> None:
-        """Let time pass, waking the loop whenever it asked to be woken."""
-        until = self.now + time
+    def passes(self, ticks: int) -> None:
+        """Advance the clock, waking the driver whenever it has requested that."""
+        until = self.now + ticks
         while self.alarm is not None and self.alarm <= until:
             self.now, self.alarm = self.alarm, None
             self.loop.set_now(self.now)
@@ -239,9 +239,9 @@
         self.now = until
 
 
-def full(waiting: float = 1.0) -> LoadReport:
-    return LoadReport(free_slots=0.0, queued_jobs=waiting, held_slots=2.0 + waiting)
+def full(queued_jobs: float = 1.0) -> LoadReport:
+    return LoadReport(free_slots=0.0, queued_jobs=queued_jobs, held_slots=2.0 + queued_jobs)
 
 
-def idle(free: float = 2.0) -> LoadReport:
-    return LoadReport(free_slots=free, queued_jobs=0.0, held_slots=2.0 - free)
+def idle(free_slots: float = 2.0) -> LoadReport:
+    return LoadReport(free_slots=free_slots, queued_jobs=0.0, held_slots=2.0 - free_slots)
