--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Stories of what forty dispatchers do that one does not: each is safe alone and harmful together."""
+"""Tests of dispatchers in numbers: behaviour that is harmless in one and harmful in forty together."""
 
 import unittest
 from collections import deque
@@ -14,60 +14,62 @@
 )
 from tests.fakehost import ONCE_ONLY, FakeHost, full, scheme
 
-MOMENT = SECOND // 100
+STEP = SECOND // 100
 
 
 class SlowList:
-    """A list service that works through calls in turn, five a second, also those that have waited two
-    seconds and were told so; who comes behind four seconds' work finds no place.
+    """A list service that answers calls in order, five per second.
+
+    A call fails for its caller after 2 s but still takes its turn; calls beyond 4 s of work are refused.
     """
 
-    def __init__(self, hosts: list[FakeHost], rate: int = 5) -> None:
-        self.hosts, self.rate = hosts, rate
-        self.falls: dict[int, list[FakeHost]] = {}  # whose watch is taken for dead, so long after the start
-        self.queue: deque[tuple[int, FakeHost, bool]] = deque()
-        self.watching: dict[int, int] = {}  # who has the list, and since when
+    def __init__(self, hosts: list[FakeHost], calls_per_second: int = 5) -> None:
+        self.hosts, self.calls_per_second = hosts, calls_per_second
+        # By ticks since the start: the hosts whose watch is then found silent.
+        self.silences: dict[int, list[FakeHost]] = {}
+        self.queue: deque[tuple[int, FakeHost, bool]] = deque()  # (called at, caller, whether it still waits)
+        self.watching: dict[int, int] = {}  # by host number: when it got the list
         self.calls = 0
 
-    def plays(self, time: int) -> None:
-        now = begun = self.hosts[0].now
-        asked = [host.subscribed for host in self.hosts] if self.falls else [0] * len(self.hosts)
-        done = now
-        while now < begun + time:
-            now += MOMENT
-            for host in self.falls.pop(now - begun, []):
+    def run(self, ticks: int) -> None:
+        now = start = self.hosts[0].now
+        subscribed = [host.subscribed for host in self.hosts] if self.silences else [0] * len(self.hosts)
+        last_answer_at = now
+        while now < start + ticks:
+            now += STEP
+            for host in self.silences.pop(now - start, []):
                 host.list(ListUpdate.SILENT)
             for number, host in enumerate(self.hosts):
-                host.passes(MOMENT)
-                if host.subscribed > asked[number]:
-                    asked[number] = host.subscribed
+                host.passes(STEP)
+                if host.subscribed > subscribed[number]:
+                    subscribed[number] = host.subscribed
                     self.calls += 1
-                    if len(self.queue) < 4 * self.rate:
+                    if len(self.queue) < 4 * self.calls_per_second:
                         self.queue.append((now, host, True))
                     else:
                         host.list(ListUpdate.FAILED)
-            for place, (at, host, waits) in enumerate(self.queue):
-                if waits and now - at > 2 * SECOND:
-                    self.queue[place] = (at, host, False)
+            for index, (called_at, host, is_waiting) in enumerate(self.queue):
+                if is_waiting and now - called_at > 2 * SECOND:
+                    self.queue[index] = (called_at, host, False)
                     host.list(ListUpdate.FAILED)
-            if self.queue and now >= done + SECOND // self.rate:
-                done = now
-                _, host, waits = self.queue.popleft()
-                if waits:
+            if self.queue and now >= last_answer_at + SECOND // self.calls_per_second:
+                last_answer_at = now
+                _, host, is_waiting = self.queue.popleft()
+                if is_waiting:
                     host.list(ListUpdate.WHOLE, *host.workers)
-                    self.watching[self.hosts.index(host)] = now - begun
+                    self.watching[self.hosts.index(host)] = now - start
 
 
-class TheList(unittest.TestCase):
-    def test_forty_births_at_once_all_get_the_list(self) -> None:
-        """Killed together in a release and born together, 28 of 40 asked in one moment, were told to come
-        again and did, twice a second each: discovery answered none of 486 calls in 38 s.
+class WorkerListTest(unittest.TestCase):
+    def test_forty_dispatchers_started_together_all_get_the_list(self) -> None:
+        """Guards against calls in step: after a release 28 of 40 dispatchers called at the same moment, were
+        refused and retried twice per second each; discovery answered none of 486 calls in 38 s.
         """
-        for beats in (False, True):  # on the simulator, on sockets
+        for has_heartbeats in (False, True):  # on the simulator, on sockets
             hosts = [
                 FakeHost(
                     list_needs_subscription=True,
-                    has_watch_heartbeats=beats,
+                    has_watch_heartbeats=has_heartbeats,
                     dispatchers=40,
                     number=n,
                     seed=n,
@@ -76,75 +78,81 @@
                 for n in range(40)
             ]
             service = SlowList(hosts)
-            service.plays(25 * SECOND)
-            self.assertEqual(len(service.watching), 40, beats)
-            self.assertLess(service.calls, 100, beats)
-
-    def test_watches_that_fall_silent_are_asked_for_anew_before_what_they_missed_counts_as_told(self) -> None:
-        """Discovery answered all the while, in 17 ms; the wait after an outage on top of 3 s of silence had 3 to 7
-        postings at draining workers, the first 0.6 s after the change counted as told. 72 calls in one second
-        stood in no queue there.
+            service.run(25 * SECOND)
+            self.assertEqual(len(service.watching), 40, has_heartbeats)
+            self.assertLess(service.calls, 100, has_heartbeats)
+
+    def test_silent_watches_are_renewed_before_missed_changes_become_binding(self) -> None:
+        """Guards against a retry delay on top of the 3 s of silence: it sent 3 to 7 postings to draining
+        workers, the first 0.6 s after the change was binding, though discovery answered in 17 ms all the
+        while. There 72 calls within one second did not queue.
         """
-        for many, rate in ((2, 5), (40, 25), (200, 72)):
+        for count, calls_per_second in ((2, 5), (40, 25), (200, 72)):
             hosts = [
-                FakeHost(list_needs_subscription=True, dispatchers=many, number=n, seed=n)
-                for n in range(many)
+                FakeHost(list_needs_subscription=True, dispatchers=count, number=n, seed=n)
+                for n in range(count)
             ]
-            service = SlowList(hosts, rate)
+            service = SlowList(hosts, calls_per_second)
             for n, host in enumerate(hosts):
-                # Each had its last line at a moment of its own, up to a beat before all fell silent.
-                last = (2 * SECOND - 2 * SECOND * n // many) // MOMENT * MOMENT
-                service.falls.setdefault(LIST_SILENCE_TIMEOUT - last, []).append(host)
-            service.plays(LIST_NOTIFIED_AFTER)
-            self.assertEqual(len(service.watching), many)
-            self.assertLessEqual(service.calls, 1.1 * many)
-
-    def test_a_call_that_nobody_answers_is_made_again_in_the_same_time(self) -> None:
-        """Its connection came up in the moment in which the watches fell silent: it counts as one of them."""
+                # Each received its last line at a different moment, up to 2 s before all fell silent.
+                last_line_ago = (2 * SECOND - 2 * SECOND * n // count) // STEP * STEP
+                service.silences.setdefault(LIST_SILENCE_TIMEOUT - last_line_ago, []).append(host)
+            service.run(LIST_NOTIFIED_AFTER)
+            self.assertEqual(len(service.watching), count)
+            self.assertLessEqual(service.calls, 1.1 * count)
+
+    def test_an_unanswered_call_is_repeated_as_soon_as_a_silent_watch(self) -> None:
+        """Guards against a late repeat: a call whose connection is set up as the watches fall silent is one
+        of them.
+        """
         for seed in range(20):
             host = FakeHost(
                 list_needs_subscription=True, dispatchers=200, seed=seed, news=ListUpdate.REMEMBERED
             )
             while not host.subscribed:
-                host.passes(MOMENT)
+                host.passes(STEP)
             host.passes(4 * SECOND)
             host.list(ListUpdate.SILENT)
-            host.passes(SECOND // 2 + MOMENT)
+            host.passes(SECOND // 2 + STEP)
             self.assertEqual(host.subscribed, 2, seed)
 
-    def test_one_alone_asks_at_once(self) -> None:
-        """Nobody else is there to be spread from."""
+    def test_a_single_dispatcher_calls_immediately(self) -> None:
+        """Guards against a delay that only spreads the calls of several dispatchers."""
         self.assertEqual(FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED).subscribed, 1)
 
 
-class Word(unittest.TestCase):
-    def test_a_few_jumps_of_others_load_make_no_word_late(self) -> None:
-        """Each sees a worker once in seconds, and others' load has moved meanwhile by as much as one's own few
-        postings: a third of all postings of forty dispatchers went by "late" word, half of those were turned
-        away.
+class ReportAgeTest(unittest.TestCase):
+    def test_jumps_in_the_load_of_others_do_not_make_reports_look_old(self) -> None:
+        """Guards against overestimating the age of reports. A dispatcher sees a worker every few seconds, and
+        the load of others changes meanwhile by as much as its own few postings: a third of all postings of
+        forty dispatchers relied on reports judged old, and half of those were rejected.
         """
-        late = 0
+        misjudged = 0
         for seed in range(40):
             host = FakeHost(workers=2, seed=seed)
-            chance = host.loop.scheduler.random
+            random = host.loop.scheduler.random
             for n in range(16):
-                for part in "abcd":
-                    host.ask(f"{n}{part}")
-                for posting in [p for p in host.posted if p.is_in_flight and chance() < 0.6]:
-                    host.passes(int(chance() * SECOND // 2))
-                    held = chance() * 2.0  # whatever the thirty-nine others have there in this moment
+                for letter in "abcd":
+                    host.ask(f"{n}{letter}")
+                for posting in [p for p in host.posted if p.is_in_flight and random() < 0.6]:
+                    host.passes(int(random() * SECOND // 2))
+                    held_slots = random() * 2.0  # slots that the other 39 dispatchers hold there now
                     host.end(
-                        posting, report=LoadReport(free_slots=4.0 - held, queued_jobs=0.0, held_slots=held)
+                        posting,
+                        report=LoadReport(
+                            free_slots=4.0 - held_slots, queued_jobs=0.0, held_slots=held_slots
+                        ),
                     )
             host.loop.scheduler.judge_age()
-            late += host.loop.scheduler.age > SECOND // 10
-        self.assertLess(late, 5)
+            misjudged += host.loop.scheduler.age > SECOND // 10
+        self.assertLess(misjudged, 5)
 
 
-class ColdWorkers(unittest.TestCase):
-    def test_whose_turn_it_is_finds_the_cold_worker_idle(self) -> None:
-        """Six in ten workers were replaced at once and two thirds of the new ones had no txn in nine seconds: an
-        even part for each of forty holds no job, and a new worker was taken to be as full as its zone.
+class WarmUpTest(unittest.TestCase):
+    def test_the_dispatcher_whose_turn_it_is_posts_to_a_worker_that_is_warming_up(self) -> None:
+        """Guards against idle new workers: after six in ten workers were replaced at once, two thirds of the
+        new ones got no txn in 9 s. A fortieth of a new worker's capacity fits no job, and it was assumed to
+        be as full as its zone.
         """
         posted = []
         for number in (2, 3, 16):
@@ -159,28 +167,32 @@
         self.assertEqual(posted, [["new"], [], ["new"]])
 
 
-class Errors(unittest.TestCase):
-    def test_a_worker_that_failed_stays_out_until_our_next_turn_there(self) -> None:
-        """Few txns each: a worker that had failed one 40 ms ago was free again long before the next posting, and
-        forty dispatchers met nine failing workers 346 times, 94 would have told them all.
+class ErrorBackoffTest(unittest.TestCase):
+    def test_a_failed_worker_gets_no_posting_until_the_backoff_ends(self) -> None:
+        """Guards against a backoff that is shorter than the time between postings: with few txns each, a
+        backoff of 40 ms was over long before the next posting, and forty dispatchers sent 346 postings to
+        nine failing workers, where 94 would have informed all of them.
         """
         slow = {"sla_time": 6 * SECOND, "expiry": 20 * SECOND}
         host = FakeHost(scheme(**slow), scheme(ONCE_ONLY, index=1, **slow), workers=2)
-        for tag in "abc":  # one txn in two seconds
+        for tag in "abc":  # one txn every 2 s
             host.ask(tag)
             host.passes(2 * SECOND)
             host.end(host.posted[-1], Outcome.ERROR if tag == "c" else Outcome.SETTLED)
-        bad = host.posted[2].worker
-        self.assertNotEqual(host.posted[3].worker, bad)  # what failed is posted again, elsewhere
+        failed_worker = host.posted[2].worker
+        self.assertNotEqual(
+            host.posted[3].worker, failed_worker
+        )  # the failed txn is posted again, to another worker
         host.end(host.posted[3])
         for tag in "de":
             host.passes(SECOND)
             host.ask(tag, of=1)
-        self.assertNotIn(bad, [p.worker for p in host.posted[3:]])
+        self.assertNotIn(failed_worker, [p.worker for p in host.posted[3:]])
 
-    def test_what_an_error_loses_goes_where_one_has_ended_well(self) -> None:
-        """Nine workers failed quickly and showed free slots: each of forty dispatchers learnt that of each by a
-        txn of its own, and a once-only one was lost with it.
+    def test_once_only_txns_go_to_a_worker_where_a_txn_has_settled(self) -> None:
+        """Guards against losing once-only txns: nine workers failed quickly and reported free slots, so each
+        of forty dispatchers learnt of each failure by a txn of its own, and a once-only txn was lost that
+        way.
         """
         host = FakeHost(scheme(), scheme(ONCE_ONLY, index=1), workers=12)
         for tag in "abcde":
@@ -190,10 +202,10 @@
         self.assertEqual({p.worker.tag for p in host.posted[1:]}, {host.posted[0].worker.tag})
 
 
-class LostZone(unittest.TestCase):
-    def test_three_that_break_speak_for_their_zone(self) -> None:
-        """Five seconds before the list said so fifteen workers of a zone were gone: 393 postings found that out,
-        up to four of one txn, and the txn was declined.
+class LostZoneTest(unittest.TestCase):
+    def test_three_broken_connections_mark_their_zone_as_lost(self) -> None:
+        """Guards against trying each worker of a lost zone: fifteen workers were gone 5 s before the list
+        said so; 393 postings failed there, up to four of one txn, which was then declined.
         """
         host = FakeHost(workers=12)
         for worker in host.workers[6:]:
@@ -201,10 +213,10 @@
         for n in range(80):
             host.ask(f"{n}")
             while host.posted[-1].is_in_flight:
-                # Six settled first; then the zone is lost, and from the fortieth on it is back.
-                lost = host.posted[-1].worker.zone == 1 and 5 < n < 40
-                host.passes(0 if lost else SECOND // 4)
-                host.end(host.posted[-1], Outcome.UNCONNECTED if lost else Outcome.SETTLED)
-        broke = [p for p in host.posted if p.outcome is Outcome.UNCONNECTED]
-        self.assertLessEqual(len(broke), 12)
+                # Six txns settle first; then the zone is lost, and from the fortieth txn on it is back.
+                is_lost = host.posted[-1].worker.zone == 1 and 5 < n < 40
+                host.passes(0 if is_lost else SECOND // 4)
+                host.end(host.posted[-1], Outcome.UNCONNECTED if is_lost else Outcome.SETTLED)
+        failed = [p for p in host.posted if p.outcome is Outcome.UNCONNECTED]
+        self.assertLessEqual(len(failed), 12)
         self.assertGreater(sum(p.worker.zone == 1 for p in host.posted[-30:]), 5)
