--- a/pathsaddle/drill/__main__.py
+++ b/pathsaddle/drill/__main__.py
@@ -3,13 +3,13 @@
 import sys
 
 from pathsaddle.drill.codec import MalformedLineError
-from pathsaddle.drill.stand import DrillServer
+from pathsaddle.drill.stand import BenchServer
 
 
 def main() -> int:
     """Serve standard input until it ends; return the exit code."""
     try:
-        DrillServer(sys.stdin, sys.stdout).run()
+        BenchServer(sys.stdin, sys.stdout).run()
     except MalformedLineError as error:
         print(f"pathsaddle.drill: {error}", file=sys.stderr)
         return 1
--- a/pathsaddle/drill/stand.py
+++ b/pathsaddle/drill/stand.py
@@ -1,4 +1,4 @@
-"""The drill server: many dispatchers in one process, each with its own transport, on one pair of streams.
+"""The server for the bench: many dispatchers in one process, each with its own transport, on two streams.
 
 A batch is MARK, events, GO; the reply is one line per action, then END. Instances share nothing: each has its
 own driver, workers and txns.
@@ -199,7 +199,7 @@
 }
 
 
-class DrillServer:
+class BenchServer:
     """Reads batches of events for all instances, and writes their actions."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
--- a/pathsaddle/errors.py
+++ b/pathsaddle/errors.py
@@ -41,11 +41,11 @@
         if "name" in cls.__dict__ and CATALOGUE.setdefault(cls.name, cls).__qualname__ != cls.__qualname__:
             raise TypeError(f"two error classes have the name {cls.name}")
 
-    def __init__(self, what: str = "", do: str = "", name: str = "", /, **told: object) -> None:
-        self.what = what or type(self).what.format(**told)
-        self.do = do or type(self).do.format(**told)
+    def __init__(self, what: str = "", do: str = "", name: str = "", /, **fields: object) -> None:
+        self.what = what or type(self).what.format(**fields)
+        self.do = do or type(self).do.format(**fields)
         self.name = name or type(self).name
-        self.told = told
+        self.told = fields
         # Unpickling passes these arguments to the constructor, so the error can cross a process boundary.
         super().__init__(self.what, self.do, self.name)
 
--- a/pathsaddle/scheduler_types.py
+++ b/pathsaddle/scheduler_types.py
@@ -129,15 +129,15 @@
             self.is_known_draining or row.is_known_draining
         )
 
-    def can_receive_postings(self, dropped_stay_open: bool) -> bool:
+    def can_receive_postings(self, delisted_workers_usable: bool) -> bool:
         """Return whether the list permits new postings to this worker (rule 3).
 
         Args:
-            dropped_stay_open: a worker that is listed as gone, or omitted, still accepts postings unless it
-                was reported as draining before.
+            delisted_workers_usable: a worker that is listed as gone, or omitted, still accepts postings
+                unless it was reported as draining before.
         """
         return self.listed_state is ListedState.READY or (
-            dropped_stay_open and self.listed_state is ListedState.GONE and not self.is_known_draining
+            delisted_workers_usable and self.listed_state is ListedState.GONE and not self.is_known_draining
         )
 
 
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -179,11 +179,11 @@
         txn = Txn(
             tag,
             scheme,
-            overrides.pop("customer", None),
-            self.now,  # type: ignore[arg-type]
+            overrides.pop("customer", None),  # type: ignore[arg-type]
+            self.now,
             self.now + (lasts or scheme.expiry),
-            **overrides,
-        )  # type: ignore[arg-type]
+            **overrides,  # type: ignore[arg-type]
+        )
         self.loop.set_now(self.now)
         self.loop.start_txn(txn)
         self.loop.run_pending()
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -5,7 +5,7 @@
 import unittest
 
 from pathsaddle.drill.codec import MalformedLineError
-from pathsaddle.drill.stand import DrillServer
+from pathsaddle.drill.stand import BenchServer
 
 SETTINGS = json.dumps(
     {
@@ -32,7 +32,7 @@
 def run_batches(*batches: str) -> str:
     sink = io.StringIO()
     text = "".join(f"MARK {(n + 1) * 10**9}\n{batch}GO\n" for n, batch in enumerate(batches))
-    DrillServer(io.StringIO(text), sink).run()
+    BenchServer(io.StringIO(text), sink).run()
     return sink.getvalue()
 
 
@@ -53,7 +53,7 @@
                 run_batches(BORN, line)
 
     def test_an_exception_of_the_scheduler_is_reported_with_its_cause(self) -> None:
-        server = DrillServer(io.StringIO(f"MARK 1000000000\n{BORN}GO\n"), io.StringIO())
+        server = BenchServer(io.StringIO(f"MARK 1000000000\n{BORN}GO\n"), io.StringIO())
         server.run()
         server.instances["3"].driver.scheduler.workers.clear()
         del server.instances["3"].driver.scheduler.waiting
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -110,7 +110,7 @@
 
 
 def parse_imports(source: str, known: dict[str, Path]) -> tuple[set[str], set[str]]:
-    """Return our modules that a source imports at module level (also for types only), and inside functions."""
+    """Return the `pathsaddle` modules that a source imports at module level, and inside functions."""
     loaded: set[str] = set()
     in_functions: set[str] = set()
 
