--- a/pathsaddle/scheduler.py
+++ b/pathsaddle/scheduler.py
@@ -1,12 +1,16 @@
-"""All decisions of one dispatcher.
-
-How it is called: `loop.Loop` makes one Choice and tells it what it sees (`listed`, `ended`, `noted`,
-`probed`, `closed`). `serve(txn)` is the life of a txn, read top to bottom; it yields the orders of `trade`
-and is resumed with what came of them. After each group of events `grant()` names the next held txn and the
-worker it gets, until it says None, and `housekeeping()` does what is due (the list, probes) and tells when
-it wants to be called again.
-The interface, both ways, is in `scheduler_types.py`: SchedulerConfig and Transport at the bottom. Times are
-tenths of a millisecond.
+"""The scheduling decisions of one dispatcher.
+
+`scheduler_driver.SchedulerDriver` owns one Scheduler and reports events to it (`on_list_update`,
+`on_posting_ended`, `on_progress`, `on_probe_result`, `on_txn_closed`). `serve(txn)` is the lifecycle of a
+txn as a generator: it yields actions and is resumed with their results. After each group of events
+`grant_next()` returns the next held txn with the worker that it gets, until it returns None. Then
+`housekeeping()` does what is due (list requests, estimates, probes) and returns when it has to run again.
+
+The paper's rule is in `load` and `least`: the worker with the least backlogged work of the txn's own type,
+scaled by its reported queue length, gets the txn.
+
+The interface in both directions is in `scheduler_types.py`: SchedulerConfig, Transport, AdmissionGate and the
+actions. Times are in ticks of a tenth of a millisecond. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,7 +27,7 @@
 
 from pathsaddle.worker_state import FOREVER, CustomerUsage, WorkerState, WorkType, ZoneBaseline
 
-from pathsaddle.scheduler_types import (  # isort: skip  # as many to a line as fit
+from pathsaddle.scheduler_types import (  # isort: skip
     LIST_ANSWER_TIMEOUT,
     LIST_VALIDITY_AFTER_MOVE,
     LIST_SILENCE_TIMEOUT,
@@ -52,227 +56,297 @@
     Worker,
 )
 
-FEW_TURNED_AWAY = 0.3  # doubt below which a try without prompt word is better than holding
-HANDFUL = 8.0  # txns that must come in excess before a customer is taken to be over its share
-STEEP = 2  # how sharply the chance of ending in time falls with the time needed
-ENOUGH = 0.3  # free slots, as expected, that make a posting worth a try
-LOOKS, FEW = 3, 3  # how often, and at how many workers, a txn has a look before it is posted
-SURE = 2.5  # standard errors by which late word must explain reports better than prompt word does
-CLAIMS = 3  # rejections that tell together whether word is late
-CHEAP = 0.02  # a price for crossing under which no chance is told apart so finely: all zones are one
-KEEPERS = 2  # workers for a key beyond what its part of the traffic fills, so that a busy one has a neighbour
-KEYS = 512  # of how many keys we remember the order, and of how many txns the key
-LOOK = 10 * MILLISECOND  # how often held txns are looked at when nothing has happened
-# Guesses of a report's age.
-AGES = tuple(SECOND * n // 100 for n in (1, 20, 40, 70, 100, 140, 200, 280, 400, 550))
+BLIND_MAX_REJECTION_LEVEL = 0.3  # highest rejection level at which posting on late reports beats holding
+HANDFUL = 8.0  # txns in excess before a customer counts as over its share
+RISK_EXPONENT = 2  # exponent by which the chance to end in time falls with the time needed
+MIN_EXPECTED_FREE_SLOTS = 0.3  # expected free slots that justify a posting
+# Probe rounds per txn; workers probed in a round, also the number of failures that suspend a zone.
+MAX_PROBE_ROUNDS, SAMPLE_WORKERS = 3, 3
+AGE_MIN_STANDARD_ERRORS = 2.5  # standard errors by which late reports must fit better than prompt ones
+CLAIM_WINDOW = 3  # recent rejections that are checked together for outdated reports
+# In mean txn values. Below it, chances to end in time are too coarse to compare, and all zones count as one.
+NEGLIGIBLE_CROSS_PRICE = 0.02
+# Workers for a key beyond those its traffic fills, so that a busy one has a substitute.
+SPARE_KEY_WORKERS = 2
+KEY_HISTORY_SIZE = 512  # keys whose worker order is cached, and txns whose key is remembered
+SCAN_INTERVAL = 10 * MILLISECOND  # longest time between scans of held txns when nothing happens
+# Candidate ages of a load report on arrival, in ticks.
+CANDIDATE_AGES = tuple(SECOND * n // 100 for n in (1, 20, 40, 70, 100, 140, 200, 280, 400, 550))
 
 
 class Scheduler:
+    """Decides which worker gets which txn and when, from what one dispatcher has seen."""
+
     def __init__(
-        self, terms: SchedulerConfig, seed: int, now: int, door: Transport, gate: AdmissionGate | None = None
+        self,
+        config: SchedulerConfig,
+        seed: int,
+        now: int,
+        transport: Transport,
+        gate: AdmissionGate | None = None,
     ) -> None:
-        chance = Random(seed)
-        self.random, self.choose = chance.random, chance.choice
-        self.transport, self.gate, self.tick = door, gate, max(1, terms.tick)
-        self.now = self.born = self.look_due = self.probe_due = self.judged = now
+        generator = Random(seed)
+        self.random, self.choose = generator.random, generator.choice
+        self.transport, self.gate, self.tick = transport, gate, max(1, config.tick)
+        self.now = self.born = self.look_due = self.probe_due = self.estimates_updated_at = now
         self.workers: dict[Worker, WorkerState] = {}
-        self.home, self.held, self.open, self.most_open = terms.zone, 0, 0, terms.max_open_txns
-        self.granted = False  # somebody has just got a worker: the next may get one too
-        self.ranked: list[tuple[float, WorkerState]] = []  # the last scan: who competed, with what load
-        self.barred: dict[tuple[Any, ...], None] = {}  # what found no worker
-        self.waiting: list[tuple[tuple[float, int], int, Txn]] = []  # held txns, the next to go first
-        self.number, self.dispatchers = terms.number, terms.dispatchers
-        # Who has the next place in a turn is a sixth of us further on: neighbours may all be of one zone.
-        apart = next(n for n in range(1 + self.dispatchers // 6, FOREVER) if gcd(n, self.dispatchers) == 1)
-        self.cold_step = pow(apart, -1, self.dispatchers)
-        self.part = self.even_part = 1.0 / terms.dispatchers  # what of the tier's traffic seems to be ours
-        self.reserve = 1.5  # slots kept free of what is over its customer's share
-        self.probe_every = (
+        self.home_zone, self.hold_count, self.open_count, self.max_open_txns = (
+            config.zone,
+            0,
+            0,
+            config.max_open_txns,
+        )
+        # The last scan granted a worker, so that the next scan may grant another one.
+        self.has_granted = False
+        # (load, worker) of each candidate in the last scan.
+        self.ranked: list[tuple[float, WorkerState]] = []
+        # Classes of txns that found no worker in this scan.
+        self.unplaceable_classes: dict[tuple[Any, ...], None] = {}
+        # Held txns, highest priority first.
+        self.waiting: list[tuple[tuple[float, int], int, Txn]] = []
+        self.index, self.dispatchers = config.number, config.dispatchers
+        # The next dispatcher in turn has a number a sixth of the fleet further on, because neighbouring
+        # numbers may all be in one zone.
+        stride = next(n for n in range(1 + self.dispatchers // 6, FOREVER) if gcd(n, self.dispatchers) == 1)
+        self.turn_step = pow(stride, -1, self.dispatchers)
+        # The dispatcher's estimated share of the fleet's traffic, and the share if all dispatchers had the
+        # same.
+        self.part = self.even_traffic_share = 1.0 / config.dispatchers
+        # Slots that must stay free after a posting for a customer over its share.
+        self.over_share_reserve = 1.5
+        self.probe_interval = (
             0
-            if not (terms.can_probe and terms.reports_in_probes)
-            else (SECOND // 2 if not terms.reports_in_answers else SECOND // 10)
+            if not (config.can_probe and config.reports_in_probes)
+            else (SECOND // 2 if not config.reports_in_answers else SECOND // 10)
+        )
+        # Probes may cost at most one hundredth of the value of the requested work.
+        self.probe_price = config.price_probe
+        self.probe_tokens_per_txn = min(100.0, 0.01 / max(0.0001, config.price_probe))
+        self.probe_tokens, self.probes_all_workers = (
+            10 * self.probe_tokens_per_txn,
+            not config.reports_in_answers,
+        )
+        self.probe_durations: deque[int] = deque([self.tick], maxlen=16)
+        self.reports_start, self.allows_backfill = config.reports_start, config.allows_backfill
+        self.has_load_reports = config.reports_in_answers or (config.can_probe and config.reports_in_probes)
+        self.fleet_start_delays: deque[int] = deque(maxlen=32)  # from sending a posting to its start, ticks
+        # From sending a posting to its acceptance, ticks.
+        self.accept_delays: deque[int] = deque(maxlen=32)
+        # When workers last rejected a posting as full.
+        self.rejection_times: deque[int] = deque(maxlen=8)
+        self.mean_run_time = self.mean_job_work = float(SECOND)
+        self.hinted_work: deque[float] = deque(maxlen=48)  # slot ticks of the last jobs with a hint
+        # How long an estimate of free slots is reused; without reuse each event ranked the whole fleet anew.
+        self.estimate_lifetime = SCAN_INTERVAL
+        # Pace of the fastest worker, the closest observable reference for hints.
+        self.fastest_pace = 1.0
+        # Slots of the smallest known worker, the guess for the size of a cold one.
+        self.least_slots = 1.0
+        self.late_start_delay, self.age = 40 * MILLISECOND + 2 * self.tick, CANDIDATE_AGES[0]
+        # (when, squared error by candidate age).
+        self.age_errors: deque[tuple[int, list[float]]] = deque(maxlen=48)
+        self.zone_baselines: dict[int, ZoneBaseline] = {}  # by zone
+        self.recent_keys: deque[str] = deque(maxlen=KEY_HISTORY_SIZE)  # keys of the last txns
+        self.order = lru_cache(KEY_HISTORY_SIZE)(self.rank_workers_for_key)
+        # (slots, slots times run time) of the last txns with a key.
+        self.keyed_work: deque[tuple[float, float]] = deque(maxlen=KEY_HISTORY_SIZE)
+        self.wide_job_min_slots = 0.0  # slots from which a job needs a whole worker
+        # Workers that serve only jobs that need a whole worker.
+        self.wide_job_workers: dict[WorkerState, None] = {}
+        # By zone: the workers that failed since the zone's last sign of life.
+        self.zone_failures: dict[int, dict[Worker, None]] = {}
+        self.zone_suspended_until: dict[int, int] = {}
+        # For recent rejections: whether the worker reported free slots.
+        self.rejection_claims: deque[bool] = deque(maxlen=CLAIM_WINDOW)
+        # Until when all reports count as outdated, because workers rejected postings while reporting free
+        # slots.
+        self.reports_distrusted_until = -FOREVER
+        self.silence_timeout = config.progress_interval + config.progress_interval // 2
+        self.needs_list_subscription, self.list_failures = config.list_needs_subscription, 0
+        self.list_lost_at, self.list_request_due, self.list_move_deadline = now, FOREVER, -FOREVER
+        # A pushed change counts as delivered once the local agent has it, with or without an open watch, and
+        # becomes binding one drain grace later.
+        self.list_push_grace = (
+            max(0, config.drain_grace - LIST_TIMER_SLACK) if config.is_list_pushed else FOREVER
         )
-        # Probes may cost one point in a hundred of what is asked for, and no more.
-        self.probe_price = terms.price_probe
-        self.probe_income = min(100.0, 0.01 / max(0.0001, terms.price_probe))
-        self.probe_purse, self.probe_always = 10 * self.probe_income, not terms.reports_in_answers
-        self.probe_times: deque[int] = deque([self.tick], maxlen=16)
-        self.tells_start, self.overtakes = terms.reports_start, terms.allows_backfill
-        self.hears = terms.reports_in_answers or (terms.can_probe and terms.reports_in_probes)
-        self.starts: deque[int] = deque(maxlen=32)  # from posting to start, over the last ones
-        self.takes: deque[int] = deque(maxlen=32)  # from posting to the worker's word that it has it
-        self.turned_away: deque[int] = deque(maxlen=8)  # when the last postings were turned away
-        self.usual_run = self.mean_job = float(SECOND)
-        self.hints: deque[float] = deque(maxlen=48)  # work of the last jobs that came with hints at it
-        self.keep_for = LOOK  # how long a worked out room holds, against ranking a fleet anew each event
-        self.best_pace = 1.0  # the fastest worker's: the nearest we see to the yardstick of hints
-        self.least_slots = 1.0  # what the smallest worker we know holds: the guide to a cold one's size
-        self.late_start, self.age = 40 * MILLISECOND + 2 * self.tick, AGES[0]
-        self.misses: deque[tuple[int, list[float]]] = deque(maxlen=48)  # (when, by how much each age is off)
-        self.usual: dict[int, ZoneBaseline] = {}  # by zone
-        self.asked_of: deque[str] = deque(maxlen=KEYS)  # the keys of the last txns
-        self.order = lru_cache(KEYS)(self.in_order)
-        # Of the last txns with a key: (slots, slots times running time).
-        self.works: deque[tuple[float, float]] = deque(maxlen=KEYS)
-        self.wide_from = 0.0  # slots from which on a job takes a whole worker
-        self.wide: dict[WorkerState, None] = {}  # who serves jobs that take a whole worker, and no others
-        self.dark: dict[int, dict[Worker, None]] = {}  # by zone: who broke since the last sign of life in it
-        self.dark_until: dict[int, int] = {}
-        self.claims: deque[bool] = deque(maxlen=CLAIMS)  # whether the last that turned us away claimed room
-        self.belied_until = (
-            -FOREVER
-        )  # a worker turned us away and claimed room: until when that speaks of all
-        self.silence = terms.progress_interval + terms.progress_interval // 2
-        self.must_ask, self.list_failures = terms.list_needs_subscription, 0
-        self.list_lost, self.list_due, self.list_by = now, FOREVER, -FOREVER
-        # Pushed, a change counts as told once our agent has it, watch or no watch, and binds a grace later.
-        self.list_grace = max(0, terms.drain_grace - LIST_TIMER_SLACK) if terms.is_list_pushed else FOREVER
-        # On sockets what discovery had 6 s before a birth counts as told from then on, whatever `known` says;
-        # and word of an open watch stands no longer. Elsewhere it is good while the list need not be asked.
-        self.list_strict, self.list_word = (
-            terms.has_watch_heartbeats,
-            LIST_VALIDITY if terms.has_watch_heartbeats else FOREVER,
+        # With watch heartbeats (on sockets), what discovery held 6 s before this start counts as delivered
+        # from the start on, whatever the `known` list of the config says, and the data of an open watch
+        # expires without a heartbeat. Elsewhere the data stays valid while the list does not have to be
+        # requested.
+        self.has_watch_heartbeats, self.list_validity = (
+            config.has_watch_heartbeats,
+            LIST_VALIDITY if config.has_watch_heartbeats else FOREVER,
         )
-        self.list_had, self.list_asked = False, now
-        self.list_sure = now + min(
-            self.list_grace, 0 if terms.has_watch_heartbeats else terms.list_poll_interval - LIST_TIMER_SLACK
+        self.has_list, self.list_requested_at = False, now
+        self.list_valid_until = now + min(
+            self.list_push_grace,
+            0 if config.has_watch_heartbeats else config.list_poll_interval - LIST_TIMER_SLACK,
         )
-        self.stayed: deque[bool] = deque(maxlen=16)  # whether the last that waited at home found room there
-        self.landed: deque[bool] = deque(maxlen=16)  # whether the last crossings were taken in
-        self.known: dict[Any, int] = {}  # what was declined lately, and when it was first asked for
-        self.mean_worth, self.worths = 1.0, deque[float](maxlen=96)
-        self.arrivals: deque[int] = deque(maxlen=32)  # when the last txns came
-        # A call never answered must not leave us wordless until deemed told, nor end before it can fail.
-        self.ask_again = max(LIST_SILENCE_TIMEOUT + LIST_TIMER_SLACK, terms.list_poll_interval // 2)
-        # The list service works through all dispatchers' calls in turn, also through those that no longer
-        # wait: asked by 28 in one moment it answered nobody for the rest of a day. So births, breaks and
-        # failures are spread by how many we are, and no call is rarer than makes us deemed told (`listed`).
-        self.list_spread = min((terms.dispatchers - 1) * SECOND // 10, terms.list_poll_interval // 2)
-        self.list_rarest = max(2 * SECOND, 3 * self.list_spread)
-        if self.must_ask:
+        # For recent txns held for the home zone: whether they got a worker there.
+        self.home_wait_results: deque[bool] = deque(maxlen=16)
+        # For recent postings to other zones: whether the worker took them in.
+        self.crossing_results: deque[bool] = deque(maxlen=16)
+        # First request time of recently declined txns, by retry fingerprint.
+        self.first_requests: dict[Any, int] = {}
+        self.mean_value, self.recent_values = 1.0, deque[float](maxlen=96)
+        self.arrival_times: deque[int] = deque(maxlen=32)  # when the last txns arrived
+        # An unanswered request may neither leave the list without news until a change counts as delivered,
+        # nor be given up before it can fail.
+        self.list_request_timeout = max(
+            LIST_SILENCE_TIMEOUT + LIST_TIMER_SLACK, config.list_poll_interval // 2
+        )
+        # The list service processes the requests of all dispatchers in turn, including those whose client no
+        # longer waits: 28 requests in one moment kept it from answering anybody for the rest of a day. So
+        # requests after a start, a break or a failure are spread by the number of dispatchers, and the
+        # longest wait stays below the time after which a change counts as delivered (`on_list_update`).
+        self.list_spread = min((config.dispatchers - 1) * SECOND // 10, config.list_poll_interval // 2)
+        self.list_max_retry_wait = max(2 * SECOND, 3 * self.list_spread)
+        if self.needs_list_subscription:
             spread = (
                 min(self.list_spread, LIST_SILENCE_TIMEOUT)
-                if terms.has_watch_heartbeats
+                if config.has_watch_heartbeats
                 else self.list_spread
             )
-            self.list_due = now + int(spread * self.random())
-        self.runs, self.accounts, self.fall_time = (
+            self.list_request_due = now + int(spread * self.random())
+        self.runs, self.accounts, self.overload_window = (
             dict[Scheme, deque[int]](),
             dict[Any, CustomerUsage](),
             FOREVER,
         )
-        self.update_config(terms)
+        self.update_config(config)
+
+    def update_config(self, config: SchedulerConfig, retired_schemes: Iterable[Scheme] = ()) -> None:
+        """Apply the settings that may change in service, from now on.
 
-    def update_config(self, terms: SchedulerConfig, still: Iterable[Scheme] = ()) -> None:
-        """Terms that may change in service, from this moment on. A scheme whose index was there keeps what
-        was learnt of it; `still` are those that open txns were taken by and that are no more.
+        A scheme whose index existed before keeps its run times. `retired_schemes` are schemes of open txns
+        that the config no longer has.
         """
-        if terms.overload_window > self.fall_time:
-            self.born = self.now  # what went to the cold before the old span is forgotten: as after our start
-        self.schemes, now_by = terms.schemes, {s.index: s for s in terms.schemes}
-        learnt = {s.index: runs for s, runs in self.runs.items()}
-        self.runs = {s: learnt.get(s.index, deque(maxlen=48)) for s in (*terms.schemes, *still)}
-        for book in self.workers.values():
-            book.scheme_pauses = {
-                now_by[s.index]: mute for s, mute in book.scheme_pauses.items() if s.index in now_by
+        if config.overload_window > self.overload_window:
+            # Sends before the shorter old window are forgotten, so that cold workers have to wait as after a
+            # restart.
+            self.born = self.now
+        self.schemes, scheme_by_index = config.schemes, {s.index: s for s in config.schemes}
+        run_times = {s.index: runs for s, runs in self.runs.items()}
+        self.runs = {s: run_times.get(s.index, deque(maxlen=48)) for s in (*config.schemes, *retired_schemes)}
+        for state in self.workers.values():
+            state.scheme_pauses = {
+                scheme_by_index[s.index]: pause
+                for s, pause in state.scheme_pauses.items()
+                if s.index in scheme_by_index
             }
         self.accounts = {
             customer: self.accounts.get(customer) or CustomerUsage(0.0, self.now, HANDFUL)
-            for customer in terms.customers
+            for customer in config.customers
             if customer.quota_rate > 0
         }
-        for customer, account in self.accounts.items():
-            account.quota_rate = customer.quota_rate / SECOND  # of which ours is a part
-        self.for_trials = (
-            list(filter(self.runs_again_anywhere, terms.schemes))
-            or [s for s in terms.schemes if s.semantics is Semantics.REFERENCED]
-            or terms.schemes
+        for customer, usage in self.accounts.items():
+            usage.quota_rate = customer.quota_rate / SECOND  # over all dispatchers
+        self.trial_schemes = (
+            list(filter(self.is_repeatable_anywhere, config.schemes))
+            or [s for s in config.schemes if s.semantics is Semantics.REFERENCED]
+            or config.schemes
+        )
+        self.has_no_repeatable_scheme = not any(map(self.is_repeatable_anywhere, self.trial_schemes))
+        self.probes_periodically = self.probe_interval and (
+            self.probes_all_workers or (self.has_no_repeatable_scheme and self.silence_timeout)
         )
-        self.all_at_risk = not any(map(self.runs_again_anywhere, self.for_trials))
-        self.looks_around = self.probe_every and (self.probe_always or (self.all_at_risk and self.silence))
-        self.max_postings, self.two_at_once = terms.max_postings, terms.allows_hedging
-        self.may_cancel, self.dropped_stay_open = terms.can_cancel, terms.delisted_workers_usable
-        self.cold_share, self.cold_time, self.fall_time = (
-            terms.slow_start_share,
-            terms.slow_start_time,
-            terms.overload_window,
+        self.max_postings, self.two_at_once = config.max_postings, config.allows_hedging
+        self.can_cancel, self.delisted_workers_usable = config.can_cancel, config.delisted_workers_usable
+        self.cold_share, self.ramp_time, self.overload_window = (
+            config.slow_start_share,
+            config.slow_start_time,
+            config.overload_window,
         )
-        self.cold_whole = 0.5 * terms.overload_multiple * terms.overload_window
-        # Among many an even part of what a slot bears at its coldest holds no job: all goes to the turns.
-        self.cold_by_turns = self.cold_whole * terms.slow_start_share / terms.dispatchers < SECOND // 10
-        # Prices, in units of the mean txn's worth.
-        self.by_work, self.over_share = terms.value_by_work, terms.over_share_value
-        self.cross_price, self.max_retry_after = terms.price_cross, terms.max_retry_after
-        self.stirred = True  # something has happened since the last look at held txns
+        self.slow_start_work_per_slot = 0.5 * config.overload_multiple * config.overload_window
+        # With many dispatchers, an even share of what a slot can do when it is coldest holds no whole job
+        # (0.1 s). Then the whole budget is given out in turns.
+        self.cold_by_turns = (
+            self.slow_start_work_per_slot * config.slow_start_share / config.dispatchers < SECOND // 10
+        )
+        # Prices are in units of the mean txn's value.
+        self.value_by_work, self.over_share_value = config.value_by_work, config.over_share_value
+        self.price_cross, self.max_retry_after = config.price_cross, config.max_retry_after
+        self.has_events = True  # since the last scan of held txns
 
-    # The life of a txn.
+    # Lifecycle of a txn.
 
     def serve(self, txn: Txn) -> Generator[Action, Any, None]:
-        self.open += 1
+        """Run the lifecycle of a txn, from its arrival to its final answer."""
+        self.open_count += 1
         self.appraise(txn)
         for posting in txn.postings:
-            yield from self.watch(txn, posting)
-        # Full to the last txn we would have no connection left for the word that ends one of them.
-        while self.open <= self.most_open and (not self.gate or self.gate.admits(txn, self)):
+            yield from self.watch_posting(txn, posting)
+        # With every connection taken by open txns, none would be left for the message that ends one of them.
+        while self.open_count <= self.max_open_txns and (not self.gate or self.gate.admits(txn, self)):
             until = self.worth_posting_until(txn)
             if self.now >= until:
-                break  # nothing more can be done for it: say so now, not when its time is up
+                break  # nothing more can be done: answer now instead of at the expiry
             self.hold(txn)
-            held_at, news = self.now, None
+            held_at, event = self.now, None
             while self.now < (
-                until := min(until, self.give_up_at(txn) if txn.is_deadline_shortened else self.last(txn))
+                until := min(
+                    until, self.give_up_at(txn) if txn.is_deadline_shortened else self.answer_by(txn)
+                )
             ):
                 in_time = self.in_time_until(txn)
-                news = yield Wait(min(until, in_time) if self.now < in_time else until)
-                if isinstance(news, Worker):
+                event = yield Wait(min(until, in_time) if self.now < in_time else until)
+                if isinstance(event, Worker):
                     break
-                self.release(txn)  # a late answer is worth less: it stands back behind those still in time
+                # A late answer is worth less: the txn moves behind those still in time.
+                self.release(txn)
                 self.hold(txn)
             self.release(txn)
-            if self.now > held_at and (not isinstance(news, Worker) or news.zone == self.home):
-                self.stayed.append(isinstance(news, Worker))
-            if not isinstance(news, Worker):
+            if self.now > held_at and (not isinstance(event, Worker) or event.zone == self.home_zone):
+                self.home_wait_results.append(isinstance(event, Worker))
+            if not isinstance(event, Worker):
                 break
-            posting = yield StartPosting(news, txn.expires_at - self.now)
+            posting = yield StartPosting(event, txn.expires_at - self.now)
             self.on_posting_sent(posting)
-            yield from self.watch(txn, posting)
-        while any(p.is_in_flight for p in txn.postings) and self.now < self.last(txn):
-            yield Wait(self.last(txn))
-        if self.may_decline(txn) and not self.unusable(txn):
-            self.remember(txn)
+            yield from self.watch_posting(txn, posting)
+        while any(p.is_in_flight for p in txn.postings) and self.now < self.answer_by(txn):
+            yield Wait(self.answer_by(txn))
+        if self.may_decline(txn) and not self.is_unusable(txn):
+            self.remember_declined(txn)
             wait = self.gate.retry_after(txn, self) if self.gate else self.max_retry_after
             yield Decline(wait, txn.is_deadline_shortened and self.give_up_at(txn) < self.in_time_until(txn))
         else:
             yield Reverse()
 
-    def watch(self, txn: Txn, posting: Posting) -> Generator[Action, Any, None]:
-        """Until it has ended, or another is to be looked for."""
-        while posting.is_in_flight and self.now < self.last(txn):
-            yield Wait(min(self.last(txn), self.look_again_at(posting)))
-            if posting.is_in_flight and self.now < self.last(txn) and self.elsewhere(txn, posting):
-                if self.two_at_once and not (self.may_cancel and self.now >= self.take_due(posting)):
+    def watch_posting(self, txn: Txn, posting: Posting) -> Generator[Action, Any, None]:
+        """Wait until the posting has ended or the txn needs another worker."""
+        while posting.is_in_flight and self.now < self.answer_by(txn):
+            yield Wait(min(self.answer_by(txn), self.look_again_at(posting)))
+            if posting.is_in_flight and self.now < self.answer_by(txn) and self.elsewhere(txn, posting):
+                if self.two_at_once and not (self.can_cancel and self.now >= self.accept_deadline(posting)):
                     break
                 if not posting.is_cancelled:
                     yield CancelPosting(posting)
 
     def adopt_postings(self, txn: Txn) -> None:
-        """What was posted for it before our own restart weighs on its workers like what we send now."""
-        txn.work_type, txn.work = self.type_of(txn), self.work_of(txn)
+        """Count postings from before a restart of this process as load of their workers, like new ones."""
+        txn.work_type, txn.work = self.work_type_of(txn), self.work_of(txn)
         for posting in txn.postings:
             if posting.is_in_flight:
                 self.on_posting_sent(posting)
 
-    def last(self, txn: Txn) -> int:
-        return txn.expires_at - self.tick  # for its final answer; who is to end brings the expiry forward
+    def answer_by(self, txn: Txn) -> int:
+        """Return the time by which the final answer must be sent.
+
+        A shutdown of this process brings the expiry forward.
+        """
+        return txn.expires_at - self.tick
 
-    def may_post_again(self, txn: Txn) -> bool:
-        """Rule 2, the first half: whether another posting, to some worker, can do no harm now."""
-        return self.now < min(self.last(txn), self.may_go_on_until(txn)) and (
+    def can_post_again(self, txn: Txn) -> bool:
+        """Decide whether another posting, to some worker, is safe now (rule 2, first half)."""
+        return self.now < min(self.answer_by(txn), self.may_go_on_until(txn)) and (
             self.two_at_once or not any(p.is_in_flight and p.may_have_run for p in txn.postings)
         )
 
-    def may_post(self, txn: Txn, worker: Worker) -> bool:
-        """And whether to this worker; what is the same for all workers is asked once, for the CPU's sake."""
+    def can_post_to(self, txn: Txn, worker: Worker) -> bool:
+        """Decide whether another posting to this worker is safe (rule 2, first half).
+
+        `can_post_again` holds the checks that are the same for all workers, so that they run once.
+        """
         return not any(
             (p.is_in_flight and p.worker is worker)
             or (p.may_have_run and not self.same_group(txn.scheme, p.worker, worker))
@@ -280,987 +354,1191 @@
         )
 
     def can_begin(self, posting: Posting) -> bool:
-        """The same again at its first byte: coming up, a connection took time."""
+        """Decide whether a posting is still safe right before its first byte.
+
+        Opening a connection takes time, in which the conditions may have changed.
+        """
         txn, worker = posting.txn, posting.worker
         return (
             not txn.is_closed
-            and worker.can_receive_postings(self.dropped_stay_open)
+            and worker.can_receive_postings(self.delisted_workers_usable)
             and worker.started_at == posting.worker_started_at
             and not self.is_list_stale(self.now)
-            and self.now < min(self.last(txn), self.may_go_on_until(txn, posting))
+            and self.now < min(self.answer_by(txn), self.may_go_on_until(txn, posting))
         )
 
-    def may_go_on_until(self, txn: Txn, but: Posting | None = None) -> int:
-        """Until when another posting, to some worker, could yet do no harm; `but` is one decided already."""
-        risky = [p for p in txn.postings if p.may_have_run and p is not but]
-        if self.unusable(txn):
+    def may_go_on_until(self, txn: Txn, excluded: Posting | None = None) -> int:
+        """Return the time until which another posting, to some worker, is safe.
+
+        Args:
+            txn: The txn to post.
+            excluded: A posting that is already decided and does not count.
+        """
+        possible_runs = [p for p in txn.postings if p.may_have_run and p is not excluded]
+        if self.is_unusable(txn):
             return 0
-        if len(txn.postings) - (but is not None) >= self.max_postings:
+        if len(txn.postings) - (excluded is not None) >= self.max_postings:
             return 0
-        if risky and txn.scheme.semantics is Semantics.ONCE_ONLY:
+        if possible_runs and txn.scheme.semantics is Semantics.ONCE_ONLY:
             return 0
-        if risky and txn.scheme.semantics is Semantics.REFERENCED:
-            return min(p.sent_at for p in risky) + txn.scheme.window - self.tick
+        if possible_runs and txn.scheme.semantics is Semantics.REFERENCED:
+            return min(p.sent_at for p in possible_runs) + txn.scheme.window - self.tick
         return FOREVER
 
     def may_decline(self, txn: Txn) -> bool:
-        """Rule 2, the second half: whether telling the client to try again can do no harm."""
-        return self.runs_again_anywhere(txn.scheme) or not any(p.may_have_run for p in txn.postings)
+        """Decide whether the client may safely be told to try again (rule 2, second half)."""
+        return self.is_repeatable_anywhere(txn.scheme) or not any(p.may_have_run for p in txn.postings)
 
-    def unusable(self, txn: Txn) -> bool:
-        """Two workers agree that it can't be used: nobody's fault here, and coming back is no use."""
+    def is_unusable(self, txn: Txn) -> bool:
+        """Return whether two workers agree that the request is unusable, so that a retry is pointless."""
         return sum(p.outcome is Outcome.UNUSABLE for p in txn.postings) > 1
 
-    def runs_again_anywhere(self, scheme: Scheme) -> bool:
+    def is_repeatable_anywhere(self, scheme: Scheme) -> bool:
+        """Return whether a txn of the scheme may safely run again at any worker."""
         return scheme.semantics is Semantics.REPEATABLE or (
             scheme.semantics is Semantics.REFERENCED and scheme.group is DeduplicationGroup.ALL
         )
 
     def same_group(self, scheme: Scheme, one: Worker, other: Worker) -> bool:
+        """Return whether two workers drop repeats of the scheme's txns together."""
         if scheme.semantics is not Semantics.REFERENCED or scheme.group is DeduplicationGroup.ALL:
             return True
         return one.zone == other.zone if scheme.group is DeduplicationGroup.ZONE else one.cell == other.cell
 
-    # Choosing a worker.
+    # Choice of a worker.
 
-    def type_of(self, txn: Txn) -> WorkType:
+    def work_type_of(self, txn: Txn) -> WorkType:
+        """Return the paper's type of a txn: its slots and the machine that its scheme needs."""
         return (txn.slots, txn.scheme.machine)
 
     def work_of(self, txn: Txn) -> int:
+        """Return the txn's work in slot ticks, or 1 if it has no hint."""
         return max(1, int(txn.hint * txn.slots)) if txn.hint is not None else 1
 
-    def room(self, book: WorkerState) -> float:
-        """Free slots there now: the last report, less what was sent since, plus what ended since."""
-        if self.now >= book.free_slots_estimate_until:
-            book.free_slots_estimate = self.room_now(book)
-            book.free_slots_estimate_until = self.now + self.keep_for
-        return book.free_slots_estimate
-
-    def room_now(self, book: WorkerState) -> float:
-        report = book.report
-        usual = self.usual.get(book.worker.zone)
-        told_usual = usual.mean if usual is not None else 0.0
-        if book.may_be_warming_up and self.cold_by_turns and self.cold_for(book):
-            # Others have no turn there either: what is usual in its zone says nothing of it.
+    def room(self, state: WorkerState) -> float:
+        """Return the worker's estimated free slots, cached for `estimate_lifetime` if nothing happens."""
+        if self.now >= state.free_slots_estimate_until:
+            state.free_slots_estimate = self.estimate_free_slots(state)
+            state.free_slots_estimate_until = self.now + self.estimate_lifetime
+        return state.free_slots_estimate
+
+    def estimate_free_slots(self, state: WorkerState) -> float:
+        """Estimate the free slots now: the last report, less later sends, plus later ends."""
+        report = state.report
+        baseline = self.zone_baselines.get(state.worker.zone)
+        zone_excess = baseline.mean if baseline is not None else 0.0
+        if state.may_be_warming_up and self.cold_by_turns and self.slow_start_left(state):
+            # Other dispatchers have no turn at a cold worker either, so its zone's mean does not apply.
             if report is None or report.free_slots is None:
-                return self.least_slots - len(book.in_flight)
-            told_usual = -self.least_slots
+                return self.least_slots - len(state.in_flight)
+            zone_excess = -self.least_slots
         if report is None or report.free_slots is None:
-            # Of a worker not heard from we know what is usual elsewhere, not that it is idle.
-            if usual is not None:
-                return -usual.mean - len(book.in_flight)
-            return 1.0 if len(book.in_flight) < 2 else 0.0
-        # Word of others' jobs fades as those end and others come: back to what it mostly is here.
-        told = self.burden(report) - book.own_in_flight_then
-        kept = exp(-(self.now - book.described_at) / self.usual_run)
-        if usual is not None:
-            # Few own readings say less than what is usual in its zone.
-            mostly = (sum(book.others_readings) + 2.0 * told_usual) / (len(book.others_readings) + 2)
-            told = kept * told + (1.0 - kept) * mostly
-        room = -told - len(book.in_flight)
-        if self.tells_start and (waits := self.waits(book)) > self.late_start:
-            # What has not started by now stands in a line that is no shorter than what would have run since;
-            # a worker that hangs, or says less than it holds, shows by nothing else.
-            room = min(room, -waits / self.usual_run * (book.slot_count or self.least_slots))
-        return room
-
-    def waits(self, book: WorkerState) -> int:
-        """How long the first in line has waited. What was posted before one that has started, or before the
-        worker fell silent, is lost more likely than in line.
+            # An unreported worker is assumed to be as busy as its zone's mean, not idle.
+            if baseline is not None:
+                return -baseline.mean - len(state.in_flight)
+            return 1.0 if len(state.in_flight) < 2 else 0.0
+        # Reported load of other dispatchers' jobs decays towards the usual load, as those jobs end and others
+        # come.
+        excess = self.excess_jobs(report) - state.own_in_flight_then
+        weight = exp(-(self.now - state.described_at) / self.mean_run_time)
+        if baseline is not None:
+            # With few readings of its own, a worker's usual load leans on its zone's mean, which counts as
+            # two readings.
+            usual_excess = (sum(state.others_readings) + 2.0 * zone_excess) / (len(state.others_readings) + 2)
+            excess = weight * excess + (1.0 - weight) * usual_excess
+        free = -excess - len(state.in_flight)
+        if self.reports_start and (queue_wait := self.queue_wait(state)) > self.late_start_delay:
+            # A posting that has not started by now is in a queue at least as long as the work that would have
+            # run since. Nothing else shows a worker that hangs or reports less than it holds.
+            free = min(free, -queue_wait / self.mean_run_time * (state.slot_count or self.least_slots))
+        return free
+
+    def queue_wait(self, state: WorkerState) -> int:
+        """Return how long the first queued posting at the worker has waited, in ticks.
+
+        A posting sent before one that has started, or before the worker fell silent, is more likely lost than
+        queued, and is skipped.
         """
-        since = max(book.last_reached_at, book.suspected_at if book.is_suspect else 0)
+        since = max(state.last_reached_at, state.suspected_at if state.is_suspect else 0)
         return next(
-            (self.now - p.sent_at for p in book.in_flight if p.started_at is None and p.sent_at > since), 0
+            (self.now - p.sent_at for p in state.in_flight if p.started_at is None and p.sent_at > since), 0
         )
 
-    def burden(self, report: LoadReport) -> float:
-        """Jobs there less slots. Free slots behind a waiting job are no room: a third of those turned away
-        had gone to workers whose first in line waited for memory.
+    def excess_jobs(self, report: LoadReport) -> float:
+        """Return the reported jobs less the slots of a worker.
+
+        Free slots behind a waiting job don't count: a third of the rejected postings had gone to workers
+        whose first queued job waited for memory.
         """
         if report.queued_jobs is not None and report.queued_jobs >= 0.5:
             return report.queued_jobs
         return -(report.free_slots or 0.0)
 
-    def crowded(self, book: WorkerState) -> bool:
-        # Postings there have lately stood in its queue: no place for what others lose by.
-        return any(delay > self.late_start for delay in book.start_delays)
-
-    def judge_starts(self) -> None:
-        # By the quickest: when all stand in queues a quarter of them, or half, tells how long those are.
-        typical = min(self.starts, default=20 * MILLISECOND)
-        # No finer than a tick: where starts are seen as they come, other zones' plain way was late by it.
-        self.late_start = 2 * max(typical, self.tick) + 2 * self.tick
-
-    def mean_run(self) -> float:
+    def has_queued_lately(self, state: WorkerState) -> bool:
+        """Return whether recent postings queued there; txns over their customer's share then stay away."""
+        return any(delay > self.late_start_delay for delay in state.start_delays)
+
+    def update_late_start_delay(self) -> None:
+        """Update the delay above which a posting counts as queued instead of started at once."""
+        # The minimum is used, because a quarter or half of the postings measures the queues when all workers
+        # have queues.
+        typical = min(self.fleet_start_delays, default=20 * MILLISECOND)
+        # A limit finer than a tick took the plain network delay of other zones for a queue, where starts are
+        # seen at once.
+        self.late_start_delay = 2 * max(typical, self.tick) + 2 * self.tick
+
+    def compute_mean_run_time(self) -> float:
+        """Return the mean of the last run times of all schemes, in ticks."""
         runs = [run for scheme in self.schemes for run in self.runs[scheme]]
         return sum(runs) / len(runs) if runs else float(SECOND)
 
     def load(self, book: WorkerState, room: float, txn: Txn) -> float:
+        """Score a worker for a txn by the paper's rule, lower is better.
+
+        The score is the backlogged work of the txn's own type, scaled by the reported queue length, the
+        worker's pace and its risk of ending late.
+        """
         own: float = book.backlog.get(txn.work_type, 0) + txn.work
         if book.initial_backlog:
             own += book.initial_backlog.get(txn.work_type, 0.0)
-        crowd = max(0.0, (book.slot_count or self.least_slots) - room)
+        queue_length = max(0.0, (book.slot_count or self.least_slots) - room)
         pace = book.pace
-        if book.may_be_warming_up and (left := self.cold_for(book)):
-            pace /= self.able(left)
-        return own * (1.0 + crowd) * pace * min(100.0, 1.0 + (pace / txn.slack_ratio) ** STEEP)
+        if book.may_be_warming_up and (time_left := self.slow_start_left(book)):
+            pace /= self.slow_start_capacity(time_left)
+        return own * (1.0 + queue_length) * pace * min(100.0, 1.0 + (pace / txn.slack_ratio) ** RISK_EXPONENT)
 
-    def in_order(self, key: str) -> list[WorkerState]:
-        """The workers in the order in which they are to keep the key's data, alike at every dispatcher."""
+    def rank_workers_for_key(self, key: str) -> list[WorkerState]:
+        """Return the workers in the order of preference for a key's data, the same at every dispatcher."""
         return sorted(
             self.workers.values(),
-            key=lambda book: blake2b(f"{book.worker.name_hash} {key}".encode()).digest(),
+            key=lambda state: blake2b(f"{state.worker.name_hash} {key}".encode()).digest(),
         )
 
-    def keepers(self, txn: Txn) -> dict[WorkerState, float]:
-        """The workers that keep the data of the txn's key: the first that are open to it in the key's order,
-        as many as the key's part of the traffic fills, and KEEPERS more.
+    def key_workers(self, txn: Txn) -> dict[WorkerState, float]:
+        """Choose the workers that keep the data of the txn's key, with their free slots.
 
-        Whoever else runs it fetches the data from a store that all share, and holds its slots meanwhile: sent
-        anywhere, a quarter of a job more, and once the store had no more to give, jobs of no keeper held the
-        whole fleet. So a keeper's turning us away decides, not the room believed there; the next in the order
-        takes its place, and one that is away or shut has none.
+        These are the first eligible ones in the key's order, as many as the key's share of the traffic fills,
+        and SPARE_KEY_WORKERS more. Any other worker fetches the data from a shared store and holds its slots
+        meanwhile: jobs sent anywhere took a quarter longer, and once the store was saturated, jobs outside
+        the key's workers held the whole fleet. So a rejection by the worker decides, not its estimated free
+        slots. The next worker in the order replaces one that rejects; an absent or closed worker takes no
+        place.
         """
         assert txn.key is not None
-        # Apart until half of its postings were turned away.
-        wide = bool(self.wide) and txn.slots >= self.wide_from
-        mixes = 2 * len(txn.postings) > self.max_postings
-        share = len(self.wide) / max(1, len(self.workers))
-        left = (
-            KEEPERS + len(txn.postings) + int(1.25 * txn.key_worker_count * (share if wide else 1.0 - share))
+        # Wide and narrow jobs stay on separate workers until more than half of a txn's allowed postings are
+        # used.
+        is_wide = bool(self.wide_job_workers) and txn.slots >= self.wide_job_min_slots
+        ignores_width = 2 * len(txn.postings) > self.max_postings
+        wide_share = len(self.wide_job_workers) / max(1, len(self.workers))
+        wanted = (
+            SPARE_KEY_WORKERS
+            + len(txn.postings)
+            + int(1.25 * txn.key_worker_count * (wide_share if is_wide else 1.0 - wide_share))
         )
-        order, kept, soonest = self.order(txn.key), {}, FOREVER
-        # The first few are mostly enough; the rest is looked at only when it comes to that.
-        parts = (self.rooms(part) for part in (order[: 2 * left], order[2 * left :]))
-        for book, room in chain.from_iterable(map(dict.items, parts)):
-            if ((book in self.wide) == wide or mixes) and self.eligible(book, txn):
-                soonest = min(soonest, again := book.last_full_at + int(self.usual_run / 4))
-                if self.now > again:
-                    kept[book] = room
-                left -= 1
-                if not left:
+        order, selected, retry_at = self.order(txn.key), {}, FOREVER
+        # The first few workers are mostly enough; the rest is estimated only on demand.
+        batches = (self.rooms(batch) for batch in (order[: 2 * wanted], order[2 * wanted :]))
+        for state, free_slots in chain.from_iterable(map(dict.items, batches)):
+            if ((state in self.wide_job_workers) == is_wide or ignores_width) and self.eligible(state, txn):
+                retry_at = min(retry_at, pause_end := state.last_full_at + int(self.mean_run_time / 4))
+                if self.now > pause_end:
+                    selected[state] = free_slots
+                wanted -= 1
+                if not wanted:
                     break
-        txn.key_workers_full_until = soonest if not kept and soonest < FOREVER else 0
-        return kept
+        txn.key_workers_full_until = retry_at if not selected and retry_at < FOREVER else 0
+        return selected
 
-    def judge_wide(self) -> None:
-        """Where a worker starts whatever fits, a job that needs all its slots waits until it is empty: 0.6 s
-        at the median, for jobs of 0.1 s. As many workers as such jobs fill, a quarter more, serve them and no
-        others but those often turned away elsewhere: the first of an order, alike at every dispatcher.
+    def update_wide_job_workers(self) -> None:
+        """Choose the workers that serve only jobs that need a whole worker.
+
+        Where a worker starts any job that fits, a job that needs all its slots waits until it is empty: 0.6 s
+        at the median, for jobs of 0.1 s. Enough workers for such jobs, and a quarter more, serve them and no
+        others but those often rejected elsewhere. They are the first of an order that is the same at every
+        dispatcher.
         """
-        self.wide.clear()
-        # What the smallest is known to hold is no measure: of one full of others' jobs we see little room.
-        sizes = sorted(book.slot_count for book in self.workers.values() if book.slot_count > 0)
-        if not self.overtakes or not sizes or len(self.works) < 64:
+        self.wide_job_workers.clear()
+        # The smallest known worker is no measure: one full of other dispatchers' jobs shows few of its slots.
+        slot_counts = sorted(state.slot_count for state in self.workers.values() if state.slot_count > 0)
+        if not self.allows_backfill or not slot_counts or len(self.keyed_work) < 64:
             return
-        self.wide_from = max(2.0, 0.75 * sizes[len(sizes) * 3 // 4])
-        whole = sum(work for _, work in self.works)
-        part = sum(work for slots, work in self.works if slots >= self.wide_from) / whole
-        ready = [book for book in self.order("") if book.worker.listed_state is ListedState.READY]
-        for book in ready[: int(1.25 * part * len(ready) + 0.5)]:
-            self.wide[book] = None
+        self.wide_job_min_slots = max(2.0, 0.75 * slot_counts[len(slot_counts) * 3 // 4])
+        total_work = sum(work for _, work in self.keyed_work)
+        wide_share = (
+            sum(work for slots, work in self.keyed_work if slots >= self.wide_job_min_slots) / total_work
+        )
+        ready_workers = [state for state in self.order("") if state.worker.listed_state is ListedState.READY]
+        for state in ready_workers[: int(1.25 * wide_share * len(ready_workers) + 0.5)]:
+            self.wide_job_workers[state] = None
 
     def doubt(self) -> float:
-        """Rejections by several workers at once say that all are fuller than believed."""
-        return sum(exp(-(self.now - when) / self.usual_run) for when in self.turned_away) / 8
+        """Return the level of recent rejections, each decaying over the mean run time.
+
+        Rejections by several workers at once show that all are fuller than estimated.
+        """
+        return sum(exp(-(self.now - at) / self.mean_run_time) for at in self.rejection_times) / 8
 
-    def chance(self, book: WorkerState, txn: Txn) -> float:
-        # That it would end in time there: the paper's workers are alike, ours are not.
-        return 1.0 / min(100.0, 1.0 + (book.pace / txn.slack_ratio) ** STEEP)
+    def in_time_chance(self, state: WorkerState, txn: Txn) -> float:
+        """Return the chance to end in time at the worker; unlike in the paper, workers differ in pace."""
+        return 1.0 / min(100.0, 1.0 + (state.pace / txn.slack_ratio) ** RISK_EXPONENT)
 
-    def ease(self, txn: Txn) -> float:
-        # Time left over time needed.
-        return max(0.001, (self.wanted_by(txn) - self.now) / self.run_of(txn))
+    def compute_slack_ratio(self, txn: Txn) -> float:
+        """Return the txn's time left over its time needed."""
+        return max(0.001, (self.sla_deadline(txn) - self.now) / self.run_of(txn))
 
-    def eligible(self, book: WorkerState, txn: Txn) -> bool:
-        worker = book.worker
+    def eligible(self, state: WorkerState, txn: Txn) -> bool:
+        """Decide whether the txn may go to the worker, apart from free slots."""
+        worker = state.worker
         machine = txn.scheme.machine
         return (
             (machine is None or worker.machine == machine)
-            and (not txn.postings or self.may_post(txn, worker))
-            and (not book.scheme_pauses or self.now >= book.scheme_pauses.get(txn.scheme, (0, 0))[0])
-            # Only what can be posted again anywhere is risked on a suspect; where no scheme can, what may
-            # run again somewhere, else whatever comes, once a look was answered: or it stays for good.
+            and (not txn.postings or self.can_post_to(txn, worker))
+            and (not state.scheme_pauses or self.now >= state.scheme_pauses.get(txn.scheme, (0, 0))[0])
+            # A suspect gets only txns that can be posted again anywhere. Where no scheme allows that, it gets
+            # those that may run again somewhere, else any, once it has answered a probe; otherwise it would
+            # stay a suspect for good.
             and (
-                not book.is_suspect
+                not state.is_suspect
                 or (
-                    txn.scheme in self.for_trials
-                    and (not self.all_at_risk or not self.probe_every or book.reported_at > book.suspected_at)
+                    txn.scheme in self.trial_schemes
+                    and (
+                        not self.has_no_repeatable_scheme
+                        or not self.probe_interval
+                        or state.reported_at > state.suspected_at
+                    )
                 )
             )
-            # And what one error loses is not risked where one has lately failed.
-            and (self.now >= book.error_backoff_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
-            and not (txn.is_over_share and self.tells_start and self.crowded(book))
-            and (not book.may_be_warming_up or self.cold_allows(book, txn))
+            # A txn that a single error loses does not go where a posting has failed lately.
+            and (self.now >= state.error_backoff_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
+            and not (txn.is_over_share and self.reports_start and self.has_queued_lately(state))
+            and (not state.may_be_warming_up or self.cold_allows(state, txn))
         )
 
     def need(self, txn: Txn) -> float:
+        """Return the free slots that a worker must have for the txn."""
         return (
-            (self.reserve if txn.is_over_share else 0.0)
+            (self.over_share_reserve if txn.is_over_share else 0.0)
             + txn.slots
             - 1.0
-            + ENOUGH
+            + MIN_EXPECTED_FREE_SLOTS
             + (0.25 + self.doubt() / 2) * len(txn.postings)
         )
 
-    def blind(self, rooms: dict[WorkerState, float]) -> bool:
-        """Word is late and most jobs are others': a try tells more than the expected room that holding
-        goes by, as long as few were turned away lately.
+    def should_post_blindly(self, free_slots: dict[WorkerState, float]) -> bool:
+        """Decide whether to post without the required free slots.
+
+        If reports are late and most jobs belong to other dispatchers, a posting tells more than an estimate
+        of free slots, as long as few postings were rejected lately.
         """
-        if self.age <= self.usual_run / 2 or self.doubt() >= FEW_TURNED_AWAY:
+        if self.age <= self.mean_run_time / 2 or self.doubt() >= BLIND_MAX_REJECTION_LEVEL:
             return False
-        jobs = sum(max(0.0, book.slot_count - room) for book, room in rooms.items())
-        return 4 * sum(len(book.in_flight) for book in rooms) < jobs
+        jobs = sum(max(0.0, state.slot_count - free) for state, free in free_slots.items())
+        return 4 * sum(len(state.in_flight) for state in free_slots) < jobs
 
-    def best(self, txn: Txn, rooms: dict[WorkerState, float], blind: bool) -> WorkerState | None:
-        need = self.need(txn)
-        blind = blind and not txn.is_over_share
+    def best(self, txn: Txn, free_slots: dict[WorkerState, float], is_blind: bool) -> WorkerState | None:
+        """Choose the worker for a txn, or None if it has to be held."""
+        required = self.need(txn)
+        is_blind = is_blind and not txn.is_over_share
         if txn.key is not None:
-            rooms, need = self.keepers(txn), -float(FOREVER)
-        plain = not txn.postings and not txn.is_over_share and txn.scheme.machine is None
+            free_slots, required = self.key_workers(txn), -float(FOREVER)
+        is_unrestricted = not txn.postings and not txn.is_over_share and txn.scheme.machine is None
         loads = [
-            (self.load(book, room, txn), book)
-            for book, room in rooms.items()
-            if (room >= need or (blind and self.now - book.last_full_at > self.usual_run / 2))
-            # What nearly all workers pass at once, against a call for each of them.
+            (self.load(state, free, txn), state)
+            for state, free in free_slots.items()
+            if (free >= required or (is_blind and self.now - state.last_full_at > self.mean_run_time / 2))
+            # Inlines the checks that nearly all workers pass, to save a call for each of them.
             and (
                 (
-                    plain
-                    and not book.may_be_warming_up
-                    and not book.is_suspect
-                    and not book.scheme_pauses
-                    and self.now >= book.error_backoff_until
+                    is_unrestricted
+                    and not state.may_be_warming_up
+                    and not state.is_suspect
+                    and not state.scheme_pauses
+                    and self.now >= state.error_backoff_until
                 )
-                or self.eligible(book, txn)
+                or self.eligible(state, txn)
             )
         ]
         self.ranked = loads
         if txn.scheme.semantics is Semantics.ONCE_ONLY and txn.key is None:
-            # What an error loses goes where we have lately seen one end well: each of forty dispatchers
-            # learnt of a failing worker by a txn of its own, and half of what that lost was once-only.
-            proven = self.now - int(8 * self.usual_run)
-            loads = [entry for entry in loads if entry[1].last_success_at > proven] or loads
-        if self.cross_price < CHEAP or txn.key is not None:
+            # A txn that a single error loses goes where one has lately settled: each of forty dispatchers
+            # learned of a failing worker by a txn of its own, and half of the txns lost that way were once-
+            # only.
+            proven_since = self.now - int(8 * self.mean_run_time)
+            loads = [entry for entry in loads if entry[1].last_success_at > proven_since] or loads
+        if self.price_cross < NEGLIGIBLE_CROSS_PRICE or txn.key is not None:
             return self.least(loads)
-        near = self.least([entry for entry in loads if entry[1].worker.zone == self.home])
-        far = self.least([entry for entry in loads if entry[1].worker.zone != self.home])
+        near = self.least([entry for entry in loads if entry[1].worker.zone == self.home_zone])
+        far = self.least([entry for entry in loads if entry[1].worker.zone != self.home_zone])
         return far if far is not None and self.crossing_pays(txn, near, far) else near
 
     def least(self, loads: list[tuple[float, WorkerState]]) -> WorkerState | None:
-        """The design: full scan for the least scaled backlog of the txn's own type, ties at random."""
-        least, winners = float("inf"), []
-        for load, book in loads:
-            if load < least:
-                least, winners = load, [book]
-            elif load == least:
-                winners.append(book)
+        """Choose the worker with the least load, ties at random (the paper's rule).
+
+        The caller scans all candidates; `load` scales the backlog of the txn's own type by the queue length.
+        """
+        lowest, winners = float("inf"), []
+        for load, state in loads:
+            if load < lowest:
+                lowest, winners = load, [state]
+            elif load == lowest:
+                winners.append(state)
         return self.choose(winners) if len(winners) > 1 else winners[0] if winners else None
 
     def crossing_pays(self, txn: Txn, near: WorkerState | None, far: WorkerState) -> bool:
-        """Whether another zone's worker raises the chance of ending in time by more than the crossing costs.
+        """Decide whether the higher chance to end in time at another zone's worker is worth the crossing.
 
-        Without room at home, go by what came of the last txns that waited for it.
+        Without free slots in the home zone, the results of the last txns held for it set the chance there.
         """
         if near is not None:
-            stay = self.chance(near, txn)
+            home_chance = self.in_time_chance(near, txn)
         else:
-            left = (self.give_up_at(txn) - self.now) / max(1, self.give_up_at(txn) - txn.first_seen_at)
-            stay = left * (1 + sum(self.stayed)) / (2 + len(self.stayed))
-        taken = (1 + sum(self.landed)) / (1 + len(self.landed))
-        return self.worth(txn) / self.mean_worth * (self.chance(far, txn) * taken - stay) > self.cross_price
+            left_share = (self.give_up_at(txn) - self.now) / max(1, self.give_up_at(txn) - txn.first_seen_at)
+            home_chance = left_share * (1 + sum(self.home_wait_results)) / (2 + len(self.home_wait_results))
+        accepted_share = (1 + sum(self.crossing_results)) / (1 + len(self.crossing_results))
+        return (
+            self.worth(txn) / self.mean_value * (self.in_time_chance(far, txn) * accepted_share - home_chance)
+            > self.price_cross
+        )
 
     def is_list_stale(self, now: int) -> bool:
-        """A change may count as told that we have not heard: nothing goes out that a drain would forbid."""
-        return self.must_ask and now >= self.list_sure
+        """Return whether a change that this dispatcher has not received may count as delivered.
+
+        Nothing is posted while this holds, because a drain could forbid it.
+        """
+        return self.needs_list_subscription and now >= self.list_valid_until
 
     def grant_next(self) -> tuple[Txn, Worker] | None:
-        """The next held txn that gets a worker: the most valuable first, then the most urgent."""
+        """Choose the next held txn that gets a worker: the highest value first, then the most urgent."""
         if self.is_list_stale(self.now):
-            self.look_due = self.now + LOOK
+            self.look_due = self.now + SCAN_INTERVAL
             return None
-        if not self.waiting or (not self.stirred and not self.granted and self.now < self.look_due):
+        if not self.waiting or (not self.has_events and not self.has_granted and self.now < self.look_due):
             return None
-        if self.stirred or self.now >= self.look_due:
-            self.barred.clear()
-        self.stirred, self.granted, self.look_due = False, False, self.now + max(LOOK, self.keep_for // 4)
-        rooms: dict[WorkerState, float] | None = None
-        most, blind = -float(FOREVER), False
+        if self.has_events or self.now >= self.look_due:
+            self.unplaceable_classes.clear()
+        self.has_events, self.has_granted, self.look_due = (
+            False,
+            False,
+            self.now + max(SCAN_INTERVAL, self.estimate_lifetime // 4),
+        )
+        free_slots: dict[WorkerState, float] | None = None
+        max_free, is_blind = -float(FOREVER), False
         for _, _, txn in self.waiting[:64]:
-            # Txns that are alike to every worker fail alike: one try for all of them, for the CPU's sake.
-            worth = int(4 * self.worth(txn) / self.mean_worth)
-            alike = (txn.scheme, txn.is_over_share, worth, len(txn.postings), txn.key)
-            if alike in self.barred or self.now <= txn.key_workers_full_until:
+            # Txns of one class fail alike at every worker, so that one attempt per class saves CPU time.
+            value_class = int(4 * self.worth(txn) / self.mean_value)
+            txn_class = (txn.scheme, txn.is_over_share, value_class, len(txn.postings), txn.key)
+            if txn_class in self.unplaceable_classes or self.now <= txn.key_workers_full_until:
                 continue
-            if self.now < txn.probes_valid_until and any(book.is_probing for book in txn.probed_workers):
+            if self.now < txn.probes_valid_until and any(state.is_probing for state in txn.probed_workers):
                 self.look_due = min(self.look_due, txn.probes_valid_until)
                 continue
-            if txn.postings and not self.may_post_again(txn):
+            if txn.postings and not self.can_post_again(txn):
                 continue
-            if rooms is None and (txn.key is None or not self.probe_always):
-                rooms = self.rooms(self.workers.values())
-                most, blind = max(rooms.values(), default=-FOREVER), self.blind(rooms)
-            txn.slack_ratio = self.ease(txn)
-            # Where nobody has the room it needs no scan is made for it: many are held when all are full.
-            tried = blind or txn.key is not None or most >= self.need(txn)
-            book = self.best(txn, rooms or {}, blind) if tried else None
-            looks = self.look(txn, book, rooms or {})
+            if free_slots is None and (txn.key is None or not self.probes_all_workers):
+                free_slots = self.rooms(self.workers.values())
+                max_free, is_blind = (
+                    max(free_slots.values(), default=-FOREVER),
+                    self.should_post_blindly(free_slots),
+                )
+            txn.slack_ratio = self.compute_slack_ratio(txn)
+            # No scan is needed if no worker has the required free slots: many txns are held when all workers
+            # are full.
+            is_feasible = is_blind or txn.key is not None or max_free >= self.need(txn)
+            state = self.best(txn, free_slots or {}, is_blind) if is_feasible else None
+            is_probing = self.look(txn, state, free_slots or {})
             if (
-                book is not None
-                and not looks
-                and (not self.gate or self.gate.permits_posting(txn, book.worker, self))
+                state is not None
+                and not is_probing
+                and (not self.gate or self.gate.permits_posting(txn, state.worker, self))
             ):
-                self.granted = True
-                return txn, book.worker
-            if book is None and not any(p.may_have_run for p in txn.postings):
-                self.barred[alike] = None
+                self.has_granted = True
+                return txn, state.worker
+            if state is None and not any(p.may_have_run for p in txn.postings):
+                self.unplaceable_classes[txn_class] = None
         return None
 
     def rooms(self, books: Iterable[WorkerState]) -> dict[WorkerState, float]:
-        """Those of the workers that compete, with their room; none is ranked before a txn needs it."""
+        """Return the free slots of each worker that competes, without ranking them."""
         now = self.now
-        # Whoever has not answered a look in the time that looks take may be gone: not now.
-        overdue = -FOREVER if self.probe_always else now - 2 * max(self.probe_times) - self.tick
-        dark = [zone for zone, until in self.dark_until.items() if now < until]
+        # A worker that has not answered a probe in the time that probes take may be gone.
+        cutoff = -FOREVER if self.probes_all_workers else now - 2 * max(self.probe_durations) - self.tick
+        suspended_zones = [zone for zone, until in self.zone_suspended_until.items() if now < until]
         return {
-            book: book.free_slots_estimate if now < book.free_slots_estimate_until else self.room(book)
-            for book in books
-            if ((worker := book.worker).listed_state is ListedState.READY or self.outlives(book))
-            and now >= book.ejected_until
-            and not (dark and worker.zone in dark)
-            and not (book.is_suspect and self.trial_runs(book))
-            and not (book.is_probing and book.probed_at < overdue)
+            state: state.free_slots_estimate if now < state.free_slots_estimate_until else self.room(state)
+            for state in books
+            if ((worker := state.worker).listed_state is ListedState.READY or self.is_still_alive(state))
+            and now >= state.ejected_until
+            and not (suspended_zones and worker.zone in suspended_zones)
+            and not (state.is_suspect and self.has_running_trial(state))
+            and not (state.is_probing and state.probed_at < cutoff)
         }
 
-    def trial_runs(self, book: WorkerState) -> bool:
-        """Whether a suspect has a posting that may yet tell. Where none can be withdrawn and none run again,
-        one that it swallowed stays out until its expiry: the next waits as long as those before were mute.
+    def has_running_trial(self, state: WorkerState) -> bool:
+        """Return whether a suspect has a posting that may still show whether it is alive.
+
+        Where no posting can be withdrawn and none can run again, a posting that the worker swallowed stays in
+        flight until its expiry. Then the next trial waits longer the more trials were lost before.
         """
-        if not self.all_at_risk:
-            return bool(book.in_flight)
+        if not self.has_no_repeatable_scheme:
+            return bool(state.in_flight)
         return (
-            book.trial_posting is not None
-            and book.trial_posting.is_in_flight
-            and self.now < book.trial_posting.sent_at + (self.silence << min(book.lost_trials, 2))
+            state.trial_posting is not None
+            and state.trial_posting.is_in_flight
+            and self.now < state.trial_posting.sent_at + (self.silence_timeout << min(state.lost_trials, 2))
         )
 
-    def outlives(self, book: WorkerState) -> bool:
-        """Listed as gone without having drained, where that does not bind: its own sign of life decides."""
+    def is_still_alive(self, state: WorkerState) -> bool:
+        """Return whether a delisted worker that did not drain is usable, because it has shown life since.
+
+        This applies where the config does not make a delisting binding.
+        """
         return max(
-            book.last_alive_at, book.reported_at
-        ) > book.delisted_at and book.worker.can_receive_postings(self.dropped_stay_open)
+            state.last_alive_at, state.reported_at
+        ) > state.delisted_at and state.worker.can_receive_postings(self.delisted_workers_usable)
+
+    def look(self, txn: Txn, chosen: WorkerState | None, free_slots: dict[WorkerState, float]) -> bool:
+        """Probe the few workers that the scan ranks first, if their reports are stale or missing.
 
-    def look(self, txn: Txn, chosen: WorkerState | None, rooms: dict[WorkerState, float]) -> bool:
-        """Buys fresh word of the few that the scan ranks first, where it would go by stale word or by none.
+        With hundreds of dispatchers, the own backlog is mostly zero and the last answer of a worker is long
+        past: without probes the scan is a random choice among all workers not known to be full.
 
-        With hundreds of dispatchers the own backlog is mostly zero and the last answer from a worker long
-        past: without this the scan is a draw among all that are not known to be full.
+        Returns:
+            Whether probes were sent, so that the txn waits for their results.
         """
-        if not self.probe_every or self.probe_always or self.age > self.probe_every or self.probe_purse < 1.0:
+        if (
+            not self.probe_interval
+            or self.probes_all_workers
+            or self.age > self.probe_interval
+            or self.probe_tokens < 1.0
+        ):
             return False
         if chosen is not None and (
-            self.now - chosen.reported_at < self.probe_every or txn.probe_rounds >= LOOKS
+            self.now - chosen.reported_at < self.probe_interval or txn.probe_rounds >= MAX_PROBE_ROUNDS
         ):
             return False
         if chosen is None and (
-            self.now < txn.probes_valid_until + self.keep_for or self.probe_purse < 2 * FEW
+            self.now < txn.probes_valid_until + self.estimate_lifetime
+            or self.probe_tokens < 2 * SAMPLE_WORKERS
         ):
-            return False  # all full: what a wait may spend must not be missing when there is a choice
-        home = chosen is None or chosen.worker.zone == self.home
+            return False  # all are full: keep the probe budget for when there is a choice
+        is_home = chosen is None or chosen.worker.zone == self.home_zone
         loads = (
             self.ranked
             if chosen is not None
             else [
-                (self.load(book, room, txn), book) for book, room in rooms.items() if self.eligible(book, txn)
+                (self.load(state, free, txn), state)
+                for state, free in free_slots.items()
+                if self.eligible(state, txn)
             ]
         )
         ranked = [
-            (load, self.random(), book)
-            for load, book in loads
-            if self.now - book.reported_at >= self.probe_every
-            and not book.is_probing
-            and (self.cross_price <= 0 or (book.worker.zone == self.home) == home)
+            (load, self.random(), state)
+            for load, state in loads
+            if self.now - state.reported_at >= self.probe_interval
+            and not state.is_probing
+            and (self.price_cross <= 0 or (state.worker.zone == self.home_zone) == is_home)
         ]
         ranked.sort(key=lambda entry: entry[:2])
-        may = (book for _, _, book in ranked if not self.gate or self.gate.can_probe(book.worker, self))
-        txn.probed_workers = list(islice(may, min(FEW, int(self.probe_purse))))
-        for book in txn.probed_workers:
-            self.probe(book)
+        allowed = (
+            state for _, _, state in ranked if not self.gate or self.gate.can_probe(state.worker, self)
+        )
+        txn.probed_workers = list(islice(allowed, min(SAMPLE_WORKERS, int(self.probe_tokens))))
+        for state in txn.probed_workers:
+            self.probe(state)
         txn.probe_rounds += chosen is not None
-        txn.probes_valid_until = self.now + 2 * max(self.probe_times) + self.tick
+        txn.probes_valid_until = self.now + 2 * max(self.probe_durations) + self.tick
         return bool(txn.probed_workers)
 
-    def probe(self, book: WorkerState) -> None:
-        self.probe_purse -= 1.0
-        book.is_probing, book.probed_at = True, self.now
-        self.transport.probe(book.worker)
+    def probe(self, state: WorkerState) -> None:
+        """Send one probe to the worker and pay for it."""
+        self.probe_tokens -= 1.0
+        state.is_probing, state.probed_at = True, self.now
+        self.transport.probe(state.worker)
+
+    def priority(self, txn: Txn) -> tuple[float, int]:
+        """Return the sort key of a held txn, lowest first.
 
-    def rank(self, txn: Txn) -> tuple[float, int]:
-        # Among txns of like worth the customer that has used least of its share goes first.
-        worth = self.worth(txn) * (1.0 if self.now < self.in_time_until(txn) else txn.scheme.late_value)
-        return -worth / self.run_of(txn) * (1.0 + min(1.0, txn.unused_share)), self.give_up_at(txn)
+        Among txns of similar value, the customer that has used least of its share goes first.
+        """
+        value = self.worth(txn) * (1.0 if self.now < self.in_time_until(txn) else txn.scheme.late_value)
+        return -value / self.run_of(txn) * (1.0 + min(1.0, txn.unused_share)), self.give_up_at(txn)
 
-    # What a txn is worth, and how long it is worth holding.
+    # The value of a txn, and how long holding it pays.
 
     def appraise(self, txn: Txn) -> None:
-        txn.work_type, txn.work = self.type_of(txn), self.work_of(txn)
-        self.runs.setdefault(txn.scheme, deque(maxlen=48))  # terms may have changed twice since it was taken
+        """Record an arriving txn: its work, key, first request time and its customer's usage."""
+        txn.work_type, txn.work = self.work_type_of(txn), self.work_of(txn)
+        # The config may have changed twice since it was taken.
+        self.runs.setdefault(txn.scheme, deque(maxlen=48))
         txn.retry_fingerprint = (txn.scheme, txn.customer, txn.hint, txn.slots, txn.memory)
         if txn.hint is not None:
-            self.hints.append(txn.hint * txn.slots)
-        txn.first_seen_at = self.first_asked(txn)
-        if not self.hears and self.dispatchers >= len(self.workers):
-            # Nobody tells of load, and we send less than one worker runs: keepers fill up unseen.
+            self.hinted_work.append(txn.hint * txn.slots)
+        txn.first_seen_at = self.first_request_at(txn)
+        if not self.has_load_reports and self.dispatchers >= len(self.workers):
+            # Without load reports, and with fewer own txns than one worker runs, a key's workers would fill
+            # up unseen.
             txn.key = None
         if txn.key is not None:
             txn.key_worker_count = (
-                len(self.workers) * self.asked_of.count(txn.key) / max(1, len(self.asked_of))
+                len(self.workers) * self.recent_keys.count(txn.key) / max(1, len(self.recent_keys))
             )
-            self.asked_of.append(txn.key)
-            self.works.append((txn.slots, txn.slots * self.run_of(txn)))
-        self.probe_purse = min(self.probe_purse + self.probe_income, 20 * self.probe_income)
-        self.worths.append(self.worth(txn))
-        self.arrivals.append(self.now)
-        self.mean_worth = sum(self.worths) / len(self.worths)
-        account = self.accounts.get(txn.customer) if txn.customer is not None else None
-        if account is not None:
-            account.arrivals.append(self.now)
-            txn.is_over_share = not account.try_consume(self.now, 1.15 * self.part)
-            txn.unused_share = account.tokens / account.bucket_size(self.part)
+            self.recent_keys.append(txn.key)
+            self.keyed_work.append((txn.slots, txn.slots * self.run_of(txn)))
+        self.probe_tokens = min(self.probe_tokens + self.probe_tokens_per_txn, 20 * self.probe_tokens_per_txn)
+        self.recent_values.append(self.worth(txn))
+        self.arrival_times.append(self.now)
+        self.mean_value = sum(self.recent_values) / len(self.recent_values)
+        usage = self.accounts.get(txn.customer) if txn.customer is not None else None
+        if usage is not None:
+            usage.arrivals.append(self.now)
+            txn.is_over_share = not usage.try_consume(self.now, 1.15 * self.part)
+            txn.unused_share = usage.tokens / usage.bucket_size(self.part)
 
     def judge_part(self) -> None:
-        """The share is the whole tier's and we see a part of it, not always an even one: the middle
-        customer's traffic tells which. One that floods us does not move the middle.
+        """Update the share of the fleet's traffic that comes through this dispatcher.
+
+        Customers' shares are for the whole fleet, and this dispatcher may see an uneven part of their
+        traffic. The median customer shows which part; a single customer that floods does not move the median.
         """
-        rates = sorted(
-            account.arrival_rate(self.now) / account.quota_rate for account in self.accounts.values()
-        )
+        rates = sorted(usage.arrival_rate(self.now) / usage.quota_rate for usage in self.accounts.values())
         if len(rates) > 1:
-            middle = (rates[(len(rates) - 1) // 2] + rates[len(rates) // 2]) / 2
-            self.part = min(2.0 * self.even_part, max(self.even_part, middle))
+            median = (rates[(len(rates) - 1) // 2] + rates[len(rates) // 2]) / 2
+            self.part = min(2.0 * self.even_traffic_share, max(self.even_traffic_share, median))
+
+    def remember_declined(self, txn: Txn) -> None:
+        """Remember a declined txn, to recognize its client's next attempt."""
+        self.first_requests[txn.retry_fingerprint] = txn.first_seen_at
+        if len(self.first_requests) > 512:
+            del self.first_requests[next(iter(self.first_requests))]
 
-    def remember(self, txn: Txn) -> None:
-        self.known[txn.retry_fingerprint] = txn.first_seen_at
-        if len(self.known) > 512:
-            del self.known[next(iter(self.known))]
+    def first_request_at(self, txn: Txn) -> int:
+        """Return when the client first requested the txn, from which its SLA time runs.
 
-    def first_asked(self, txn: Txn) -> int:
-        """The SLA time runs from a client's first try. Its next try has another id, but is known by its hint:
-        in overload half of what arrived was tries that could no longer be in time (incident i8141a7).
+        A retry has another id but is recognized by its hint: in overload, half of the arrivals were retries
+        that could no longer be in time (incident i8141a7).
         """
-        first = self.known.pop(txn.retry_fingerprint, self.now) if txn.hint is not None else self.now
+        first = self.first_requests.pop(txn.retry_fingerprint, self.now) if txn.hint is not None else self.now
         if txn.is_retry and first == self.now:
-            first -= txn.scheme.sla_time  # its earlier try was held at least this long before it was declined
+            # Its earlier attempt was held at least this long before it was declined.
+            first -= txn.scheme.sla_time
         return first if self.now - first < txn.scheme.expiry else self.now
 
     def worth(self, txn: Txn) -> float:
-        worth = txn.scheme.value * (txn.hint or 1 if self.by_work else 1)
-        return worth * self.over_share if txn.is_over_share else worth
+        """Return the value of a txn, reduced if its customer is over its share."""
+        value = txn.scheme.value * (txn.hint or 1 if self.value_by_work else 1)
+        return value * self.over_share_value if txn.is_over_share else value
 
-    def wanted_by(self, txn: Txn) -> int:
+    def sla_deadline(self, txn: Txn) -> int:
+        """Return the time by which the txn has to end to be in time."""
         scheme = txn.scheme
-        alone = self.run_of(txn) * (1.0 if txn.hint is not None else self.best_pace)
-        return txn.first_seen_at + scheme.sla_time + int(scheme.stretch * alone)
+        run_time = self.run_of(txn) * (1.0 if txn.hint is not None else self.fastest_pace)
+        return txn.first_seen_at + scheme.sla_time + int(scheme.stretch * run_time)
 
     def run_of(self, txn: Txn) -> float:
+        """Return the expected run time of the txn, in ticks."""
         if txn.hint is not None:
             return float(txn.hint)
         runs = self.runs[txn.scheme]
         return sum(runs) / len(runs) if runs else float(max(1, txn.scheme.sla_time))
 
     def give_up_at(self, txn: Txn) -> int:
-        last = self.last(txn)
+        """Return the time after which holding the txn no longer pays."""
+        deadline = self.answer_by(txn)
         late_counts = txn.scheme.late_value > 0
-        if (
-            late_counts or txn.is_deadline_shortened
-        ):  # what can't end before we do is told so while it can be had elsewhere
-            last = int(last - self.run_of(txn))
-        return last if late_counts else min(last, self.in_time_until(txn))
+        # A txn that can't end before this process does is answered while it can still be served elsewhere.
+        if late_counts or txn.is_deadline_shortened:
+            deadline = int(deadline - self.run_of(txn))
+        return deadline if late_counts else min(deadline, self.in_time_until(txn))
 
     def worth_posting_until(self, txn: Txn) -> int:
+        """Return the time after which a posting of the txn is unsafe or no longer pays."""
         return min(self.give_up_at(txn), self.may_go_on_until(txn))
 
     def in_time_until(self, txn: Txn) -> int:
+        """Return the time until which a posting of the txn can still end in time."""
         scheme = txn.scheme
-        # Past its SLA time an unhinted txn is in time only if it happens to be a long one.
-        spare = self.wanted_by(txn) - txn.first_seen_at - scheme.sla_time - int(self.run_of(txn))
-        return txn.first_seen_at + scheme.sla_time + max(0, spare // (1 if txn.hint is not None else 2))
+        # Past its SLA time, a txn without a hint is in time only if it happens to be a long one.
+        slack = self.sla_deadline(txn) - txn.first_seen_at - scheme.sla_time - int(self.run_of(txn))
+        return txn.first_seen_at + scheme.sla_time + max(0, slack // (1 if txn.hint is not None else 2))
 
     def hold(self, txn: Txn) -> None:
-        self.stirred = True
-        txn.queue_entry, self.held = (self.rank(txn), self.held + 1, txn), self.held + 1
+        """Queue the txn until a worker has free slots for it."""
+        self.has_events = True
+        txn.queue_entry, self.hold_count = (self.priority(txn), self.hold_count + 1, txn), self.hold_count + 1
         insort(self.waiting, txn.queue_entry)
 
     def release(self, txn: Txn) -> None:
+        """Remove the txn from the queue of held txns."""
         if txn.queue_entry is not None:
             del self.waiting[bisect_left(self.waiting, txn.queue_entry)]
             txn.queue_entry = None
 
-    # Watching postings.
+    # Monitoring of postings.
 
     def look_again_at(self, posting: Posting) -> int:
-        if self.now < (due := self.take_due(posting)) < FOREVER:
+        """Return when a posting has to be checked next for acceptance or silence."""
+        if self.now < (due := self.accept_deadline(posting)) < FOREVER:
             return due
-        if not self.silence:
+        if not self.silence_timeout:
             return FOREVER
-        book = self.workers[posting.worker]
-        return max(self.now + self.silence // 8, max(book.last_alive_at, posting.sent_at) + self.silence)
+        state = self.workers[posting.worker]
+        return max(
+            self.now + self.silence_timeout // 8,
+            max(state.last_alive_at, posting.sent_at) + self.silence_timeout,
+        )
 
     def elsewhere(self, txn: Txn, posting: Posting) -> bool:
-        """A silent worker has the txn: whether to look for another that can run it too."""
-        book = self.workers[posting.worker]
-        self.judge_silence(book)
-        untaken = self.now >= self.take_due(posting)
-        if untaken and not posting.is_cancelled:
-            _, times = book.scheme_pauses.get(txn.scheme, (0, 0))
-            book.scheme_pauses[txn.scheme] = (self.now + (2 * SECOND << min(times, 3)), times + 1)
+        """Decide whether to look for another worker, as this one is silent or has not accepted the txn."""
+        state = self.workers[posting.worker]
+        self.update_suspicion(state)
+        is_unaccepted = self.now >= self.accept_deadline(posting)
+        if is_unaccepted and not posting.is_cancelled:
+            _, pause_count = state.scheme_pauses.get(txn.scheme, (0, 0))
+            state.scheme_pauses[txn.scheme] = (
+                self.now + (2 * SECOND << min(pause_count, 3)),
+                pause_count + 1,
+            )
         return (
-            (book.is_suspect or untaken)
-            and (self.two_at_once or self.may_cancel)
+            (state.is_suspect or is_unaccepted)
+            and (self.two_at_once or self.can_cancel)
             and self.now < self.worth_posting_until(txn)
         )
 
-    def take_due(self, posting: Posting) -> int:
-        """Workers say at once that they have it. One may serve all schemes but this, and by those look alive:
-        a third of one scheme's txns waited out their expiry at such workers.
+    def accept_deadline(self, posting: Posting) -> int:
+        """Return the time by which the worker should have accepted the posting.
+
+        Workers report acceptance at once. A worker may serve all schemes but one and look alive by the
+        others: a third of one scheme's txns waited for their expiry at such workers.
         """
-        if posting.accepted_at is not None or posting.last_progress_at is not None or not self.takes:
+        if posting.accepted_at is not None or posting.last_progress_at is not None or not self.accept_delays:
             return FOREVER
-        return posting.sent_at + min(SECOND, max(150 * MILLISECOND, 3 * max(self.takes)))
-
-    def judge_silence(self, book: WorkerState) -> None:
-        silent = (
-            self.silence
-            and book.in_flight
-            and self.now - max(book.last_alive_at, book.in_flight[0].sent_at) >= self.silence
+        return posting.sent_at + min(SECOND, max(150 * MILLISECOND, 3 * max(self.accept_delays)))
+
+    def update_suspicion(self, state: WorkerState) -> None:
+        """Make a worker with postings a suspect after the silence timeout without a sign of life."""
+        is_silent = (
+            self.silence_timeout
+            and state.in_flight
+            and self.now - max(state.last_alive_at, state.in_flight[0].sent_at) >= self.silence_timeout
         )
-        if silent and not book.is_suspect:
-            book.suspected_at, book.trial_posting, book.is_suspect = self.now, None, True
+        if is_silent and not state.is_suspect:
+            state.suspected_at, state.trial_posting, state.is_suspect = self.now, None, True
 
     # Cold workers.
 
-    def cold_for(self, book: WorkerState) -> int:
-        if self.may_have_risen(book):
-            return self.cold_time
+    def slow_start_left(self, state: WorkerState) -> int:
+        """Return how long the worker is still in slow start, in ticks; 0 if it is not."""
+        if self.is_restart_possible(state):
+            return self.ramp_time
         return max(
-            0, max(book.worker.started_at or -FOREVER, book.inferred_restart_at) + self.cold_time - self.now
+            0, max(state.worker.started_at or -FOREVER, state.inferred_restart_at) + self.ramp_time - self.now
         )
 
-    def able(self, left: int) -> float:
-        """What part of its work a worker can do that is cold for so long yet, at the least."""
-        return self.cold_share + (1.0 - self.cold_share) * (1.0 - left / self.cold_time)
+    def slow_start_capacity(self, time_left: int) -> float:
+        """Return the least fraction of its full capacity that a worker has with this slow-start time left."""
+        return self.cold_share + (1.0 - self.cold_share) * (1.0 - time_left / self.ramp_time)
 
-    def may_have_risen(self, book: WorkerState) -> bool:
-        """While the list is out of reach nobody tells of a new start: two workers were pushed over that had
-        died and come back meanwhile. What broke shortly before we knew the list lost counts too.
+    def is_restart_possible(self, state: WorkerState) -> bool:
+        """Return whether a worker may have restarted unnoticed, while the list is unreachable.
+
+        Without a list nobody reports a new start: two workers that had restarted meanwhile were overloaded. A
+        connection that broke shortly before the loss of the list was noticed counts too.
         """
-        return self.list_failures > 0 and book.connection_broken_at > max(
-            book.inferred_restart_at, self.list_lost - self.ask_again
+        return self.list_failures > 0 and state.connection_broken_at > max(
+            state.inferred_restart_at, self.list_lost_at - self.list_request_timeout
         )
 
-    def cold_allows(self, book: WorkerState, txn: Txn) -> bool:
-        """Rule 4: our part of what a worker that has just started can bear, over any span."""
-        left = self.cold_for(book)
-        if not left:
+    def cold_allows(self, state: WorkerState, txn: Txn) -> bool:
+        """Decide whether a posting keeps to this dispatcher's share of a cold worker's capacity (rule 4)."""
+        time_left = self.slow_start_left(state)
+        if not time_left:
             return True
-        if self.now < self.born + self.fall_time or (txn.hint is None and not self.runs[txn.scheme]):
-            return False  # what we sent before our own restart may weigh on it yet; its size nobody knows
-        since = (
-            FOREVER if book.worker.started_at is None else book.worker.started_at
-        )  # sent since, told later
-        spent = self.weighs(txn) + sum(w for at, w, cold in self.sent_lately(book) if cold or at >= since)
-        slots = self.least_slots if self.hints else book.slot_count or self.least_slots
-        whole = self.cold_whole * self.able(left) * slots
+        if self.now < self.born + self.overload_window or (txn.hint is None and not self.runs[txn.scheme]):
+            # Sends before this process started may still load the worker, or the job's size is unknown.
+            return False
+        # Sends since the worker's start count, even if the list reported that start later.
+        since = FOREVER if state.worker.started_at is None else state.worker.started_at
+        work = self.charge(txn) + sum(w for at, w, cold in self.last_sends(state) if cold or at >= since)
+        slot_count = self.least_slots if self.hinted_work else state.slot_count or self.least_slots
+        budget = self.slow_start_work_per_slot * self.slow_start_capacity(time_left) * slot_count
         if self.cold_by_turns:
-            # Beyond N mean jobs in a span, what it is allowed, 2 root N + 2 are chance: half of it a turn: a
-            # span touches two; a third of N is kept for what each gets wrong of runs (docs/fleet.md).
-            mean = self.mean_job
-            if not self.hints:
-                mean *= self.unsure(sum(len(self.runs[s]) for s in self.schemes))
-            jobs = 2.0 * whole / mean
-            turn = (jobs * (1.0 if self.hints else 2 / 3) + 2.0 * sqrt(jobs) + 2.0) * mean / 2.0
-            at_once = max(2, int(turn / mean / (2 if self.hints else 1)))  # uneven (hinted) ones by two
-            if at_once >= self.dispatchers:
-                return spent <= 2.0 * turn / self.dispatchers  # everyone's, in any span
-            return spent <= turn / at_once and self.cold_turn(book, at_once)
-        return spent <= whole / self.dispatchers or (self.cold_turn(book) and spent <= whole / 4)
-
-    def weighs(self, txn: Txn) -> float:
-        """What it is reckoned at: without hints dearer, for the mean of a few runs is low as often as not."""
+            # Beyond the budget of N mean jobs per window, 2 sqrt(N) + 2 jobs are allowed for chance. One turn
+            # gets half of the sum, because a window touches two turns. Without hints a third of N is kept
+            # back for each dispatcher's errors in run times (docs/fleet.md).
+            mean_work = self.mean_job_work
+            if not self.hinted_work:
+                mean_work *= self.uncertainty_factor(sum(len(self.runs[s]) for s in self.schemes))
+            jobs = 2.0 * budget / mean_work
+            turn_work = (
+                (jobs * (1.0 if self.hinted_work else 2 / 3) + 2.0 * sqrt(jobs) + 2.0) * mean_work / 2.0
+            )
+            # Hinted jobs are uneven, so that each sender gets room for two mean jobs.
+            senders = max(2, int(turn_work / mean_work / (2 if self.hinted_work else 1)))
+            if senders >= self.dispatchers:
+                # All dispatchers may send in any window.
+                return work <= 2.0 * turn_work / self.dispatchers
+            return work <= turn_work / senders and self.has_slow_start_turn(state, senders)
+        return work <= budget / self.dispatchers or (self.has_slow_start_turn(state) and work <= budget / 4)
+
+    def charge(self, txn: Txn) -> float:
+        """Return the work that a txn is charged against a slow-start budget, in slot ticks.
+
+        Without a hint the charge is higher, because the mean of a few run times is often too low.
+        """
         work = self.run_of(txn) * txn.slots
-        return work if txn.hint is not None else work * self.unsure(len(self.runs[txn.scheme]))
+        return work if txn.hint is not None else work * self.uncertainty_factor(len(self.runs[txn.scheme]))
 
-    def unsure(self, runs: int) -> float:
+    def uncertainty_factor(self, runs: int) -> float:
+        """Return the factor on a mean run time that allows for the error of a mean of so few runs."""
         return 1.0 + 3.0 / max(1, runs)
 
-    def sent_lately(self, book: WorkerState) -> deque[tuple[int, int, bool]]:
-        while book.recent_sends and book.recent_sends[0][0] <= self.now - self.fall_time - self.tick:
-            book.recent_sends.popleft()
-        return book.recent_sends
+    def last_sends(self, state: WorkerState) -> deque[tuple[int, int, bool]]:
+        """Return (when, work, whether cold) of the sends to the worker in the last overload window."""
+        while state.recent_sends and state.recent_sends[0][0] <= self.now - self.overload_window - self.tick:
+            state.recent_sends.popleft()
+        return state.recent_sends
+
+    def has_slow_start_turn(self, state: WorkerState, senders: int = 1) -> bool:
+        """Decide whether this dispatcher is one of the `senders` that may post to a cold worker now.
 
-    def cold_turn(self, book: WorkerState, at_once: int = 1) -> bool:
-        """By clock, the worker's start and its lot, alike for all, the first at_once of an order have one of
-        a span. Each reckons at_once anew each moment: the few of one have to be among the many of another.
+        Each overload window has its own senders. The order follows from the clock, the worker's start and its
+        name hash, the same at every dispatcher. Each dispatcher computes `senders` anew each time, so that a
+        smaller set must be contained in a larger one.
         """
-        if book.worker.started_at is None or book.inferred_restart_at > book.worker.started_at:
-            return False  # the others guess another start, or none
-        turn = (self.now - book.worker.started_at) // max(1, self.fall_time)
-        return (self.number - book.worker.name_hash - turn) * self.cold_step % self.dispatchers < at_once
+        if state.worker.started_at is None or state.inferred_restart_at > state.worker.started_at:
+            return False  # the other dispatchers assume another start, or none
+        turn = (self.now - state.worker.started_at) // max(1, self.overload_window)
+        return (self.index - state.worker.name_hash - turn) * self.turn_step % self.dispatchers < senders
 
-    # What is seen.
+    # Events.
 
     def on_posting_sent(self, posting: Posting) -> None:
-        book = self.workers[posting.worker]
-        book.free_slots_estimate_until = 0
-        posting.work, posting.worker_started_at = posting.txn.work, book.worker.started_at
-        if book.is_suspect:
-            book.trial_posting = posting
-        kind = posting.txn.work_type
-        book.in_flight.append(posting)
-        book.record_in_flight(self.now)
-        book.backlog[kind] = book.backlog.get(kind, 0) + posting.work
-        if self.may_have_risen(book):
-            book.inferred_restart_at = self.now
-        self.sent_lately(book).append((self.now, int(self.weighs(posting.txn)), self.cold_for(book) > 0))
+        """Record a posting that goes out: its backlog and its slow-start work."""
+        state = self.workers[posting.worker]
+        state.free_slots_estimate_until = 0
+        posting.work, posting.worker_started_at = posting.txn.work, state.worker.started_at
+        if state.is_suspect:
+            state.trial_posting = posting
+        work_type = posting.txn.work_type
+        state.in_flight.append(posting)
+        state.record_in_flight(self.now)
+        state.backlog[work_type] = state.backlog.get(work_type, 0) + posting.work
+        if self.is_restart_possible(state):
+            state.inferred_restart_at = self.now
+        self.last_sends(state).append(
+            (self.now, int(self.charge(posting.txn)), self.slow_start_left(state) > 0)
+        )
 
     def on_posting_ended(self, posting: Posting, spent: int, report: LoadReport | None) -> None:
-        book = self.workers[posting.worker]
-        book.in_flight.remove(posting)
-        book.record_in_flight(self.now)
-        self.stirred, book.free_slots_estimate_until = True, 0
-        book.backlog[posting.txn.work_type] -= posting.work
+        """Record the outcome of a posting and the report that came with it."""
+        state = self.workers[posting.worker]
+        state.in_flight.remove(posting)
+        state.record_in_flight(self.now)
+        self.has_events, state.free_slots_estimate_until = True, 0
+        state.backlog[posting.txn.work_type] -= posting.work
         outcome = posting.outcome
-        if posting.worker.zone != self.home:
-            self.landed.append(posting.may_have_run)
+        if posting.worker.zone != self.home_zone:
+            self.crossing_results.append(posting.may_have_run)
         if outcome is Outcome.SETTLED:
-            took = self.now - (posting.started_at or posting.sent_at)
-            book.pace_samples.append(max(0.1, min(10.0, took / self.run_of(posting.txn))))
-            # Few samples of work this uneven say little: lean on the middle of the road.
-            book.pace = exp(sum(map(log, book.pace_samples)) / (len(book.pace_samples) + 3))
-            self.runs[posting.txn.scheme].append(max(1, took))
-            book.mark_alive(self.now)
-            self.lights(book.worker)
-            book.consecutive_failures, book.last_success_at = 0, self.now
-            # Whoever found unusable what this one has done was at fault itself, and is known for it only now.
+            run_time = self.now - (posting.started_at or posting.sent_at)
+            state.pace_samples.append(max(0.1, min(10.0, run_time / self.run_of(posting.txn))))
+            # A few samples of work this uneven say little, so the mean leans on a pace of 1, which counts as
+            # three samples.
+            state.pace = exp(sum(map(log, state.pace_samples)) / (len(state.pace_samples) + 3))
+            self.runs[posting.txn.scheme].append(max(1, run_time))
+            state.mark_alive(self.now)
+            self.clear_zone_failures(state.worker)
+            state.consecutive_failures, state.last_success_at = 0, self.now
+            # A worker that found unusable what this one has settled was itself at fault, which shows only
+            # now.
             for earlier in (p for p in posting.txn.postings if p.outcome is Outcome.UNUSABLE):
-                self.fails(self.workers[earlier.worker])
-            book.initial_backlog = {kind: work / 2 for kind, work in book.initial_backlog.items() if work > 1}
-        elif book.is_suspect and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
-            # A worker that stands still keeps each new posting: trials grow rarer.
-            book.lost_trials += 1
-            book.ejected_until = self.now + (self.silence << min(book.lost_trials - 1, 2))
+                self.eject_after_failure(self.workers[earlier.worker])
+            state.initial_backlog = {
+                work_type: work / 2 for work_type, work in state.initial_backlog.items() if work > 1
+            }
+        elif state.is_suspect and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
+            # A stalled worker keeps each new posting, so that trials become rarer.
+            state.lost_trials += 1
+            state.ejected_until = self.now + (self.silence_timeout << min(state.lost_trials - 1, 2))
         elif outcome in (Outcome.ERROR, Outcome.UNCONNECTED, Outcome.RESET):
-            self.fails(book)
+            self.eject_after_failure(state)
             if outcome is not Outcome.ERROR:
-                self.on_connection_broken(book.worker)
-                self.darkens(book.worker)
+                self.on_connection_broken(state.worker)
+                self.record_zone_failure(state.worker)
             else:
-                # Where our next posting there is seconds away, waits that double from milliseconds never
-                # bind: each of forty dispatchers met the same failing workers three to four times.
-                long = int(8 * self.usual_run)
-                book.error_backoff_until = self.now + long
-                book.ejected_until = max(book.ejected_until, self.now + min(long, self.turn_comes()))
+                # Exponential backoff from milliseconds never binds where this dispatcher's next posting to
+                # the worker is seconds away: each of forty dispatchers met the same failing workers three to
+                # four times.
+                backoff = int(8 * self.mean_run_time)
+                state.error_backoff_until = self.now + backoff
+                state.ejected_until = max(
+                    state.ejected_until, self.now + min(backoff, self.mean_send_interval())
+                )
         if outcome is Outcome.FULL:
-            self.turned_away.append(self.now)
-            book.last_full_at = self.now
-            told = report if report is not None and report.free_slots is not None else None
-            if told is not None:
-                self.claims.append((told.free_slots or 0.0) >= 0.5 and (told.queued_jobs or 0.0) < 0.5)
-                if self.claims[-1]:
-                    # It claims room and turns us away: the claim is old. One may be a race that was lost by
-                    # milliseconds to another dispatcher; most of the last ones speak of all word (judge_age).
-                    if sum(self.claims) > CLAIMS // 2:
-                        self.belied_until = self.now + int(8 * self.usual_run)
+            self.rejection_times.append(self.now)
+            state.last_full_at = self.now
+            known_load = report if report is not None and report.free_slots is not None else None
+            if known_load is not None:
+                self.rejection_claims.append(
+                    (known_load.free_slots or 0.0) >= 0.5 and (known_load.queued_jobs or 0.0) < 0.5
+                )
+                if self.rejection_claims[-1]:
+                    # A rejection by a worker that reports free slots shows an outdated report. A single one
+                    # may be a race lost by milliseconds to another dispatcher; a majority of the last ones
+                    # discredits all reports (see the report age).
+                    if sum(self.rejection_claims) > CLAIM_WINDOW // 2:
+                        self.reports_distrusted_until = self.now + int(8 * self.mean_run_time)
                         self.judge_age()
-                    told = None
+                    known_load = None
                 self.judge_age()
-            # Told now and at first hand: older word that there is room is no longer believed.
-            full = LoadReport(free_slots=0.0, queued_jobs=told.queued_jobs if told is not None else 0.0)
+            # The rejection is current and first-hand: an older report of free slots is no longer believed.
+            full_report = LoadReport(
+                free_slots=0.0, queued_jobs=known_load.queued_jobs if known_load is not None else 0.0
+            )
             if report is not None:
-                # Counts among the answers' reports; where only probes report, those are the fairer sample.
-                book.others_readings.append(max(1.0, self.burden(full)) - len(book.in_flight))
-                self.usual.setdefault(book.worker.zone, ZoneBaseline()).add_reading(
-                    self.now, book.others_readings[-1]
+                # Counts as a reading where answers carry reports; where only probes do, those are the less
+                # biased sample.
+                state.others_readings.append(max(1.0, self.excess_jobs(full_report)) - len(state.in_flight))
+                self.zone_baselines.setdefault(state.worker.zone, ZoneBaseline()).add_reading(
+                    self.now, state.others_readings[-1]
                 )
-            book.report, book.described_at, book.reported_at, book.own_in_flight_then = (
-                full,
+            state.report, state.described_at, state.reported_at, state.own_in_flight_then = (
+                full_report,
                 self.now,
                 self.now,
-                len(book.in_flight),
+                len(state.in_flight),
             )
         elif report is not None:
-            self.read(book, report)
+            self.read(state, report)
+
+    def record_zone_failure(self, worker: Worker) -> None:
+        """Record a failed worker, and suspend its zone when several failed without any sign of life from it.
 
-    def darkens(self, worker: Worker) -> None:
-        """A zone was lost five seconds before the list said so: each dispatcher has few txns to tell fifteen
-        workers by, and spent all four postings of one on them. Several that fail with no sign of life from
-        any of their zone speak for the rest of it, where there are other zones to go to.
+        A zone was lost 5 s before the list said so: each dispatcher has few txns to learn of fifteen workers,
+        and spent all four postings of a txn on them. Several failures stand for the rest of the zone, if
+        there are other zones to use.
         """
-        dark = self.dark.setdefault(worker.zone, {})
-        dark[worker] = None
-        if len(dark) >= FEW and any(book.worker.zone != worker.zone for book in self.workers.values()):
-            self.dark_until[worker.zone] = self.now + min(2 * SECOND, SECOND // 4 << len(dark) - FEW)
-
-    def lights(self, worker: Worker) -> None:
-        if self.dark.pop(worker.zone, None) is not None:
-            self.dark_until.pop(worker.zone, None)
-
-    def turn_comes(self) -> int:  # how long it takes until we have sent each worker a txn
-        return len(self.workers) * (self.now - self.arrivals[0]) // len(self.arrivals) if self.arrivals else 0
-
-    def fails(self, book: WorkerState) -> None:
-        book.consecutive_failures += 1
-        book.ejected_until = self.now + min(
-            4 * SECOND, 20 * MILLISECOND << min(book.consecutive_failures, 10)
+        failed = self.zone_failures.setdefault(worker.zone, {})
+        failed[worker] = None
+        if len(failed) >= SAMPLE_WORKERS and any(
+            state.worker.zone != worker.zone for state in self.workers.values()
+        ):
+            self.zone_suspended_until[worker.zone] = self.now + min(
+                2 * SECOND, SECOND // 4 << len(failed) - SAMPLE_WORKERS
+            )
+
+    def clear_zone_failures(self, worker: Worker) -> None:
+        """Lift the suspension of a worker's zone after a sign of life."""
+        if self.zone_failures.pop(worker.zone, None) is not None:
+            self.zone_suspended_until.pop(worker.zone, None)
+
+    def mean_send_interval(self) -> int:
+        """Return the time in which this dispatcher sends, on average, one txn to each worker, in ticks."""
+        return (
+            len(self.workers) * (self.now - self.arrival_times[0]) // len(self.arrival_times)
+            if self.arrival_times
+            else 0
+        )
+
+    def eject_after_failure(self, state: WorkerState) -> None:
+        """Record a failure of the worker and eject it with exponential backoff."""
+        state.consecutive_failures += 1
+        state.ejected_until = self.now + min(
+            4 * SECOND, 20 * MILLISECOND << min(state.consecutive_failures, 10)
         )
 
     def on_connection_broken(self, worker: Worker) -> None:
+        """Record that a connection to the worker broke, so that it may have restarted."""
         self.workers[worker].connection_broken_at, self.workers[worker].may_be_warming_up = self.now, True
 
-    def read(self, book: WorkerState, report: LoadReport) -> None:
-        self.lights(book.worker)
+    def read(self, state: WorkerState, report: LoadReport) -> None:
+        """Apply a load report to the worker's state and to the estimates of its zone and the report age."""
+        self.clear_zone_failures(state.worker)
         if report.free_slots is None:
             return
-        word = (report.free_slots, report.queued_jobs, report.held_slots)
+        figures = (report.free_slots, report.queued_jobs, report.held_slots)
         if (
-            self.tells_start
-            and word == book.last_figures
-            and any(part is not None and part % 1.0 for part in word)
+            self.reports_start
+            and figures == state.last_figures
+            and any(part is not None and part % 1.0 for part in figures)
         ):
-            # A measured figure, the same to its last digit, is the same reading, now older, and must not
-            # stand over what starts told since: taken for fresh, all met at whoever had once been idle.
-            book.reported_at = self.now
+            # A measured figure that repeats to its last digit is the same reading, now older, and may not
+            # replace what starts have shown since. When it counted as fresh, all dispatchers met at a worker
+            # that had once been idle.
+            state.reported_at = self.now
             return
-        book.last_figures = word
-        load = self.burden(report)
-        others = [load - book.own_in_flight_at(self.now - age) for age in AGES]
-        if book.others_load is not None and self.now - book.others_load[0] < 3 * SECOND:
-            self.misses.append((self.now, [(a - b) ** 2 for a, b in zip(others, book.others_load[1])]))
-        book.others_load = (self.now, others)
-        book.others_readings.append(load - book.own_in_flight_at(self.now - self.age))
-        self.usual.setdefault(book.worker.zone, ZoneBaseline()).add_reading(
-            self.now, book.others_readings[-1]
+        state.last_figures = figures
+        excess = self.excess_jobs(report)
+        others = [excess - state.own_in_flight_at(self.now - age) for age in CANDIDATE_AGES]
+        if state.others_load is not None and self.now - state.others_load[0] < 3 * SECOND:
+            self.age_errors.append((self.now, [(a - b) ** 2 for a, b in zip(others, state.others_load[1])]))
+        state.others_load = (self.now, others)
+        state.others_readings.append(excess - state.own_in_flight_at(self.now - self.age))
+        self.zone_baselines.setdefault(state.worker.zone, ZoneBaseline()).add_reading(
+            self.now, state.others_readings[-1]
         )
-        book.slot_samples.append(
+        state.slot_samples.append(
             report.free_slots
             + (
                 report.held_slots - (report.queued_jobs or 0.0)
                 if report.held_slots is not None
-                else book.own_in_flight_at(self.now - self.age)
+                else state.own_in_flight_at(self.now - self.age)
             )
         )
-        book.slot_count, book.free_slots_estimate_until = max(book.slot_samples), 0
-        if self.now - self.age >= book.described_at:
-            book.report, book.reported_at = report, self.now
-            book.described_at = self.now - self.age
-            book.own_in_flight_then = book.own_in_flight_at(book.described_at)
+        state.slot_count, state.free_slots_estimate_until = max(state.slot_samples), 0
+        if self.now - self.age >= state.described_at:
+            state.report, state.reported_at = report, self.now
+            state.described_at = self.now - self.age
+            state.own_in_flight_then = state.own_in_flight_at(state.described_at)
 
     def judge_age(self) -> None:
-        """How old reports are on arrival: the age at which others' load, as they imply it, jumps least."""
-        for usual in self.usual.values():
-            usual.update_mean(self.now, 8 * self.usual_run)
-        # With few txns a late spell would be remembered for most of the day.
-        while self.misses and self.now - self.misses[0][0] > 8 * SECOND:
-            self.misses.popleft()
-        self.age = AGES[0]
-        if len(self.misses) >= 8:
-            sums = [sum(column) for column in zip(*(off for _, off in self.misses))]
-            # Few samples fit some age by chance: it has to fit far better than a prompt one.
+        """Update the estimated age of reports on arrival.
+
+        It is the age at which the other dispatchers' load, as the reports imply it, changes least between
+        reports.
+        """
+        for baseline in self.zone_baselines.values():
+            baseline.update_mean(self.now, 8 * self.mean_run_time)
+        # With few txns, one period of late reports would be remembered for most of the day.
+        while self.age_errors and self.now - self.age_errors[0][0] > 8 * SECOND:
+            self.age_errors.popleft()
+        self.age = CANDIDATE_AGES[0]
+        if len(self.age_errors) >= 8:
+            sums = [sum(column) for column in zip(*(errors for _, errors in self.age_errors))]
+            # A few samples fit some age by chance, so an age has to fit far better than prompt reports do.
             best = min(sums)
-            enough = best * (2.1 - len(self.misses) / 48) + 0.01
-            gains = [off[0] - off[sums.index(best)] for _, off in self.misses]
-            # And in most samples, by more than their spread: with few own postings between two reports a jump
-            # or two of others' load chose an age; a third of all postings of forty dispatchers went blind.
-            if sum(gains) > SURE * sum(gain * gain for gain in gains) ** 0.5:
-                self.age = next(age for age, total in zip(AGES, sums) if total <= enough)
-        if self.now < self.belied_until:
-            # Turned away by a worker that claims to be idle: word is old, nobody knows how old, and a look
-            # buys more of the same; all who believe it meet at the same few workers.
-            self.age = AGES[-1]
+            acceptable = best * (2.1 - len(self.age_errors) / 48) + 0.01
+            gains = [errors[0] - errors[sums.index(best)] for _, errors in self.age_errors]
+            # It also has to fit better in most samples, by more than their spread: with few own postings
+            # between two reports, one or two jumps of other dispatchers' load selected an age, and a third of
+            # all postings of forty dispatchers were sent blindly.
+            if sum(gains) > AGE_MIN_STANDARD_ERRORS * sum(gain * gain for gain in gains) ** 0.5:
+                self.age = next(age for age, total in zip(CANDIDATE_AGES, sums) if total <= acceptable)
+        if self.now < self.reports_distrusted_until:
+            # Workers that reject postings claim to be idle: reports are old, by an unknown age, and a probe
+            # returns more of the same. All dispatchers that believe them meet at the same few workers.
+            self.age = CANDIDATE_AGES[-1]
 
     def on_posting_accepted(self, posting: Posting) -> None:
-        self.takes.append(self.now - posting.sent_at)
+        """Record that the worker has accepted the posting, which ends the pause of its scheme there."""
+        self.accept_delays.append(self.now - posting.sent_at)
         self.workers[posting.worker].scheme_pauses.pop(posting.txn.scheme, None)
 
     def on_progress(self, posting: Posting) -> None:
-        book = self.workers[posting.worker]
-        book.mark_alive(self.now)
-        self.lights(book.worker)
+        """Record a sign of life of the worker, and the start of the posting if it has just started."""
+        state = self.workers[posting.worker]
+        state.mark_alive(self.now)
+        self.clear_zone_failures(state.worker)
         if posting.started_at == self.now:
-            self.starts.append(self.now - posting.sent_at)
-            book.start_delays.append(self.now - posting.sent_at)
-            book.last_reached_at = max(book.last_reached_at, posting.sent_at)
-            if self.tells_start and posting.sent_at > book.described_at:
-                self.shows(book, posting)
-
-    def shows(self, book: WorkerState, posting: Posting) -> None:
-        """A start tells at first hand what was there when it was posted: a free slot, or a line as long as
-        what has run since.
+            self.fleet_start_delays.append(self.now - posting.sent_at)
+            state.start_delays.append(self.now - posting.sent_at)
+            state.last_reached_at = max(state.last_reached_at, posting.sent_at)
+            if self.reports_start and posting.sent_at > state.described_at:
+                self.apply_start_delay(state, posting)
+
+    def apply_start_delay(self, state: WorkerState, posting: Posting) -> None:
+        """Replace the report by what the start of a posting shows at first hand.
+
+        There was a free slot when it was sent, or a queue as long as the work that has run since.
         """
-        waited, size = self.now - posting.sent_at, book.slot_count or self.least_slots
-        free = book.report.free_slots or 0.0 if book.report is not None else 0.0
-        if waited <= self.late_start:
-            book.report = LoadReport(free_slots=max(1.0, free), queued_jobs=0.0)
+        start_delay, slot_count = self.now - posting.sent_at, state.slot_count or self.least_slots
+        free_slots = state.report.free_slots or 0.0 if state.report is not None else 0.0
+        if start_delay <= self.late_start_delay:
+            state.report = LoadReport(free_slots=max(1.0, free_slots), queued_jobs=0.0)
         else:
-            book.report = LoadReport(free_slots=0.0, queued_jobs=max(1.0, waited / self.usual_run * size))
-        book.described_at, book.own_in_flight_then, book.free_slots_estimate_until = (
+            state.report = LoadReport(
+                free_slots=0.0, queued_jobs=max(1.0, start_delay / self.mean_run_time * slot_count)
+            )
+        state.described_at, state.own_in_flight_then, state.free_slots_estimate_until = (
             posting.sent_at,
-            book.own_in_flight_at(posting.sent_at - 1),
+            state.own_in_flight_at(posting.sent_at - 1),
             0,
         )
 
     def on_probe_result(
         self, worker: Worker, outcome: Outcome, spent: int, report: LoadReport | None
     ) -> None:
-        book = self.workers[worker]
-        book.is_probing, self.stirred = False, True
+        """Apply the result of a probe to the worker's state."""
+        state = self.workers[worker]
+        state.is_probing, self.has_events = False, True
         if report is not None:
-            self.probe_times.append(spent)
-            self.read(book, report)
-        elif outcome is not Outcome.SETTLED and not self.probe_always:
-            # It drains or is gone before the list says so: known at the price of a look, not of a posting.
-            self.fails(book)
-            self.darkens(worker)
+            self.probe_durations.append(spent)
+            self.read(state, report)
+        elif outcome is not Outcome.SETTLED and not self.probes_all_workers:
+            # The worker drains or is gone before the list says so: learned at the price of a probe, not of a
+            # posting.
+            self.eject_after_failure(state)
+            self.record_zone_failure(worker)
 
     def on_txn_closed(self, txn: Txn) -> None:
-        self.open -= 1
+        """Forget a txn that has its final answer or whose client is gone."""
+        self.open_count -= 1
         self.release(txn)
 
-    # The list, and what is due.
+    # The worker list, and periodic work.
 
-    def on_list_update(self, news: ListUpdate, workers: Iterable[Worker]) -> None:
-        if news is ListUpdate.FAILED or news is ListUpdate.SILENT:
-            self.list_lost = self.list_lost if self.list_failures else self.now
+    def on_list_update(self, update: ListUpdate, workers: Iterable[Worker]) -> None:
+        """Apply an update of the worker list, or schedule the next request after a failure."""
+        if update is ListUpdate.FAILED or update is ListUpdate.SILENT:
+            self.list_lost_at = self.list_lost_at if self.list_failures else self.now
             self.list_failures += 1
-            # What a watch missed counts as told from its last line on, a failed call proves that nothing was
-            # to be had at its begin, and the next is over in time: doubled past that, drains broke. Births
-            # leave others room.
-            took = max(1, self.now - self.list_asked) if self.list_due < FOREVER else 0
-            self.list_had = self.list_had and (took > 0 or self.now < self.list_sure)  # else we stood still
-            sure = self.now - (took or LIST_SILENCE_TIMEOUT) + LIST_VALIDITY
-            if self.now < self.list_by:
-                sure = min(sure, self.list_by)
-            by = sure - max(LIST_ANSWER_TIMEOUT, took) - self.now
-            had = self.list_had or not self.list_strict
-            soon = self.list_had or (self.list_failures < 2 and (had or news is ListUpdate.SILENT))
-            # A refusal that came late had waited among too many. Each call costs the list service as much as
-            # one that it answers, waited for or not: where all came again within 6 s nobody was answered.
-            late = self.list_strict and news is ListUpdate.FAILED and took > LIST_ANSWER_TIMEOUT
+            # Changes missed by a watch count as delivered from its last line on. A failed request proves that
+            # no list was available when it began, and the next has to end in time: a longer doubled wait
+            # broke drains. Requests after a start leave room for those of other dispatchers.
+            call_time = max(1, self.now - self.list_requested_at) if self.list_request_due < FOREVER else 0
+            # An expired list with no request in flight means that this process was paused: the list counts as
+            # lost.
+            self.has_list = self.has_list and (call_time > 0 or self.now < self.list_valid_until)
+            valid_until = self.now - (call_time or LIST_SILENCE_TIMEOUT) + LIST_VALIDITY
+            if self.now < self.list_move_deadline:
+                valid_until = min(valid_until, self.list_move_deadline)
+            retry_budget = valid_until - max(LIST_ANSWER_TIMEOUT, call_time) - self.now
+            was_valid = self.has_list or not self.has_watch_heartbeats
+            is_urgent = self.has_list or (
+                self.list_failures < 2 and (was_valid or update is ListUpdate.SILENT)
+            )
+            # A refusal that came late had waited behind too many requests. Each request costs the list
+            # service as much as an answered one, even if its client no longer waits: when all dispatchers
+            # retried within 6 s, none was answered.
+            is_late = (
+                self.has_watch_heartbeats and update is ListUpdate.FAILED and call_time > LIST_ANSWER_TIMEOUT
+            )
             wait = min(
-                max(SECOND // 2, self.list_spread) << min(self.list_failures - had, 8),
-                by if soon else self.list_rarest if late else LIST_VALIDITY,
-                self.list_rarest if had else FOREVER,
+                max(SECOND // 2, self.list_spread) << min(self.list_failures - was_valid, 8),
+                retry_budget if is_urgent else self.list_max_retry_wait if is_late else LIST_VALIDITY,
+                self.list_max_retry_wait if was_valid else FOREVER,
+            )
+            if update is ListUpdate.FAILED and self.now >= self.list_move_deadline:
+                valid_until = min(valid_until, self.now - call_time + self.list_push_grace)
+            # A failed request does not make valid what was missed before it, at a start or during a pause of
+            # this process.
+            self.list_valid_until = valid_until if was_valid else self.list_valid_until
+            min_fraction = 0.6 if is_late else 0.1
+            self.list_request_due = self.now + int(
+                max(SECOND // 2, wait) * (min_fraction + (1.0 - min_fraction) * self.random())
             )
-            if news is ListUpdate.FAILED and self.now >= self.list_by:
-                sure = min(sure, self.now - took + self.list_grace)
-            # What had been missed before, by a birth or while we stood still, no failed call takes back.
-            self.list_sure = sure if had else self.list_sure
-            least = 0.6 if late else 0.1
-            self.list_due = self.now + int(max(SECOND // 2, wait) * (least + (1.0 - least) * self.random()))
-            self.stirred = True
+            self.has_events = True
             return
-        if news is ListUpdate.MOVED:
-            # At once: what the new place tells counts as told soon; failures of the old say nothing of it.
-            self.list_failures, self.list_due = 0, self.now
-            self.list_by = self.list_sure = min(self.list_sure, self.now + LIST_VALIDITY_AFTER_MOVE)
+        if update is ListUpdate.MOVED:
+            # Requested at once: changes at the new address soon count as delivered, and failures of the old
+            # one don't matter.
+            self.list_failures, self.list_request_due = 0, self.now
+            self.list_move_deadline = self.list_valid_until = min(
+                self.list_valid_until, self.now + LIST_VALIDITY_AFTER_MOVE
+            )
             return
-        if news is not ListUpdate.REMEMBERED:
-            self.list_failures, self.list_due, self.list_had = 0, FOREVER, True
-            self.list_sure = self.now + self.list_word
-        self.stirred, told = True, dict.fromkeys(workers)
-        if news is ListUpdate.CHANGES and not told:
-            return  # a beat: we have heard
+        if update is not ListUpdate.REMEMBERED:
+            self.list_failures, self.list_request_due, self.has_list = 0, FOREVER, True
+            self.list_valid_until = self.now + self.list_validity
+        self.has_events, listed = True, dict.fromkeys(workers)
+        if update is ListUpdate.CHANGES and not listed:
+            return  # a heartbeat without changes
         self.order.cache_clear()
-        if news is not ListUpdate.CHANGES:
+        if update is not ListUpdate.CHANGES:
             for worker in self.workers:
-                if worker not in told and worker.listed_state is not ListedState.GONE:
+                if worker not in listed and worker.listed_state is not ListedState.GONE:
                     worker.listed_state = ListedState.GONE
                     self.workers[worker].delisted_at = self.now
-        mean: dict[WorkType, float] | None = (
-            None  # worked out once a list: a pass for each entry was quadratic
-        )
-        for worker in told:
-            book = self.workers.get(worker)
-            if book is not None and worker.listed_state is ListedState.GONE:
-                book.delisted_at = self.now
-            if book is not None and worker.started_at == book.started_at:
+        # Computed once per list, because a pass for each entry was quadratic.
+        initial_backlog: dict[WorkType, float] | None = None
+        for worker in listed:
+            state = self.workers.get(worker)
+            if state is not None and worker.listed_state is ListedState.GONE:
+                state.delisted_at = self.now
+            if state is not None and worker.started_at == state.started_at:
                 continue
-            mean = mean if mean is not None else self.mean_backlog()
-            if book is None:
-                book = self.workers[worker] = WorkerState(worker)
-            # The design: a worker not yet heard from starts at the others' mean backlog.
-            book.initial_backlog = dict(mean)
-            book.started_at = worker.started_at
-            book.may_be_warming_up = book.may_be_warming_up or worker.started_at is not None
-            book.report, book.is_suspect = None, False
-            book.consecutive_failures = book.ejected_until = book.free_slots_estimate_until = 0
+            initial_backlog = initial_backlog if initial_backlog is not None else self.mean_backlog()
+            if state is None:
+                state = self.workers[worker] = WorkerState(worker)
+            # The paper's rule: a worker without history starts at the mean backlog of the others.
+            state.initial_backlog = dict(initial_backlog)
+            state.started_at = worker.started_at
+            state.may_be_warming_up = state.may_be_warming_up or worker.started_at is not None
+            state.report, state.is_suspect = None, False
+            state.consecutive_failures = state.ejected_until = state.free_slots_estimate_until = 0
 
     def mean_backlog(self) -> dict[WorkType, float]:
+        """Return the mean backlog of the ready workers by work type."""
         others = [
-            book
-            for worker, book in self.workers.items()
-            if worker.started_at == book.started_at and worker.listed_state is ListedState.READY
+            state
+            for worker, state in self.workers.items()
+            if worker.started_at == state.started_at and worker.listed_state is ListedState.READY
         ]
-        kinds = dict.fromkeys(kind for book in others for kind in book.backlog)
-        return {kind: sum(book.backlog.get(kind, 0) for book in others) / len(others) for kind in kinds}
+        work_types = dict.fromkeys(work_type for state in others for work_type in state.backlog)
+        return {
+            work_type: sum(state.backlog.get(work_type, 0) for state in others) / len(others)
+            for work_type in work_types
+        }
 
     def housekeeping(self) -> int:
+        """Do what is due (list request, estimates, probes) and return when to run again."""
         due = FOREVER
-        if self.must_ask:
-            if self.now >= self.list_due:
-                # The call before is given up: it has failed.
-                if self.list_due == self.list_asked + self.ask_again and (
-                    self.list_had or not self.list_strict
+        if self.needs_list_subscription:
+            if self.now >= self.list_request_due:
+                # The request before is given up and counts as failed.
+                if self.list_request_due == self.list_requested_at + self.list_request_timeout and (
+                    self.has_list or not self.has_watch_heartbeats
                 ):
-                    self.list_sure = max(
-                        self.list_sure, self.list_asked + min(LIST_VALIDITY, self.list_grace)
+                    self.list_valid_until = max(
+                        self.list_valid_until,
+                        self.list_requested_at + min(LIST_VALIDITY, self.list_push_grace),
                     )
-                self.list_asked, self.list_due = self.now, self.now + self.ask_again
+                self.list_requested_at, self.list_request_due = self.now, self.now + self.list_request_timeout
                 self.transport.subscribe()
-            due = self.list_due
-        if self.now >= self.judged + SECOND // 4:
-            self.judged = self.now
+            due = self.list_request_due
+        if self.now >= self.estimates_updated_at + SECOND // 4:
+            self.estimates_updated_at = self.now
             self.judge_age()
             self.judge_part()
-            self.judge_starts()
-            self.usual_run = self.mean_run()
-            self.mean_job = sum(self.hints) / len(self.hints) if self.hints else self.usual_run
-            # What a probe takes of a worker is not told; no more than the shortest of the last ones took.
-            self.probe_income = min(
-                100.0, 0.01 / max(0.0001, self.probe_price + min(self.probe_times) / self.usual_run)
+            self.update_late_start_delay()
+            self.mean_run_time = self.compute_mean_run_time()
+            self.mean_job_work = (
+                sum(self.hinted_work) / len(self.hinted_work) if self.hinted_work else self.mean_run_time
+            )
+            # The cost of a probe to a worker is not reported; it is at most the shortest recent probe
+            # duration.
+            self.probe_tokens_per_txn = min(
+                100.0, 0.01 / max(0.0001, self.probe_price + min(self.probe_durations) / self.mean_run_time)
             )
-            self.keep_for = max(LOOK, int(self.usual_run / 16))
-            self.best_pace = min((b.pace for b in self.workers.values()), default=1.0)
+            self.estimate_lifetime = max(SCAN_INTERVAL, int(self.mean_run_time / 16))
+            self.fastest_pace = min((b.pace for b in self.workers.values()), default=1.0)
             self.least_slots = min(
                 (b.slot_count for b in self.workers.values() if b.slot_count > 0), default=1.0
             )
-            self.judge_wide()
-        if self.looks_around:
+            self.update_wide_job_workers()
+        if self.probes_periodically:
             if self.now >= self.probe_due:
-                self.probe_due = self.probe_around()
+                self.probe_due = self.probe_due_workers()
             due = min(due, self.probe_due)
         if self.waiting:
             due = min(due, self.look_due)
         return due
 
-    def probe_around(self) -> int:
-        """The workers heard from longest ago, home ones first, as far as the purse goes; where answers report
-        too, the suspects alone. A suspect's return is earned: by an answered look, then by one posting that
-        starts.
+    def probe_due_workers(self) -> int:
+        """Probe the workers with the oldest reports, home zone first, as far as the probe budget goes.
+
+        Where answers carry reports too, only suspects are probed. A suspect is trusted again after an
+        answered probe and then one posting that starts.
+
+        Returns:
+            When the next probe is due.
         """
-        every = self.probe_every if self.probe_always else self.silence
-        due = self.now + every
-        for book in sorted(self.workers.values(), key=lambda b: (b.worker.zone != self.home, b.probed_at)):
+        interval = self.probe_interval if self.probes_all_workers else self.silence_timeout
+        due = self.now + interval
+        for state in sorted(
+            self.workers.values(), key=lambda b: (b.worker.zone != self.home_zone, b.probed_at)
+        ):
             if (
-                book.is_probing
-                or not (self.probe_always or book.is_suspect)
-                or not book.worker.can_receive_postings(self.dropped_stay_open)
+                state.is_probing
+                or not (self.probes_all_workers or state.is_suspect)
+                or not state.worker.can_receive_postings(self.delisted_workers_usable)
             ):
                 continue
-            next_look = max(book.probed_at, book.reported_at) + every
-            if self.now < next_look:
-                due = min(due, next_look)
-            elif self.probe_purse < 1.0 or (self.gate and not self.gate.can_probe(book.worker, self)):
-                return self.now + every // 8
+            next_probe = max(state.probed_at, state.reported_at) + interval
+            if self.now < next_probe:
+                due = min(due, next_probe)
+            elif self.probe_tokens < 1.0 or (self.gate and not self.gate.can_probe(state.worker, self)):
+                return self.now + interval // 8
             else:
-                self.probe(book)
+                self.probe(state)
         return due
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -234,7 +234,7 @@
         self.assertLessEqual(heavy, sum(SEEDS.values()) / 20)
 
     def test_the_judge_finds_dispatchers_that_forget_the_others(self) -> None:
-        with mock.patch.object(Scheduler, "cold_turn", lambda *_: True):
+        with mock.patch.object(Scheduler, "has_slow_start_turn", lambda *_: True):
             for many in (200,):
                 ramps = [Ramp(seed, many, hinted=True, busy=8.0).plays() for seed in range(2)]
                 self.assertGreater(max(worst(ramp.log, ramp.bears) for ramp in ramps), 1.0, many)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -234,9 +234,9 @@
     def test_starts_seen_quicker_than_a_tick_make_no_finer_yardstick(self) -> None:
         """On sockets a start at home is seen after 1.5 ms, abroad after 16: postings abroad were "queued"."""
         host = FakeHost(reports_start=True, tick=50)
-        host.loop.scheduler.starts.extend([15] * 16 + [160] * 16)
-        host.loop.scheduler.judge_starts()
-        self.assertGreater(host.loop.scheduler.late_start, 160)
+        host.loop.scheduler.fleet_start_delays.extend([15] * 16 + [160] * 16)
+        host.loop.scheduler.update_late_start_delay()
+        self.assertGreater(host.loop.scheduler.late_start_delay, 160)
 
     def test_over_what_we_can_hold_open_it_is_declined_at_once_and_nothing_else_suffers(self) -> None:
         """With 64 descriptors clients had them all, and no callback found one to say that a txn was done."""
@@ -480,7 +480,9 @@
         for worker in host.workers:
             host.loop.scheduler.read(host.loop.scheduler.workers[worker], full())
         host.ask("held")
-        with mock.patch.object(Scheduler, "room_now", autospec=True, return_value=0.0) as worked_out:
+        with mock.patch.object(
+            Scheduler, "estimate_free_slots", autospec=True, return_value=0.0
+        ) as worked_out:
             for tag in range(40):
                 host.ask(f"held too {tag}")
         self.assertLess(worked_out.call_count, 2 * len(host.workers))
