--- a/tests/test_untrue.py
+++ b/tests/test_untrue.py
@@ -1,4 +1,4 @@
-"""Stories of the emulator's untrue reports, flapping and one-sided workers, lossy ways and reaped connections: each shows."""
+"""The emulator's faults have an effect: misreporting, flapping, one-sided workers, lossy and reaped links."""
 
 import unittest
 from collections import deque
@@ -9,7 +9,7 @@
 from pathsaddle.emulator.served.workers import Worker
 from pathsaddle.event_log import Event
 
-BASE: dict[str, Any] = {
+BASE_PLAN: dict[str, Any] = {
     "name": "untrue",
     "seconds": 5,
     "charter": {
@@ -22,44 +22,46 @@
 }
 
 
-def events(*faults: dict[str, Any], seed: int = 1) -> list[Event]:
-    return stage.virtual(plan.of({**BASE, "faults": list(faults)}, "story"), seed).events.rows
+def run_events(*faults: dict[str, Any], seed: int = 1) -> list[Event]:
+    return stage.virtual(plan.of({**BASE_PLAN, "faults": list(faults)}, "story"), seed).events.rows
 
 
-def of(rows: list[Event], what: str, **more: object) -> list[Event]:
-    return [row for row in rows if row.what == what and all(row.more.get(k) == v for k, v in more.items())]
+def matching(rows: list[Event], what: str, **fields: object) -> list[Event]:
+    return [row for row in rows if row.what == what and all(row.more.get(k) == v for k, v in fields.items())]
 
 
-class SilentWatches(unittest.TestCase):
-    def test_watches_fall_silent_and_no_drain_is_broken_whatever_the_size_of_the_fleet(self) -> None:
-        """What they miss counts as told 6 s later, come or not; discovery and ways are well meanwhile. Alone a call
-        after a silence waits half a second, among forty or more it had waited for up to 5 s.
+class SilentWatchTest(unittest.TestCase):
+    def test_silent_watches_break_no_drain_in_a_fleet_of_any_size(self) -> None:
+        """Changes missed by a silent watch count as delivered 6 s later, while discovery and links work.
+
+        A single dispatcher waits for half a second until it requests the list again. Among forty or more it
+        had waited for up to 5 s.
         """
-        for many in (2, 40, 120):
-            given = {
-                **BASE,
+        for dispatchers in (2, 40, 120):
+            overrides = {
+                **BASE_PLAN,
                 "seconds": 12,
-                "fleet": {**BASE["fleet"], "dispatchers": many, "roster_rate": 60},
-                "load": {**BASE["load"], "rate": 60},
+                "fleet": {**BASE_PLAN["fleet"], "dispatchers": dispatchers, "roster_rate": 60},
+                "load": {**BASE_PLAN["load"], "rate": 60},
                 "faults": [
                     {"kind": "watch-silent", "at": "4s"},
                     {"kind": "drain", "of": "node-0", "at": "5s", "for": "5s"},
                 ],
             }
-            told = plan.of(given, "story")
-            rows = stage.virtual(told, 1).events.rows
-            self.assertGreater(len(of(rows, "hushed")), many // 2)
-            self.assertEqual([f.text for f in judge(plan.charter_of(told), rows).findings], [])
+            parsed_plan = plan.of(overrides, "story")
+            rows = stage.virtual(parsed_plan, 1).events.rows
+            self.assertGreater(len(matching(rows, "hushed")), dispatchers // 2)
+            self.assertEqual([f.text for f in judge(plan.charter_of(parsed_plan), rows).findings], [])
 
 
-class UntrueStory(unittest.TestCase):
-    def test_without_a_fault_all_that_came_ends(self) -> None:
-        rows = events()
-        self.assertEqual(len(of(rows, "came")), len(of(rows, "ended", how="done")))
+class FaultInjectionTest(unittest.TestCase):
+    def test_without_a_fault_every_posting_ends(self) -> None:
+        rows = run_events()
+        self.assertEqual(len(matching(rows, "came")), len(matching(rows, "ended", how="done")))
 
-    def test_a_worker_flaps_and_the_list_follows_or_does_not(self) -> None:
+    def test_a_flapping_worker_is_listed_again_or_not_as_planned(self) -> None:
         for how, listed in (("crash", True), ("crash", False), ("silence", True), ("silence", False)):
-            rows = events(
+            rows = run_events(
                 {
                     "kind": "flap",
                     "how": how,
@@ -72,12 +74,12 @@
                 }
             )
             with self.subTest(how=how, listed=listed):
-                self.assertGreater(len(of(rows, "crashed", worker="node-0")), 1)
-                self.assertGreater(len(of(rows, "started_cold" if listed else "started_unlisted")), 1)
-                self.assertEqual(bool(of(rows, "changed", worker="node-0")), listed)
+                self.assertGreater(len(matching(rows, "crashed", worker="node-0")), 1)
+                self.assertGreater(len(matching(rows, "started_cold" if listed else "started_unlisted")), 1)
+                self.assertEqual(bool(matching(rows, "changed", worker="node-0")), listed)
 
-    def test_a_worker_that_hangs_by_turns_takes_jobs_and_starts_none_and_is_back(self) -> None:
-        rows = events(
+    def test_an_intermittently_hanging_worker_delays_jobs_without_crashing(self) -> None:
+        rows = run_events(
             {
                 "kind": "flap",
                 "how": "hang",
@@ -88,23 +90,23 @@
                 "strength": 0.5,
             }
         )
-        usual = events()
-        self.assertEqual(of(rows, "crashed"), [])
+        baseline = run_events()
+        self.assertEqual(matching(rows, "crashed"), [])
         self.assertLess(
-            len([r for r in of(rows, "ended", how="done") if 5_000 < r.at < 35_000]),
-            len([r for r in of(usual, "ended", how="done") if 5_000 < r.at < 35_000]),
+            len([r for r in matching(rows, "ended", how="done") if 5_000 < r.at < 35_000]),
+            len([r for r in matching(baseline, "ended", how="done") if 5_000 < r.at < 35_000]),
         )
 
-    def test_errors_by_turns(self) -> None:
-        rows = events(
+    def test_an_intermittently_failing_worker_returns_the_errors(self) -> None:
+        rows = run_events(
             {"kind": "flap", "how": "errors", "of": "node-0", "at": "500ms", "for": "4s", "turn": "1s"}
         )
-        failed = [row for row in of(rows, "ended") if row.more["how"] in ("error", "failed")]
+        failed = [row for row in matching(rows, "ended") if row.more["how"] in ("error", "failed")]
         self.assertEqual({row.more["worker"] for row in failed}, {"node-0"})
 
-    def test_a_one_sided_worker_is_bad_for_those_dispatchers_alone(self) -> None:
+    def test_a_one_sided_fault_affects_only_the_named_dispatchers(self) -> None:
         for how in ("loss", "hole", "refuse"):
-            rows = events(
+            rows = run_events(
                 {
                     "kind": "one-sided",
                     "how": how,
@@ -115,24 +117,27 @@
                     "strength": 1.0,
                 }
             )
-            told = {row.more["id"] for row in of(rows, "told", state="done")}
-            by = {d: [row.more["id"] in told for row in of(rows, "came", dispatcher=d)] for d in (0, 1)}
+            delivered = {row.more["id"] for row in matching(rows, "told", state="done")}
+            results = {
+                d: [row.more["id"] in delivered for row in matching(rows, "came", dispatcher=d)]
+                for d in (0, 1)
+            }
             with self.subTest(how):
-                self.assertTrue(by[0])
-                self.assertFalse(any(by[0]), "nothing that it asked for is told to it")
-                self.assertTrue(all(by[1]))
+                self.assertTrue(results[0])
+                self.assertFalse(any(results[0]), "no result reaches the dispatcher")
+                self.assertTrue(all(results[1]))
 
-    def test_a_slow_way_and_a_slow_side_take_longer_and_lose(self) -> None:
-        def starts(rows: list[Event], dispatcher: int) -> float:
-            told = {row.more["id"]: row.at for row in reversed(of(rows, "told", state="started"))}
+    def test_a_slow_link_and_a_slow_side_delay_and_lose_messages(self) -> None:
+        def min_start_delay(rows: list[Event], dispatcher: int) -> float:
+            started_at = {row.more["id"]: row.at for row in reversed(matching(rows, "told", state="started"))}
             waits = [
-                told[row.more["id"]] - row.at
-                for row in of(rows, "came", dispatcher=dispatcher)
-                if row.more["id"] in told
+                started_at[row.more["id"]] - row.at
+                for row in matching(rows, "came", dispatcher=dispatcher)
+                if row.more["id"] in started_at
             ]
             return min(waits)
 
-        slow = events(
+        slow = run_events(
             {
                 "kind": "one-sided",
                 "how": "slow",
@@ -143,42 +148,45 @@
                 "extra": "60ms",
             }
         )
-        self.assertGreater(starts(slow, 0), 600)
-        self.assertLess(starts(slow, 1), 600)
-        lossy = events(
+        self.assertGreater(min_start_delay(slow, 0), 600)
+        self.assertLess(min_start_delay(slow, 1), 600)
+        lossy = run_events(
             {"kind": "slow-link", "of": "east", "among": "west", "at": "0ms", "for": "9s", "strength": 1.0}
         )
-        told = {row.more["id"] for row in of(lossy, "told", state="done")}
-        crossed = [row for row in of(lossy, "came") if row.more["dispatcher"] != int(row.more["worker"][-1])]
+        delivered = {row.more["id"] for row in matching(lossy, "told", state="done")}
+        crossed = [
+            row for row in matching(lossy, "came") if row.more["dispatcher"] != int(row.more["worker"][-1])
+        ]
         self.assertTrue(crossed)
         self.assertFalse(
-            told
+            delivered
             & {row.more["id"] for row in crossed}
-            - {row.more["id"] for row in of(lossy, "came") if row not in crossed}
+            - {row.more["id"] for row in matching(lossy, "came") if row not in crossed}
         )
 
-    def test_a_connection_that_stood_idle_is_dropped_unseen(self) -> None:
+    def test_an_idle_connection_is_dropped_unnoticed(self) -> None:
         for how in ("reset", "silence"):
-            rows = events(
+            rows = run_events(
                 {"kind": "reap", "how": how, "of": "node-*", "at": "0ms", "for": "9s", "strength": 0.01}
             )
             with self.subTest(how):
-                self.assertGreater(len(of(rows, "came")), len(of(rows, "ran")))
+                self.assertGreater(len(matching(rows, "came")), len(matching(rows, "ran")))
 
-    def test_a_trouble_follows_another_by_its_time(self) -> None:
-        rows = events(
+    def test_a_fault_starts_at_its_time_after_another(self) -> None:
+        rows = run_events(
             {"kind": "slow", "of": "node-0", "at": "1s", "for": "1s"},
             {"kind": "lie", "how": "full", "of": "node-1", "after": "slow", "at": "1500ms", "for": "1s"},
         )
         self.assertEqual(
-            [(row.at // 100, row.more["kind"]) for row in of(rows, "fault")], [(100, "slow"), (250, "lie")]
+            [(row.at // 100, row.more["kind"]) for row in matching(rows, "fault")],
+            [(100, "slow"), (250, "lie")],
         )
 
-    def test_what_a_liar_reports(self) -> None:
-        class Liar(Worker):
+    def test_a_misreporting_worker_reports_as_planned(self) -> None:
+        class MisreportingWorker(Worker):
             def __init__(self, how: str) -> None:
                 self.world = type("W", (), {})()
-                self.world.plan = plan.of(BASE, "story")  # type: ignore[attr-defined]
+                self.world.plan = plan.of(BASE_PLAN, "story")  # type: ignore[attr-defined]
                 self.world.charter = plan.charter_of(self.world.plan)  # type: ignore[attr-defined]
                 self.world.now = lambda: 10_000  # type: ignore[attr-defined]
                 self.kind = plan.Machines(count=1, slots=4, line=8)
@@ -187,9 +195,9 @@
                 self.lie(how, 0.5)
                 self.past.append((100, 0.0, 6, 10))
 
-        told = {how: Liar(how).report() for how in ("zero", "low", "stuck", "full", "")}
+        reports = {how: MisreportingWorker(how).report() for how in ("zero", "low", "stuck", "full", "")}
         self.assertEqual(
-            told,
+            reports,
             {
                 "zero": {"x0": 4.0, "queue": 0},
                 "low": {"x0": 2.0, "queue": 3},
@@ -199,11 +207,11 @@
             },
         )
 
-    def test_a_form_that_a_fault_does_not_have_is_told(self) -> None:
+    def test_an_unknown_form_of_a_fault_is_rejected(self) -> None:
         with self.assertRaisesRegex(Exception, "write reset or silence"):
-            plan.of({**BASE, "faults": [{"kind": "reap", "how": "hang", "at": "1s"}]}, "story")
+            plan.of({**BASE_PLAN, "faults": [{"kind": "reap", "how": "hang", "at": "1s"}]}, "story")
         with self.assertRaisesRegex(Exception, "kind of another fault"):
-            plan.of({**BASE, "faults": [{"kind": "reap", "at": "1s", "after": "slow"}]}, "story")
+            plan.of({**BASE_PLAN, "faults": [{"kind": "reap", "at": "1s", "after": "slow"}]}, "story")
 
 
 if __name__ == "__main__":
