--- a/pathsaddle/scheduler.py
+++ b/pathsaddle/scheduler.py
@@ -528,7 +528,7 @@
         # Wide and narrow jobs stay on separate workers until more than half of a txn's allowed postings are
         # used.
         is_wide = bool(self.wide_job_workers) and txn.slots >= self.wide_job_min_slots
-        ignores_width = 2 * len(txn.postings) > self.max_postings
+        any_width = 2 * len(txn.postings) > self.max_postings
         wide_share = len(self.wide_job_workers) / max(1, len(self.workers))
         wanted = (
             SPARE_KEY_WORKERS
@@ -539,7 +539,7 @@
         # The first few workers are mostly enough; the rest is estimated only on demand.
         batches = (self.rooms(batch) for batch in (order[: 2 * wanted], order[2 * wanted :]))
         for state, free_slots in chain.from_iterable(map(dict.items, batches)):
-            if ((state in self.wide_job_workers) == is_wide or ignores_width) and self.eligible(state, txn):
+            if ((state in self.wide_job_workers) == is_wide or any_width) and self.eligible(state, txn):
                 retry_at = min(retry_at, pause_end := state.last_full_at + int(self.mean_run_time / 4))
                 if self.now > pause_end:
                     selected[state] = free_slots
@@ -764,13 +764,13 @@
         cutoff = -FOREVER if self.probes_all_workers else now - 2 * max(self.probe_durations) - self.tick
         suspended_zones = [zone for zone, until in self.zone_suspended_until.items() if now < until]
         return {
-            state: state.free_slots_estimate if now < state.free_slots_estimate_until else self.room(state)
-            for state in books
-            if ((worker := state.worker).listed_state is ListedState.READY or self.is_still_alive(state))
-            and now >= state.ejected_until
+            s: s.free_slots_estimate if now < s.free_slots_estimate_until else self.room(s)
+            for s in books
+            if ((worker := s.worker).listed_state is ListedState.READY or self.is_still_alive(s))
+            and now >= s.ejected_until
             and not (suspended_zones and worker.zone in suspended_zones)
-            and not (state.is_suspect and self.has_running_trial(state))
-            and not (state.is_probing and state.probed_at < cutoff)
+            and not (s.is_suspect and self.has_running_trial(s))
+            and not (s.is_probing and s.probed_at < cutoff)
         }
 
     def has_running_trial(self, state: WorkerState) -> bool:
@@ -1041,7 +1041,7 @@
     def is_restart_possible(self, state: WorkerState) -> bool:
         """Return whether a worker may have restarted unnoticed, while the list is unreachable.
 
-        Without a list nobody reports a new start: two workers that had restarted meanwhile were overloaded. A
+        Without a list no new start is reported: two workers that had restarted meanwhile were overloaded. A
         connection that broke shortly before the loss of the list was noticed counts too.
         """
         return self.list_failures > 0 and state.connection_broken_at > max(
@@ -1067,12 +1067,12 @@
             # back for each dispatcher's errors in run times (docs/fleet.md).
             mean_work = self.mean_job_work
             if not self.hinted_work:
-                mean_work *= self.uncertainty_factor(sum(len(self.runs[s]) for s in self.schemes))
+                mean_work *= self.error_factor(sum(len(self.runs[s]) for s in self.schemes))
             jobs = 2.0 * budget / mean_work
             turn_work = (
                 (jobs * (1.0 if self.hinted_work else 2 / 3) + 2.0 * sqrt(jobs) + 2.0) * mean_work / 2.0
             )
-            # Hinted jobs are uneven, so that each sender gets room for two mean jobs.
+            # Hinted jobs are uneven, so that each sender gets the work of two mean jobs.
             senders = max(2, int(turn_work / mean_work / (2 if self.hinted_work else 1)))
             if senders >= self.dispatchers:
                 # All dispatchers may send in any window.
@@ -1086,9 +1086,9 @@
         Without a hint the charge is higher, because the mean of a few run times is often too low.
         """
         work = self.run_of(txn) * txn.slots
-        return work if txn.hint is not None else work * self.uncertainty_factor(len(self.runs[txn.scheme]))
+        return work if txn.hint is not None else work * self.error_factor(len(self.runs[txn.scheme]))
 
-    def uncertainty_factor(self, runs: int) -> float:
+    def error_factor(self, runs: int) -> float:
         """Return the factor on a mean run time that allows for the error of a mean of so few runs."""
         return 1.0 + 3.0 / max(1, runs)
 
@@ -1384,7 +1384,7 @@
             self.list_failures += 1
             # Changes missed by a watch count as delivered from its last line on. A failed request proves that
             # no list was available when it began, and the next has to end in time: a longer doubled wait
-            # broke drains. Requests after a start leave room for those of other dispatchers.
+            # broke drains. Requests after a start yield to those of other dispatchers.
             call_time = max(1, self.now - self.list_requested_at) if self.list_request_due < FOREVER else 0
             # An expired list with no request in flight means that this process was paused: the list counts as
             # lost.
@@ -1501,9 +1501,9 @@
                 100.0, 0.01 / max(0.0001, self.probe_price + min(self.probe_durations) / self.mean_run_time)
             )
             self.estimate_lifetime = max(SCAN_INTERVAL, int(self.mean_run_time / 16))
-            self.fastest_pace = min((b.pace for b in self.workers.values()), default=1.0)
+            self.fastest_pace = min((s.pace for s in self.workers.values()), default=1.0)
             self.least_slots = min(
-                (b.slot_count for b in self.workers.values() if b.slot_count > 0), default=1.0
+                (s.slot_count for s in self.workers.values() if s.slot_count > 0), default=1.0
             )
             self.update_wide_job_workers()
         if self.probes_periodically:
@@ -1526,7 +1526,7 @@
         interval = self.probe_interval if self.probes_all_workers else self.silence_timeout
         due = self.now + interval
         for state in sorted(
-            self.workers.values(), key=lambda b: (b.worker.zone != self.home_zone, b.probed_at)
+            self.workers.values(), key=lambda s: (s.worker.zone != self.home_zone, s.probed_at)
         ):
             if (
                 state.is_probing
