--- a/pathsaddle/net/__init__.py
+++ b/pathsaddle/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher: the decisions of scheduler.py behind HTTP on sockets."""
+"""The dispatcher process: the scheduler's decisions served over HTTP on sockets."""
--- a/pathsaddle/net/memory/__init__.py
+++ b/pathsaddle/net/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept while it runs: open txns and postings, connections, counters."""
+"""In-memory state of a running dispatcher: open txns and postings, worker connections, counters."""
--- a/pathsaddle/net/memory/counters.py
+++ b/pathsaddle/net/memory/counters.py
@@ -1,4 +1,4 @@
-"""What was taken, sent, answered and how connections ended: counted, and printed on a signal and at exit."""
+"""Named counters of a process, which it logs on a signal and at its exit."""
 
 from __future__ import annotations
 
@@ -6,19 +6,24 @@
 
 
 class Counters:
+    """Counts of events and maxima of gauges, by name."""
+
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
-        self._most: dict[str, float] = {}
+        self._maxima: dict[str, float] = {}
 
     def add(self, name: str, times: int = 1) -> None:
+        """Increment a counter."""
         self._counts[name] += times
 
     def most(self, name: str, value: float) -> None:
-        self._most[name] = max(value, self._most.get(name, value))
+        """Record a value of a gauge, of which the largest is kept."""
+        self._maxima[name] = max(value, self._maxima.get(name, value))
 
     def __getitem__(self, name: str) -> int:
         return self._counts[name]
 
     def text(self) -> str:
+        """Return all counters, then all maxima, as `name=value` sorted by name."""
         counts = [f"{name}={count}" for name, count in sorted(self._counts.items())]
-        return " ".join(counts + [f"{name}={value:g}" for name, value in sorted(self._most.items())])
+        return " ".join(counts + [f"{name}={value:g}" for name, value in sorted(self._maxima.items())])
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -1,4 +1,4 @@
-"""The open txns and postings: ids to objects, and one outcome for each posting."""
+"""The open txns and their postings, found by the ids that clients and workers use."""
 
 from __future__ import annotations
 
@@ -10,47 +10,50 @@
 from pathsaddle.net.wire.http import Message
 from pathsaddle.scheduler_types import Posting, Scheme, Txn
 
-SPENT = 4096  # ids of txns that are over: as many as come in the longest expiry, and no memory to speak of
+MAX_CLOSED_IDS = 4096  # covers the txns that close within the longest expiry, in little memory
 Answer = Callable[[int, bytes, tuple[str, ...], bool], None]
 
 
 class Sending(Protocol):
-    """The bytes of one call on their way."""
+    """The transmission of one request to a worker."""
 
     @property
     def whole(self) -> bool:
-        """Whether the kernel has taken the last of them: from then on the call may have run."""
+        """Whether the kernel has accepted the last byte; from then on the request may have run."""
 
 
 @dataclass(slots=True, eq=False)
 class Whole:
-    """What is known by other means than a socket of ours to be with its worker, or not."""
+    """A transmission whose state is known without a socket of this process, as after a restart."""
 
     whole: bool = True
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A posting on its way: what a worker has been sent for it, and what came back."""
+    """A posting in progress: what has been sent to its worker, and what the worker has answered."""
 
     posting: Posting
     entry: Entry
     within: int
-    begun: bool = False  # its first byte is out
-    sending: Sending | None = None  # from its first byte on
-    accepted: bool = False  # the worker has said 202: it is withdrawn by a call, no more by closing
+    begun: bool = False  # the first byte is sent
+    sending: Sending | None = None  # set from the first byte on
+    accepted: bool = False  # the worker answered 202: cancelling takes a request, closing no longer suffices
     alarm: asyncio.TimerHandle | None = None
     task: asyncio.Task[None] | None = None
 
     @property
     def sent(self) -> bool:
-        """Its last byte is out, by what the kernel took and not by where a task of ours stands: it may have run."""
+        """Whether the last byte is sent, so that the posting may have run.
+
+        Decided by the bytes that the kernel has accepted: the sending task resumes only later.
+        """
         return self.sending is not None and self.sending.whole
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """A txn as it came, and the connection that waits for its answer."""
+    """A txn, the client's request as received, and the callback that answers its connection."""
 
     txn: Txn
     call: Message
@@ -59,19 +62,24 @@
 
     @property
     def done(self) -> bool:
+        """Whether the txn is closed and none of its postings is in flight."""
         return self.txn.is_closed and not any(exchange.posting.is_in_flight for exchange in self.exchanges)
 
 
 class Ledger:
+    """The open txns by id, and the ids of recently closed ones."""
+
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
-        self._spent: dict[str, None] = {}
+        self._closed_ids: dict[str, None] = {}
 
     def knows(self, tag: str) -> bool:
-        """Open, or over lately. An id is new with every call: what runs again under an old one is somebody
-        else's, and its postings would be taken for repeats of the first.
+        """Return whether a txn with this id is open or was closed recently.
+
+        Clients use a new id for each call. A call with an id that was used before belongs to someone else,
+        and workers would take its postings for repeats of the first.
         """
-        return tag in self._entries or tag in self._spent
+        return tag in self._entries or tag in self._closed_ids
 
     def __contains__(self, tag: str) -> bool:
         return tag in self._entries
@@ -80,17 +88,18 @@
         return self._entries[tag]
 
     def open(self, entry: Entry) -> None:
+        """Add a txn."""
         self._entries[entry.txn.tag] = entry
 
     def close(self, entry: Entry) -> None:
-        """Forgotten once the final answer is out and nothing runs for it any more."""
+        """Remove a txn if its final answer is sent and none of its postings is in flight; keep its id."""
         if entry.done and self._entries.pop(entry.txn.tag, None) is not None:
-            self._spent[entry.txn.tag] = None
-            if len(self._spent) > SPENT:
-                del self._spent[next(iter(self._spent))]
+            self._closed_ids[entry.txn.tag] = None
+            if len(self._closed_ids) > MAX_CLOSED_IDS:
+                del self._closed_ids[next(iter(self._closed_ids))]
 
     def exchange(self, tag: str, worker: str) -> Exchange | None:
-        """The posting that a worker's callback speaks of: the one that is out there, if any."""
+        """Return the posting in flight that a worker's callback refers to, if there is one."""
         entry = self._entries.get(tag)
         if entry is not None:
             for exchange in reversed(entry.exchanges):
@@ -99,7 +108,10 @@
         return None
 
     def ambiguous(self, exchange: Exchange) -> bool:
-        """Whether an earlier posting to the same worker was given up or lost: word from there may be about that one."""
+        """Return whether an earlier posting to the same worker was given up or lost and may have run.
+
+        The worker's messages for the txn may then refer to that posting instead of this one.
+        """
         return any(
             other.posting.worker is exchange.posting.worker and other.posting.may_have_run
             for other in exchange.entry.exchanges
@@ -107,8 +119,9 @@
         )
 
     def schemes(self) -> list[Scheme]:
-        """By which something here was taken that is not over yet."""
+        """Return the schemes under which the open txns were accepted, each once."""
         return list(dict.fromkeys(entry.txn.scheme for entry in self._entries.values()))
 
     def unanswered(self) -> list[Entry]:
+        """Return the txns that have no final answer yet."""
         return [entry for entry in self._entries.values() if not entry.txn.is_closed]
--- a/pathsaddle/net/memory/links.py
+++ b/pathsaddle/net/memory/links.py
@@ -1,7 +1,8 @@
-"""Which connections to workers there are: idle, resting, in use, coming up; and who waits for one.
+"""The pools of kept connections to workers: idle, cooling down or in use, and the calls that wait for one.
 
-It knows no socket: a link is whatever the driver puts here. Of those that have rested the last one put back is
-the first one taken, so that what traffic does not need grows old and is let go before the worker's idle limit.
+The pools know no socket: a link is whatever the driver puts here. Of the idle links that have cooled down the
+one put back last is taken first, so that links beyond the need of the traffic age and are closed before the
+worker's idle timeout.
 """
 
 from __future__ import annotations
@@ -12,40 +13,44 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Kept(Protocol):
+class PooledLink(Protocol):
+    """A connection to a worker, as its pool sees it."""
+
     idle_since: int  # when the answer to the last call on it was read
-    rests: bool  # a second answer to that call could pass for the next call's
+    rests: bool  # whether a second answer to that call could be taken for the next call's answer
     ended: bool
 
     @property
     def sound(self) -> bool:
-        """It stands, and nothing has been read from it that was no answer to its call."""
+        """Whether the connection is open and every answer read from it belonged to its call."""
 
     @property
     def usable(self) -> bool:
-        """It is sound, and nothing lies on it unread: an end, or bytes that would pass for the next call's answer."""
+        """Whether the link is sound and has nothing unread, neither an EOF nor bytes that answer no call."""
 
-    def end(self, code: str) -> None: ...
+    def end(self, code: str) -> None:
+        """Close the connection, with the reason code to log and count."""
+        ...
 
 
-L = TypeVar("L", bound=Kept)
+L = TypeVar("L", bound=PooledLink)
 
 
 @dataclass(slots=True, eq=False)
 class WorkerPool(Generic[L]):
-    """One worker's connections. What comes and goes here is counted where it does, in `links` too."""
+    """The connections to one worker; a change of their number updates the total in `links` too."""
 
     links: Links[L]
-    # Apart, and each in the order of `idle_since`: a fast worker's resting ones are most of its connections,
-    # and who wants one that has rested must not go through them all.
-    rested: list[L] = field(default_factory=list)
-    resting: deque[L] = field(default_factory=deque)
+    # Two lists, each in the order of `idle_since`: most idle links of a fast worker are still cooling down,
+    # and a search for a ready link must not pass over all of them.
+    ready: list[L] = field(default_factory=list)
+    cooling: deque[L] = field(default_factory=deque)
     _used: int = 0
     waiters: deque[asyncio.Future[None]] = field(default_factory=deque)
 
     @property
     def used(self) -> int:
-        """In use or coming up."""
+        """The number of links that are in use or being connected."""
         return self._used
 
     @used.setter
@@ -55,124 +60,147 @@
 
     @property
     def idle(self) -> list[L]:
-        """All that no call is out on, about the longest idle first."""
-        return [*self.rested, *self.resting]
+        """All links without a call in flight, roughly from the longest idle to the latest."""
+        return [*self.ready, *self.cooling]
 
     @property
     def count(self) -> int:
-        return self.used + len(self.rested) + len(self.resting)
+        """The number of links, in use, being connected or idle."""
+        return self.used + len(self.ready) + len(self.cooling)
 
-    def oldest(self) -> L | None:
-        """The one that has been idle for about the longest, no more among them."""
-        if not self.rested and not self.resting:
+    def pop_oldest(self) -> L | None:
+        """Remove and return a link that has been idle for about the longest, or None if none is idle."""
+        if not self.ready and not self.cooling:
             return None
         self.links.count -= 1
-        return self.rested.pop(0) if self.rested else self.resting.popleft()
+        return self.ready.pop(0) if self.ready else self.cooling.popleft()
 
 
 class Links(Generic[L]):
-    def __init__(self, most: int, keep_for: int, rest: int = 0) -> None:
-        self.most = most  # over all workers: the rest of our descriptors belongs to clients
-        self.keep_for = keep_for
-        self.rest = rest  # after an answer: in which a second one to the same call may still come
+    """The pools of all workers, and the limits on their connections."""
+
+    def __init__(self, most: int, idle_timeout: int, cooldown: int = 0) -> None:
+        """Create no pool yet.
+
+        Args:
+            most: The limit on links to all workers; the other descriptors are left to clients.
+            idle_timeout: The ticks for which an idle link is kept.
+            cooldown: The ticks after an answer in which a second answer to the same call may still arrive.
+        """
+        self.most = most
+        self.idle_timeout = idle_timeout
+        self.cooldown = cooldown
         self.pools: dict[str, WorkerPool[L]] = {}
-        # All pools' together. Asked several times an accept: as a sum over 1,900 pools it took 190 us.
+        # The total over all pools. Each accept reads it several times; a sum over 1,900 pools takes 190 us.
         self.count = 0
 
     def pool(self, worker: str) -> WorkerPool[L]:
+        """Return the worker's pool, and create it if there is none."""
         pool = self.pools.get(worker)
         if pool is None:
             pool = self.pools[worker] = WorkerPool(self)
         return pool
 
-    def most_each(self) -> int:
-        """An even part each, so that one silent worker's connections leave room for all others'."""
+    def max_per_worker(self) -> int:
+        """Return each worker's equal share of the limit: one silent worker must leave links to the others."""
         return max(2, self.most // max(1, len(self.pools)))
 
     def take(self, pool: WorkerPool[L], now: int) -> L | None:
-        """An idle link that the worker will not have closed by the time our bytes are there, and on which no more
-        can come that is not the next call's.
+        """Return an idle link that is safe for the next call, or None if there is none.
+
+        The worker will not close it before the call's bytes arrive, and a late answer to an earlier call can
+        no longer arrive on it.
         """
-        resting, rested = pool.resting, pool.rested
-        while resting and (now - resting[0].idle_since >= self.rest or resting[0].ended):
-            rested.append(resting.popleft())
-        while rested:
-            link = rested.pop()
+        cooling, ready = pool.cooling, pool.ready
+        while cooling and (now - cooling[0].idle_since >= self.cooldown or cooling[0].ended):
+            ready.append(cooling.popleft())
+        while ready:
+            link = ready.pop()
             self.count -= 1
-            if link.usable and now - link.idle_since < self.keep_for:
+            if link.usable and now - link.idle_since < self.idle_timeout:
                 pool.used += 1
                 return link
-            link.end("idle" if now - link.idle_since >= self.keep_for else "worker-stirred")
+            link.end("idle" if now - link.idle_since >= self.idle_timeout else "worker-stirred")
         return None
 
     def gives_up_resting(self, pool: WorkerPool[L]) -> bool:
-        """At the worker's cap: a new connection comes up sooner than one has rested. False where none rests."""
-        link = pool.oldest()
+        """Close the pool's oldest idle link to make room for a new one; return False if none is idle.
+
+        Called at the worker's limit while every idle link is cooling down: connecting anew is faster than
+        waiting.
+        """
+        link = pool.pop_oldest()
         if link is None:
             return False
         link.end("resting")
         return True
 
     def may_open(self, pool: WorkerPool[L]) -> bool:
-        if pool.count >= self.most_each():
+        """Return whether the limits allow one more link to the worker; may close the oldest idle link."""
+        if pool.count >= self.max_per_worker():
             return False
         if self.count >= self.most:
             self.let_go_oldest()
-        # The first to a worker may always come up: others' silence must not shut it out.
+        # A worker without any link may always get one: silent workers must not lock it out.
         return self.count < self.most or not pool.count
 
     def put_back(self, pool: WorkerPool[L], link: L, now: int) -> None:
-        """What lies unread on it by now is its reader's; it is looked for when the link is taken, and not twice."""
+        """Return a link to its pool after a call.
+
+        Bytes that are unread by now are left to its reader: `take` checks for them, and one check is enough.
+        """
         if link.sound:
             link.idle_since = now
             self.count += 1
             if link.rests:
-                pool.resting.append(link)
+                pool.cooling.append(link)
             else:
-                pool.rested.append(link)
+                pool.ready.append(link)
         else:
             link.end("worker-stirred")
         self.release(pool)
 
     def release(self, pool: WorkerPool[L]) -> None:
-        """A link is not in use any more, or one that was to come up never has."""
+        """Free the slot of a link that is no longer in use or that failed to connect."""
         pool.used -= 1
-        self._next(pool)
+        self._wake_next(pool)
 
     def sweep(self, now: int) -> None:
+        """Close the links that have been idle for too long, and remove those that have ended."""
         for pool in self.pools.values():
             for link in pool.idle:
-                if now - link.idle_since >= self.keep_for:
+                if now - link.idle_since >= self.idle_timeout:
                     link.end("idle")
             before = pool.count
-            pool.rested = [link for link in pool.rested if not link.ended]
-            pool.resting = deque(link for link in pool.resting if not link.ended)
+            pool.ready = [link for link in pool.ready if not link.ended]
+            pool.cooling = deque(link for link in pool.cooling if not link.ended)
             self.count -= before - pool.count
 
     def drop_idle(self, worker: str, code: str) -> None:
+        """Close all idle links to the worker, with the reason code to log and count."""
         pool = self.pools.get(worker)
-        while pool is not None and (link := pool.oldest()) is not None:
+        while pool is not None and (link := pool.pop_oldest()) is not None:
             link.end(code)
 
     def forget(self, worker: str) -> None:
-        """Nothing new goes there: the worker no longer counts among those that connections are shared by."""
+        """Close the idle links to a worker that gets no more calls, and release its share of the limit."""
         self.drop_idle(worker, "worker-gone")
         pool = self.pools.get(worker)
         if pool is not None and not pool.used and not pool.waiters:
             del self.pools[worker]
 
     async def turn(self, pool: WorkerPool[L]) -> None:
-        """Until a link of the pool has come free; the one that is woken and gives up wakes the next."""
+        """Wait until a link of the pool is free; a waiter that is woken but cancelled wakes the next one."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         pool.waiters.append(waiter)
         try:
             await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self._next(pool)
+                self._wake_next(pool)
             raise
 
-    def _next(self, pool: WorkerPool[L]) -> None:
+    def _wake_next(self, pool: WorkerPool[L]) -> None:
         while pool.waiters:
             waiter = pool.waiters.popleft()
             if not waiter.done():
@@ -180,11 +208,12 @@
                 return
 
     def let_go_oldest(self) -> None:
+        """Close the link of all workers that has been idle for the longest, if any is idle."""
         pool = min(
-            (pool for pool in self.pools.values() if pool.rested or pool.resting),
-            key=lambda pool: (pool.rested or pool.resting)[0].idle_since,
+            (pool for pool in self.pools.values() if pool.ready or pool.cooling),
+            key=lambda pool: (pool.ready or pool.cooling)[0].idle_since,
             default=None,
         )
-        link = pool.oldest() if pool is not None else None
+        link = pool.pop_oldest() if pool is not None else None
         if link is not None:
             link.end("room")
--- a/pathsaddle/net/wire/__init__.py
+++ b/pathsaddle/net/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: bytes to words and back. Nothing here knows a socket."""
+"""The wire formats: bytes to typed messages and back, without any socket."""
--- a/pathsaddle/net/wire/ring.py
+++ b/pathsaddle/net/wire/ring.py
@@ -1,15 +1,16 @@
-"""The bytes of one direction of one connection, between the socket and the state machine."""
+"""A ring buffer for one direction of one connection, between the socket and the HTTP state machine."""
 
 from __future__ import annotations
 
-BASE = 2 * 1024
+INITIAL_BYTES = 2 * 1024
 
 
 class Ring:
-    """A ring buffer; it takes its memory at first use, grows for a long message and shrinks when empty.
+    """A ring buffer that allocates at first use, grows for a long message and frees its memory when empty.
 
-    A thousand idle connections must not hold a thousand buffers of the longest message. Only `space` moves
-    the end of what is kept: a read into it may be pending while the bytes before it are dropped.
+    Otherwise a thousand idle connections would hold a thousand buffers of the longest message. `drop` leaves
+    the write position in place, and `space` alone resets it in an empty buffer: a read into the free bytes
+    may be pending while the bytes before them are dropped.
     """
 
     __slots__ = ("_head", "_room", "_size")
@@ -24,12 +25,13 @@
 
     @property
     def full(self) -> bool:
+        """Whether the allocated buffer has no free byte."""
         return 0 < len(self._room) == self._size
 
     def space(self) -> memoryview:
-        """The longest run of free bytes that can be read into at once."""
+        """Return the longest contiguous run of free bytes, for one read."""
         if not self._room:
-            self._room = bytearray(BASE)
+            self._room = bytearray(INITIAL_BYTES)
         if not self._size:
             self._head = 0
         tail = self._head + self._size
@@ -38,39 +40,42 @@
         return memoryview(self._room)[tail:]
 
     def fill(self, count: int) -> None:
+        """Mark the first `count` bytes of `space` as written."""
         self._size += count
 
     def data(self) -> memoryview:
-        """The longest run of kept bytes that can be written or parsed at once."""
+        """Return the longest contiguous run of buffered bytes, for one write or one call of the parser."""
         return memoryview(self._room)[self._head : min(len(self._room), self._head + self._size)]
 
     def drop(self, count: int) -> None:
+        """Discard the first `count` buffered bytes."""
         self._size -= count
         self._head = (self._head + count) % len(self._room)
 
     def rest(self) -> None:
-        """Empty and with no read pending: what messages took is given back."""
+        """Free the memory if the buffer is empty; no read into `space` may be pending."""
         if not self._size:
             self._room, self._head = bytearray(), 0
 
     def put(self, data: bytes) -> None:
+        """Append `data`, and enlarge the buffer if it does not fit."""
         if len(data) > len(self._room) - self._size:
             self._grow(self._size + len(data))
-        at = 0
-        while at < len(data):
+        start = 0
+        while start < len(data):
             space = self.space()
-            count = min(len(space), len(data) - at)
-            space[:count] = data[at : at + count]
+            count = min(len(space), len(data) - start)
+            space[:count] = data[start : start + count]
             self.fill(count)
-            at += count
+            start += count
 
-    def _grow(self, least: int) -> None:
-        room = bytearray(max(BASE, 1 << (least - 1).bit_length()))
-        size, at = self._size, 0
+    def _grow(self, min_bytes: int) -> None:
+        room = bytearray(max(INITIAL_BYTES, 1 << (min_bytes - 1).bit_length()))
+        size, end = self._size, 0
         while self._size:
             part = self.data()
-            room[at : at + len(part)] = part
-            at += len(part)
+            room[end : end + len(part)] = part
+            end += len(part)
             self._head = (self._head + len(part)) % len(self._room)
             self._size -= len(part)
         self._room, self._head, self._size = room, 0, size
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Stories of the pool of connections to workers, alone and with no socket: what rests, what it costs, whose it is."""
+"""The pool of connections to workers: on its own without sockets, and the system calls that one call costs."""
 
 from __future__ import annotations
 
@@ -16,123 +16,123 @@
 from pathsaddle.net.wire.terms import Reach
 from pathsaddle.scheduler_types import MILLISECOND
 
-REST, KEEP = 50, 1000
+COOLDOWN, IDLE_TIMEOUT = 50, 1000
 
 
-class Planted:
-    """A connection as the pool sees it; it counts how often the pool looked at it."""
+class FakeLink:
+    """A link without a socket that counts how often the pool reads its state."""
 
     def __init__(self, rests: bool = True) -> None:
         self.rests = rests
         self.idle_since = 0
-        self.looks = 0
-        self.sound = self.quiet = True
+        self.reads = 0
+        self.sound = self.has_nothing_unread = True
         self.code = ""
 
     @property
     def ended(self) -> bool:
-        self.looks += 1
+        self.reads += 1
         return bool(self.code)
 
     @property
     def usable(self) -> bool:
-        return self.sound and self.quiet and not self.code
+        return self.sound and self.has_nothing_unread and not self.code
 
     def end(self, code: str) -> None:
         self.code = self.code or code
 
 
-class PoolStory(unittest.TestCase):
+class PoolTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.links: Links[Planted] = Links(64, KEEP, REST)
-        self.pool: WorkerPool[Planted] = self.links.pool("w")
+        self.links: Links[FakeLink] = Links(64, IDLE_TIMEOUT, COOLDOWN)
+        self.pool: WorkerPool[FakeLink] = self.links.pool("w")
 
-    def answered(self, now: int, rests: bool = True) -> Planted:
-        link = Planted(rests)
+    def answered(self, now: int, rests: bool = True) -> FakeLink:
+        link = FakeLink(rests)
         self.pool.used += 1
         self.links.put_back(self.pool, link, now)
         return link
 
-    def test_how_many_there_are_is_known_without_a_walk_over_all_workers(self) -> None:
-        """Asked several times an accept: a sum over 1,900 workers' pools took 190 us each time."""
-        chance, out = Random(7), 0
+    def test_the_link_count_is_kept_without_a_sum_over_all_workers(self) -> None:
+        """Each accept reads the count several times; a sum over 1,900 workers' pools took 190 us each time."""
+        random, max_count = Random(7), 0
         for now in range(2000):
-            pool = self.links.pool(f"w{chance.randrange(5)}")
-            step = chance.randrange(8)
+            pool = self.links.pool(f"w{random.randrange(5)}")
+            step = random.randrange(8)
             if step == 0:
-                pool.used += 1  # as one that comes up
+                pool.used += 1  # as a link that is being connected
             elif step == 1 and pool.used:
                 self.links.release(pool)
             elif step == 2:
                 self.links.take(pool, now)
             elif step == 3 and pool.used:
-                link = Planted(rests=chance.random() < 0.5)
-                link.sound = chance.random() < 0.8
+                link = FakeLink(rests=random.random() < 0.5)
+                link.sound = random.random() < 0.8
                 self.links.put_back(pool, link, now)
             elif step == 4:
                 self.links.gives_up_resting(pool)
             elif step == 5:
                 self.links.let_go_oldest()
-            elif step == 6 and chance.random() < 0.2:
+            elif step == 6 and random.random() < 0.2:
                 self.links.sweep(now)
-            elif step == 7 and chance.random() < 0.2:
-                self.links.forget(f"w{chance.randrange(5)}")
-            there = sum(one.used + len(one.idle) for one in self.links.pools.values())
-            self.assertEqual(self.links.count, there)
-            out = max(out, there)
-        self.assertGreater(out, 5)
-        with mock.patch.object(WorkerPool, "count", new_callable=mock.PropertyMock) as each:
-            self.assertEqual(self.links.count, there)
-            each.assert_not_called()
-
-    def test_none_is_taken_in_its_rest_and_of_those_that_have_rested_the_last_put_back(self) -> None:
+            elif step == 7 and random.random() < 0.2:
+                self.links.forget(f"w{random.randrange(5)}")
+            expected = sum(each.used + len(each.idle) for each in self.links.pools.values())
+            self.assertEqual(self.links.count, expected)
+            max_count = max(max_count, expected)
+        self.assertGreater(max_count, 5)
+        with mock.patch.object(WorkerPool, "count", new_callable=mock.PropertyMock) as pool_count:
+            self.assertEqual(self.links.count, expected)
+            pool_count.assert_not_called()
+
+    def test_no_link_is_taken_while_cooling_down_and_of_the_ready_ones_the_latest_is(self) -> None:
         first, second, third = (self.answered(now) for now in (0, 10, 20))
-        self.assertIsNone(self.links.take(self.pool, REST - 1))
-        self.assertIs(self.links.take(self.pool, REST + 10), second)
-        self.assertIs(self.links.take(self.pool, REST + 10), first)
-        self.assertIsNone(self.links.take(self.pool, REST + 10))
-        self.assertIs(self.links.take(self.pool, REST + 20), third)
+        self.assertIsNone(self.links.take(self.pool, COOLDOWN - 1))
+        self.assertIs(self.links.take(self.pool, COOLDOWN + 10), second)
+        self.assertIs(self.links.take(self.pool, COOLDOWN + 10), first)
+        self.assertIsNone(self.links.take(self.pool, COOLDOWN + 10))
+        self.assertIs(self.links.take(self.pool, COOLDOWN + 20), third)
         self.assertEqual((self.pool.used, self.pool.count), (3, 3))
 
-    def test_what_answered_a_look_is_taken_at_once_also_behind_resting_ones(self) -> None:
+    def test_a_link_that_answered_a_probe_is_taken_at_once_even_behind_cooling_ones(self) -> None:
         self.answered(0)
-        looked = self.answered(1, rests=False)
+        probed = self.answered(1, rests=False)
         self.answered(2)
-        self.assertIs(self.links.take(self.pool, 2), looked)
+        self.assertIs(self.links.take(self.pool, 2), probed)
         self.assertIsNone(self.links.take(self.pool, 2))
 
-    def test_resting_ones_are_not_gone_through_at_each_call(self) -> None:
-        """A worker that answers fast has as many resting as it answers in a rest: each call looked at all of them."""
-        resting = [self.answered(now) for now in range(40)]
-        for link in resting:
-            link.looks = 0
+    def test_a_call_does_not_scan_the_cooling_links(self) -> None:
+        """A fast worker has as many cooling links as it answers within a cooldown, and each call read them all."""
+        cooling = [self.answered(now) for now in range(40)]
+        for link in cooling:
+            link.reads = 0
         for now in range(5):
             self.assertIsNone(self.links.take(self.pool, 40 + now))
-        self.assertLessEqual(sum(link.looks for link in resting), 5)
+        self.assertLessEqual(sum(link.reads for link in cooling), 5)
 
-    def test_one_that_ended_in_its_rest_is_never_taken_and_goes_at_the_next_sweep(self) -> None:
+    def test_a_link_that_ended_while_cooling_is_never_taken_and_the_next_sweep_removes_it(self) -> None:
         links = [self.answered(now) for now in range(3)]
         links[1].end("worker-closed")
         self.links.sweep(5)
         self.assertEqual(self.pool.count, 2)
         links[0].end("worker-closed")
-        self.assertIs(self.links.take(self.pool, REST + 5), links[2])
-        self.assertIsNone(self.links.take(self.pool, REST + 5))
+        self.assertIs(self.links.take(self.pool, COOLDOWN + 5), links[2])
+        self.assertIsNone(self.links.take(self.pool, COOLDOWN + 5))
 
-    def test_one_with_an_answer_that_was_not_its_calls_is_not_put_back(self) -> None:
-        link = Planted()
+    def test_a_link_with_an_answer_to_another_call_is_not_put_back(self) -> None:
+        link = FakeLink()
         link.sound = False
         self.pool.used += 1
         self.links.put_back(self.pool, link, 0)
         self.assertEqual((self.pool.count, link.code), (0, "worker-stirred"))
 
-    def test_one_on_which_something_lies_by_the_time_it_is_taken_is_ended(self) -> None:
+    def test_a_link_with_unread_bytes_when_it_is_taken_is_ended(self) -> None:
         link = self.answered(0)
-        link.quiet = False
-        self.assertIsNone(self.links.take(self.pool, REST))
+        link.has_nothing_unread = False
+        self.assertIsNone(self.links.take(self.pool, COOLDOWN))
         self.assertEqual((self.pool.count, link.code), (0, "worker-stirred"))
 
-    def test_resting_ones_count_against_the_caps_and_make_way_the_oldest_first(self) -> None:
+    def test_cooling_links_count_against_the_limits_and_the_oldest_makes_room_first(self) -> None:
         first, second = self.answered(0), self.answered(1)
         self.assertTrue(self.links.gives_up_resting(self.pool))
         self.assertEqual((first.code, second.code), ("resting", ""))
@@ -141,29 +141,29 @@
         self.assertFalse(self.links.gives_up_resting(self.pool))
         self.links.let_go_oldest()
 
-    def test_an_idle_one_of_old_is_let_go_and_a_worker_that_is_gone_keeps_none(self) -> None:
-        old, young = self.answered(0), self.answered(KEEP - 1)
-        self.links.sweep(KEEP)
-        self.assertEqual((old.code, young.code), ("idle", ""))
+    def test_links_are_closed_at_the_idle_timeout_and_when_their_worker_is_gone(self) -> None:
+        expired, recent = self.answered(0), self.answered(IDLE_TIMEOUT - 1)
+        self.links.sweep(IDLE_TIMEOUT)
+        self.assertEqual((expired.code, recent.code), ("idle", ""))
         self.links.forget("w")
-        self.assertEqual((young.code, self.links.pools), ("worker-gone", {}))
+        self.assertEqual((recent.code, self.links.pools), ("worker-gone", {}))
 
 
-class CostStory(unittest.IsolatedAsyncioTestCase):
-    """What a call on a kept connection takes of the kernel and of the event loop."""
+class CallCostTest(unittest.IsolatedAsyncioTestCase):
+    """The system calls and timers that a call on a kept connection costs."""
 
     async def asyncSetUp(self) -> None:
-        over = asyncio.Event()
+        closed = asyncio.Event()
 
-        async def accepting(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while head := await reader.readline():
                 if head == b"\r\n":
                     await reader.readexactly(1)
                     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             writer.close()
-            over.set()
+            closed.set()
 
-        server = await asyncio.start_server(accepting, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addAsyncCleanup(server.wait_closed)
         self.addCleanup(server.close)
         self.now = 0.0
@@ -173,7 +173,7 @@
             Clock(wall=lambda: 0.0, steady=lambda: self.now),
             Counters(),
         )
-        self.addAsyncCleanup(over.wait)
+        self.addAsyncCleanup(closed.wait)
         self.addCleanup(self.workers.links.drop_idle, "w", "stopping")
         host, port = server.sockets[0].getsockname()
         self.workers.located("w", f"{host}:{port}")
@@ -183,28 +183,28 @@
     async def post(self) -> None:
         self.assertEqual((await self.workers.call("w", "POST", b"/x", [], b"x")).status, 202)
 
-    async def test_the_kernel_is_asked_once_for_what_lies_unread_right_before_the_link_is_taken(self) -> None:
-        peeks: list[int] = []
-        stirred = Tallied.stirred
+    async def test_taking_a_link_peeks_at_its_socket_once(self) -> None:
+        peeked_at: list[int] = []
+        peek = Tallied.stirred
 
-        def counted(sock: Tallied) -> bool:
-            peeks.append(sock.given)
-            return stirred(sock)
+        def counting_peek(sock: Tallied) -> bool:
+            peeked_at.append(sock.given)
+            return peek(sock)
 
-        with mock.patch.object(Tallied, "stirred", counted):
+        with mock.patch.object(Tallied, "stirred", counting_peek):
             await self.post()
-        self.assertEqual(len(peeks), 1)
+        self.assertEqual(len(peeked_at), 1)
         self.assertEqual(self.workers.counters["connect.made"], 1)
 
-    async def test_no_timer_is_set_where_a_link_is_there_and_no_limit_is_told(self) -> None:
-        with mock.patch.object(asyncio, "timeout", side_effect=AssertionError("a timer")):
+    async def test_a_call_on_an_idle_link_without_a_time_limit_sets_no_timer(self) -> None:
+        with mock.patch.object(asyncio, "timeout", side_effect=AssertionError("a timer was set")):
             await self.post()
 
-    async def test_where_a_limit_is_told_a_peer_that_takes_nothing_is_waited_for_no_longer(self) -> None:
-        listening = await asyncio.start_server(lambda reader, writer: reader.read(0), "127.0.0.1", 0)
-        self.addAsyncCleanup(listening.wait_closed)
-        self.addCleanup(listening.close)
-        sock, peer = stream("{}:{}".format(*listening.sockets[0].getsockname()))
+    async def test_a_write_to_a_peer_that_reads_nothing_ends_at_its_time_limit(self) -> None:
+        server = await asyncio.start_server(lambda reader, writer: reader.read(0), "127.0.0.1", 0)
+        self.addAsyncCleanup(server.wait_closed)
+        self.addCleanup(server.close)
+        sock, peer = stream("{}:{}".format(*server.sockets[0].getsockname()))
         with sock:
             await asyncio.get_running_loop().sock_connect(sock, peer)
             ring = Ring()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 from pathsaddle.net.wire import forms, terms
 from pathsaddle.net.wire.forms import Words
 from pathsaddle.net.wire.http import MOST_BODY, Broken, Called, Calling, Message
-from pathsaddle.net.wire.ring import BASE, Ring
+from pathsaddle.net.wire.ring import INITIAL_BYTES, Ring
 from pathsaddle.scheduler_types import ListedState, ListUpdate, Outcome, Semantics
 from tests.fakehost import SETTINGS
 
@@ -45,13 +45,13 @@
 
     def test_a_full_one_offers_no_space_and_an_empty_one_gives_growth_back(self) -> None:
         ring = Ring()
-        ring.put(b"x" * BASE)
+        ring.put(b"x" * INITIAL_BYTES)
         self.assertTrue(ring.full)
         self.assertEqual(len(ring.space()), 0)
-        ring.put(b"y" * 3 * BASE)
+        ring.put(b"y" * 3 * INITIAL_BYTES)
         ring.drop(len(ring.data()))
         ring.rest()
-        self.assertEqual(len(ring.space()), BASE)
+        self.assertEqual(len(ring.space()), INITIAL_BYTES)
         ring.rest()
         self.assertFalse(ring.full)
 
