--- a/pathsaddle/net/wire/http.py
+++ b/pathsaddle/net/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as two state machines that are fed bytes: the side that is called and the side that calls."""
+"""HTTP/1.1 as two state machines without I/O: the server side and the client side of a connection."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import httptools
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 16 * 1024
-MOST_RECORD = 4 * 1024 * 1024  # of the list: some twenty thousand workers
-MOST_RAW = 8 * MOST_BODY  # with its framing, in however small chunks
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MOST_RECORD = 4 * 1024 * 1024  # bytes of a worker list of some twenty thousand workers
+MAX_RAW_BYTES = 8 * MAX_BODY_BYTES  # body with its framing, which small chunks multiply
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -29,12 +29,16 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # of JSON: none goes on over the end of a line
-ONCE = (b"host", b"content-type")  # and all that speak of the job: said twice, which one counts is a guess
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string, which never spans lines
+# A repeat of these, or of a `req-` header, is rejected: which of the two values counts would be a guess.
+SINGLE_HEADERS = (b"host", b"content-type")
 
 
 class Broken(Exception):
-    """What came is not HTTP, or more of it than is taken; `status` is the answer it deserves."""
+    """The received bytes are not valid HTTP or exceed a limit.
+
+    `status` is the HTTP status to answer with.
+    """
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -43,58 +47,64 @@
 
 @dataclass(slots=True)
 class Message:
-    """One call or one answer, whole."""
+    """A complete request or response."""
 
     method: bytes = b""
     target: bytes = b""
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)
-    lines: list[tuple[bytes, bytes]] = field(default_factory=list)  # the same as they came, to be passed on
+    lines: list[tuple[bytes, bytes]] = field(default_factory=list)  # as received, to be forwarded
     body: bytes = b""
     keep: bool = True
 
     def text(self, name: bytes) -> str | None:
+        """Return the value of a header by its lower-case name, or None if it is missing."""
         value = self.headers.get(name)
         return None if value is None else value.decode("latin-1")
 
 
-class Reader:
-    """What httptools calls back, gathered into messages; bounds are kept while the bytes come."""
+class MessageParser:
+    """Assembles messages from the callbacks of httptools, and enforces the size limits while bytes arrive."""
 
     def __init__(self) -> None:
         self.messages: deque[Message] = deque()
-        self.part: Message | None = None  # the message under way
-        self.headed = False  # its head is here whole
-        self.fed = 0  # bytes of it so far, as they came: the parser keeps a line until its end is here
-        self.head = 0
-        self.size = 0
+        self.part: Message | None = None  # the message that is being received
+        self.has_head = False  # whether its head is complete
+        self.raw_bytes = 0  # its raw bytes so far; the parser buffers a line until it is complete
+        self.head_bytes = 0
+        self.body_bytes = 0
         self.chunks: list[bytes] = []
         self.fault: Broken | None = None
 
     def on_message_begin(self) -> None:
-        self.part, self.headed, self.fed, self.head = Message(), False, 0, 0
-        self.size, self.chunks = 0, []
+        """Start a new message."""
+        self.part, self.has_head, self.raw_bytes, self.head_bytes = Message(), False, 0, 0
+        self.body_bytes, self.chunks = 0, []
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request target."""
         assert self.part is not None
-        self._head(len(url))
+        self._count_head_bytes(len(url))
         self.part.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; trailer fields are ignored."""
         assert self.part is not None
-        self._head(len(name) + len(value))
-        if self.headed:
-            return  # a trailer, behind what was read as the head: it changes nothing any more
+        self._count_head_bytes(len(name) + len(value))
+        if self.has_head:
+            return  # a trailer field must not change the head, which has been processed
         self.part.headers[name.lower()] = value
         self.part.lines.append((name, value))
 
     def on_body(self, chunk: bytes) -> None:
-        self.size += len(chunk)
-        if self.size > MOST_BODY:
-            self._object(413, "body over 64 KiB")
+        """Append a part of the body."""
+        self.body_bytes += len(chunk)
+        if self.body_bytes > MAX_BODY_BYTES:
+            self._reject(413, "body over 64 KiB")
         self.chunks.append(chunk)
 
     def on_message_complete(self) -> None:
+        """Queue the complete message."""
         assert self.part is not None
         self.part.body = b"".join(self.chunks)
         self.finish(self.part)
@@ -102,19 +112,20 @@
         self.part, self.chunks = None, []
 
     def finish(self, message: Message) -> None:
+        """Set the fields of a complete message that only the parser knows."""
         raise NotImplementedError
 
-    def _head(self, count: int) -> None:
-        self.head += count
-        if self.head > MOST_HEAD:
-            self._object(431, "head over 16 KiB")
+    def _count_head_bytes(self, count: int) -> None:
+        self.head_bytes += count
+        if self.head_bytes > MAX_HEAD_BYTES:
+            self._reject(431, "head over 16 KiB")
 
     def object(self, status: int, why: str) -> Broken:
-        """The message under way will not be taken, whatever more of it comes."""
+        """Reject the message that is being received; the first rejection is kept and returned."""
         self.fault = self.fault or Broken(status, why)
         return self.fault
 
-    def _object(self, status: int, why: str) -> None:
+    def _reject(self, status: int, why: str) -> None:
         raise self.object(status, why)
 
     def _parse(
@@ -128,102 +139,111 @@
             self.object(400, str(fault)[:80])
 
 
-class Called(Reader):
-    """The called side of one connection: calls in, answers out, one at a time."""
+class Called(MessageParser):
+    """The server side of one connection: requests in, responses out, one at a time."""
 
     def __init__(self) -> None:
         super().__init__()
         self._parser = httptools.HttpRequestParser(self)
-        self.held = 0  # bytes of bodies: of the part under way, of whole calls, of the one not answered yet
-        self.busy = False  # a call is out of here and not answered yet
-        self.over = False  # nothing more will be read or answered
-        self.spilt = False  # bytes behind the call under way were thrown away: calls that were never taken
-        self._keep = True
-        self._weight = 0
-        self._hold_back = b""  # what the caller must see before it goes on sending
+        self.held = 0  # body bytes of the partial, the queued and the unanswered request
+        self.busy = False  # whether a request was handed out and not answered yet
+        self.over = False  # whether the last response was sent, so that nothing more is read
+        self.spilt = (
+            False  # whether the bytes after the unanswered request are discarded
+        )
+        self._keeps_open = True
+        self._body_bytes = 0
+        self._interim_response = b""  # to be sent before the client sends the body
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Parse received bytes; a malformed or oversized request sets `fault`."""
         if self.fault is None and not self.over:
             self._parse(self._parser, data)
-            self.fed += len(data)
-            most, status = (MOST_RAW, 413) if self.headed else (MOST_HEAD, 431)
-            if self.part is not None and self.fed > most:
+            self.raw_bytes += len(data)
+            max_bytes, status = (MAX_RAW_BYTES, 413) if self.has_head else (MAX_HEAD_BYTES, 431)
+            if self.part is not None and self.raw_bytes > max_bytes:
                 self.object(status, "a head or framing without end")
 
     def on_body(self, chunk: bytes) -> None:
+        """Append a part of the body and count its bytes as held."""
         super().on_body(chunk)
         self.held += len(chunk)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; raises Broken where a header that must be unique is repeated."""
         assert self.part is not None
         lower = name.lower()
-        twice = not self.headed and lower in self.part.headers
-        if twice and (lower in ONCE or lower.startswith(b"req-")):
-            self._object(400, "a header twice")
+        is_repeated = not self.has_head and lower in self.part.headers
+        if is_repeated and (lower in SINGLE_HEADERS or lower.startswith(b"req-")):
+            self._reject(400, "a header twice")
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
+        """Check the version, the framing and the announced length; raises Broken."""
         assert self.part is not None
-        self.headed = True
+        self.has_head = True
         version, headers = self._parser.get_http_version(), self.part.headers
         if version not in ("1.0", "1.1"):
-            self._object(505, "neither HTTP/1.0 nor HTTP/1.1")
+            self._reject(505, "neither HTTP/1.0 nor HTTP/1.1")
         if (coding := headers.get(b"transfer-encoding")) is not None:
-            # Both lengths may hide another call in the body, from whoever believes the other of the two.
+            # Request smuggling: with two lengths, a peer that goes by the other one sees a second request in
+            # the body.
             if b"content-length" in headers or version == "1.0":
-                self._object(400, "two lengths, or one that HTTP/1.0 has not")
+                self._reject(400, "two lengths, or one that HTTP/1.0 has not")
             if coding.strip().lower() != b"chunked":
-                self._object(501, "no coding but chunked is undone here")
+                self._reject(501, "no coding but chunked is undone here")
         length = headers.get(b"content-length", b"0").strip()
-        if length.isdigit() and int(length) > MOST_BODY:
-            self._object(413, "body over 64 KiB")
+        if length.isdigit() and int(length) > MAX_BODY_BYTES:
+            self._reject(413, "body over 64 KiB")
         if self.part.headers.get(b"expect", b"").lower() == b"100-continue":
-            self._hold_back = b"HTTP/1.1 100 Continue\r\n\r\n"
+            self._interim_response = b"HTTP/1.1 100 Continue\r\n\r\n"
 
     def finish(self, message: Message) -> None:
+        """Set the method and whether the connection stays open."""
         message.method = self._parser.get_method()
         message.keep = self._parser.should_keep_alive()
-        self._hold_back = b""
+        self._interim_response = b""
 
     @property
     def midway(self) -> bool:
-        """Part of a call is here: closing now would lose it."""
+        """Whether a request is partly received or queued: a close would lose it."""
         return self.part is not None or bool(self.messages)
 
     def go_on(self) -> bytes:
-        told, self._hold_back = self._hold_back, b""
-        return told
+        """Return the interim response `100 Continue` if the client waits for it, and then no more."""
+        response, self._interim_response = self._interim_response, b""
+        return response
 
     def next(self) -> Message | None:
-        """The next call, once the one before has its answer."""
+        """Return the next request if the one before it is answered, else None."""
         if self.busy or self.over or not self.messages:
             return None
         self.busy = True
         call = self.messages.popleft()
-        self._keep, self._weight = call.keep, len(call.body)
+        self._keeps_open, self._body_bytes = call.keep, len(call.body)
         return call
 
     def spill(self) -> None:
-        """What comes behind the call under way is not kept: its answer will be the last."""
+        """Discard all bytes after the unanswered request, whose response then closes the connection."""
         assert self.busy
-        self.spilt, self._keep = True, False
+        self.spilt, self._keeps_open = True, False
 
     def objection(self) -> bytes:
-        """The answer to bytes that are no call, after all whole calls before them have theirs."""
+        """Return the error response to a rejected request, once all requests before it are answered."""
         if self.fault is None or self.busy or self.over or self.messages:
             return b""
-        self.busy, self._keep, self._weight = True, False, self.held
+        self.busy, self._keeps_open, self._body_bytes = True, False, self.held
         self.part, self.chunks = None, []
         return self.answer(self.fault.status, str(self.fault).encode())
 
     def answer(
         self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
     ) -> bytes:
-        """The bytes of the one answer to the call under way."""
+        """Return the bytes of the response to the unanswered request."""
         assert self.busy and not self.over
         self.busy = False
-        self.held -= self._weight
-        self.over = not (keep and self._keep)
+        self.held -= self._body_bytes
+        self.over = not (keep and self._keeps_open)
         lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Other')}", *headers]
         if status != 204:
             lines.append(f"Content-Length: {len(body)}")
@@ -232,26 +252,25 @@
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-class Calling(Reader):
-    """The calling side of one connection: one call out, one answer in, then the next."""
+class Calling(MessageParser):
+    """The client side of one connection: one request out, one response in, then the next."""
 
     def __init__(self, streams: bool = False) -> None:
         super().__init__()
         self._parser = httptools.HttpResponseParser(self)
-        self.streams = streams  # body bytes are handed on as they come, not gathered
-        self.status = 0  # of an answer whose head is here
-        self.flow = bytearray()
-        self.record, self.depth = (
-            bytearray(),
-            0,
-        )  # of an object that is not yet whole: its lines, its open braces
-        self.asked = False
-        self.more = False  # something came behind the last answer in one piece with it
-        self.behind: list[Message] = []  # what of that is whole
+        self.streams = streams  # whether `records` returns the body as it arrives
+        self.status = 0  # of the response, once its head is complete
+        self.stream_buffer = bytearray()
+        # Of a JSON object that is still incomplete: its lines so far and the number of its open braces.
+        self.partial_record, self.open_braces = bytearray(), 0
+        self.asked = False  # whether a request is sent and not answered yet
+        self.more = False  # whether the read that completed the last response held more bytes
+        self.behind: list[Message] = []  # the complete responses among those
 
     def ask(
         self, method: str, target: bytes, host: str, headers: list[tuple[bytes, bytes]], body: bytes = b""
     ) -> bytes:
+        """Return the bytes of a request, and expect its response."""
         self.asked, self.status, self.more, self.behind = True, 0, False, []
         lines = [method.encode() + b" " + target + b" HTTP/1.1", b"Host: " + host.encode()]
         lines += [name + b": " + value for name, value in headers]
@@ -260,61 +279,74 @@
         return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
     def feed(self, data: bytes | memoryview) -> Message | None:
-        """Raises Broken where the bytes are no answer to a call that was made."""
+        """Parse received bytes and return the response if it is complete.
+
+        Raises:
+            Broken: The bytes are not a response, exceed a limit, or no request was sent.
+        """
         if not self.asked:
-            raise Broken(400, "an answer to nothing")
+            raise Broken(400, "received a response without a request")
         self._parse(self._parser, data)
-        self.fed += len(data)
+        self.raw_bytes += len(data)
         if (
             self.part is not None
-            and self.fed > (MOST_RAW if self.headed else MOST_HEAD)
-            and not (self.streams and self.headed)
+            and self.raw_bytes > (MAX_RAW_BYTES if self.has_head else MAX_HEAD_BYTES)
+            and not (self.streams and self.has_head)
         ):
-            self.object(400, "an answer without end")
+            self.object(400, "response exceeds the size limit")
         if self.fault is not None:
             raise self.fault
         if not self.messages:
             return None
         self.asked = False
         answer = self.messages.popleft()
-        # Kept, a second answer would have been the first thing that the next call got.
+        # A second response must not be kept: the next request would take it for its own.
         self.more = bool(self.messages) or self.part is not None
         self.behind = [*self.messages]
         self.messages.clear()
         return answer
 
     def on_message_complete(self) -> None:
+        """Queue the complete response, unless it is an interim one (1xx)."""
         super().on_message_complete()
         if 100 <= self.messages[-1].status < 200:
-            self.messages.pop()  # on the way to the answer
+            self.messages.pop()
 
     def on_headers_complete(self) -> None:
-        self.headed, self.status = True, self._parser.get_status_code()
+        """Record the status."""
+        self.has_head, self.status = True, self._parser.get_status_code()
 
     def on_body(self, chunk: bytes) -> None:
+        """Append a part of the body, or buffer it for `records`."""
         if self.streams:
-            self.flow += chunk
+            self.stream_buffer += chunk
         else:
             super().on_body(chunk)
 
     def finish(self, message: Message) -> None:
+        """Set the status and whether the connection stays open."""
         message.status = self._parser.get_status_code()
         message.keep = self._parser.should_keep_alive()
 
     def records(self) -> list[bytes]:
-        """The whole objects that have come of a streamed answer, each on one line or indented over several; an empty
-        one for each empty line between them, a sign of life. Raises Broken where one does not end.
+        """Return the JSON objects that are complete by now in a streamed response.
+
+        An object takes one line, or several if it is indented. An empty line between objects is a heartbeat
+        and yields an empty record.
+
+        Raises:
+            Broken: An object exceeds MOST_RECORD bytes.
         """
-        *lines, rest = bytes(self.flow).split(b"\n")
+        *lines, rest = bytes(self.stream_buffer).split(b"\n")
         found = []
         for line in lines:
-            self.record += line
-            bare = STRING.sub(b"", line)
-            self.depth += bare.count(b"{") - bare.count(b"}")
-            if self.depth <= 0:
-                found.append(bytes(self.record))
-                self.record, self.depth = bytearray(), 0
-        self.flow = bytearray(rest)
-        if len(self.record) + len(rest) > MOST_RECORD:
-            raise Broken(400, f"an object of over {MOST_RECORD} bytes")
+            self.partial_record += line
+            unquoted = JSON_STRING.sub(b"", line)
+            self.open_braces += unquoted.count(b"{") - unquoted.count(b"}")
+            if self.open_braces <= 0:
+                found.append(bytes(self.partial_record))
+                self.partial_record, self.open_braces = bytearray(), 0
+        self.stream_buffer = bytearray(rest)
+        if len(self.partial_record) + len(rest) > MOST_RECORD:
+            raise Broken(400, f"a list record exceeds {MOST_RECORD} bytes")
         return found
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""The pool of connections to workers: on its own without sockets, and the system calls that one call costs."""
+"""The pool of connections to workers without sockets, and the system calls that one call costs."""
 
 from __future__ import annotations
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 
 from pathsaddle.net.wire import forms, terms
 from pathsaddle.net.wire.forms import Words
-from pathsaddle.net.wire.http import MOST_BODY, Broken, Called, Calling, Message
+from pathsaddle.net.wire.http import MAX_BODY_BYTES, Broken, Called, Calling, Message
 from pathsaddle.net.wire.ring import INITIAL_BYTES, Ring
 from pathsaddle.scheduler_types import ListedState, ListUpdate, Outcome, Semantics
 from tests.fakehost import SETTINGS
@@ -93,16 +93,16 @@
         def sized(size: int) -> bytes:
             return JOB.replace(b"Content-Length: 5", b"Content-Length: %d" % size)[:-5] + b"x" * size
 
-        whole = called(sized(MOST_BODY)).next()
-        self.assertEqual(whole and len(whole.body), MOST_BODY)
+        whole = called(sized(MAX_BODY_BYTES)).next()
+        self.assertEqual(whole and len(whole.body), MAX_BODY_BYTES)
         chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
         chunked = JOB.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
-        for much in (sized(MOST_BODY + 1), chunked + chunk * 3):
+        for much in (sized(MAX_BODY_BYTES + 1), chunked + chunk * 3):
             machine = called(much)
             self.assertIsNone(machine.next())
             self.assertTrue(machine.objection().startswith(b"HTTP/1.1 413"))
         whole = called(chunked + chunk * 2 + b"0\r\n\r\n").next()
-        self.assertEqual(whole and len(whole.body), MOST_BODY)
+        self.assertEqual(whole and len(whole.body), MAX_BODY_BYTES)
 
     def test_malformed_bytes_are_400_after_the_calls_before_them(self) -> None:
         machine = called(JOB + b"\x00what is this\r\n\r\n")
