--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -65,8 +65,8 @@
     terms: SchedulerConfig
     words: Words
     reach: Reach
-    index: int  # the version of the last known worker list, maybe outdated, and its entries
-    rows: list[Row]
+    index: int  # the version of the last known worker list, which may be outdated
+    rows: list[Row]  # its entries
 
 
 def moved_to(text: str) -> str:
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -61,8 +61,8 @@
     name: str  # the name of the state, for the counters
     outcome: Outcome | None  # set if the posting has ended
     note: bool  # a progress message of a posting that has not ended
-    started: bool
-    level: float
+    started: bool  # the worker has begun to run the posting
+    level: float  # the part of the work that is done, as the worker reports it
     result: bytes
     report: LoadReport | None
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -312,9 +312,8 @@
             REQUEST.replace(b"Host", b"Idempotency-Key: k1\r\nConnection: keep-alive\r\nHost")
         ).next()
         assert call is not None
-        headers = forms.posting_headers(
-            call, 799
-        )  # without Idempotency-Key the worker could not recognise a repeat
+        headers = forms.posting_headers(call, 799)
+        # Without Idempotency-Key the worker could not recognise a repeat.
         self.assertEqual(
             headers,
             [
