--- a/pathsaddle/net/service/clock.py
+++ b/pathsaddle/net/service/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: tenths of a millisecond of Unix time, stepped by the monotonic clock."""
+"""The process's clock: Unix time in ticks of 0.1 ms, advanced by the monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class Clock:
-    """Workers' starts come as Unix time; everything else is measured from here, and must never step back."""
+    """Unix time that never steps back.
+
+    Workers report their start times as Unix time, so this clock uses the same epoch. It reads the wall clock
+    once, when it is created, and the monotonic clock after that: durations are measured with it as well.
+    """
 
     def __init__(
         self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
@@ -18,8 +22,10 @@
         self._offset = wall() - steady()
 
     def now(self) -> int:
+        """Return the current time in ticks."""
         return int((self._steady() + self._offset) * SECOND)
 
 
 def seconds(ticks: int) -> float:
+    """Convert ticks to seconds."""
     return ticks / SECOND
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's list: one connection, made when the decisions ask for it and at no other time."""
+"""The watch on discovery's worker list: one connection at a time, opened when the scheduler asks."""
 
 from __future__ import annotations
 
@@ -14,115 +14,128 @@
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.scheduler_types import LIST_SILENCE_TIMEOUT, SECOND, ListUpdate
 
-COMES_UP = SECOND  # in which discovery's machine must take our connection
-# In which a call, its connection and all, must bring its first line: discovery gives up on callers sooner, and two that
-# hang, with the wait between, are over before what we hold stands no more.
+CONNECT_TIMEOUT = SECOND
+# From the start of a call, connecting included, to its first line. Discovery refuses a call sooner than this.
+# Two calls that hang, with the delay between them, end before the list that is held expires.
 FIRST = 13 * SECOND // 5
-READ = 64 * 1024  # bytes at once of what is read out of a watch that ends
+READ_SIZE_BYTES = 64 * 1024  # per read from the socket of a watch that ends
 
 
-class Watch:
-    """One connection to discovery: what has come on it, told line by line in the order in which it was written.
+class WatchConnection:
+    """One connection to discovery; applies its lines in the order in which discovery wrote them.
 
-    Whatever its index says: discovery wrote it last, and what it has written is told. A place whose versions begin
-    elsewhere, or that was set back, gives the whole list to a version that it does not know.
+    A line applies whatever its index is, because discovery wrote it last. A server that was set back, or
+    whose versions start elsewhere, does not know the requested version and sends the whole list.
     """
 
     def __init__(self, discovery: DiscoveryWatch, sock: Tallied) -> None:
         self.discovery, self.sock = discovery, sock
-        self.machine, self.inward = Calling(streams=True), Ring()
-        self.known = discovery.index  # the version that was asked for
-        self.counted = 0  # bytes of it that have been fed
-        self.lines = 0  # that have come, beats among them
-        self.heard = (
-            asyncio.get_running_loop().time()
-        )  # when the last of them was read; before any: when it was called
-        self.ended = ""  # how, where the answer itself says so
-
-    def comes(self, count: int) -> None:
-        """So many bytes stand in the ring."""
-        self.inward.fill(count)
-        part = self.inward.data()
-        self.counted += count
+        self.http, self.receive_ring = Calling(streams=True), Ring()
+        self.requested_index = discovery.index  # the version that the call asks for
+        self.parsed_bytes = 0  # of the bytes that the socket has received
+        self.line_count = 0  # heartbeats included
+        # When the last line was read; before the first one, when the call began.
+        self.last_line_at = asyncio.get_running_loop().time()
+        self.end_code = ""  # set once the answer itself ends the watch
+
+    def receive(self, count: int) -> None:
+        """Parse `count` bytes that the kernel has written to the ring."""
+        self.receive_ring.fill(count)
+        data = self.receive_ring.data()
+        self.parsed_bytes += count
         try:
-            self.feed(part)
+            self.feed(data)
         finally:
-            self.inward.drop(len(part))
+            self.receive_ring.drop(len(data))
 
-    def feed(self, part: memoryview | bytes) -> None:
+    def feed(self, data: memoryview | bytes) -> None:
+        """Parse `data` and apply the lines that it completes.
+
+        Raises:
+            Broken: The bytes are not valid HTTP.
+        """
         try:
-            if self.machine.feed(part) is not None:
-                self.ended = "ended"
-        finally:  # lines that were whole before bytes that make no sense have been told
-            if self.machine.status == 200:
-                self._tell()
-            elif self.machine.status:
-                self.ended = f"status-{self.machine.status}"
-
-    def _tell(self) -> None:
-        for record in self.machine.records():
-            if self.lines or self.known or record.strip():  # no beat stands for a whole list
-                self.lines, self.heard = self.lines + 1, asyncio.get_running_loop().time()
+            if self.http.feed(data) is not None:
+                self.end_code = "ended"
+        finally:  # complete lines that precede malformed bytes still apply
+            if self.http.status == 200:
+                self._apply_lines()
+            elif self.http.status:
+                self.end_code = f"status-{self.http.status}"
+
+    def _apply_lines(self) -> None:
+        for record in self.http.records():
+            # With no list held, a heartbeat before the first line does not stand for the whole list.
+            if self.line_count or self.requested_index or record.strip():
+                self.line_count, self.last_line_at = self.line_count + 1, asyncio.get_running_loop().time()
             if record.strip():
-                self.discovery.index, news, rows = self.discovery.service.words.list_line(record)
-                self.discovery.service.listed(news, rows)
-            elif self.lines:
-                # Nothing has changed since our version, or the line before.
+                self.discovery.index, update, rows = self.discovery.service.words.list_line(record)
+                self.discovery.service.listed(update, rows)
+            elif self.line_count:
+                # A heartbeat: nothing has changed since the requested version, or since the last line.
                 self.discovery.service.listed(ListUpdate.CHANGES, [])
 
-    def read_out(self) -> bool:
-        """What has reached us by now is what was told, also what the kernel has handed over while its reader has not
-        resumed, and never will; whether there was a line. Bounded against a peer that pours.
+    def drain_socket(self) -> bool:
+        """Parse everything that has arrived, and return whether a line was among it.
+
+        This includes bytes that the kernel has already copied to the ring for a reader that has not resumed
+        and, when the watch ends, never will. The read is bounded in case the peer keeps sending.
         """
-        came, before = 0, self.lines
-        if self.sock.taken > self.counted:
-            came = self.sock.taken - self.counted
-            self.comes(came)
-        while came < MOST_RECORD and not self.ended:
+        received, lines_before = 0, self.line_count
+        if self.sock.taken > self.parsed_bytes:
+            received = self.sock.taken - self.parsed_bytes
+            self.receive(received)
+        while received < MOST_RECORD and not self.end_code:
             try:
-                part = self.sock.recv(READ)
-            except OSError:  # nothing more for now, or it has gone
+                data = self.sock.recv(READ_SIZE_BYTES)
+            except OSError:  # no more data for now, or the connection is lost
                 break
-            if not part:
+            if not data:
                 break
-            came += len(part)
-            self.feed(part)
-        self.counted = self.sock.taken
-        return self.lines > before
+            received += len(data)
+            self.feed(data)
+        self.parsed_bytes = self.sock.taken
+        return self.line_count > lines_before
 
 
 class DiscoveryWatch:
+    """Follows discovery's list over one connection at a time and passes its updates to the txn service."""
+
     def __init__(
         self, address: str, index: int, service: TxnService, counters: Counters, opening: Opening = stream
     ) -> None:
         self.opening = opening
         self.address = address
-        self.index = index  # the version of the list that we hold
+        self.index = index  # the version of the list that is held
         self.service = service
         self.counters = counters
-        self._watch: Watch | None = None
+        self._watch: WatchConnection | None = None
         self._task: asyncio.Task[None] | None = None
 
     def ask(self) -> None:
-        """A call that is still out is given up for the new one."""
+        """Call discovery; a call that is still open is replaced."""
         self.stop("replaced")
         self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def catch_up(self) -> None:
-        """Before something new goes out: what discovery has written to us by now counts as told, and after a stall of
-        our own it lies in the socket while a posting decided before it resumes first.
+        """Apply the updates that have arrived, before a posting is sent.
+
+        An update counts as received once discovery has written it. After the process has been stopped for a
+        while, updates lie in the socket, and a posting that was decided earlier may resume before the watch.
         """
         watch = self._watch
-        if watch is not None and (watch.sock.taken > watch.counted or watch.sock.stirred()):
+        if watch is not None and (watch.sock.taken > watch.parsed_bytes or watch.sock.stirred()):
             try:
-                watch.read_out()
+                watch.drain_socket()
             except Broken as fault:
-                logbook.no_list(why=fault)  # its reader meets the same parser, and ends the watch
-                watch.ended = "malformed"
+                logbook.no_list(why=fault)  # the reader meets the same parser and ends the watch
+                watch.end_code = "malformed"
 
     def move(self, address: str) -> None:
-        """Another address, maybe with versions of its own: asked for whole, and when the module says so. What the old
-        place had told comes first.
+        """Switch to another address of discovery, after the updates that the old one has sent.
+
+        The new server may number its versions differently, so the next call asks for the whole list. The
+        scheduler decides when to call.
         """
         if address != self.address:
             self.stop("moved")
@@ -130,24 +143,25 @@
             self.service.listed(ListUpdate.MOVED, [])
 
     def stop(self, why: str) -> None:
+        """Apply the updates that have arrived and end the current call, with `why` as its end code."""
         watch, self._watch = self._watch, None
         if watch is not None:
             try:
-                watch.read_out()
+                watch.drain_socket()
             except Broken as fault:
                 logbook.no_list(why=fault)
-            except Exception as fault:  # noqa: BLE001  # whatever it is, the next watch must come
+            except Exception as fault:  # noqa: BLE001  # no defect may keep the next call from starting
                 logbook.fault_watch(fault)
         if self._task is not None:
             self._task.cancel(why)
 
     async def _follow(self) -> None:
         code, sock, address = "fault", None, self.address
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
             sock, peer = outgoing(address, self.opening)
-            code = await self._listen(sock, peer, begun)
-        except OSError as fault:  # among them a connection that does not come up in time
+            code = await self._receive_updates(sock, peer, started_at)
+        except OSError as fault:  # including a connect timeout
             code = "reset" if isinstance(fault, ConnectionResetError) else "unreachable"
         except Broken as fault:
             code = "malformed"
@@ -155,7 +169,7 @@
         except asyncio.CancelledError as why:
             code = str(why)
             raise
-        except Exception as fault:  # noqa: BLE001  # whatever it is ends this watch alone
+        except Exception as fault:  # noqa: BLE001  # a defect ends this call alone
             logbook.fault_watch(fault)
         finally:
             self.counters.add(f"watch_end.{code}")
@@ -165,29 +179,30 @@
         self._watch = None
         self.service.listed(ListUpdate.SILENT if code in ("silent", "unanswered") else ListUpdate.FAILED, [])
 
-    async def _listen(self, sock: Tallied, peer: tuple[str, int], begun: float) -> str:
-        """Until the watch ends; says how."""
+    async def _receive_updates(self, sock: Tallied, peer: tuple[str, int], started_at: float) -> str:
+        """Connect and receive updates until the watch ends; return its end code."""
         events = asyncio.get_running_loop()
-        async with asyncio.timeout(seconds(COMES_UP)):
+        async with asyncio.timeout(seconds(CONNECT_TIMEOUT)):
             await events.sock_connect(sock, peer)
-        watch = self._watch = Watch(self, sock)
-        watch.heard = begun
+        watch = self._watch = WatchConnection(self, sock)
+        watch.last_line_at = started_at
         await events.sock_sendall(
-            sock, watch.machine.ask("GET", forms.watch_target(self.index), self.address, [])
+            sock, watch.http.ask("GET", forms.watch_target(self.index), self.address, [])
         )
-        while not watch.ended:
-            # Bytes that never make a line are no word.
-            within, lines = LIST_SILENCE_TIMEOUT if watch.lines else FIRST, watch.lines
+        while not watch.end_code:
+            # Only complete lines extend the timeout; bytes that never form one do not.
+            timeout, lines = LIST_SILENCE_TIMEOUT if watch.line_count else FIRST, watch.line_count
             try:
-                async with asyncio.timeout_at(watch.heard + seconds(within)):
-                    count = await events.sock_recv_into(sock, watch.inward.space())
+                async with asyncio.timeout_at(watch.last_line_at + seconds(timeout)):
+                    count = await events.sock_recv_into(sock, watch.receive_ring.space())
                 if not count:
                     return "closed"
-                if sock.taken > watch.counted:  # else it was read before its reader resumed
-                    watch.comes(sock.taken - watch.counted)
+                if sock.taken > watch.parsed_bytes:  # else drain_socket has parsed them
+                    watch.receive(sock.taken - watch.parsed_bytes)
             except TimeoutError:
-                # After a stall of our own the time is up before what has come is read. A machine that is cut off says
-                # nothing, and what it would have told counts as told all the same.
-                if not watch.read_out() and watch.lines == lines:
-                    return watch.ended or ("silent" if watch.machine.status else "unanswered")
-        return watch.ended
+                # After the process has been stopped for a while, the timeout fires before the bytes that
+                # have arrived are read. A server that is cut off falls silent; the scheduler still counts
+                # its later updates as received.
+                if not watch.drain_socket() and watch.line_count == lines:
+                    return watch.end_code or ("silent" if watch.http.status else "unanswered")
+        return watch.end_code
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -17,7 +17,7 @@
 
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import discovery as discovery_module
-from pathsaddle.net.service.discovery import COMES_UP, FIRST, DiscoveryWatch
+from pathsaddle.net.service.discovery import CONNECT_TIMEOUT, FIRST, DiscoveryWatch
 from pathsaddle.net.service.pump import Tallied, stream
 from pathsaddle.net.wire import terms
 from pathsaddle.net.wire.forms import Row, Words
@@ -522,7 +522,7 @@
             "busy": (50, FAILED),
             "reset": (int(FIRST * self.chance.random()), FAILED),
             "waits": (2 * SECOND, FAILED),
-            "absent": (COMES_UP, FAILED),
+            "absent": (CONNECT_TIMEOUT, FAILED),
             "mute": (FIRST, SILENT),
             "half": (FIRST, SILENT),
         }[kind]
