--- a/pathsaddle/net/service/ground.py
+++ b/pathsaddle/net/service/ground.py
@@ -1,7 +1,7 @@
-"""What a dispatcher takes from the machine under it: time, sockets, its own size, the file that tells it.
+"""The environment of a dispatcher: clock, sockets, its own resource use, and its configuration file.
 
-All of it is handed in, so that the same code stands on another ground too, where time is virtual and
-connections are in memory.
+The dispatcher receives all of it as an object, so that the same code also runs on virtual time and in-memory
+connections.
 """
 
 from __future__ import annotations
@@ -21,62 +21,82 @@
 
 
 class Fellows(Protocol):
-    """Our place among other dispatchers, as this layer knows it: what it is lies above (pathsaddle/fleet)."""
+    """The dispatcher's part in a fleet of dispatchers, as this layer sees it (see `pathsaddle/fleet`)."""
 
-    def begin(self) -> None: ...
+    def begin(self) -> None:
+        """Start taking part in the fleet."""
+        ...
 
     def leave(self) -> None:
-        """Tells the others that we go on purpose."""
+        """Announce to the other dispatchers that this one leaves on purpose."""
 
-    def end(self) -> None: ...
+    def end(self) -> None:
+        """Stop, and release the resources."""
+        ...
 
 
 class Ground:
-    """The kernel's."""
+    """The environment that the operating system's kernel provides."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
 
     def stream(self, address: str) -> tuple[pump.Tallied, Peer]:
-        """A new TCP socket that doesn't block, and the address as it wants it; ValueError where it is none."""
+        """Return a new non-blocking TCP socket and the address in the form that it takes.
+
+        Raises:
+            ValueError: `address` is not an address.
+        """
         return pump.stream(address)
 
     def datagrams(self, address: str) -> tuple[socket.socket, Peer]:
-        """The same for UDP."""
+        """Return a new non-blocking UDP socket and the address in the form that it takes.
+
+        Raises:
+            ValueError: `address` is not an address.
+        """
         return pump.stream(address, socket.SOCK_DGRAM)
 
     def fellows(self, counters: Counters) -> Fellows | None:
-        """Our place among other dispatchers, where the operator wants one."""
+        """Return the dispatcher's part in a fleet, or None where none is configured."""
         return None
 
-    def service(self, *told: Any) -> TxnService:
-        """The door behind which txns are decided; one with a store where the operator wants it."""
-        return TxnService(*told)
+    def service(self, *arguments: Any) -> TxnService:
+        """Return the service that decides txns; with a job store where one is configured."""
+        return TxnService(*arguments)
 
     def watch(self, address: str, index: int, service: TxnService, counters: Counters) -> DiscoveryWatch:
-        """The watch on discovery's list; one whose cost is metered where an operator serves."""
+        """Return the watch on discovery's list; a metered one where metering is configured."""
         return DiscoveryWatch(address, index, service, counters, self.stream)
 
     def descriptors(self) -> int:
-        """How many are in use."""
+        """Return how many file descriptors the process has open."""
         return len(os.listdir("/proc/self/fd"))
 
     def memory_mb(self) -> float:
-        """Our own: what libraries' files take is shared with all who run them."""
+        """Return the resident memory of the process without shared pages, such as those of libraries."""
         with open("/proc/self/statm", encoding="ascii") as file:
             resident, shared = file.read().split()[1:3]
         return (int(resident) - int(shared)) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def file(self) -> str:
-        """The file that tells us, by the name that its operator knows."""
+        """Return the path of the configuration file, as the operator gave it."""
         return os.environ.get(WHERE, "")
 
     def moved(self) -> str:
-        """Where discovery is by the file as it stands now; raises an Error where it can't say."""
+        """Read the configuration file again and return discovery's address.
+
+        Raises:
+            Error: The file can't be read, or has no valid address of discovery.
+        """
         return moved_to(self.told())
 
     def told(self) -> str:
-        """What the dispatcher is told, as it stands now; raises Unreadable."""
+        """Read the configuration file.
+
+        Raises:
+            Unreadable: The file can't be read.
+        """
         try:
             with open(os.environ[WHERE], encoding="utf-8") as file:
                 return file.read()
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -1,4 +1,4 @@
-"""Start and stop: what is read at start, what is built from it, and how it ends."""
+"""Start and stop of a dispatcher: reading its configuration, building its parts, and shutting it down."""
 
 from __future__ import annotations
 
@@ -20,76 +20,92 @@
 from pathsaddle.net.wire.birth import WHERE, Birth, birth
 from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate
 
-SPARE = 12  # descriptors for the listener, discovery's watch and connections on their way out
-CONNECTION_MB = 0.02  # what a connection takes of us and of our tasks, measured
-FEW, FEW_MB = 16, 1.0  # as many connections, and as much for bodies, are had in whatever room
-BEAT = SECOND // 4  # between looks at our own lag and at idle links
-SLACK = 50 * MILLISECOND  # what sockets are given on top of each limit of the rules
-COMING = SECOND // 2  # after SIGTERM: for so long new connections still come
-LONGEST = 3 * SECOND  # what is left to a txn after SIGTERM at the most; SIGKILL comes 0.7 s later
-LATER = 350 * MILLISECOND  # of those 0.7 s: what we use for txns that came after SIGTERM
-LAST_BYTES = 100 * MILLISECOND  # and for bringing out the last answers
-HEARD = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+SPARE_DESCRIPTORS = 12  # for the listener, discovery's watch and connections that are being closed
+CONNECTION_MB = 0.02  # memory of one connection, its tasks included
+MIN_CONNECTIONS, MIN_BODY_MB = 16, 1.0  # granted however little room there is
+SWEEP_INTERVAL = SECOND // 4  # between checks of the event loop's lag, of idle connections and of memory
+LAG_WARNING_THRESHOLD = 50 * MILLISECOND  # equals the margin that runs on sockets get on each limit
+COMING = SECOND // 2  # for so long after SIGTERM new connections are expected
+MAX_DRAIN_TIME = 3 * SECOND  # for open txns after SIGTERM; SIGKILL follows 0.7 s later
+LATE_TXN_TIME = 350 * MILLISECOND  # of those 0.7 s: for txns that arrive after SIGTERM
+FLUSH_TIME = 100 * MILLISECOND  # of those 0.7 s: for writing the last answers
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
 class Dispatcher:
-    def __init__(self, told: Birth, ground: Ground) -> None:
-        self.ground = ground
+    """One dispatcher process: its client side, its worker connections and its watch on discovery.
+
+    Attributes:
+        environment: Clock, sockets and configuration file.
+        discovery: The watch on discovery's worker list.
+        clock: The process's clock.
+        counters: The process's counters.
+        memory_mb: The memory limit.
+        workers: The connections to workers.
+        service: Decides txns.
+        front: The listener and the clients' connections.
+        fellows: The part in a fleet of dispatchers; None without one.
+    """
+
+    def __init__(self, config: Birth, environment: Ground) -> None:
+        self.environment = environment
         self.discovery: DiscoveryWatch
-        self.clock = ground.clock
+        self.clock = environment.clock
         self.counters = Counters()
-        self.memory_mb = told.memory_mb
-        # What the event loop and the log hold already is counted, not guessed.
-        free = told.sockets - ground.descriptors() - SPARE
-        # So is memory: a part of what is left goes to connections, one to bodies, the rest is for all else.
-        spare = max(0.0, 0.9 * told.memory_mb - ground.memory_mb())
+        self.memory_mb = config.memory_mb
+        # Descriptors that the event loop and the log have open already are counted as used.
+        free = config.sockets - environment.descriptors() - SPARE_DESCRIPTORS
+        # Of the memory that is left a third goes to connections, a quarter to bodies, the rest to all else.
+        free_mb = max(0.0, 0.9 * config.memory_mb - environment.memory_mb())
         room = Room(
-            max(FEW, int(min(free, spare / 3 / CONNECTION_MB))), int(max(FEW_MB, min(1e3, spare / 4)) * 1e6)
+            max(MIN_CONNECTIONS, int(min(free, free_mb / 3 / CONNECTION_MB))),
+            int(max(MIN_BODY_MB, min(1e3, free_mb / 4)) * 1e6),
         )
-        self.workers = Workers(told.reach, free // 4, self.clock, self.counters, ground.stream)
-        told.terms.max_open_txns = min(
-            told.terms.max_open_txns, min(room.connections, free - free // 4) * 3 // 4
+        self.workers = Workers(config.reach, free // 4, self.clock, self.counters, environment.stream)
+        config.terms.max_open_txns = min(
+            config.terms.max_open_txns, min(room.connections, free - free // 4) * 3 // 4
         )
-        self.service = ground.service(
-            told.terms,
-            told.words,
-            told.seed,
+        self.service = environment.service(
+            config.terms,
+            config.words,
+            config.seed,
             self.clock,
             self.workers,
             self.counters,
             lambda: self.discovery.ask(),
         )
-        self.discovery = ground.watch(told.discovery, told.index, self.service, self.counters)
+        self.discovery = environment.watch(config.discovery, config.index, self.service, self.counters)
         self.service.catch_up = self.discovery.catch_up
-        self.service.listed(ListUpdate.REMEMBERED, told.rows)
+        self.service.listed(ListUpdate.REMEMBERED, config.rows)
         try:
             self.front = Front(
-                told.listen, free, room, self.service, self.clock, self.counters, ground.stream
+                config.listen, free, room, self.service, self.clock, self.counters, environment.stream
             )
         except (OSError, ValueError) as fault:
             from pathsaddle.net.service.place import unhad
 
-            raise unhad(fault, "listen", told.listen, ground.file()) from None
+            raise unhad(fault, "listen", config.listen, environment.file()) from None
         self.workers.make_room = self.front.spare_descriptor
-        self.fellows = ground.fellows(self.counters)
+        self.fellows = environment.fellows(self.counters)
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        # From here on a second SIGTERM changes nothing, and a SIGHUP is heard as long as txns are open.
+        """Serve until SIGTERM or SIGINT, then shut down."""
+        # From here on a second SIGTERM changes nothing, and SIGHUP is handled as long as txns are open.
         events = asyncio.get_running_loop()
         events.add_signal_handler(signal.SIGTERM, self._stop.set)
         events.add_signal_handler(signal.SIGINT, self._stop.set)
         events.add_signal_handler(signal.SIGUSR1, self.report)
         events.add_signal_handler(signal.SIGHUP, self.reread)
         if self.fellows is not None:
-            self.fellows.begin()  # first: where its control address can't be had, we never said that we serve
+            self.fellows.begin()  # before "serving" is logged: it raises if it can't bind its control address
         logbook.serving()
-        beginning = events.create_task(self.service.begin())
-        watching = events.create_task(self._look_after())
+        startup = events.create_task(self.service.begin())
+        maintenance = events.create_task(self._run_maintenance())
         await self._stop.wait()
         await self._finish()
-        watching.cancel()
-        beginning.cancel()
+        maintenance.cancel()
+        startup.cancel()
         await self.service.finish()
         if self.fellows is not None:
             self.fellows.end()
@@ -100,25 +116,25 @@
         if self.fellows is not None:
             self.fellows.leave()
         schemes = (*self.service.words.schemes.values(), *self.service.ledger.schemes())
-        longest = min(LONGEST, max((scheme.expiry for scheme in schemes), default=LONGEST))
-        begun = self.clock.now()
-        by = begun + longest + LATER
-        self.service.stop(by)
-        # Clients go on with the connections they have, and nobody else may be there for them: closed at once,
-        # four in ten txns of a zone with one dispatcher failed until the next was ready.
-        while self.clock.now() < begun + longest and (
-            self.clock.now() < begun + COMING or self.front.in_use()
+        drain_time = min(MAX_DRAIN_TIME, max((scheme.expiry for scheme in schemes), default=MAX_DRAIN_TIME))
+        started_at = self.clock.now()
+        deadline = started_at + drain_time + LATE_TXN_TIME
+        self.service.stop(deadline)
+        # Clients go on using their open connections, and there may be no other dispatcher for them: when
+        # they were closed at once, 4 in 10 txns of a zone with one dispatcher failed until the next started.
+        while self.clock.now() < started_at + drain_time and (
+            self.clock.now() < started_at + COMING or self.front.in_use()
         ):
-            await asyncio.sleep(seconds(LAST_BYTES) / 5)
+            await asyncio.sleep(seconds(FLUSH_TIME) / 5)
         self.front.stopping = True
-        # Workers' callbacks may still want a new connection; clients' are closed as they come to rest.
-        while not self.front.quiet() and self.clock.now() < by:
-            await asyncio.sleep(seconds(LAST_BYTES) / 5)
+        # Workers' callbacks may still need a new connection; clients' connections are closed once idle.
+        while not self.front.quiet() and self.clock.now() < deadline:
+            await asyncio.sleep(seconds(FLUSH_TIME) / 5)
         await self.front.shut()
-        # Whoever waited in the kernel's queue is answered, and no more than that: nothing is begun any more.
-        self.service.stop(min(by, self.clock.now()))
-        while not self.front.quiet() and self.clock.now() < by + LAST_BYTES:
-            await asyncio.sleep(seconds(LAST_BYTES) / 5)
+        # Connections that waited in the kernel's accept queue get an answer; no posting starts any more.
+        self.service.stop(min(deadline, self.clock.now()))
+        while not self.front.quiet() and self.clock.now() < deadline + FLUSH_TIME:
+            await asyncio.sleep(seconds(FLUSH_TIME) / 5)
         logbook.stopped(unanswered=len(self.service.ledger.unanswered()))
         self.discovery.stop("stopping")
         for connection in list(self.front.connections):
@@ -126,29 +142,30 @@
         for worker in self.service.known:
             self.workers.links.drop_idle(worker, "stopping")
 
-    async def _look_after(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            due = self.clock.now() + BEAT
-            await asyncio.sleep(seconds(BEAT))
+            due = self.clock.now() + SWEEP_INTERVAL
+            await asyncio.sleep(seconds(SWEEP_INTERVAL))
             lag = self.clock.now() - due
             self.counters.most("lag_ms_most", lag / MILLISECOND)
-            if lag > SLACK:
+            if lag > LAG_WARNING_THRESHOLD:
                 logbook.late(ms=lag // MILLISECOND)
             self.workers.links.sweep(self.clock.now())
             self.front.sweep()
             self.counters.most("links_most", self.workers.links.count)
-            memory = self.ground.memory_mb()
+            memory = self.environment.memory_mb()
             self.counters.most("memory_mb_most", memory)
             if memory > 0.9 * self.memory_mb:
                 logbook.memory(mb=memory, most=self.memory_mb)
 
     def reread(self) -> None:
-        """Of a file that was replaced only discovery's address is taken over: nothing else can change under
-        what is open. One that can't be read leaves all as it is.
+        """Read the configuration file again, and take over discovery's address from it.
+
+        Nothing else can change while txns are open. A file that can't be read changes nothing.
         """
         self.counters.add("reread")
         try:
-            address = self.ground.moved()
+            address = self.environment.moved()
         except Error as fault:
             self.counters.add("reread.failed")
             logbook.not_reread(why=" / ".join(str(fault).splitlines()))
@@ -157,30 +174,42 @@
         self.discovery.move(address)
 
     def report(self) -> None:
+        """Log the counters."""
         logbook.counters(counters=self.counters.text())
 
 
-async def serve(ground: Ground) -> None:
-    dispatcher = Dispatcher(birth(ground.told()), ground)
+async def serve(environment: Ground) -> None:
+    """Start a dispatcher and serve until it is signalled to end.
+
+    Raises:
+        Error: The configuration can't be used.
+    """
+    dispatcher = Dispatcher(birth(environment.told()), environment)
     gc.collect()
-    gc.freeze()  # what is made at start stays: no later collection walks it
+    gc.freeze()  # objects made at start live as long as the process: later collections skip them
     await dispatcher.run()
 
 
-def run(ground: Ground) -> None:
-    """One dispatcher in the foreground, until it is told to end."""
-    # Until there is a file in use there is none to read again.
+def run(environment: Ground) -> None:
+    """Run one dispatcher in the foreground until it is signalled to end.
+
+    Raises:
+        Error: The configuration can't be used.
+    """
+    # Before a configuration file is in use there is none to read again.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        uvloop.run(serve(ground))
+        uvloop.run(serve(environment))
     finally:
-        # Nobody hears them any more, and the interpreter's end puts back the default of each that has a handler: that
-        # would end us with the signal's code. Not blocked: the event loop's threads would take them.
-        for told in HEARD:
-            signal.signal(told, signal.SIG_IGN)
+        # The event loop no longer handles these signals, and the interpreter restores the default action of
+        # each signal that has a handler as it exits: a late signal would then kill the process and set its
+        # exit code. Blocking them would not help, because the event loop's threads would receive them.
+        for signal_number in HANDLED_SIGNALS:
+            signal.signal(signal_number, signal.SIG_IGN)
 
 
 def main() -> int:
+    """Run a dispatcher that $GW_CONFIG configures; return the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logbook.open_log()
     if WHERE not in os.environ:
