--- a/pathsaddle/net/service/logbook.py
+++ b/pathsaddle/net/service/logbook.py
@@ -1,7 +1,8 @@
-"""Every line that the log may hold: its name, its level, its text, its fields, in one catalogue.
+"""The catalogue of log lines: the event name, level, text and fields of each.
 
-As text a line reads as it always has; as JSON it is one object with `time`, `level`, `event`, `text` and the
-fields. docs/on-call.md says of each what it means and what to do; a test holds the two together.
+The log is written as text or as JSON. In JSON each line is one object with `time`, `level`, `event`, `text`
+and the line's fields. docs/on-call.md explains each line and what to do about it; `tests/test_config.py`
+checks that the page and the catalogue list the same lines.
 """
 
 from __future__ import annotations
@@ -19,15 +20,21 @@
     from loguru import Record
 
 CATALOGUE: dict[str, Line] = {}
-METERED: list[
-    Callable[[Callable[[], None]], None]
-] = []  # what stands around the writing of each line, one at most
+# A wrapper that is called around the writing of each line, to measure its cost; at most one.
+METERED: list[Callable[[Callable[[], None]], None]] = []
 TEXT = "{time:HH:mm:ss.SSS} {level} {message}"
 
 
 @dataclass(frozen=True)
 class Line:
-    """One kind of line. Called with its fields, it is written."""
+    """One kind of log line; calling it with its fields writes the line.
+
+    Attributes:
+        name: The event name, which is stable: operators' tools match it.
+        level: The log level.
+        text: The text, a format string over the fields.
+        fields: The names of the fields in the text.
+    """
 
     name: str
     level: str
@@ -35,17 +42,23 @@
     fields: tuple[str, ...]
 
     def __call__(self, fault: BaseException | None = None, /, **fields: Any) -> None:
-        """`fault`: an exception whose trace is written too."""
-        said = logger if fault is None else logger.opt(exception=fault)
+        """Write the line.
+
+        Args:
+            fault: An exception whose traceback is written too.
+            **fields: The values of the fields.
+        """
+        event_logger = logger if fault is None else logger.opt(exception=fault)
         if METERED:
-            METERED[0](lambda: said.log(self.level, self.text, event=self.name, **fields))
+            METERED[0](lambda: event_logger.log(self.level, self.text, event=self.name, **fields))
         else:
-            said.log(self.level, self.text, event=self.name, **fields)
+            event_logger.log(self.level, self.text, event=self.name, **fields)
 
 
 def line(name: str, level: str, text: str) -> Line:
-    made = CATALOGUE[name] = Line(name, level, text, tuple(re.findall(r"{([a-z_]+)[^}]*}", text)))
-    return made
+    """Define a log line and add it to the catalogue."""
+    entry = CATALOGUE[name] = Line(name, level, text, tuple(re.findall(r"{([a-z_]+)[^}]*}", text)))
+    return entry
 
 
 serving = line("serving", "INFO", "serving")
@@ -75,7 +88,7 @@
 fleet_doubled = line(
     "fleet-doubled",
     "ERROR",
-    "fleet name={member} life={life} is another process's too, we are silent from now on: {why}",
+    "fleet name={member} life={life} is also used by another process, this one stops sending: {why}",
 )
 fleet_socket = line("fleet-socket", "WARNING", "fleet socket: {why}")
 fleet_disk = line("fleet-disk", "WARNING", "fleet life can't be kept: {why}")
@@ -83,11 +96,9 @@
 fault_control = line(
     "fault-control",
     "ERROR",
-    "fault in an answer at the control address: {why}; its asker is told, others are answered",
-)
-fault_level = line(
-    "fault-level", "ERROR", "fault in the level of overload: {why}; it is tried again half a second later"
+    "fault in an answer at the control address: {why}; this caller gets an error, others are answered",
 )
+fault_level = line("fault-level", "ERROR", "fault in the level of overload: {why}; retrying in half a second")
 fault_hearer = line(
     "fault-hearer", "ERROR", "fault in what hears of members, at {member}: {why}; the membership goes on"
 )
@@ -107,24 +118,34 @@
 
 
 def as_json(record: Record) -> str:
-    """A line as one JSON object; loguru formats what is returned once more, so it is only named here."""
-    told: dict[str, Any] = {
+    """Format a record as one JSON object.
+
+    loguru formats the returned string once more, so the JSON goes into the record's extra fields and the
+    returned string only refers to it.
+    """
+    json_fields: dict[str, Any] = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         **record["extra"],
         "text": record["message"],
     }
     if record["exception"] is not None:
-        told["fault"] = repr(record["exception"].value)
-    record["extra"]["_json"] = json.dumps(told, default=str)
+        json_fields["fault"] = repr(record["exception"].value)
+    record["extra"]["_json"] = json.dumps(json_fields, default=str)
     return "{extra[_json]}\n"
 
 
-def open_log(level: str = "INFO", form: str = "text", to: Callable[[Any], None] | None = None) -> None:
-    """To standard error, or by `to`, which takes each line as it is written; `form`: text or json."""
+def open_log(level: str = "INFO", form: str = "text", sink: Callable[[Any], None] | None = None) -> None:
+    """Open the log, in place of the one that is open.
+
+    Args:
+        level: The lowest level that is written.
+        form: "text" or "json".
+        sink: Called with each formatted line; the log goes to standard error without it.
+    """
     logger.remove()
     logger.add(
-        to or sys.stderr,
+        sink or sys.stderr,
         format=as_json if form == "json" else TEXT,
         level=level,
         backtrace=False,
