--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown of the program, started as `run` starts it, at each point of a txn's life; all peers are scripted."""
+"""Shutdown of the dispatcher process in each state of a txn; all peers are scripted."""
 
 import asyncio
 import contextlib
@@ -19,12 +19,12 @@
 from tests.ports import tcp_port
 from tests.test_program import ROOT
 
-LONGEST = 3.0  # seconds: the expiry of all classes here, and with that the longest shutdown
-MORE = 0.7  # and so much later SIGKILL may come
-SLOW = 3.0  # what a busy machine may add to an exit
+MAX_DRAIN_S = 3.0  # the expiry of all schemes here, and so the longest that a shutdown waits for txns
+SIGKILL_DELAY_S = 0.7  # after that, SIGKILL may follow
+BUSY_MACHINE_S = 3.0  # what a busy machine may add to an exit
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 READY = b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
-Played = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 def job(tag: str, kind: str = "render", body: bytes = b"hello", within: int = 2900) -> bytes:
@@ -36,19 +36,25 @@
 
 
 async def one_answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
-    """Status and body of an answer that must be whole."""
+    """Read one complete answer; return its status and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
     return int(head.split()[1]), await reader.readexactly(length)
 
 
 class Shutdown(unittest.IsolatedAsyncioTestCase):
-    """The program, its discovery and one worker that does with each job what its id says."""
+    """The dispatcher process, its discovery and workers; a job's id says what its worker does with it.
+
+    By the start of the id: "part": the worker reads the body only once released; "never": it never answers;
+    "written": it answers once released; "halves": it sends its callback in two parts, the second once
+    released; "taken": it accepts the job and sends the callback once released. Any other job is accepted and
+    called back at once.
+    """
 
     async def asyncSetUp(self) -> None:
-        self.begun: Counter[str] = Counter()  # postings that have come to the worker whole, by id
-        self.told: dict[str, asyncio.Event] = {}  # by id: go on
-        self.came: dict[str, asyncio.Event] = {}  # by id: its head is at the worker
+        self.received_postings: Counter[str] = Counter()  # postings that workers have read completely, by id
+        self.told: dict[str, asyncio.Event] = {}  # by id: releases the worker
+        self.came: dict[str, asyncio.Event] = {}  # by id: a worker has read its head
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -56,16 +62,16 @@
         self.log = b""
         self.listed: list[str] = []
 
-    async def listen(self, played: Played, sock: socket.socket | None = None) -> str:
-        async def plays(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def listen(self, handler: ConnectionHandler, sock: socket.socket | None = None) -> str:
+        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-                await played(reader, writer)
+                await handler(reader, writer)
             writer.close()
 
         server = await (
-            asyncio.start_server(plays, "127.0.0.1", 0)
+            asyncio.start_server(handle, "127.0.0.1", 0)
             if sock is None
-            else asyncio.start_server(plays, sock=sock)
+            else asyncio.start_server(handle, sock=sock)
         )
         self.addCleanup(server.close)
         return "{}:{}".format(*server.sockets[0].getsockname())
@@ -112,9 +118,9 @@
             tag = head.split(b"Req-Id: ")[1].split(b"\r\n")[0].decode()
             self.event(self.came, tag).set()
             if tag.startswith("part"):
-                await self.event(self.told, tag).wait()  # the rest of it lies with the kernels
+                await self.event(self.told, tag).wait()  # the body waits in socket buffers
             body = await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0]))
-            self.begun[tag] += 1
+            self.received_postings[tag] += 1
             if tag.startswith("never"):
                 await reader.read()
                 return
@@ -122,22 +128,22 @@
                 await self.event(self.told, tag).wait()
             writer.write(ACCEPTED)
             if tag.startswith("halves"):
-                await self.back(name, tag, body, asyncio.sleep(0), self.event(self.told, tag).wait())
+                await self.send_callback(name, tag, body, asyncio.sleep(0), self.event(self.told, tag).wait())
                 continue
             if tag.startswith("taken"):
                 await self.event(self.told, tag).wait()
-            await self.back(name, tag, body)
+            await self.send_callback(name, tag, body)
 
-    async def back(self, name: str, tag: str, body: bytes, *between: Awaitable[Any]) -> None:
-        """The callback, on a connection of its own; in halves, with something between them."""
-        told = json.dumps(
+    async def send_callback(self, name: str, tag: str, body: bytes, *pauses: Awaitable[Any]) -> None:
+        """Send the callback on a new connection, in two parts; await `pauses` between them."""
+        payload = json.dumps(
             {"id": tag, "from": name, "state": "done", "result": body.decode().upper()}
         ).encode()
-        call = b"POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told)
+        call = b"POST /callback HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(payload), payload)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(call[:-9])
-        for awaited in between:
-            await awaited
+        for pause in pauses:
+            await pause
         writer.write(call[-9:])
         self.assertEqual((await one_answer_or_204(reader)), 204)
         writer.close()
@@ -145,7 +151,8 @@
     async def start(self, *listed: str, ready: bool = True, env: dict[str, str] | None = None) -> None:
         self.listed = list(listed)
         schemes = [
-            {**scheme, "Expiry": int(LONGEST * 1e9), "SlaTime": int(1e9)} for scheme in SETTINGS["Schemes"]
+            {**scheme, "Expiry": int(MAX_DRAIN_S * 1e9), "SlaTime": int(1e9)}
+            for scheme in SETTINGS["Schemes"]
         ]
         config = self.folder / "config.json"
         config.write_text(
@@ -169,7 +176,7 @@
                         break
                 if self.program.returncode is not None:
                     assert self.program.stderr is not None
-                    self.fail(f"it has ended: {(await self.program.stderr.read()).decode()}")
+                    self.fail(f"the process has exited: {(await self.program.stderr.read()).decode()}")
                 await asyncio.sleep(0.02)
 
     async def spawn(self, config: Path, env: dict[str, str]) -> None:
@@ -189,31 +196,33 @@
             self.program.kill()
         await self.program.wait()
 
-    async def says(self, word: bytes) -> None:
-        """Until its log has a line with this."""
+    async def says(self, text: bytes) -> None:
+        """Wait until the log contains `text`."""
         assert self.program.stderr is not None
         async with asyncio.timeout(20.0):
-            while word not in self.log:
+            while text not in self.log:
                 line = await self.program.stderr.readline()
                 self.assertTrue(line, self.log.decode())
                 self.log += line
 
-    async def tell(self) -> float:
-        """SIGTERM, and it has been heard; when."""
-        at = asyncio.get_running_loop().time()
+    async def send_sigterm(self) -> float:
+        """Send SIGTERM, wait until the process logs it, and return when it was sent."""
+        sent_at = asyncio.get_running_loop().time()
         self.program.send_signal(signal.SIGTERM)
         await self.says(b"stopping unanswered")
-        return at
+        return sent_at
 
-    async def ends(self, since: float) -> None:
-        """With 0, nothing left unanswered, and before SIGKILL would come."""
+    async def assert_clean_exit(self, sigterm_at: float) -> None:
+        """Check that the process exits with 0, with no txn unanswered, and before SIGKILL would follow."""
         assert self.program.stderr is not None
-        async with asyncio.timeout(LONGEST + MORE + SLOW):
+        async with asyncio.timeout(MAX_DRAIN_S + SIGKILL_DELAY_S + BUSY_MACHINE_S):
             self.log += await self.program.stderr.read()
             self.assertEqual(await self.program.wait(), 0, self.log.decode())
         self.assertIn(b"stopped unanswered=0", self.log)
         self.assertNotIn(b"fault", self.log)
-        self.assertLess(asyncio.get_running_loop().time() - since, LONGEST + MORE + SLOW)
+        self.assertLess(
+            asyncio.get_running_loop().time() - sigterm_at, MAX_DRAIN_S + SIGKILL_DELAY_S + BUSY_MACHINE_S
+        )
 
     async def connect(self, data: bytes, **more: Any) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port, **more)
@@ -229,8 +238,8 @@
             writer.close()
 
     async def last_answer(self, reader: asyncio.StreamReader) -> tuple[int, bytes]:
-        """The one answer, and nothing behind it."""
-        async with asyncio.timeout(LONGEST + MORE + SLOW):
+        """Read one answer and check that the connection closes after it."""
+        async with asyncio.timeout(MAX_DRAIN_S + SIGKILL_DELAY_S + BUSY_MACHINE_S):
             answer = await one_answer(reader)
             self.assertEqual(await reader.read(), b"")
         return answer
@@ -240,12 +249,12 @@
     return int((await reader.readuntil(b"\r\n\r\n")).split()[1])
 
 
-class LifeStory(Shutdown):
-    async def test_each_txn_gets_one_whole_final_answer_wherever_it_stands(self) -> None:
+class ShutdownWithOpenTxns(Shutdown):
+    async def test_each_open_txn_gets_exactly_one_complete_final_answer_whatever_its_state(self) -> None:
         await self.start(*await self.workers(6))
         body = b"x" * 60_000
         events = asyncio.get_running_loop()
-        readers, begun = {}, events.time()
+        readers, started_at = {}, events.time()
         for tag, kind in (
             ("part", "render"),
             ("written", "charge"),
@@ -257,77 +266,83 @@
         for tag in readers:
             await asyncio.wait_for(self.event(self.came, tag).wait(), 5.0)
         call = job("body", "charge", body)
-        readers["body"], sends = await self.connect(call[: -len(body)])
-        small = socket.socket()
-        small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        small.connect(("127.0.0.1", self.port))
-        small.setblocking(False)
-        self.addCleanup(small.close)
-        await events.sock_sendall(small, job("big", body=body))
-        begin = await events.sock_recv(small, 100)  # the answer is half written from now on
-        since = await self.tell()
+        readers["body"], body_writer = await self.connect(call[: -len(body)])
+        slow_client = socket.socket()
+        slow_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        slow_client.connect(("127.0.0.1", self.port))
+        slow_client.setblocking(False)
+        self.addCleanup(slow_client.close)
+        await events.sock_sendall(slow_client, job("big", body=body))
+        # The rest of the answer stays unwritten until the client reads on.
+        first_bytes = await events.sock_recv(slow_client, 100)
+        sigterm_at = await self.send_sigterm()
         for tag in ("part", "written", "taken", "halves"):
             self.event(self.told, tag).set()
-        sends.write(body)
+        body_writer.write(body)
         readers["new"], _ = await self.connect(job("new", body=body))
         answers = {tag: await self.last_answer(reader) for tag, reader in readers.items() if tag != "never"}
-        slow = events.time() - begun > LONGEST / 2
+        is_slow = events.time() - started_at > MAX_DRAIN_S / 2
         never = await self.last_answer(readers["never"])
-        await self.ends(since)
-        rest = bytearray(begin)
+        await self.assert_clean_exit(sigterm_at)
+        rest = bytearray(first_bytes)
         with contextlib.suppress(BlockingIOError):
             async with asyncio.timeout(5.0):
-                while part := await events.sock_recv(small, 1 << 16):
+                while part := await events.sock_recv(slow_client, 1 << 16):
                     rest += part
         self.assertEqual((rest[:15], rest.count(b"X")), (b"HTTP/1.1 200 OK", 60_000))
         self.assertEqual(never, (500, b""), "it may have run")
-        self.assertEqual((max(self.begun.values()), self.begun["never"]), (1, 1))
+        self.assertEqual((max(self.received_postings.values()), self.received_postings["never"]), (1, 1))
         for tag, (status, result) in answers.items():
             self.assertEqual(result, body.upper() if status == 200 else b"", tag)
-            if not slow:  # else there may have been no time left for it
+            if not is_slow:  # else its deadline may have passed
                 self.assertEqual(status, 200, tag)
             elif status != 200:
-                self.assertTrue(tag in ("part", "new") or status != 503 or not self.begun[tag], tag)
+                self.assertTrue(
+                    tag in ("part", "new") or status != 503 or not self.received_postings[tag], tag
+                )
 
-    async def test_held_for_want_of_a_worker_it_is_declined_in_time(self) -> None:
+    async def test_a_txn_held_for_lack_of_a_worker_is_declined_in_time(self) -> None:
         await self.start(ready=False)
         reader, _ = await self.connect(job("held", "charge"))
-        since = await self.tell()
+        sigterm_at = await self.send_sigterm()
         self.assertEqual((await self.last_answer(reader))[0], 503)
-        await self.ends(since)
+        await self.assert_clean_exit(sigterm_at)
 
-    async def test_while_its_connection_to_the_worker_comes_up_it_is_declined_in_time(self) -> None:
-        with socket.socket() as deaf, socket.socket() as first, socket.socket() as second:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
-            for filler in (first, second):  # the kernel's queue is full: nothing more comes up
+    async def test_a_txn_whose_worker_connection_is_being_opened_is_declined_in_time(self) -> None:
+        with socket.socket() as unresponsive, socket.socket() as first, socket.socket() as second:
+            unresponsive.bind(("127.0.0.1", 0))
+            unresponsive.listen(0)
+            for filler in (first, second):  # fills the accept queue: no further connection is established
                 filler.setblocking(False)
-                filler.connect_ex(deaf.getsockname())
-            await self.start("{}:{}".format(*deaf.getsockname()))
+                filler.connect_ex(unresponsive.getsockname())
+            await self.start("{}:{}".format(*unresponsive.getsockname()))
             reader, _ = await self.connect(job("dialling", "charge"))
-            since = await self.tell()
+            sigterm_at = await self.send_sigterm()
             self.assertEqual((await self.last_answer(reader))[0], 503)
-            await self.ends(since)
+            await self.assert_clean_exit(sigterm_at)
 
-    async def test_those_that_rest_until_the_end_and_call_in_that_moment_lose_nothing(self) -> None:
+    async def test_clients_that_call_on_idle_connections_as_the_process_ends_lose_nothing(self) -> None:
         await self.start(*await self.workers(3))
-        kept = [await self.connect(READY) for _ in range(60)]
-        for reader, _ in kept:
+        idle_connections = [await self.connect(READY) for _ in range(60)]
+        for reader, _ in idle_connections:
             self.assertEqual((await one_answer(reader))[0], 200)
-        for i, (reader, writer) in enumerate(kept):
+        for i, (reader, writer) in enumerate(idle_connections):
             writer.write(job(f"first{i}"))
             self.assertEqual((await one_answer(reader))[0], 200)
         sentinel, _ = await self.connect(READY)
         await one_answer(sentinel)
-        since = await self.tell()
+        sigterm_at = await self.send_sigterm()
         ended = asyncio.create_task(sentinel.read())
 
-        async def calls(i: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> int | None:
-            """Its answer; None: it was closed on it, unread. Ten call at once, ten as they see the end, the rest about then."""
+        async def call_late(i: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> int | None:
+            """Send a job; return its status, or None if the connection was closed before the job was read.
+
+            Ten clients call at once, ten when the shutdown closes a connection, the rest around that time.
+            """
             if i >= 50:
                 await ended
             elif i >= 10:
-                await asyncio.sleep(LONGEST - 0.3 + 0.015 * (i - 10))
+                await asyncio.sleep(MAX_DRAIN_S - 0.3 + 0.015 * (i - 10))
             try:
                 writer.write(job(f"last{i}"))
                 return (await one_answer(reader))[0]
@@ -335,77 +350,82 @@
                 self.assertEqual(getattr(fault, "partial", b""), b"")
                 return None
 
-        statuses = await asyncio.gather(*(calls(i, *peers) for i, peers in enumerate(kept)))
-        await self.ends(since)
+        statuses = await asyncio.gather(*(call_late(i, *peers) for i, peers in enumerate(idle_connections)))
+        await self.assert_clean_exit(sigterm_at)
         for i, status in enumerate(statuses):
             self.assertIn(status, (200, 503, None))
-            self.assertLessEqual(self.begun[f"last{i}"], int(status is not None), "unanswered, and sent on")
+            self.assertLessEqual(
+                self.received_postings[f"last{i}"],
+                int(status is not None),
+                "a job without an answer was posted to a worker",
+            )
         self.assertIn(200, statuses[:10])
         self.assertEqual(set(statuses[50:]), {None})
 
 
-LAST_OF_ALL = """
+EXIT_HOOK = """
 import os, sys
 
-class LastOfAll:  # it goes when the interpreter has put back the signals' defaults
+class ExitHook:  # deleted after the interpreter has restored the default signal actions
     def __del__(self, write=os.write, read=os.read):
-        write(2, b"behind the end\\n")
+        write(2, b"after the end\\n")
         read(0, 1)
 
-sys.last_of_all = LastOfAll()
+sys.exit_hook = ExitHook()
 """
 
 
-class SignalStory(Shutdown):
+class SignalsOutsideService(Shutdown):
     def stub(self, name: str, text: str) -> dict[str, str]:
-        """A module that the interpreter finds first; it tells us where the program stands, and holds it there."""
+        """Write a module that shadows the real one, reports how far the process is, and holds it there."""
         (self.folder / f"{name}.py").write_text(text)
         return {"PYTHONPATH": str(self.folder)}
 
-    async def exits(self) -> int:
+    async def exit_code(self) -> int:
         assert self.program.stdin is not None
         self.program.stdin.close()
         return await asyncio.wait_for(self.program.wait(), 5.0)
 
-    async def test_told_to_end_while_it_loads_it_exits_0_at_once(self) -> None:
-        where = self.stub(
+    async def test_a_signal_to_end_during_module_loading_exits_0_at_once(self) -> None:
+        env = self.stub(
             "uvloop", "import sys\nprint('loading', file=sys.stderr, flush=True)\nsys.stdin.read()\n"
         )
-        for told in (signal.SIGTERM, signal.SIGINT):
-            await self.spawn(self.folder / "none.json", where)
+        for end_signal in (signal.SIGTERM, signal.SIGINT):
+            await self.spawn(self.folder / "none.json", env)
             self.log = b""
             await self.says(b"loading")
-            self.program.send_signal(signal.SIGUSR1)  # untimely, and no reason to end
+            self.program.send_signal(
+                signal.SIGUSR1
+            )  # there is nothing to report yet, and it must not end the process
             self.program.send_signal(signal.SIGHUP)
-            self.program.send_signal(told)
+            self.program.send_signal(end_signal)
             self.assertEqual(await asyncio.wait_for(self.program.wait(), 5.0), 0)
 
-    async def test_told_to_end_while_it_reads_its_configuration_it_exits_0_at_once(self) -> None:
+    async def test_a_signal_to_end_while_the_configuration_is_read_exits_0_at_once(self) -> None:
         fifo = self.folder / "config.json"
         os.mkfifo(fifo)
         await self.spawn(fifo, {})
-        writing = await asyncio.to_thread(
-            os.open, fifo, os.O_WRONLY
-        )  # it has opened it, and waits for the text
-        self.addCleanup(os.close, writing)
+        # Opening returns once the process has opened the other end; it now waits for the text.
+        write_end = await asyncio.to_thread(os.open, fifo, os.O_WRONLY)
+        self.addCleanup(os.close, write_end)
         self.program.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.wait_for(self.program.wait(), 5.0), 0)
 
-    async def test_signals_again_and_again_during_the_end_and_behind_it_change_nothing(self) -> None:
-        where = self.stub("sitecustomize", LAST_OF_ALL)
-        await self.start(*await self.workers(), env=where)
+    async def test_repeated_signals_during_and_after_shutdown_change_nothing(self) -> None:
+        env = self.stub("sitecustomize", EXIT_HOOK)
+        await self.start(*await self.workers(), env=env)
         reader, _ = await self.connect(job("taken", "charge"))
         await asyncio.wait_for(self.event(self.came, "taken").wait(), 5.0)
         self.program.send_signal(signal.SIGHUP)
-        await self.tell()
-        for again in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT, signal.SIGTERM):
-            self.program.send_signal(again)
+        await self.send_sigterm()
+        for extra_signal in (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT, signal.SIGTERM):
+            self.program.send_signal(extra_signal)
         self.event(self.told, "taken").set()
         self.assertEqual(await self.last_answer(reader), (200, b"HELLO"))
-        await self.says(b"behind the end")
-        for again in (signal.SIGUSR1, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
-            self.program.send_signal(again)
-        self.assertEqual(await self.exits(), 0)
+        await self.says(b"after the end")
+        for extra_signal in (signal.SIGUSR1, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
+            self.program.send_signal(extra_signal)
+        self.assertEqual(await self.exit_code(), 0)
         self.assertIn(b"stopped unanswered=0", self.log)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A process begins with an old `known`, or was stopped and goes on: nothing new goes to who has left meanwhile."""
+"""A dispatcher that starts with an outdated list, or resumes after a stop, posts to no worker that left."""
 
 import asyncio
 import json
@@ -7,8 +7,8 @@
 from tests.test_shutdown import Shutdown, job, one_answer
 
 
-class OldKnown(Shutdown):
-    """Its `known` has a worker that discovery's list has no more; discovery's answers are held back."""
+class OutdatedList(Shutdown):
+    """The `known` list has a worker that discovery's list lacks; the tests write discovery's answers."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -31,29 +31,29 @@
             "since_ms": 0,
         }
 
-    def line(self, index: int, whole: bool, *rows: dict[str, object]) -> bytes:
-        said = json.dumps({"index": index, "snapshot": whole, "endpoints": list(rows)}).encode() + b"\n"
-        return b"%x\r\n%s\r\n" % (len(said), said)
+    def line(self, index: int, is_snapshot: bool, *rows: dict[str, object]) -> bytes:
+        data = json.dumps({"index": index, "snapshot": is_snapshot, "endpoints": list(rows)}).encode() + b"\n"
+        return b"%x\r\n%s\r\n" % (len(data), data)
 
-    async def begins(self) -> None:
-        """With w0 and w1 known from before."""
+    async def start_with_known(self) -> None:
+        """Start the process with w0 and w1 in its `known` list."""
         workers = await self.workers(2)
         await self.start(*workers, ready=False)
         await self.gone()
         config = self.folder / "config.json"
-        told = json.loads(config.read_text())
-        told["known"] = {"index": 4, "snapshot": True, "endpoints": [self.row(0), self.row(1)]}
-        config.write_text(json.dumps(told))
+        config_json = json.loads(config.read_text())
+        config_json["known"] = {"index": 4, "snapshot": True, "endpoints": [self.row(0), self.row(1)]}
+        config.write_text(json.dumps(config_json))
         while not self.calls.empty():
             self.calls.get_nowait()
         await self.spawn(config, {})
 
-    async def called(self) -> asyncio.StreamWriter:
+    async def discovery_call(self) -> asyncio.StreamWriter:
         return await asyncio.wait_for(self.calls.get(), 20.0)
 
     HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-    async def connected(self, data: bytes) -> asyncio.StreamReader:
+    async def connect_with_retry(self, data: bytes) -> asyncio.StreamReader:
         async with asyncio.timeout(20.0):
             while True:
                 try:
@@ -61,77 +61,82 @@
                 except OSError:
                     await asyncio.sleep(0.02)
 
-    async def served(self) -> None:
+    async def wait_until_serving(self) -> None:
         async with asyncio.timeout(20.0):
-            tries = 0
-            while (await one_answer(await self.connected(job(f"c{tries}"))))[0] != 200:
-                tries += 1
+            attempts = 0
+            while (await one_answer(await self.connect_with_retry(job(f"c{attempts}"))))[0] != 200:
+                attempts += 1
                 await asyncio.sleep(0.05)
 
-    async def test_nothing_goes_out_before_the_list_is_had_and_then_to_who_is_there(self) -> None:
-        """zone+mass: 57 processes that were away for 18 s posted 105 times to workers that had left meanwhile."""
-        await self.begins()
-        answers = [await self.connected(job(f"a{i}")) for i in range(6)]
-        discovery = await self.called()
-        self.assertEqual(dict(self.begun), {})
+    async def test_no_posting_is_sent_before_the_list_is_received_and_then_only_to_listed_workers(
+        self,
+    ) -> None:
+        """A list that is out of date after a restart must not be used.
+
+        In the scenario zone+mass, 57 processes that were stopped for 18 s posted 105 times to departed workers.
+        """
+        await self.start_with_known()
+        answers = [await self.connect_with_retry(job(f"a{i}")) for i in range(6)]
+        discovery = await self.discovery_call()
+        self.assertEqual(dict(self.received_postings), {})
         discovery.write(self.HEAD + self.line(9, True, self.row(1)))
         for answer in answers:
             status, _ = await asyncio.wait_for(one_answer(answer), 20.0)
             self.assertIn(status, (200, 503))
-        self.assertGreater(sum(self.begun.values()), 0)
-        self.assertEqual(self.at["w0"], 0)
+        self.assertGreater(sum(self.received_postings.values()), 0)
+        self.assertEqual(self.postings_by_worker["w0"], 0)
 
-    async def test_a_call_that_fails_proves_nothing_of_the_time_before_the_start(self) -> None:
-        await self.begins()
+    async def test_a_failed_call_to_discovery_does_not_validate_the_known_list(self) -> None:
+        await self.start_with_known()
         for i in range(2):
-            discovery = await self.called()
-            answer = await self.connected(job(f"b{i}", within=400))
+            discovery = await self.discovery_call()
+            answer = await self.connect_with_retry(job(f"b{i}", within=400))
             discovery.transport.abort()
             self.assertEqual((await asyncio.wait_for(one_answer(answer), 20.0))[0], 503)
-            self.assertEqual(dict(self.begun), {})
-        (await self.called()).write(self.HEAD + self.line(9, True, self.row(1)))
-        await self.served()
-        self.assertEqual(self.at["w0"], 0)
-
-    async def test_stopped_and_going_on_it_reads_what_it_was_told_before_it_posts(self) -> None:
-        await self.begins()
-        discovery = await self.called()
+            self.assertEqual(dict(self.received_postings), {})
+        (await self.discovery_call()).write(self.HEAD + self.line(9, True, self.row(1)))
+        await self.wait_until_serving()
+        self.assertEqual(self.postings_by_worker["w0"], 0)
+
+    async def test_a_resumed_process_applies_received_list_updates_before_it_posts(self) -> None:
+        await self.start_with_known()
+        discovery = await self.discovery_call()
         discovery.write(self.HEAD + self.line(9, True, self.row(0)))
-        await self.served()
-        before = self.at["w0"]
+        await self.wait_until_serving()
+        before = self.postings_by_worker["w0"]
         self.program.send_signal(signal.SIGSTOP)
         try:
             discovery.write(self.line(10, False, self.row(0, "leaving")))
             await discovery.drain()
-            answers = [await self.connected(job(f"d{i}", within=500)) for i in range(20)]
+            answers = [await self.connect_with_retry(job(f"d{i}", within=500)) for i in range(20)]
         finally:
             self.program.send_signal(signal.SIGCONT)
         for answer in answers:
             self.assertEqual((await asyncio.wait_for(one_answer(answer), 20.0))[0], 503)
-        self.assertEqual(self.at["w0"], before)
+        self.assertEqual(self.postings_by_worker["w0"], before)
 
     @property
-    def at(self) -> dict[str, int]:
-        """Postings that came whole, by worker."""
-        return {name: self.worked.get(name, 0) for name in ("w0", "w1")}
+    def postings_by_worker(self) -> dict[str, int]:
+        """How many postings each worker has received, by their heads."""
+        return {name: self.posting_counts.get(name, 0) for name in ("w0", "w1")}
 
     async def work(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, job upon job: the head that is read here tells whose it is."""
-        story = self
+        """Serve one connection; count the postings of this worker by the heads that are read."""
+        test_case = self
 
-        class Counting:
+        class CountingReader:
             async def readuntil(self, end: bytes) -> bytes:
                 head = await reader.readuntil(end)
                 if head.startswith(b"POST"):
-                    story.worked[name] = story.worked.get(name, 0) + 1
+                    test_case.posting_counts[name] = test_case.posting_counts.get(name, 0) + 1
                 return head
 
-            def __getattr__(self, asked: str) -> object:
-                return getattr(reader, asked)
+            def __getattr__(self, attribute: str) -> object:
+                return getattr(reader, attribute)
 
-        await super().work(name, Counting(), writer)  # type: ignore[arg-type]
+        await super().work(name, CountingReader(), writer)  # type: ignore[arg-type]
 
-    worked: dict[str, int]
+    posting_counts: dict[str, int]
 
     def setUp(self) -> None:
-        self.worked = {}
+        self.posting_counts = {}
