--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -73,7 +73,7 @@
     ) -> None:
         """A list that is out of date after a restart must not be used.
 
-        In the scenario zone+mass, 57 processes that were stopped for 18 s posted 105 times to departed workers.
+        In the scenario zone+mass, 57 processes that were stopped for 18 s posted 105 times to departed ones.
         """
         await self.start_with_known()
         answers = [await self.connect_with_retry(job(f"a{i}")) for i in range(6)]
