--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -57,13 +57,13 @@
         free = config.sockets - environment.descriptors() - SPARE_DESCRIPTORS
         # Of the memory that is left a third goes to connections, a quarter to bodies, the rest to all else.
         free_mb = max(0.0, 0.9 * config.memory_mb - environment.memory_mb())
-        room = Room(
+        limits = Room(
             max(MIN_CONNECTIONS, int(min(free, free_mb / 3 / CONNECTION_MB))),
             int(max(MIN_BODY_MB, min(1e3, free_mb / 4)) * 1e6),
         )
         self.workers = Workers(config.reach, free // 4, self.clock, self.counters, environment.stream)
         config.terms.max_open_txns = min(
-            config.terms.max_open_txns, min(room.connections, free - free // 4) * 3 // 4
+            config.terms.max_open_txns, min(limits.connections, free - free // 4) * 3 // 4
         )
         self.service = environment.service(
             config.terms,
@@ -79,7 +79,7 @@
         self.service.listed(ListUpdate.REMEMBERED, config.rows)
         try:
             self.front = Front(
-                config.listen, free, room, self.service, self.clock, self.counters, environment.stream
+                config.listen, free, limits, self.service, self.clock, self.counters, environment.stream
             )
         except (OSError, ValueError) as fault:
             from pathsaddle.net.service.place import unhad
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -1008,7 +1008,7 @@
             self.assertEqual(host.subscribed, 2, seed)
 
     def test_a_new_server_that_never_answers_makes_the_list_stale(self) -> None:
-        """The list is stale 4 s after SIGHUP whatever the calls return; later failed calls extend it again."""
+        """The list is stale 4 s after SIGHUP whatever the calls return; a later failed call extends it."""
         host = FakeHost(list_needs_subscription=True, dispatchers=40)
         host.list(MOVED)
         host.passes(FIRST)
