--- a/pathsaddle/net/service/__init__.py
+++ b/pathsaddle/net/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start, stop, and the tasks that read and write."""
+"""Start and stop of a dispatcher, and the tasks that read and write its sockets."""
--- a/pathsaddle/net/service/place.py
+++ b/pathsaddle/net/service/place.py
@@ -1,4 +1,7 @@
-"""An address that can't be had, in an operator's words. Loaded only then: a start that goes well needs none of it."""
+"""Operator-facing errors for a listen address that cannot be bound.
+
+The module is imported only after a bind has failed; a successful start never loads it.
+"""
 
 from __future__ import annotations
 
@@ -9,42 +12,54 @@
 
 
 class Taken(Error):
+    """Another process is bound to the address."""
+
     name = "address.taken"
     what = "{file}: {key}: {address} is in use by another process"
     do = "end that process (`ss -lnp` names it), or write another port at {key} in {file}"
 
 
 class NotOurs(Error):
+    """No interface of this machine has the address."""
+
     name = "address.not-ours"
     what = "{file}: {key}: no interface of this machine has the address {address}"
     do = "write an address of this machine, or 127.0.0.1, at {key} in {file}"
 
 
 class Forbidden(Error):
+    """The user lacks the permission to bind to the address, for example to a port below 1024."""
+
     name = "address.forbidden"
     what = "{file}: {key}: this user may not have {address}"
     do = "write a port above 1023 at {key} in {file}"
 
 
 class NoHost(Error):
+    """The host name in the address does not resolve."""
+
     name = "address.no-host"
     what = "{file}: {key}: no host is known by the name in {address}"
     do = "write an IP address in its place at {key} in {file}"
 
 
 class NoAddress(Error):
+    """The text does not have the form host:port."""
+
     name = "address.none"
     what = "{file}: {key}: {address!r} is no address"
     do = "write host:port at {key} in {file}"
 
 
 class Unusable(Error):
+    """Binding failed for another reason."""
+
     name = "address.unusable"
     what = "{file}: {key}: {address} can't be had: {why}"
     do = "write another address at {key} in {file}"
 
 
-KINDS = {
+ERRORS_BY_ERRNO = {
     errno.EADDRINUSE: Taken,
     errno.EADDRNOTAVAIL: NotOurs,
     errno.EACCES: Forbidden,
@@ -53,12 +68,19 @@
 
 
 def unhad(fault: Exception, key: str, address: str, file: str) -> Error:
-    """Why a listener could not have its address; `key` as it stands in the file."""
-    kind: type[Error] = Unusable
+    """Return the operator-facing error for a listener that could not be bound.
+
+    Args:
+        fault: The exception that resolving or binding raised.
+        key: The configuration key, as it is written in the file.
+        address: The address at that key.
+        file: The name of the configuration file.
+    """
+    error_class: type[Error] = Unusable
     if isinstance(fault, socket.gaierror):
-        kind = NoHost
+        error_class = NoHost
     elif isinstance(fault, OSError):
-        kind = KINDS.get(fault.errno or 0, Unusable)
+        error_class = ERRORS_BY_ERRNO.get(fault.errno or 0, Unusable)
     elif isinstance(fault, ValueError):
-        kind = NoAddress
-    return kind(file=file, key=key, address=address, why=why(fault))
+        error_class = NoAddress
+    return error_class(file=file, key=key, address=address, why=why(fault))
--- a/pathsaddle/net/service/pump.py
+++ b/pathsaddle/net/service/pump.py
@@ -1,4 +1,4 @@
-"""What all drivers do with sockets: addresses to sockets, rings to sockets, and what the kernel has done by now."""
+"""Socket helpers of the connection drivers: open sockets, count their bytes, write buffers to them."""
 
 from __future__ import annotations
 
@@ -13,31 +13,37 @@
 
 
 class Tallied(socket.socket):
-    """A socket that counts what has crossed it at the very system call.
+    """A socket that counts its bytes in the system calls themselves.
 
-    Whoever waits for `sock_sendall` or `sock_recv_into` resumes a turn of the event loop after the call: what another
-    task decides in between by where that coroutine stands is wrong. `given` is how many bytes the kernel has taken of
-    us, `taken` how many of its peer's we have, whether or not their reader has resumed.
+    A coroutine that awaits `sock_sendall` or `sock_recv_into` resumes one event loop iteration after the
+    system call. A task that runs in between cannot tell from the coroutine's state which bytes were
+    transferred; the counters tell it.
+
+    Attributes:
+        given: The number of bytes that the kernel has accepted for sending.
+        taken: The number of bytes received from the peer, whether or not their reader has resumed.
     """
 
     __slots__ = ("given", "taken")
 
-    def __init__(self, *args: Any, **named: Any) -> None:
-        super().__init__(*args, **named)
+    def __init__(self, *args: Any, **options: Any) -> None:
+        super().__init__(*args, **options)
         self.given = self.taken = 0
 
     def send(self, data: Any, flags: int = 0) -> int:
+        """Send `data` and count the bytes that the kernel has accepted."""
         count = super().send(data, flags)
         self.given += count
         return count
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
+        """Receive into `buffer` and count the bytes."""
         count = super().recv_into(buffer, nbytes, flags)
         self.taken += count
         return count
 
     def stirred(self) -> bool:
-        """Whether something of the peer's lies here unread: bytes, its end, or a reset."""
+        """Return whether the kernel holds unread input: bytes, the end of the stream, or a reset."""
         try:
             self.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -47,40 +53,59 @@
         return True
 
 
-Opening = Callable[[str], tuple[Tallied, Peer]]  # how sockets are come by: the kernel's, or others
+# Returns a new socket and the parsed address; simulations pass their own.
+Opening = Callable[[str], tuple[Tallied, Peer]]
 
 
 def tallied(sock: Any) -> Tallied:
-    """An accepted socket, counting; what is none of the kernel's counts by itself."""
+    """Return an accepted socket as a counting one.
+
+    A simulated socket counts its own bytes and is returned unchanged.
+    """
     if isinstance(sock, socket.socket) and not isinstance(sock, Tallied):
         return Tallied(sock.family, sock.type, sock.proto, fileno=sock.detach())
-    counting: Tallied = sock
-    return counting
+    counting_socket: Tallied = sock
+    return counting_socket
 
 
 def stream(address: str, kind: int = socket.SOCK_STREAM) -> tuple[Tallied, Peer]:
-    """A socket of the address's family that doesn't block, and the address as sockets want it."""
-    peer = peer_of(address)  # first: what is no address must not cost a descriptor
+    """Return a non-blocking socket of the address's family, and the address as (host, port).
+
+    Raises:
+        ValueError: The text is not an address.
+    """
+    peer = peer_of(address)  # before the socket, so that an invalid address does not leak a descriptor
     sock = Tallied(socket.AF_INET6 if ":" in peer[0] else socket.AF_INET, kind)
     sock.setblocking(False)
     return sock, peer
 
 
 def outgoing(address: str, opening: Opening = stream) -> tuple[Tallied, Peer]:
+    """Return a socket for an outgoing connection, with TCP_NODELAY set, and the peer's (host, port)."""
     sock, peer = opening(address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock, peer
 
 
 async def drain(sock: socket.socket, ring: Ring, within: int | None = None) -> None:
-    """Writes all that the ring holds; what it took for a long message is given back."""
-    loop = asyncio.get_running_loop()
+    """Write the whole buffer to the socket, then shrink the buffer.
+
+    Args:
+        sock: The connected, non-blocking socket.
+        ring: The buffer; it is empty when the function returns.
+        within: The time limit in ticks for each contiguous part of the buffer; None for no limit.
+
+    Raises:
+        TimeoutError: The peer did not read a part within the limit.
+        OSError: The connection broke.
+    """
+    event_loop = asyncio.get_running_loop()
     while ring:
         part = ring.data()
         if within is None:
-            await loop.sock_sendall(sock, part)
+            await event_loop.sock_sendall(sock, part)
         else:
             async with asyncio.timeout(seconds(within)):
-                await loop.sock_sendall(sock, part)
+                await event_loop.sock_sendall(sock, part)
         ring.drop(len(part))
     ring.rest()
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -1,4 +1,4 @@
-"""The connections to workers: one call at a time on each, written and read by a thin driver."""
+"""The connections to workers; each carries one request at a time."""
 
 from __future__ import annotations
 
@@ -18,78 +18,97 @@
 from pathsaddle.net.wire.terms import Reach
 from pathsaddle.scheduler_types import MILLISECOND
 
-# A second answer to a call may come some milliseconds after the first; answers name no call, so a connection rests for
-# the protocol's slack before the next one: what comes in its rest ends it, what comes later is the next call's own.
-REST = 50 * MILLISECOND
+# A worker may send a second answer some milliseconds after the first, and HTTP answers do not name their
+# request. A connection therefore rests after each answer. Bytes that arrive meanwhile end the connection;
+# bytes that arrive later belong to the next request.
+REST_AFTER_ANSWER = 50 * MILLISECOND
 
 
 class NeverSent(Exception):
-    """The call's last byte was not written: whatever it asked for has not run."""
+    """The last byte of the request was not written, so the request has not run."""
 
 
 class Lost(Exception):
-    """The connection broke after the last byte: whatever the call asked for may have run."""
+    """The connection broke after the last byte of the request, so the request may have run."""
 
 
-class Bytes:
-    """One call's bytes on a connection: whole once the kernel has taken the last of them."""
+class RequestTransmission:
+    """The transmission of one request on a connection."""
 
-    __slots__ = ("due", "sock")
+    __slots__ = ("end_offset", "sock")
 
     def __init__(self, sock: Tallied) -> None:
         self.sock = sock
-        self.due: int | None = None  # what the socket will have given by then; None: they have not begun
+        self.end_offset: int | None = None  # `sock.given` after the last byte; None before the first byte
 
     @property
     def whole(self) -> bool:
-        return self.due is not None and self.sock.given >= self.due
+        """Whether the kernel has accepted the last byte of the request."""
+        return self.end_offset is not None and self.sock.given >= self.end_offset
 
 
 class Link:
     """One connection to a worker."""
 
     def __init__(
-        self, sock: Tallied, peer: str, counters: Counters, broke: Callable[[], None] = lambda: None
+        self, sock: Tallied, peer: str, counters: Counters, on_broken: Callable[[], None] = lambda: None
     ) -> None:
         self.sock = sock
         self.peer = peer
         self.counters = counters
-        self.broke = broke
+        self.on_broken = on_broken
         self.machine = Calling()
-        self.inward, self.outward = Ring(), Ring()
+        self.read_buffer, self.write_buffer = Ring(), Ring()
         self.idle_since = 0
         self.calls = 0
         self.ended = False
         self.rests = False
-        self._method = ""  # of the call that is out, or was
-        self._looked = False  # the call before it was a look
-        self._strayed = False  # an answer came that was not to the call that was out
-        self._read_in = 0  # bytes that have come, as far as the reader knows
-        self._sending: Bytes | None = None
+        self._method = ""  # of the current request, or of the last one
+        self._previous_was_probe = False  # the request before it was a probe
+        self._has_stray_answer = False  # an answer arrived that was not for the current request
+        self._read_bytes = 0  # bytes that the reading task has seen, of those in `sock.taken`
+        self._sending: RequestTransmission | None = None
         self._answer: asyncio.Future[Message] | None = None
-        self._loop = asyncio.get_running_loop()
-        self._reader = self._loop.create_task(self._read())
+        self._event_loop = asyncio.get_running_loop()
+        self._reader = self._event_loop.create_task(self._read())
 
     @property
     def sound(self) -> bool:
-        return not (self.ended or self._strayed) and self.sock.taken == self._read_in
+        """Whether the link is open and everything received on it was an answer to its request."""
+        return not (self.ended or self._has_stray_answer) and self.sock.taken == self._read_bytes
 
     @property
     def usable(self) -> bool:
+        """Whether the link is sound and the kernel holds no unread input for it."""
         return self.sound and not self.sock.stirred()
 
-    async def write(self, method: str, data: bytes, sending: Bytes) -> None:
-        """Raises OSError where the last byte did not go out."""
+    async def write(self, method: str, data: bytes, sending: RequestTransmission) -> None:
+        """Write one request.
+
+        Args:
+            method: The HTTP method.
+            data: The whole request.
+            sending: Tracks whether the last byte is written.
+
+        Raises:
+            OSError: The connection broke while the request was written.
+        """
         self.calls += 1
-        self._looked, self._method = self._method == "GET", method
-        # Nothing that answers a look can pass for an answer to a posting: no rest is needed after one.
+        self._previous_was_probe, self._method = self._method == "GET", method
+        # The answer to a probe cannot be mistaken for the answer to a posting: no rest is needed after a
+        # probe.
         self.rests = method != "GET"
-        self._answer = self._loop.create_future()
-        self._sending, sending.due = sending, self.sock.given + len(data)
-        self.outward.put(data)
-        await drain(self.sock, self.outward)
+        self._answer = self._event_loop.create_future()
+        self._sending, sending.end_offset = sending, self.sock.given + len(data)
+        self.write_buffer.put(data)
+        await drain(self.sock, self.write_buffer)
 
     async def answer(self) -> Message:
+        """Wait for the answer to the request.
+
+        Raises:
+            Lost: The connection ended before the answer.
+        """
         assert self._answer is not None
         try:
             return await self._answer
@@ -99,15 +118,15 @@
     async def _read(self) -> None:
         code = "fault"
         try:
-            while count := await self._loop.sock_recv_into(self.sock, self.inward.space()):
-                self.inward.fill(count)
-                self._read_in += count
-                while self.inward:
-                    part = self.inward.data()
-                    answer = self.machine.feed(part)
-                    self.inward.drop(len(part))
-                    if answer is not None and not self._takes(answer):
-                        return  # a read begun now would outlive the descriptor
+            while count := await self._event_loop.sock_recv_into(self.sock, self.read_buffer.space()):
+                self.read_buffer.fill(count)
+                self._read_bytes += count
+                while self.read_buffer:
+                    chunk = self.read_buffer.data()
+                    answer = self.machine.feed(chunk)
+                    self.read_buffer.drop(len(chunk))
+                    if answer is not None and not self._handle_answer(answer):
+                        return  # another read would outlive the descriptor
             code = "worker-closed"
         except OSError as fault:
             code = "worker-reset" if isinstance(fault, ConnectionError) else "worker-error"
@@ -115,29 +134,32 @@
             code = "worker-malformed"
         except asyncio.CancelledError:
             code = "stopping"
-        except Exception as fault:  # noqa: BLE001  # whatever it is ends this connection alone
+        except Exception as fault:  # noqa: BLE001  # a fault ends only this connection
             logbook.fault_worker(fault, peer=self.peer)
         self.end(code)
 
-    def _takes(self, answer: Message) -> bool:
-        """An answer has come whole; whether the connection goes on."""
-        if self._looked and self._method == "POST" and answer.status == 200:
-            # No posting is answered so: the look before it was answered twice. The posting's own answer may have come in
-            # one piece with that, whole: dropped with it, the posting waited until it was given up.
-            self._strayed = True
+    def _handle_answer(self, answer: Message) -> bool:
+        """Handle a complete answer and return whether the connection stays open."""
+        if self._previous_was_probe and self._method == "POST" and answer.status == 200:
+            # A posting is never answered with 200: this is a second answer to the probe before it. The
+            # posting's own answer may have arrived in the same read. Dropping it would leave the posting
+            # waiting for its timeout.
+            self._has_stray_answer = True
             self.counters.add("answer.stray")
-            behind, self.machine.behind = self.machine.behind, []
-            if len(behind) == 1 and self.machine.part is None:
+            later_answers, self.machine.behind = self.machine.behind, []
+            if len(later_answers) == 1 and self.machine.part is None:
                 self.machine.more = False
-                return self._takes(behind[0])
-            if behind:
-                self.end("worker-more")  # which of them is meant nobody knows
+                return self._handle_answer(later_answers[0])
+            if later_answers:
+                self.end("worker-more")  # the posting's answer cannot be told from the others
             self.machine.asked = True
         elif self._sending is not None and not self._sending.whole:
-            # To a call that is not there yet: whoever's it is, no byte more goes out, and so the call has not run.
+            # The answer precedes the end of the request. No further byte is written, so the request has not
+            # run.
             self.end("worker-early")
-        elif self.machine.more or self.inward:
-            # Something behind it: which of the two is meant nobody knows, and a decline is no proof.
+        elif self.machine.more or self.read_buffer:
+            # More bytes follow the answer. It is unclear which belong to the request, so a decline proves
+            # nothing.
             if self._answer is not None and not self._answer.done() and answer.status == 202:
                 self._answer.set_result(answer)
             self.end("worker-more")
@@ -149,26 +171,33 @@
         return not self.ended
 
     def end(self, code: str) -> None:
+        """Close the connection; a request without an answer fails with `Lost`.
+
+        Args:
+            code: The reason code, for the log and the counters.
+        """
         if self.ended:
             return
         self.ended = True
         if self._sending is not None and not self._sending.whole:
-            # Now, not with the close: a writer that is not done must find out, and its last byte must not go.
+            # The close comes later. A pending write must fail now, before it can send the last byte.
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.counters.add(f"link_end.{code}")
         if code in ("worker-reset", "worker-closed"):
-            self.broke()
+            self.on_broken()
         logbook.worker_end(code=code, peer=self.peer, calls=self.calls)
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(Lost(code))
-            self._answer.exception()  # a writer that never comes to ask for it has its own error
+            self._answer.exception()  # marks it as retrieved: a failed writer raises its own error
         self._reader.cancel()
-        # Not before the reader has let go of the descriptor, or a new connection may get its number.
-        self._loop.call_soon(self.sock.close)
+        # After the reader has released the descriptor; otherwise a new connection could reuse its number.
+        self._event_loop.call_soon(self.sock.close)
 
 
 class Workers:
+    """The connections to all workers, and the workers' addresses."""
+
     def __init__(
         self, reach: Reach, sockets: int, clock: Clock, counters: Counters, opening: Opening = stream
     ) -> None:
@@ -176,15 +205,16 @@
         self.clock = clock
         self.counters = counters
         self.connect_within = reach.connect_within
-        self.broke: Callable[[str], None] = lambda worker: None  # told whose connection was ended from there
-        margin = max(500, reach.idle_within // 10)
-        self.links: Links[Link] = Links(sockets, max(0, reach.idle_within - margin), REST)
-        self.make_room: Callable[[], object] = lambda: (
-            None
-        )  # asked for a descriptor before each new connection
+        # Called with the worker's name when the worker's side ended a connection.
+        self.broke: Callable[[str], None] = lambda worker: None
+        idle_margin = max(500, reach.idle_within // 10)
+        self.links: Links[Link] = Links(sockets, max(0, reach.idle_within - idle_margin), REST_AFTER_ANSWER)
+        # Called before each new connection, to free a descriptor for it.
+        self.make_room: Callable[[], object] = lambda: None
         self.addresses: dict[str, str] = {}
 
     def located(self, worker: str, address: str) -> None:
+        """Set a worker's address; a change closes its idle connections."""
         if address and self.addresses.get(worker) != address:
             self.links.drop_idle(worker, "worker-moved")
             self.addresses[worker] = address
@@ -199,13 +229,25 @@
         body: bytes = b"",
         begins: Callable[[Sending], None] = lambda sending: None,
     ) -> Message:
-        """One call and its answer. `begins` is told right before the first byte and may raise to stop it; what it
-        is given says later whether the last one is out.
+        """Send one request to a worker and return its answer.
+
+        Args:
+            worker: The worker's name.
+            method: The HTTP method.
+            target: The request target.
+            headers: The request headers; `begins` may still add some.
+            body: The request body.
+            begins: Called right before the first byte is written. An exception that it raises stops the
+                request. Its argument tells later whether the last byte is written.
+
+        Raises:
+            NeverSent: The request has not run.
+            Lost: The request may have run.
         """
         pool = self.links.pool(worker)
-        link = await self._take(worker)
+        link = await self._acquire_link(worker)
         try:
-            sending = Bytes(link.sock)
+            sending = RequestTransmission(link.sock)
             begins(sending)
             try:
                 call = link.machine.ask(method, target, self.addresses[worker], headers, body)
@@ -219,16 +261,16 @@
                 self.counters.add("posting.sent")
             return await link.answer()
         finally:
-            # Given up midway: the answer may still come, so nothing else may be asked here.
+            # The request was cancelled: its answer may still arrive, so the connection cannot be reused.
             if link.machine.asked:
                 link.end("given-up")
             self.links.put_back(pool, link, self.clock.now())
 
-    async def _take(self, worker: str) -> Link:
+    async def _acquire_link(self, worker: str) -> Link:
         pool = self.links.pool(worker)
         link = self.links.take(pool, self.clock.now())
         if link is not None:
-            return link  # as nearly always: a timer that nobody waits for would cost more than all of this
+            return link  # the common case: without the timer, which costs more than the rest of the method
         try:
             async with asyncio.timeout(seconds(self.connect_within)):
                 while True:
@@ -239,15 +281,15 @@
                         break
                     if not self.links.gives_up_resting(pool):
                         await self.links.turn(pool)
-                return await self._open(worker)
+                return await self._open_link(worker)
         except TimeoutError:
             self.counters.add("connect.late")
             raise NeverSent("no connection in time") from None
-        except (OSError, ValueError, KeyError) as fault:  # also an address that is none, or not told
+        except (OSError, ValueError, KeyError) as fault:  # also an invalid or unknown address
             self.counters.add("connect.refused")
             raise NeverSent(str(fault)) from None
 
-    async def _open(self, worker: str) -> Link:
+    async def _open_link(self, worker: str) -> Link:
         pool = self.links.pool(worker)
         self.make_room()
         pool.used += 1
