--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -1,7 +1,7 @@
-"""The door between the decisions and the sockets: it alone knows which id is which object.
+"""The transport between the scheduler and the sockets; it maps the ids of txns and workers to objects.
 
-It does what the loop orders and tells it what came of that; it decides nothing. Events that wait together are
-told one by one and share one turn.
+The service carries out what the scheduler driver decides and reports the results to it; it makes no
+decisions. Events that are due together are reported one by one and share one scheduling pass.
 """
 
 from __future__ import annotations
@@ -33,18 +33,23 @@
     Worker,
 )
 
-AFTER_FAULT = 10 * MILLISECOND  # until the next turn: not at once, against spinning on the same fault
-ON_ITS_WAY = 50 * MILLISECOND  # in which the end of a connection reaches a worker
+FAULT_RETRY_DELAY = 10 * MILLISECOND  # an immediate retry could spin on the same fault
+CLOSE_PROPAGATION_DELAY = 50 * MILLISECOND  # how long the end of a connection takes to reach a worker
 
 
-class Withheld(Exception):
-    """Between the order and the first byte the reason to send has gone."""
+class PostingWithheld(Exception):
+    """The reason to send a posting ended between its start and its first byte."""
 
 
 class TxnService:
+    """Runs txns: takes requests from clients, sends postings to workers, and answers the clients.
+
+    It is the `Transport` of a `SchedulerDriver`, which makes the decisions.
+    """
+
     def __init__(
         self,
-        terms: SchedulerConfig,
+        config: SchedulerConfig,
         words: Words,
         seed: int,
         clock: Clock,
@@ -52,92 +57,126 @@
         counters: Counters,
         watch: Callable[[], None],
     ) -> None:
-        self.two_at_once = terms.allows_hedging
-        self.dropped_stay_open = terms.delisted_workers_usable
-        self.look_target = forms.look_target(terms.reports_in_probes)
+        self.two_at_once = config.allows_hedging
+        self.dropped_stay_open = config.delisted_workers_usable
+        self.look_target = forms.look_target(config.reports_in_probes)
         self.words = words
         self.clock = clock
         self.workers = workers
         self.counters = counters
         self.watch = watch
-        self.catch_up: Callable[[], None] = lambda: None  # reads what the list's watch has brought by now
-        self.looks: Callable[[Worker], Coroutine[Any, Any, None]] = self._look  # what one is; maybe metered
+        self.catch_up: Callable[[], None] = lambda: None  # handles the list updates that have arrived by now
+        # Probes a worker; metering wraps it.
+        self.looks: Callable[[Worker], Coroutine[Any, Any, None]] = self._probe
         self.ledger = Ledger()
         self.known: dict[str, Worker] = {}
-        self.stopping: int | None = None  # by when everything must be answered, once we are to end
+        self.stopping: int | None = None  # when the shutdown must have answered every txn; None while running
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._turning = False
-        self._alarm: asyncio.TimerHandle | None = None
+        self._is_pass_scheduled = False
+        self._timer: asyncio.TimerHandle | None = None
         self._events = asyncio.get_running_loop()
-        self.loop = SchedulerDriver(self, terms, seed, clock.now())
+        self.loop = SchedulerDriver(self, config, seed, clock.now())
         workers.broke = self.broke
 
-    # What the loop asks of a door.
+    # The transport of the scheduler driver.
 
     def post(self, posting: Posting, within: int) -> None:
+        """Send a posting to its worker.
+
+        Args:
+            posting: The posting to send.
+            within: The time limit in ticks; 0 for the txn's own expiry.
+        """
         txn = posting.txn
         entry = self.ledger[txn.tag]
-        left = txn.expires_at - self.clock.now()
-        exchange = Exchange(posting, entry, min(within, left) if within else left)
+        remaining = txn.expires_at - self.clock.now()
+        exchange = Exchange(posting, entry, min(within, remaining) if within else remaining)
         entry.exchanges.append(exchange)
         self.counters.add("posting")
-        exchange.alarm = self._events.call_later(max(0.0, seconds(exchange.within)), self._late, exchange)
+        exchange.alarm = self._events.call_later(max(0.0, seconds(exchange.within)), self._time_out, exchange)
         exchange.task = self._start(self._carry(exchange))
 
     def cancel(self, posting: Posting) -> None:
+        """Withdraw a posting.
+
+        A worker that has accepted it with 202 is sent a DELETE. Before that, closing the connection withdraws
+        the posting.
+        """
         exchange = self.ledger[posting.txn.tag].exchanges[posting.number]
         if not posting.is_in_flight:
             return
         if exchange.accepted:
             self._start(self._withdraw(exchange))
         else:
-            self._give_up(exchange)  # no byte goes out after this; what has gone, the socket has counted
-            # The end of the connection takes its time, and the next copy may have a shorter way.
+            self._abort_request(exchange)  # no byte is sent after this; the socket has counted those before
+            # The next posting may reach its worker sooner than the end of the connection reaches this one.
             self._events.call_later(
-                seconds(ON_ITS_WAY if exchange.sent and not self.two_at_once else 0),
+                seconds(CLOSE_PROPAGATION_DELAY if exchange.sent and not self.two_at_once else 0),
                 self._end,
                 exchange,
                 Outcome.CANCELLED if exchange.sent else Outcome.MOOT,
             )
 
     def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None:
+        """Answer a txn with 503.
+
+        Args:
+            txn: The txn to decline.
+            come_back: When the client may retry, for the Retry-After header.
+            elsewhere: Whether the client should retry at another dispatcher; its connection is then closed.
+        """
         self._answer(txn, "declined", 503, b"", forms.come_back_header(come_back), keep=not elsewhere)
 
     def reverse(self, txn: Txn) -> None:
+        """Answer a txn with 500: it may have run, and no result will follow."""
         self._answer(txn, "reversed", 500)
 
     def probe(self, worker: Worker) -> None:
+        """Start a health probe of a worker."""
         self.counters.add("probe")
         self._start(self.looks(worker))
 
     def subscribe(self) -> None:
+        """Start a watch on discovery's list."""
         self.counters.add("watch")
         self._events.call_soon(self.watch)
 
     def wake(self, delay: int) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
+        """Set the driver's timer to `delay` ticks after its current time; an earlier setting is replaced."""
+        if self._timer is not None:
+            self._timer.cancel()
         due = self.loop.now + delay
-        self._alarm = self._events.call_later(seconds(max(1, due - self.clock.now())), self._woken, due)
+        self._timer = self._events.call_later(seconds(max(1, due - self.clock.now())), self._on_timer, due)
 
     def note(self, text: str) -> None:
+        """Write a note of the scheduler to the log."""
         logbook.note(text=text)
 
-    # What the sockets bring.
+    # Events from the sockets.
 
     async def begin(self) -> None:
-        """Before anything is taken or posted; here nothing is left from before our start."""
+        """Recover the state of earlier runs before the first request; the base service keeps none."""
 
     async def finish(self) -> None:
-        """Everything has been answered: we end."""
+        """Release resources after the last answer; the base service holds none."""
 
     def takes(self, call: Message) -> bool:
-        """Whether a call that is no POST has a meaning here."""
+        """Return whether the service handles a request with a method other than POST."""
         return False
 
     def take(self, call: Message, answer: Answer) -> Entry | None:
-        """A client's call, whole; raises Broken where it is no txn. None: it is answered by and by, and no
-        txn hangs on its connection.
+        """Take a client's complete request.
+
+        Args:
+            call: The request.
+            answer: Sends the answer to the client.
+
+        Returns:
+            The entry of the txn that the client's connection waits for; None where the request is answered
+            without one.
+
+        Raises:
+            Broken: The request is not a valid txn.
         """
         self._at()
         txn = self.words.txn(call, self.loop.now)
@@ -152,6 +191,7 @@
         return entry
 
     def hang_up(self, entry: Entry) -> None:
+        """Abandon a txn whose client has closed its connection."""
         entry.answer = None
         if entry.txn.is_closed:
             return
@@ -160,37 +200,38 @@
         self._guard(entry.txn, lambda: self.loop.abandon_txn(entry.txn))
         self.ledger.close(entry)
 
-    def heard(self, told: Callback, answer: Answer) -> None:
-        """A worker's callback, whole: answered at once, whatever it is about."""
+    def heard(self, callback: Callback, answer: Answer) -> None:
+        """Answer a worker's complete callback at once, then apply it."""
         answer(204, b"", (), True)
-        self.called_back(told)
+        self.called_back(callback)
 
-    def called_back(self, told: Callback) -> None:
-        """Counts once: what is not about a posting that is out has been said before, or too late."""
-        self.counters.add(f"callback.{told.name}")
-        exchange = self.ledger.exchange(told.tag, told.worker)
+    def called_back(self, callback: Callback) -> None:
+        """Apply a callback; a duplicate or late one matches no posting in flight and is only counted."""
+        self.counters.add(f"callback.{callback.name}")
+        exchange = self.ledger.exchange(callback.tag, callback.worker)
         if exchange is None or not exchange.begun:
             self.counters.add("callback.stray")
-        elif told.outcome is not None:
-            outcome = told.outcome
+        elif callback.outcome is not None:
+            outcome = callback.outcome
             if outcome.never_ran and self.ledger.ambiguous(exchange):
-                outcome = Outcome.ERROR  # of which of its postings there it speaks nobody knows: no proof
-            self._end(exchange, outcome, told.report, told.result)
-        elif told.note:
+                outcome = Outcome.ERROR  # it may refer to an earlier posting at that worker: no proof
+            self._end(exchange, outcome, callback.report, callback.result)
+        elif callback.note:
             self._at()
             posting = exchange.posting
-            self._guard(posting.txn, lambda: self.loop.on_progress(posting, told.started, told.level))
+            self._guard(posting.txn, lambda: self.loop.on_progress(posting, callback.started, callback.level))
 
-    def listed(self, news: ListUpdate, rows: list[Row]) -> None:
-        told = []
+    def listed(self, update: ListUpdate, rows: list[Row]) -> None:
+        """Apply an update of discovery's list: addresses here, states in the scheduler."""
+        listed_workers = []
         for row in rows:
             known = self.known.setdefault(row.worker.tag, row.worker)
             if known is not row.worker:
                 known.update_from(row.worker)
             self.workers.located(known.tag, row.address)
-            told.append(known)
+            listed_workers.append(known)
         self._at()
-        self._guard(None, lambda: self.loop.on_list_update(news, told))
+        self._guard(None, lambda: self.loop.on_list_update(update, listed_workers))
         for worker in self.known.values():
             if worker.listed_state is ListedState.GONE and not worker.can_receive_postings(
                 self.dropped_stay_open
@@ -198,33 +239,37 @@
                 self.workers.links.forget(worker.tag)
 
     def broke(self, worker: str) -> None:
-        """A connection to it was ended from over there."""
+        """Report to the scheduler that a worker ended a connection."""
         known = self.known.get(worker)
         if known is not None:
             self._at()
             self._guard(None, lambda: self.loop.on_connection_broken(known))
 
     def stop(self, by: int) -> None:
-        """We are to end: every txn must have its answer by then, whatever its client would wait."""
+        """Begin the shutdown: shorten the deadline of every open and later txn to `by`."""
         self.stopping = by
         self._at()
         for entry in self.ledger.unanswered():
             self._guard(entry.txn, partial(self.loop.shorten_deadline, entry.txn, by))
 
-    def retune(self, terms: SchedulerConfig, words: Words) -> None:
-        """Other terms from the next call on, between two events; no txn that is open is touched. Raises nothing: what
-        could be amiss was found before (`config/reload.py`).
+    def retune(self, config: SchedulerConfig, words: Words) -> None:
+        """Apply a new configuration to later requests; open txns keep theirs.
+
+        It raises nothing: `config/reload.py` has checked the configuration.
         """
         self._at()
-        self.words, self.dropped_stay_open = words, terms.delisted_workers_usable
+        self.words, self.dropped_stay_open = words, config.delisted_workers_usable
         self.loop.scheduler.update_config(
-            terms, [scheme for scheme in self.ledger.schemes() if scheme not in terms.schemes]
+            config, [scheme for scheme in self.ledger.schemes() if scheme not in config.schemes]
         )
 
     @property
     def ready(self) -> bool:
-        """Whether a worker is known that can be posted to: the front sends nobody before, and who is held meanwhile
-        could be served elsewhere. Once a call has failed it's said all the same: others may have no list either.
+        """Whether the service can serve new requests.
+
+        A worker must be listed as ready, and the first list must have arrived or its request have failed.
+        Until then the load balancer sends clients to dispatchers that can serve them. After a failed request
+        the service does not wait for the list any longer, since the other dispatchers may have none either.
         """
         return (
             self.stopping is None
@@ -232,28 +277,30 @@
             and any(w.listed_state is ListedState.READY for w in self.known.values())
         )
 
-    # One posting, from its order to its one outcome.
+    # One posting, from its start to its only outcome.
 
     async def _carry(self, exchange: Exchange) -> None:
         posting, call = exchange.posting, exchange.entry.call
         headers: list[tuple[bytes, bytes]] = []
 
         def begins(sending: Sending) -> None:
-            # Connecting took time: its client may have gone, the worker been told to go or started anew.
+            # While the connection was opened, the client may have left or the worker may drain or have
+            # restarted.
             self.catch_up()
             self.loop.set_now(self.clock.now())
             if not self.loop.can_begin_posting(posting):
                 self.counters.add("posting.withheld")
-                raise Withheld
+                raise PostingWithheld
             exchange.begun, exchange.sending = True, sending
-            # What is left now: told as of the order, a worker hoped for as much longer as the dial had taken.
+            # The deadline counts from the first byte; counted from the start, the worker would get the
+            # connect time on top.
             headers.extend(forms.posting_headers(call, posting.sent_at + exchange.within - self.clock.now()))
 
         try:
             answer = await self.workers.call(
                 posting.worker.tag, "POST", call.target, headers, call.body, begins
             )
-        except Withheld:
+        except PostingWithheld:
             self._end(exchange, Outcome.MOOT)
         except NeverSent:
             self._end(exchange, Outcome.UNCONNECTED)
@@ -269,27 +316,27 @@
             else:
                 self._end(exchange, outcome, self.words.report_in(answer))
 
-    def _late(self, exchange: Exchange) -> None:
-        """The time it was given is up: no worker that got it in full can be said not to have run it."""
+    def _time_out(self, exchange: Exchange) -> None:
+        """End a posting at its time limit; one that its worker has received in full may have run."""
         if exchange.posting.is_in_flight:
             if exchange.accepted:
-                self._start(self._delete(exchange))
+                self._start(self._send_withdrawal(exchange))
             else:
-                self._give_up(exchange)  # first: whether its last byte is out is settled by that
+                self._abort_request(exchange)  # before `sent` is read: no byte is sent after this
             self._end(exchange, Outcome.TIMED_OUT if exchange.sent else Outcome.MOOT)
 
-    def _give_up(self, exchange: Exchange) -> None:
+    def _abort_request(self, exchange: Exchange) -> None:
         if exchange.task is not None:
-            exchange.task.cancel()  # closes the connection: before the 202 that is how a posting is withdrawn
+            exchange.task.cancel()  # closes the connection, which withdraws a posting before its 202
 
     async def _withdraw(self, exchange: Exchange) -> None:
-        """Where two at once are forbidden the next must not start before this one is known withdrawn."""
-        if await self._delete(exchange) or self.two_at_once:
+        """Withdraw an accepted posting; without hedging it ends only once the worker has been notified."""
+        if await self._send_withdrawal(exchange) or self.two_at_once:
             self._end(exchange, Outcome.CANCELLED)
 
-    async def _delete(self, exchange: Exchange) -> bool:
-        """Whether the worker has been told in full that the posting is given up."""
-        told: list[Sending] = []
+    async def _send_withdrawal(self, exchange: Exchange) -> bool:
+        """Send the withdrawal of a posting and return whether the worker has received it in full."""
+        sendings: list[Sending] = []
         self.counters.add("withdrawal")
         try:
             async with asyncio.timeout(seconds(self.workers.connect_within)):
@@ -298,13 +345,13 @@
                     "DELETE",
                     forms.withdrawal_target(exchange.posting.txn.tag),
                     [],
-                    begins=told.append,
+                    begins=sendings.append,
                 )
         except (NeverSent, Lost, TimeoutError) as fault:
             self.counters.add("withdrawal.unanswered")
             if isinstance(fault, Lost):
-                return False  # a reset may have overtaken it on its way
-        return any(sending.whole for sending in told)
+                return False  # the worker may have reset the connection before it read the request
+        return any(sending.whole for sending in sendings)
 
     def _end(
         self, exchange: Exchange, outcome: Outcome, report: LoadReport | None = None, result: bytes = b""
@@ -315,7 +362,7 @@
         if exchange.alarm is not None:
             exchange.alarm.cancel()
         if exchange.sent and not exchange.accepted and exchange.task is not None:
-            # Its end overtook the 202, which may never come now.
+            # The callback arrived before the 202, which may never follow.
             self._events.call_later(seconds(self.workers.connect_within), exchange.task.cancel)
         self.counters.add(f"outcome.{outcome.name.lower()}")
         txn = posting.txn
@@ -323,12 +370,12 @@
         if outcome is Outcome.SETTLED and not txn.is_closed:
             self._answer(txn, "settled", 200, result)
         closes = outcome is Outcome.SETTLED or txn.is_closed
-        spent = self.loop.now - posting.sent_at
-        self._guard(txn, lambda: self.loop.on_posting_ended(posting, outcome, spent, closes, report))
+        duration = self.loop.now - posting.sent_at
+        self._guard(txn, lambda: self.loop.on_posting_ended(posting, outcome, duration, closes, report))
         self.ledger.close(exchange.entry)
 
-    async def _look(self, worker: Worker) -> None:
-        begun = self.clock.now()
+    async def _probe(self, worker: Worker) -> None:
+        started_at = self.clock.now()
         outcome, report = Outcome.TIMED_OUT, None
         try:
             async with asyncio.timeout(seconds(self.workers.connect_within)):
@@ -342,52 +389,52 @@
             outcome = Outcome.RESET
         self.counters.add(f"probe.{outcome.name.lower()}")
         self._at()
-        spent = self.loop.now - begun
-        self._guard(None, lambda: self.loop.on_probe_result(worker, outcome, spent, report))
+        duration = self.loop.now - started_at
+        self._guard(None, lambda: self.loop.on_probe_result(worker, outcome, duration, report))
 
-    # Driving the loop.
+    # Driving the scheduler.
 
     def _at(self) -> None:
         self.loop.set_now(self.clock.now())
-        if not self._turning:
-            self._turning = True
-            self._events.call_soon(self._turn)
+        if not self._is_pass_scheduled:
+            self._is_pass_scheduled = True
+            self._events.call_soon(self._run_pass)
 
-    def _turn(self) -> None:
-        self._turning = False
+    def _run_pass(self) -> None:
+        self._is_pass_scheduled = False
         self.loop.set_now(self.clock.now())
         if self._guard(None, self.loop.run_pending):
             return
-        # Whose life has ended in the fault gets its answer; the rest of the turn is made up for.
+        # A txn whose lifecycle the fault has ended is answered; the rest of the pass is repeated.
         for entry in self.ledger.unanswered():
             if (
                 entry.txn.lifecycle is None
                 or inspect.getgeneratorstate(entry.txn.lifecycle) == inspect.GEN_CLOSED
             ):
-                self._drop(entry.txn)
-        self._events.call_later(seconds(AFTER_FAULT), self._at)
+                self._reverse_and_abandon(entry.txn)
+        self._events.call_later(seconds(FAULT_RETRY_DELAY), self._at)
 
-    def _woken(self, due: int) -> None:
+    def _on_timer(self, due: int) -> None:
         now = self.clock.now()
-        if now < due:  # timers count whole milliseconds and may come early; the loop would sleep on
-            self._alarm = self._events.call_later(seconds(due - now) + 0.0005, self._woken, due)
+        if now < due:  # timers have a resolution of 1 ms and may fire early; the driver would ignore them
+            self._timer = self._events.call_later(seconds(due - now) + 0.0005, self._on_timer, due)
             return
         self._at()
         self.loop.on_wakeup()
 
     def _guard(self, txn: Txn | None, act: Callable[[], None]) -> bool:
-        """A fault in the decisions about one txn reverses that one; the others go on."""
+        """Run `act` and return whether it succeeded; an exception reverses only the txn that it concerns."""
         try:
             act()
             return True
-        except Exception as fault:  # noqa: BLE001  # whatever it is ends this txn alone
+        except Exception as fault:  # noqa: BLE001  # a fault ends only this txn
             self.counters.add("fault")
             logbook.fault_decisions(fault)
             if txn is not None and not txn.is_closed:
-                self._drop(txn)
+                self._reverse_and_abandon(txn)
             return False
 
-    def _drop(self, txn: Txn) -> None:
+    def _reverse_and_abandon(self, txn: Txn) -> None:
         self.reverse(txn)
         self.loop.abandon_txn(txn)
 
@@ -405,16 +452,16 @@
         if answer is not None:
             self.counters.add(f"txn.{kind}")
             answer(status, body, headers, keep)
-        # The loop closes the txn right after this; whatever is still out keeps the entry.
+        # The driver closes the txn after this call. Postings that are still in flight keep the entry.
         self._events.call_soon(self.ledger.close, entry)
 
     def _start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = self._events.create_task(work)
         self._tasks[task] = None
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _finished(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         del self._tasks[task]
         if not task.cancelled() and (fault := task.exception()) is not None:
             self.counters.add("fault")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -302,7 +302,7 @@
         entry = self.service.ledger["a"]
         self.done("a", b"first")
         self.done("a", b"second")
-        self.service._late(entry.exchanges[0])
+        self.service._time_out(entry.exchanges[0])
         self.service.hang_up(entry)
         await self.events.sock_sendall(sock, READY)
         came = await self.answer(sock)
