--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -1,4 +1,4 @@
-"""The listener, and one thin driver for each connection that it accepts: clients and workers' callbacks."""
+"""The listener and its accepted connections, which carry clients' requests and workers' callbacks."""
 
 from __future__ import annotations
 
@@ -18,33 +18,30 @@
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
-BACKLOG = 1024
-UNREAD = 10 * SECOND  # time in which a peer must take what is written to it
-AHEAD = (
-    16 * 1024
-)  # bytes of answers that wait for their reader: no further call of his is taken before they went
-COMES = 5 * SECOND // 2  # in which a call must be here whole, from the accept or from its first byte
-QUIET = SECOND  # of silence after which a peer whose call was no good is taken to have our answer
-LINGER = 5 * SECOND  # and for so long what it still sends is read and thrown away
-LAST = 100 * MILLISECOND  # and no longer than this when we are about to end
-FIRST = SECOND // 5  # in which a stranger's first bytes come, if any do: not closed for room before
-HEARING = 10 * MILLISECOND  # in which our reader gets to what the kernel holds, after a stall of ours
-FULL = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # an accept fails for want of room, here or beyond
-ITS_OWN = (
-    errno.ECONNABORTED,
-    errno.EPROTO,
-)  # or for what has become of that one connection: the next may be had
-NO_ROOM = 50 * MILLISECOND  # between accepts that the kernel fails, and between looks for room
+LISTEN_BACKLOG = 1024
+WRITE_TIMEOUT = 10 * SECOND  # for a peer to read what is written to it
+MAX_UNREAD_ANSWER_BYTES = 16 * 1024  # of unread answers; beyond it no further request of the peer is handled
+REQUEST_TIMEOUT = 5 * SECOND // 2  # for a complete request, from the accept or its first byte
+LINGER_IDLE_TIMEOUT = SECOND  # of silence, after which a lingering peer is taken to have read its answer
+LINGER_TIMEOUT = 5 * SECOND  # in which a lingering connection reads and discards input
+SHUTDOWN_LINGER_TIMEOUT = 100 * MILLISECOND  # the same during the shutdown
+FIRST_BYTE_TIMEOUT = SECOND // 5  # for a new connection's first bytes; it is not evicted earlier
+CATCH_UP_DELAY = 10 * MILLISECOND  # for the reading task to catch up after a stall of the process
+# An accept fails because the process or the machine is out of descriptors or memory.
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# An accept fails because of that connection alone; the next accept may succeed.
+CONNECTION_ERRNOS = (errno.ECONNABORTED, errno.EPROTO)
+ACCEPT_RETRY_DELAY = 50 * MILLISECOND  # after a failed accept, and between attempts to free a descriptor
 
 
 @dataclass(slots=True, frozen=True)
 class Room:
-    """What memory allows of what clients bring."""
+    """The limits that the process's memory sets for clients.
+
+    Attributes:
+        connections: The largest number of accepted connections.
+        bodies: The largest sum of request bodies, in bytes.
+    """
 
     connections: int
     bodies: int
@@ -57,140 +54,148 @@
         self.front = front
         self.sock = sock
         self.peer = peer
-        self.taken = 0  # bytes that the reading task has resumed with, of those in `sock.taken`
+        self.read_bytes = 0  # bytes that the reading task has seen, of those in `sock.taken`
         self.machine = Called()
-        self.inward, self.outward = Ring(), Ring()
-        self.entry: Entry | None = None  # the txn that waits for its answer here
+        self.input, self.output = Ring(), Ring()
+        self.entry: Entry | None = None  # the txn whose answer the client waits for
         self.calls = 0
-        self.worker = False  # it has brought a worker's callbacks: it stays open until we end
-        self.since: int | None = front.clock.now()  # when the next call began to come; None: none did
-        self.idle_since = self.since
-        self.heard = self.since  # when the last bytes came
-        self.held = 0  # bytes of its bodies that count for us all
-        self.lingers: int | None = None  # since when our side is shut and what still comes is thrown away
-        self.said_last = False  # the peer has closed its side, and an answer was on its way
-        self.code: str | None = None
-        self._at_work = False  # the next call is looked at anyway, once this one is served
+        self.is_worker = False  # it has carried callbacks; it stays open until the process ends
+        self.began_at: int | None = front.clock.now()  # when the next request began to arrive; None: not yet
+        self.idle_since = self.began_at
+        self.last_read_at = self.began_at  # when the last bytes arrived
+        self.held_body_bytes = 0  # its part of `Front.held_body_bytes`
+        self.lingers_since: int | None = None  # when this side was shut down; input is then discarded
+        self.peer_has_closed = False  # the peer closed its side while an answer was being written
+        self.code: str | None = None  # the reason code, once the connection has ended
+        self._is_processing = False  # a loop is already processing the input
         self._events = asyncio.get_running_loop()
         self._writer: asyncio.Task[None] | None = None
-        self._read_on = asyncio.Event()
+        self._buffer_has_room = asyncio.Event()
         self._reader = self._events.create_task(self._read())
 
     @property
-    def crossing(self) -> bool:
-        """The kernel has handed us bytes and the reading task has not resumed: a whole call, maybe."""
-        return self.sock.taken != self.taken
+    def has_unseen(self) -> bool:
+        """Whether bytes were received that the reading task has not seen yet, possibly a whole request."""
+        return self.sock.taken != self.read_bytes
 
     @property
-    def idle(self) -> bool:
-        return not (self.machine.busy or self.machine.midway or self.inward or self.outward or self.crossing)
+    def is_idle(self) -> bool:
+        """Whether no request or answer is in progress and no input is waiting."""
+        return not (self.machine.busy or self.machine.midway or self.input or self.output or self.has_unseen)
 
     @property
-    def unheard(self) -> bool:
-        """The peer has said something that we have not looked at: a close now would throw it away.
+    def has_unread_input(self) -> bool:
+        """Whether input is waiting that has not been read; closing the connection would lose it.
 
-        Nothing unheard, the idle connection is closed at once and not shut and read out: no answer is on its way,
-        and a call that crosses the close is reset unread, by which its client knows that it was not taken.
+        Without such input an idle connection is closed at once, without lingering: no answer is in transit,
+        and a request that crosses the close is reset unread, which tells its client that it was not taken.
         """
-        return self.crossing or self.sock.stirred()
+        return self.has_unseen or self.sock.stirred()
+
+    def is_awaiting_first_request(self, now: int) -> bool:
+        """Return whether the connection is so new that its first request may still be in transit.
 
-    def fresh(self, now: int) -> bool:
-        """Just accepted: its first call may be on its way, and a new connection closed unanswered costs as much."""
-        return not self.calls and self.lingers is None and now - self.heard < FIRST
+        Closing it unanswered would cost the client as much as closing one that carries a request.
+        """
+        return not self.calls and self.lingers_since is None and now - self.last_read_at < FIRST_BYTE_TIMEOUT
 
     @property
-    def known(self) -> bool:
-        """It has brought a txn or a callback, as usual peers do first of all."""
-        return self not in self.front.strangers
+    def is_proven(self) -> bool:
+        """Whether it has carried a txn or a callback; regular peers send one first of all."""
+        return self not in self.front.unproven
 
     async def _read(self) -> None:
-        """Reads as long as the connection is open, whatever waits for an answer: only a reader sees that its peer has
-        gone. A FIN is a hang-up, as the protocol has it, also from one that may still read: what it waits for is
-        given up, what it sent behind that is dropped. Only an answer already on its way is written to its end.
+        """Read until the connection ends, also while a request waits for its answer.
+
+        Only a reader notices that the peer has left. A FIN counts as a hang-up, as the protocol demands, even
+        if the peer could still read: the waiting request is abandoned and later ones are dropped. An answer
+        that is already being written is written completely.
         """
         machine = self.machine
         try:
             while True:
-                while self.inward.full and not machine.busy:
-                    self._read_on.clear()
-                    await self._read_on.wait()
-                if self.inward.full:
-                    # No room behind a call that waits: the rest is read and dropped, and the answer says so by its
-                    # `Connection: close`. Left unread, the end of the peer had not been seen before the answer.
+                while self.input.full and not machine.busy:
+                    self._buffer_has_room.clear()
+                    await self._buffer_has_room.wait()
+                if self.input.full:
+                    # The buffer is full behind a waiting request. Further input is read and dropped, and the
+                    # answer says so with `Connection: close`. Left unread, it would hide the peer's FIN until
+                    # the answer.
                     machine.spill()
-                wasted = machine.over or machine.spilt
+                is_discarding = machine.over or machine.spilt
                 count = await self._events.sock_recv_into(
-                    self.sock, self.front.waste if wasted else self.inward.space()
+                    self.sock, self.front.discard_buffer if is_discarding else self.input.space()
                 )
-                self.taken += count
-                self.heard = self.front.clock.now()
-                if wasted and count:
+                self.read_bytes += count
+                self.last_read_at = self.front.clock.now()
+                if is_discarding and count:
                     continue
-                if not count and self.outward and not machine.busy:
-                    machine.over = self.said_last = True  # it may still read: the writer ends it
+                if not count and self.output and not machine.busy:
+                    machine.over = self.peer_has_closed = True  # the writer ends the connection
                     return
                 if not count:
-                    code = self.left()
+                    code = self.end_code()
                     break
-                self.inward.fill(count)
-                self.work()
+                self.input.fill(count)
+                self.process_input()
                 if self.code is not None:
-                    return  # a read begun now would outlive the descriptor
+                    return  # another read would outlive the descriptor
         except ConnectionError:
-            code = "hung-up" if machine.busy else "reset" if self.lingers is None else self.left()
+            code = "hung-up" if machine.busy else "reset" if self.lingers_since is None else self.end_code()
         except OSError:
             code = "error"
         except asyncio.CancelledError:
             return
         self.end(code)
 
-    def left(self) -> str:
-        """What it means that the peer has closed, or that we wait no longer for it to do so."""
+    def end_code(self) -> str:
+        """Return the reason code for a connection that the peer has closed or whose lingering is over."""
         machine = self.machine
         if machine.over:
             return "malformed" if machine.fault else "last-answer"
         return "hung-up" if machine.busy else "cut-off" if machine.midway else "closed"
 
-    def work(self) -> None:
+    def process_input(self) -> None:
+        """Process the buffered input; an exception ends only this connection."""
         try:
-            self._at_work = True
-            self._work()
-            self._at_work = False
-        except Exception as fault:  # noqa: BLE001  # whatever it is ends this connection alone
+            self._is_processing = True
+            self._process_input()
+            self._is_processing = False
+        except Exception as fault:  # noqa: BLE001  # a fault ends only this connection
             logbook.fault_client(fault, peer=self.peer)
             self.end("fault")
 
-    def _work(self) -> None:
-        """Bytes to calls, calls to answers; bytes behind a call that waits for its answer stay here."""
+    def _process_input(self) -> None:
+        """Parse and handle requests; input behind a request that waits for its answer stays in the buffer."""
         machine = self.machine
         while not machine.over and self.code is None:
-            if len(self.outward) >= AHEAD:
-                break  # answers to one who sends call upon call and reads none of them: the writer comes back here
+            if len(self.output) >= MAX_UNREAD_ANSWER_BYTES:
+                break  # the peer reads none of its answers; the writer resumes this loop
             call = machine.next()
             if call is not None:
                 self.calls += 1
-                self._serve(call)
-            elif machine.busy or not self.inward:
+                self._handle_request(call)
+            elif machine.busy or not self.input:
                 break
             else:
-                part = self.inward.data()
-                machine.feed(part)
-                self.inward.drop(len(part))
-                self.front.weigh(self)
+                chunk = self.input.data()
+                machine.feed(chunk)
+                self.input.drop(len(chunk))
+                self.front.update_body_bytes(self)
                 self._put(machine.go_on())
         objection = machine.objection()
         if objection:
             self.front.counters.add("objection")
-            self.front.weigh(self)
+            self.front.update_body_bytes(self)
             self._put(objection)
-        while machine.over and self.inward:
-            self.inward.drop(len(self.inward.data()))
-        if self.since is None and not machine.busy and (machine.midway or self.inward):
-            self.since = self.front.clock.now()
-        self._read_on.set()
-
-    def _serve(self, call: Message) -> None:
-        self.since = None
+        while machine.over and self.input:
+            self.input.drop(len(self.input.data()))
+        if self.began_at is None and not machine.busy and (machine.midway or self.input):
+            self.began_at = self.front.clock.now()
+        self._buffer_has_room.set()
+
+    def _handle_request(self, call: Message) -> None:
+        self.began_at = None
         try:
             path = call.target.partition(b"?")[0]
             if path == forms.READY:
@@ -198,16 +203,16 @@
             elif call.method != b"POST" and not self.front.service.takes(call):
                 raise Broken(405, "jobs come by POST")
             elif path == forms.CALLBACK:
-                told = self.front.service.words.callback(call.body)
-                if told.worker in self.front.service.known:
-                    self.worker = True
-                    self.front.knows(self)
-                self.front.service.heard(told, self.answer)
+                callback = self.front.service.words.callback(call.body)
+                if callback.worker in self.front.service.known:
+                    self.is_worker = True
+                    self.front.mark_proven(self)
+                self.front.service.heard(callback, self.answer)
             else:
-                # The answer may come before take() returns.
+                # `take` may call `answer` before it returns.
                 self.entry = None
                 entry = self.front.service.take(call, self.answer)
-                self.front.knows(self)
+                self.front.mark_proven(self)
                 if entry is not None and entry.answer is not None:
                     self.entry = entry
         except Broken as fault:
@@ -215,42 +220,42 @@
             self._answer(fault.status, str(fault).encode())
 
     def answer(self, status: int, body: bytes, headers: tuple[str, ...], keep: bool) -> None:
-        """The final answer of the txn that waits here."""
+        """Write the final answer of the waiting request."""
         self.entry = None
         if self.code is None:
             self._answer(status, body, headers, keep)
-            if not self._at_work:
-                self._events.call_soon(self.work)
+            if not self._is_processing:
+                self._events.call_soon(self.process_input)
 
     def _answer(
         self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
     ) -> None:
-        keep = self.worker or (keep and not self.front.stopping)
+        keep = self.is_worker or (keep and not self.front.stopping)
         self._put(self.machine.answer(status, body, headers, keep))
         self.idle_since = self.front.clock.now()
-        self.front.weigh(self)
+        self.front.update_body_bytes(self)
 
     def _put(self, data: bytes) -> None:
         if data and self.code is None:
-            self.outward.put(data)
+            self.output.put(data)
             if self._writer is None:
                 self._writer = self._events.create_task(self._write())
 
     async def _write(self) -> None:
         try:
-            await drain(self.sock, self.outward, UNREAD)
+            await drain(self.sock, self.output, WRITE_TIMEOUT)
             self._writer = None
-            if self.said_last:
-                self.end(self.left())
+            if self.peer_has_closed:
+                self.end(self.end_code())
             elif self.machine.over:
-                # A lingering close: with bytes unread, the kernel would reset the connection and our answer with it.
-                # What is read from now on is thrown away; for room it is closed first of all.
+                # A lingering close: a close with unread input would reset the connection and lose the answer.
+                # Input is discarded from now on; lingering connections are the first to be evicted.
                 self.sock.shutdown(socket.SHUT_WR)
-                self.lingers = self.heard = self.front.clock.now()
-            elif self.idle:
-                self.front.freed()
+                self.lingers_since = self.last_read_at = self.front.clock.now()
+            elif self.is_idle:
+                self.front.on_descriptor_freed()
             elif not self.machine.busy:
-                self.work()
+                self.process_input()
         except TimeoutError:
             self.end("unread")
         except OSError:
@@ -258,50 +263,56 @@
         except asyncio.CancelledError:
             pass
 
-    def look(self, now: int) -> None:
-        """Against peers that say nothing, never end a call, or never end to send."""
-        if self.lingers is not None:
-            if now - self.heard >= QUIET or now - self.lingers >= LINGER:
-                self.end(self.left())
-        elif self.since is not None and now - self.since >= COMES and not self.machine.busy:
-            if self.unheard:
-                # We stood still, not the peer. Once only: drops that come one by one must not put it off for ever.
-                self._events.call_later(seconds(HEARING), self._overdue, self.since)
+    def check_timeouts(self, now: int) -> None:
+        """Enforce the time limits on peers that are silent or never finish a request or their input."""
+        if self.lingers_since is not None:
+            if now - self.last_read_at >= LINGER_IDLE_TIMEOUT or now - self.lingers_since >= LINGER_TIMEOUT:
+                self.end(self.end_code())
+        elif self.began_at is not None and now - self.began_at >= REQUEST_TIMEOUT and not self.machine.busy:
+            if self.has_unread_input:
+                # The process stalled, not the peer. One short delay only: a peer that trickles bytes must not
+                # extend it.
+                self._events.call_later(seconds(CATCH_UP_DELAY), self._time_out_request, self.began_at)
             else:
-                self._overdue(self.since)
+                self._time_out_request(self.began_at)
 
-    def _overdue(self, since: int) -> None:
-        if self.code is not None or self.since != since or self.machine.busy:
+    def _time_out_request(self, since: int) -> None:
+        if self.code is not None or self.began_at != since or self.machine.busy:
             return
         if self.machine.midway or self.calls:
             self.machine.object(408, "the rest of the call did not come")
-            self.work()
+            self.process_input()
         elif not self.machine.over:
             self.end("silent")
 
-    def spare(self, now: int) -> int:
-        """How readily it is closed for room: 0 not at all, then the higher the sooner."""
+    def eviction_priority(self, now: int) -> int:
+        """Return the eviction priority: 0 for never, else higher values first."""
         machine = self.machine
-        if machine.busy or self.outward:
+        if machine.busy or self.output:
             return 0
         if machine.over:
-            return 3 if now - self.heard >= FIRST else 0
-        if self.crossing:
+            return 3 if now - self.last_read_at >= FIRST_BYTE_TIMEOUT else 0
+        if self.has_unseen:
             return 0
-        if self.calls and not machine.midway and not self.inward:
-            return 1 if self.known else 4
-        # One that has brought no call yet: its first may be on its way, and would be lost.
-        return 2 if not self.known and now - self.heard >= FIRST else 0
+        if self.calls and not machine.midway and not self.input:
+            return 1 if self.is_proven else 4
+        # No request yet: the first one may be in transit and would be lost.
+        return 2 if not self.is_proven and now - self.last_read_at >= FIRST_BYTE_TIMEOUT else 0
 
     def end(self, code: str) -> None:
+        """Close the connection and abandon the txn that waits on it.
+
+        Args:
+            code: The reason code, for the log and the counters.
+        """
         if self.code is not None:
             return
         self.code = code
         for task in (self._reader, self._writer):
             if task is not None and task is not asyncio.current_task():
                 task.cancel()
-        self.front.ended(self)
-        # Not before the tasks have let go of the descriptor, or a new connection may get its number.
+        self.front.on_connection_ended(self)
+        # After the tasks have released the descriptor; otherwise a new connection could reuse its number.
         self._events.call_soon(self._close)
         entry, self.entry = self.entry, None
         if entry is not None:
@@ -316,6 +327,8 @@
 
 
 class Front:
+    """The listener and the limits that its connections share."""
+
     def __init__(
         self,
         listen: str,
@@ -329,54 +342,55 @@
         self.service = service
         self.clock = clock
         self.counters = counters
-        self.free = free  # descriptors for accepted connections and for those to workers
+        self.free = free  # descriptors for accepted connections and connections to workers
         self.room = room
         self.connections: dict[ClientConnection, None] = {}
-        self.strangers: dict[ClientConnection, None] = {}  # those that have brought nothing of use yet
-        self.held = 0  # bytes of bodies, of calls that are coming or open
-        self.waste = memoryview(bytearray(64 * 1024))  # where what nobody will read goes, from all of them
+        self.unproven: dict[ClientConnection, None] = {}  # those that have carried no txn or callback yet
+        self.held_body_bytes = 0  # bytes of the bodies of incomplete and open requests
+        self.discard_buffer = memoryview(bytearray(64 * 1024))  # shared by all connections
         self.stopping = False
-        self._room = asyncio.Event()
-        self._shut = False  # nobody new any more
+        self._descriptor_freed = asyncio.Event()
+        self._is_shut = False  # no further connection is accepted
         self.sock, address = opening(listen)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(address)
-        self.sock.listen(BACKLOG)
+        self.sock.listen(LISTEN_BACKLOG)
         self._accepting = asyncio.get_running_loop().create_task(self._accept())
 
     async def _accept(self) -> None:
-        events = asyncio.get_running_loop()
-        while not self._shut:
+        event_loop = asyncio.get_running_loop()
+        while not self._is_shut:
             try:
-                sock, address = await events.sock_accept(self.sock)
-            except Exception as fault:  # noqa: BLE001  # whatever it is, the next ones are accepted
+                sock, address = await event_loop.sock_accept(self.sock)
+            except Exception as fault:  # noqa: BLE001  # the next accept may succeed
                 code = fault.errno or 0 if isinstance(fault, OSError) else 0
                 self.counters.add(f"accept.{errno.errorcode.get(code, 'error').lower()}")
                 logbook.accept_failed(why=fault)
-                # Nobody pays with his connection for a peer that went before it was accepted.
-                if code in FULL and not self.make_room():
+                # A peer that left before the accept costs no other peer its connection.
+                if code in RESOURCE_ERRNOS and not self.evict_connection():
                     self.service.workers.links.let_go_oldest()
-                if code not in ITS_OWN:
-                    await asyncio.sleep(seconds(NO_ROOM))
+                if code not in CONNECTION_ERRNOS:
+                    await asyncio.sleep(seconds(ACCEPT_RETRY_DELAY))
                 continue
-            self.welcome(sock, address)
-            while len(self.connections) > self.most and not self.make_room():
-                # Wait for one to end instead of asking the kernel over and over for what it can't give.
-                self._room.clear()
+            self.add_connection(sock, address)
+            while len(self.connections) > self.max_connections and not self.evict_connection():
+                # Wait for a connection to end instead of repeating an accept that fails.
+                self._descriptor_freed.clear()
                 try:
-                    async with asyncio.timeout(seconds(NO_ROOM)):
-                        await self._room.wait()
+                    async with asyncio.timeout(seconds(ACCEPT_RETRY_DELAY)):
+                        await self._descriptor_freed.wait()
                 except TimeoutError:
-                    pass  # by now somebody's time for first bytes may be over
+                    pass  # a new connection may have become evictable
 
-    def welcome(self, given: socket.socket, address: tuple[str, int]) -> None:
+    def add_connection(self, accepted: socket.socket, address: tuple[str, int]) -> None:
+        """Set up an accepted connection; one that cannot be set up is closed."""
         self.counters.add("accepted")
-        sock: socket.socket = given
+        sock: socket.socket = accepted
         try:
-            sock = tallied(given)
+            sock = tallied(accepted)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except Exception as fault:  # noqa: BLE001  # a fault in one connection ends it alone, here too
+        except Exception as fault:  # noqa: BLE001  # a fault ends only this connection
             self.counters.add("visit_end.unwelcome")
             logbook.client_end(code="unwelcome", peer=f"{address[0]}:{address[1]}", calls=0)
             if not isinstance(fault, OSError):
@@ -384,118 +398,128 @@
             sock.close()
             return
         connection = ClientConnection(self, sock, f"{address[0]}:{address[1]}")
-        self.connections[connection] = self.strangers[connection] = None
+        self.connections[connection] = self.unproven[connection] = None
         self.counters.most("visits_most", len(self.connections))
 
     @property
-    def most(self) -> int:
-        """What links to workers do not hold, or may yet, as far as memory allows."""
+    def max_connections(self) -> int:
+        """The connection limit: bounded by memory and by the descriptors that worker links may use."""
         links = self.service.workers.links
         return min(self.room.connections, self.free - max(links.most, links.count))
 
-    def make_room(self) -> bool:
-        """One is closed: first one that has had its last answer, then, as long as there are strangers, that one of
-        them whose leaving costs least, if need be in a moment. By hundreds they had cut off all usual peers' idle
-        connections; these go after them, the longest idle first.
+    def evict_connection(self) -> bool:
+        """Evict one connection and return whether there was one to evict.
+
+        Lingering connections go first. While there are connections without a txn or callback, only those are
+        candidates, by priority; the caller retries if none is evictable yet. Otherwise hundreds of them would
+        push out the idle connections of all regular peers, which go last, the longest idle first.
         """
         now = self.clock.now()
-        leaving = [
+        lingering = [
             connection
             for connection in self.connections
-            if connection.lingers is not None and connection.spare(now)
+            if connection.lingers_since is not None and connection.eviction_priority(now)
         ]
         for connection in sorted(
-            leaving or self.strangers or self.connections,
+            lingering or self.unproven or self.connections,
             reverse=True,
-            key=lambda connection: (connection.spare(now), -connection.idle_since),
+            key=lambda connection: (connection.eviction_priority(now), -connection.idle_since),
         ):
-            if not connection.spare(now):
+            if not connection.eviction_priority(now):
                 break
-            if connection.machine.over or not connection.unheard:
+            if connection.machine.over or not connection.has_unread_input:
                 connection.end("room")
                 return True
         return False
 
     def spare_descriptor(self) -> bool:
-        """Whether there is one for a connection to a worker that is not counted yet; if need be, an idle client's is
-        closed for it. The first connection to each worker may always come up, beyond `links.most`: without this they
-        and clients' together could pass what we have. The kernel gets it back a turn later, out of SPARE till then.
+        """Return whether a worker connection can have a descriptor; evict an idle client if necessary.
+
+        The first connection to each worker is allowed beyond `links.most`. Without this check, those and the
+        clients' connections together could exceed the descriptors. An evicted one is returned to the kernel
+        one event loop iteration later; until then the reserve covers it.
         """
         if self.service.workers.links.count + len(self.connections) >= self.free:
-            self.make_room()
+            self.evict_connection()
         return self.service.workers.links.count + len(self.connections) < self.free
 
-    def knows(self, connection: ClientConnection) -> None:
-        self.strangers.pop(connection, None)
+    def mark_proven(self, connection: ClientConnection) -> None:
+        """Mark a connection as one of a regular peer."""
+        self.unproven.pop(connection, None)
 
-    def weigh(self, connection: ClientConnection) -> None:
-        """Bodies together are bounded: each may be short enough, and all of them too much for us."""
-        self.held += connection.machine.held - connection.held
-        connection.held = connection.machine.held
-        if self.held > self.room.bodies and connection.machine.part is not None:
+    def update_body_bytes(self, connection: ClientConnection) -> None:
+        """Update the sum of all bodies and refuse this connection's body with 503 if the sum is too large."""
+        self.held_body_bytes += connection.machine.held - connection.held_body_bytes
+        connection.held_body_bytes = connection.machine.held
+        if self.held_body_bytes > self.room.bodies and connection.machine.part is not None:
             connection.machine.object(503, "no room for this body now")
 
     def sweep(self) -> None:
+        """Enforce the time limits of all connections."""
         now = self.clock.now()
         for connection in list(self.connections):
-            connection.look(now)
+            connection.check_timeouts(now)
 
-    def ended(self, connection: ClientConnection) -> None:
+    def on_connection_ended(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended."""
         self.connections.pop(connection, None)
-        self.strangers.pop(connection, None)
-        self.held -= connection.held
-        connection.held = 0
+        self.unproven.pop(connection, None)
+        self.held_body_bytes -= connection.held_body_bytes
+        connection.held_body_bytes = 0
         self.counters.add(f"visit_end.{connection.code}")
         logbook.client_end(code=connection.code, peer=connection.peer, calls=connection.calls)
-        self.freed()
+        self.on_descriptor_freed()
 
     async def shut(self) -> None:
-        """Nobody new any more. Whoever the kernel has let in by now is taken, since the end of the listener would reset
-        him; those who come later are refused at once, and their clients go elsewhere.
+        """Close the listener.
+
+        Connections in the kernel's accept queue are accepted first, since closing the listener would reset
+        them. Later ones are refused at once, and their clients use another dispatcher.
         """
-        self._shut = True
-        kernels = isinstance(self.sock, socket.socket)
-        if kernels:
+        self._is_shut = True
+        is_kernel_socket = isinstance(self.sock, socket.socket)
+        if is_kernel_socket:
             asyncio.get_running_loop().remove_reader(self.sock)
-        for _ in range(2):  # one that was accepted in this very turn is welcomed first
+        for _ in range(2):  # set up a connection accepted in this event loop iteration first
             await asyncio.sleep(0)
         self._accepting.cancel()
         try:
-            while kernels:
-                self.welcome(*self.sock.accept())
+            while is_kernel_socket:
+                self.add_connection(*self.sock.accept())
         except OSError:
-            pass  # no more of them, or no descriptor for one
+            pass  # the queue is empty, or no descriptor is left
         self.sock.close()
 
     def in_use(self) -> bool:
-        """Whether a connection is open on which a client's next txn may come, or a first one is about to."""
+        """Return whether an open connection may still carry a client's next or first txn."""
         now = self.clock.now()
         return any(
             connection.machine.busy
-            or connection.outward
-            or connection.fresh(now)
-            or (connection.known and not connection.worker and not connection.machine.over)
+            or connection.output
+            or connection.is_awaiting_first_request(now)
+            or (connection.is_proven and not connection.is_worker and not connection.machine.over)
             for connection in self.connections
         )
 
     def quiet(self) -> bool:
-        """Closes what is idle; whether nothing is left that a client, or a worker for its callback, waits on."""
+        """Close idle connections and return whether no client or worker waits for an answer any more."""
         now = self.clock.now()
         for connection in list(self.connections):
-            if connection.lingers is not None:
-                if now - connection.lingers >= LAST:
-                    connection.end(connection.left())
+            if connection.lingers_since is not None:
+                if now - connection.lingers_since >= SHUTDOWN_LINGER_TIMEOUT:
+                    connection.end(connection.end_code())
             elif (
-                connection.idle
-                and not connection.worker
-                and not connection.fresh(now)
-                and not connection.unheard
+                connection.is_idle
+                and not connection.is_worker
+                and not connection.is_awaiting_first_request(now)
+                and not connection.has_unread_input
             ):
                 connection.end("stopping")
         return all(
-            connection.worker and not connection.outward and not connection.unheard
+            connection.is_worker and not connection.output and not connection.has_unread_input
             for connection in self.connections
         )
 
-    def freed(self) -> None:
-        self._room.set()
+    def on_descriptor_freed(self) -> None:
+        """Wake the accept loop: a connection has ended or become idle."""
+        self._descriptor_freed.set()
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -58,7 +58,7 @@
         self.counters = counters
         self.on_broken = on_broken
         self.machine = Calling()
-        self.read_buffer, self.write_buffer = Ring(), Ring()
+        self.input, self.output = Ring(), Ring()
         self.idle_since = 0
         self.calls = 0
         self.ended = False
@@ -100,8 +100,8 @@
         self.rests = method != "GET"
         self._answer = self._event_loop.create_future()
         self._sending, sending.end_offset = sending, self.sock.given + len(data)
-        self.write_buffer.put(data)
-        await drain(self.sock, self.write_buffer)
+        self.output.put(data)
+        await drain(self.sock, self.output)
 
     async def answer(self) -> Message:
         """Wait for the answer to the request.
@@ -118,13 +118,13 @@
     async def _read(self) -> None:
         code = "fault"
         try:
-            while count := await self._event_loop.sock_recv_into(self.sock, self.read_buffer.space()):
-                self.read_buffer.fill(count)
+            while count := await self._event_loop.sock_recv_into(self.sock, self.input.space()):
+                self.input.fill(count)
                 self._read_bytes += count
-                while self.read_buffer:
-                    chunk = self.read_buffer.data()
+                while self.input:
+                    chunk = self.input.data()
                     answer = self.machine.feed(chunk)
-                    self.read_buffer.drop(len(chunk))
+                    self.input.drop(len(chunk))
                     if answer is not None and not self._handle_answer(answer):
                         return  # another read would outlive the descriptor
             code = "worker-closed"
@@ -157,7 +157,7 @@
             # The answer precedes the end of the request. No further byte is written, so the request has not
             # run.
             self.end("worker-early")
-        elif self.machine.more or self.read_buffer:
+        elif self.machine.more or self.input:
             # More bytes follow the answer. It is unclear which belong to the request, so a decline proves
             # nothing.
             if self._answer is not None and not self._answer.done() and answer.status == 202:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -146,15 +146,15 @@
     async def resting(self) -> tuple[socket.socket, ClientConnection]:
         sock, connection = await self.client(READY)
         self.assertIn(b" 200 ", await self.answer(sock))
-        await self.until(lambda: connection.idle)
+        await self.until(lambda: connection.is_idle)
         return sock, connection
 
     def closes(self) -> dict[str, Callable[[], Any]]:
-        return {"room": self.front.make_room, "stopping": self.front.quiet}
+        return {"room": self.front.evict_connection, "stopping": self.front.quiet}
 
     def sweep(self) -> None:
         """As if the time in which a call must be here were over."""
-        with mock.patch.object(front_module, "COMES", 0):
+        with mock.patch.object(front_module, "REQUEST_TIMEOUT", 0):
             self.front.sweep()
 
     async def test_a_call_that_the_kernel_has_handed_over_is_served_whatever_would_close_its_connection(
@@ -212,7 +212,7 @@
         self,
     ) -> None:
         sock, connection = await self.client(job("a") + b"".join(job(f"b{i}") for i in range(50)))
-        await self.until(lambda: self.counters["posting.sent"] == 1 and connection.inward.full)
+        await self.until(lambda: self.counters["posting.sent"] == 1 and connection.input.full)
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
         self.assertEqual(
@@ -225,8 +225,8 @@
         async with asyncio.TaskGroup() as both:
             both.create_task(self.events.sock_sendall(sock, job("a") + behind))
             await self.until(lambda: self.counters["posting.sent"] == 1)
-            await self.until(lambda: connection.taken > 1_000_000)
-            self.assertLess(len(connection.inward._room), 5000, "it took no memory")
+            await self.until(lambda: connection.read_bytes > 1_000_000)
+            self.assertLess(len(connection.input._room), 5000, "it took no memory")
             self.done("a")
             answer = await self.answer(sock)
         self.assertIn(b" 200 ", answer)
@@ -285,9 +285,9 @@
         sock, connection = await self.client(job("a"), room=100_000)
         await self.until(lambda: self.counters["posting.sent"] == 1)
         self.done("a", b"x" * 8_000_000)
-        self.assertGreater(len(connection.outward), 0)
+        self.assertGreater(len(connection.output), 0)
         sock.shutdown(socket.SHUT_WR)
-        await self.until(lambda: connection.said_last)
+        await self.until(lambda: connection.peer_has_closed)
         self.assertEqual((await self.rest(sock)).count(b"x"), 8_000_000)
         self.assertEqual(connection.code, "last-answer")
         sock, connection = await self.client(job("b"))
@@ -336,30 +336,30 @@
         await self.until(lambda: self.counters["posting.sent"] == 1)
         self.done("a", b"y" * 300_000)
         # The most of it is with our kernel, and would go with a reset.
-        await self.until(lambda: not connection.outward)
+        await self.until(lambda: not connection.output)
         self.assertEqual((await self.rest(sock)).count(b"y"), 300_000)
         await sending
 
     async def test_nothing_that_comes_after_the_shutdown_is_taken(self) -> None:
         sock, connection = await self.answered()
         self.assertIsNone(connection.code)
-        before = connection.taken
+        before = connection.read_bytes
         await self.events.sock_sendall(sock, job("late"))
-        await self.until(lambda: connection.taken > before)
+        await self.until(lambda: connection.read_bytes > before)
         sock.close()
         await self.until(lambda: connection.code == "last-answer")
         self.assertEqual(self.counters["txn.taken"], 1)
 
     async def test_one_that_never_closes_is_let_go_in_time_and_first_of_all_for_room(self) -> None:
         _, connection = await self.answered()
-        with mock.patch.object(front_module, "QUIET", 0):
+        with mock.patch.object(front_module, "LINGER_IDLE_TIMEOUT", 0):
             self.front.sweep()
         self.assertEqual(connection.code, "last-answer")
         idle, resting = await self.client(READY)
         self.assertIn(b" 200 ", await self.answer(idle))
         _, connection = await self.answered("b")
-        with mock.patch.object(front_module, "FIRST", 0):
-            self.assertTrue(self.front.make_room())
+        with mock.patch.object(front_module, "FIRST_BYTE_TIMEOUT", 0):
+            self.assertTrue(self.front.evict_connection())
         self.assertEqual((connection.code, resting.code), ("room", None))
 
 
@@ -403,8 +403,8 @@
         sock, connection = await self.client(room=10_000)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 10_000)
         sending = asyncio.create_task(self.events.sock_sendall(sock, READY * many))
-        await self.until(lambda: len(connection.outward) > 100_000 or connection.inward.full)
-        self.assertLess(len(connection.outward), 100_000)
+        await self.until(lambda: len(connection.output) > 100_000 or connection.input.full)
+        self.assertLess(len(connection.output), 100_000)
         other, _ = await self.client(READY)
         self.assertIn(b" 200 ", await self.answer(other))
         count, came = 0, b""
@@ -413,7 +413,7 @@
                 came = came[-11:] + await self.events.sock_recv(sock, 1 << 16)
                 count += came.count(b"HTTP/1.1 200")
                 came = came.rpartition(b"HTTP/1.1 200")[2]
-        self.assertLess(len(connection.outward._room), 100_000)
+        self.assertLess(len(connection.output._room), 100_000)
         await sending
 
 
@@ -445,7 +445,7 @@
             b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told)
         )
         self.assertIn(b" 204 ", await self.answer(sock))
-        self.assertTrue(connection.worker)
+        self.assertTrue(connection.is_worker)
         self.assertLessEqual(self.workers.links.count + len(self.front.connections), self.front.free)
 
     async def test_none_is_had_where_every_client_waits_for_its_answer(self) -> None:
@@ -520,16 +520,16 @@
         await self.events.sock_sendall(sock, READY)
         self.assertIn(b" 200 ", await self.answer(sock))
         _, silent = await self.client()
-        with mock.patch.object(front_module, "FIRST", 0):
+        with mock.patch.object(front_module, "FIRST_BYTE_TIMEOUT", 0):
             self.assertTrue(self.front.quiet())
         self.assertEqual((connection.code, silent.code), ("stopping", "stopping"))
 
     async def test_the_end_waits_for_a_last_answer_to_arrive_but_not_for_ever(self) -> None:
         self.front.stopping = True
         _, connection = await self.client(READY)
-        await self.until(lambda: connection.lingers is not None)
+        await self.until(lambda: connection.lingers_since is not None)
         self.assertFalse(self.front.quiet())
-        with mock.patch.object(front_module, "LAST", 0):
+        with mock.patch.object(front_module, "SHUTDOWN_LINGER_TIMEOUT", 0):
             self.assertTrue(self.front.quiet())
         self.assertEqual(connection.code, "last-answer")
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -427,7 +427,7 @@
         waiting.close()
 
     async def test_a_peer_that_does_not_read_is_let_go_and_others_are_served(self) -> None:
-        with mock.patch.object(front_module, "UNREAD", SECOND // 10):
+        with mock.patch.object(front_module, "WRITE_TIMEOUT", SECOND // 10):
             await self.connect(b"GET /ready HTTP/1.1\r\n\r\n")
             await until(lambda: self.front.connections)
             connection = next(iter(self.front.connections))
@@ -480,7 +480,9 @@
             )
         ]
         await asyncio.sleep(0.05)
-        with mock.patch.multiple(front_module, COMES=SECOND // 50, QUIET=SECOND // 50):
+        with mock.patch.multiple(
+            front_module, REQUEST_TIMEOUT=SECOND // 50, LINGER_IDLE_TIMEOUT=SECOND // 50
+        ):
             self.front.sweep()
             self.assertEqual(await asyncio.wait_for(silent.read(), BOUND), b"")
             await asyncio.sleep(0.05)
@@ -496,19 +498,19 @@
             writer.write(b"x" * 1_000_000)
             await asyncio.wait_for(writer.drain(), BOUND)
         connection = next(iter(self.front.connections))
-        self.assertEqual((self.front.held, len(connection.inward)), (0, 0))
+        self.assertEqual((self.front.held_body_bytes, len(connection.input)), (0, 0))
         self.assertIn(b"413", await asyncio.wait_for(reader.read(), BOUND))
 
     async def test_bodies_that_are_short_enough_each_and_too_much_together_are_turned_away(self) -> None:
         head = b"POST /render HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"
         first, _ = await self.connect(head + b"x" * 59_000)
-        await until(lambda: self.front.held == 59_000)
+        await until(lambda: self.front.held_body_bytes == 59_000)
         second, _ = await self.connect(head + b"x" * 59_000)
         self.assertIn(b"503", await asyncio.wait_for(second.readuntil(b"\r\n\r\n"), BOUND))
-        await until(lambda: self.front.held == 59_000)
+        await until(lambda: self.front.held_body_bytes == 59_000)
         for connection in list(self.front.connections):
             connection.end("closed")
-        self.assertEqual((self.front.held, first.at_eof()), (0, False))
+        self.assertEqual((self.front.held_body_bytes, first.at_eof()), (0, False))
 
     async def test_strangers_leave_before_usual_peers_whose_idle_connections_are_kept(self) -> None:
         job = (
