--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -11,7 +11,7 @@
 from pathsaddle.net.memory.ledger import Entry
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
-from pathsaddle.net.service.pump import Opening, Tallied, drain, stream, tallied
+from pathsaddle.net.service.pump import Opening, Tallied, drain, stream, to_counting_socket
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import forms
 from pathsaddle.net.wire.http import Broken, Called, Message
@@ -70,7 +70,7 @@
         self._is_processing = False  # a loop is already processing the input
         self._events = asyncio.get_running_loop()
         self._writer: asyncio.Task[None] | None = None
-        self._buffer_has_room = asyncio.Event()
+        self._buffer_drained = asyncio.Event()
         self._reader = self._events.create_task(self._read())
 
     @property
@@ -115,8 +115,8 @@
         try:
             while True:
                 while self.input.full and not machine.busy:
-                    self._buffer_has_room.clear()
-                    await self._buffer_has_room.wait()
+                    self._buffer_drained.clear()
+                    await self._buffer_drained.wait()
                 if self.input.full:
                     # The buffer is full behind a waiting request. Further input is read and dropped, and the
                     # answer says so with `Connection: close`. Left unread, it would hide the peer's FIN until
@@ -192,7 +192,7 @@
             self.input.drop(len(self.input.data()))
         if self.began_at is None and not machine.busy and (machine.midway or self.input):
             self.began_at = self.front.clock.now()
-        self._buffer_has_room.set()
+        self._buffer_drained.set()
 
     def _handle_request(self, call: Message) -> None:
         self.began_at = None
@@ -332,8 +332,8 @@
     def __init__(
         self,
         listen: str,
-        free: int,
-        room: Room,
+        descriptor_limit: int,
+        limits: Room,
         service: TxnService,
         clock: Clock,
         counters: Counters,
@@ -342,8 +342,8 @@
         self.service = service
         self.clock = clock
         self.counters = counters
-        self.free = free  # descriptors for accepted connections and connections to workers
-        self.room = room
+        self.descriptor_limit = descriptor_limit  # for accepted connections and links to workers together
+        self.limits = limits
         self.connections: dict[ClientConnection, None] = {}
         self.unproven: dict[ClientConnection, None] = {}  # those that have carried no txn or callback yet
         self.held_body_bytes = 0  # bytes of the bodies of incomplete and open requests
@@ -387,7 +387,7 @@
         self.counters.add("accepted")
         sock: socket.socket = accepted
         try:
-            sock = tallied(accepted)
+            sock = to_counting_socket(accepted)
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except Exception as fault:  # noqa: BLE001  # a fault ends only this connection
@@ -405,7 +405,7 @@
     def max_connections(self) -> int:
         """The connection limit: bounded by memory and by the descriptors that worker links may use."""
         links = self.service.workers.links
-        return min(self.room.connections, self.free - max(links.most, links.count))
+        return min(self.limits.connections, self.descriptor_limit - max(links.most, links.count))
 
     def evict_connection(self) -> bool:
         """Evict one connection and return whether there was one to evict.
@@ -439,9 +439,9 @@
         clients' connections together could exceed the descriptors. An evicted one is returned to the kernel
         one event loop iteration later; until then the reserve covers it.
         """
-        if self.service.workers.links.count + len(self.connections) >= self.free:
+        if self.service.workers.links.count + len(self.connections) >= self.descriptor_limit:
             self.evict_connection()
-        return self.service.workers.links.count + len(self.connections) < self.free
+        return self.service.workers.links.count + len(self.connections) < self.descriptor_limit
 
     def mark_proven(self, connection: ClientConnection) -> None:
         """Mark a connection as one of a regular peer."""
@@ -451,7 +451,7 @@
         """Update the sum of all bodies and refuse this connection's body with 503 if the sum is too large."""
         self.held_body_bytes += connection.machine.held - connection.held_body_bytes
         connection.held_body_bytes = connection.machine.held
-        if self.held_body_bytes > self.room.bodies and connection.machine.part is not None:
+        if self.held_body_bytes > self.limits.bodies and connection.machine.part is not None:
             connection.machine.object(503, "no room for this body now")
 
     def sweep(self) -> None:
--- a/pathsaddle/net/service/pump.py
+++ b/pathsaddle/net/service/pump.py
@@ -57,7 +57,7 @@
 Opening = Callable[[str], tuple[Tallied, Peer]]
 
 
-def tallied(sock: Any) -> Tallied:
+def to_counting_socket(sock: Any) -> Tallied:
     """Return an accepted socket as a counting one.
 
     A simulated socket counts its own bytes and is returned unchanged.
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -37,7 +37,7 @@
 CLOSE_PROPAGATION_DELAY = 50 * MILLISECOND  # how long the end of a connection takes to reach a worker
 
 
-class PostingWithheld(Exception):
+class PostingWithheldError(Exception):
     """The reason to send a posting ended between its start and its first byte."""
 
 
@@ -283,24 +283,26 @@
         posting, call = exchange.posting, exchange.entry.call
         headers: list[tuple[bytes, bytes]] = []
 
-        def begins(sending: Sending) -> None:
-            # While the connection was opened, the client may have left or the worker may drain or have
-            # restarted.
+        def begin_sending(sending: Sending) -> None:
+            """Check again that the posting may be sent, since opening the connection has taken time.
+
+            The client may have left meanwhile, or the worker may drain or have restarted.
+            """
             self.catch_up()
             self.loop.set_now(self.clock.now())
             if not self.loop.can_begin_posting(posting):
                 self.counters.add("posting.withheld")
-                raise PostingWithheld
+                raise PostingWithheldError
             exchange.begun, exchange.sending = True, sending
-            # The deadline counts from the first byte; counted from the start, the worker would get the
-            # connect time on top.
+            # The remaining time counts from the first byte. Counted from the start of the posting, the worker
+            # would keep working for the connect time longer than the client waits.
             headers.extend(forms.posting_headers(call, posting.sent_at + exchange.within - self.clock.now()))
 
         try:
             answer = await self.workers.call(
-                posting.worker.tag, "POST", call.target, headers, call.body, begins
+                posting.worker.tag, "POST", call.target, headers, call.body, begin_sending
             )
-        except PostingWithheld:
+        except PostingWithheldError:
             self._end(exchange, Outcome.MOOT)
         except NeverSent:
             self._end(exchange, Outcome.UNCONNECTED)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -65,7 +65,7 @@
         Hooked.hook = None
         hooked = mock.patch.object(
             front_module,
-            "tallied",
+            "to_counting_socket",
             lambda given: Hooked(given.family, given.type, given.proto, fileno=given.detach()),
         )
         hooked.start()
@@ -372,7 +372,7 @@
 
     async def test_one_that_cannot_be_set_up_ends_alone_and_the_next_is_accepted(self) -> None:
         for fault in (OSError(errno.EINVAL, "gone"), ZeroDivisionError()):
-            with mock.patch.object(front_module, "tallied", side_effect=fault):
+            with mock.patch.object(front_module, "to_counting_socket", side_effect=fault):
                 sock = socket.create_connection(self.front.sock.getsockname())
                 self.addCleanup(sock.close)
                 sock.setblocking(False)
@@ -421,7 +421,7 @@
     """Idle clients hold all that there is, while discovery is down."""
 
     async def test_the_first_connection_to_each_worker_and_a_callback_are_had_all_the_same(self) -> None:
-        self.front.free, self.workers.links.most = 10, 2
+        self.front.descriptor_limit, self.workers.links.most = 10, 2
         resting = []
         for _ in range(8):
             sock, connection = await self.client(READY)
@@ -434,7 +434,9 @@
             self.assertTrue(self.workers.links.may_open(pool))
             pool.used += 1
             taken.append(pool)
-            self.assertLessEqual(self.workers.links.count + len(self.front.connections), self.front.free)
+            self.assertLessEqual(
+                self.workers.links.count + len(self.front.connections), self.front.descriptor_limit
+            )
         self.assertEqual(
             [connection.code for connection in resting],
             ["room"] * 4 + [None] * 4,
@@ -446,14 +448,16 @@
         )
         self.assertIn(b" 204 ", await self.answer(sock))
         self.assertTrue(connection.is_worker)
-        self.assertLessEqual(self.workers.links.count + len(self.front.connections), self.front.free)
+        self.assertLessEqual(
+            self.workers.links.count + len(self.front.connections), self.front.descriptor_limit
+        )
 
     async def test_none_is_had_where_every_client_waits_for_its_answer(self) -> None:
-        self.front.free = 1
+        self.front.descriptor_limit = 1
         sock, _ = await self.client(job("a"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
         self.assertFalse(self.front.spare_descriptor())
-        self.front.free = 3
+        self.front.descriptor_limit = 3
         self.assertTrue(self.front.spare_descriptor())
         self.assertEqual(self.counters["visit_end.room"], 0)
         sock.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -467,7 +467,7 @@
         self.assertIn(b"200 OK", await asyncio.wait_for(reader.read(), BOUND))
 
     async def test_silence_and_half_a_call_end_in_time_and_what_is_kept_between_calls_stays(self) -> None:
-        self.front.free = 20
+        self.front.descriptor_limit = 20
         kept, writer = await self.connect(b"GET /ready HTTP/1.1\r\n\r\n")
         await kept.readuntil(b"\r\n\r\n")
         silent, _ = await self.connect(b"")
@@ -517,7 +517,7 @@
             b"POST /render HTTP/1.1\r\nReq-Id: a\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 10\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        self.front.free = 12
+        self.front.descriptor_limit = 12
         usual, writer = await self.connect(job)
         self.assertIn(b"503", await asyncio.wait_for(usual.readuntil(b"\r\n\r\n"), BOUND))
         for _ in range(4):
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -1,4 +1,4 @@
-"""Stories of the door: one outcome for each posting, one answer for each txn. No socket is open."""
+"""The txn service ends each posting with one outcome and each txn with one answer. No socket is opened."""
 
 import asyncio
 import dataclasses
@@ -20,8 +20,8 @@
 from tests.fakehost import SETTINGS
 
 
-class PlayedCall:
-    """One call to a worker, played by the story."""
+class FakeCall:
+    """One request to a worker, whose progress the test controls."""
 
     def __init__(self, worker: str, method: str, begins: Callable[[Sending], None]) -> None:
         self.worker, self.method, self.begins = worker, method, begins
@@ -33,19 +33,21 @@
     def write(self) -> None:
         try:
             self.begins(self.sending)
-        except Exception as why:  # noqa: BLE001  # whatever it is goes on to whoever asked
+        except Exception as fault:  # noqa: BLE001  # any exception reaches the awaiting caller
             self.withheld = True
-            self.reply.set_exception(why)
+            self.reply.set_exception(fault)
         else:
             self.sending.whole = True
 
 
 class PlayedWorkers:
+    """Stands in for `Workers` and records the requests."""
+
     connect_within = SECOND // 20
 
     def __init__(self) -> None:
         self.links = self
-        self.calls: list[PlayedCall] = []
+        self.calls: list[FakeCall] = []
 
     def located(self, worker: str, address: str) -> None:
         pass
@@ -62,24 +64,24 @@
         body: bytes = b"",
         begins: Callable[[Sending], None] = lambda sending: None,
     ) -> Message:
-        self.calls.append(PlayedCall(worker, method, begins))
+        self.calls.append(FakeCall(worker, method, begins))
         self.calls[-1].headers = headers
         return await self.calls[-1].reply
 
 
-class TxnServiceStory(unittest.IsolatedAsyncioTestCase):
+class TxnServiceTest(unittest.IsolatedAsyncioTestCase):
     def open(
         self, allows_hedging: bool = True, workers: int = 1, delisted_workers_usable: bool = False
     ) -> None:
         limits = {**SETTINGS["Limits"], "MayDuplicate": allows_hedging, "Probing": False}
-        duty = {**SETTINGS["Obligations"], "DroppedStayOpen": delisted_workers_usable}
-        told = {**SETTINGS, "Limits": limits, "Obligations": duty}
-        known = terms.terms(told)
-        self.played: Any = PlayedWorkers()
+        obligations = {**SETTINGS["Obligations"], "DroppedStayOpen": delisted_workers_usable}
+        settings = {**SETTINGS, "Limits": limits, "Obligations": obligations}
+        config = terms.terms(settings)
+        self.fake_workers: Any = PlayedWorkers()
         self.answers: list[tuple[int, bytes, tuple[str, ...]]] = []
         self.counters = Counters()
         self.service = TxnService(
-            known, Words(told, known), 7, Clock(), self.played, self.counters, lambda: None
+            config, Words(settings, config), 7, Clock(), self.fake_workers, self.counters, lambda: None
         )
         self.rows = [Row(Worker(f"w{n}"), "x:1") for n in range(workers)]
         self.service.listed(ListUpdate.WHOLE, self.rows)
@@ -103,12 +105,14 @@
         for _ in range(5):
             await asyncio.sleep(time / 5)
 
-    async def back(self, state: str, tag: str = "a", worker: str = "w0", result: str = "done") -> None:
-        told = {"id": tag, "from": worker, "state": state, "share": 0.5, "result": result}
-        self.service.called_back(self.service.words.callback(json.dumps(told).encode()))
+    async def send_callback(
+        self, state: str, tag: str = "a", worker: str = "w0", result: str = "done"
+    ) -> None:
+        callback = {"id": tag, "from": worker, "state": state, "share": 0.5, "result": result}
+        self.service.called_back(self.service.words.callback(json.dumps(callback).encode()))
         await self.settle()
 
-    async def replies(self, call: PlayedCall, status: int, **headers: bytes) -> None:
+    async def send_reply(self, call: FakeCall, status: int, **headers: bytes) -> None:
         call.reply.set_result(
             Message(
                 status=status,
@@ -117,236 +121,244 @@
         )
         await self.settle()
 
-    async def test_taken_then_done_is_settled_with_the_workers_result(self) -> None:
+    async def test_accepted_then_done_settles_with_the_result_of_the_worker(self) -> None:
         self.open()
         entry = await self.ask()
-        self.played.calls[0].write()
-        await self.replies(self.played.calls[0], 202)
-        await self.back("running")
+        self.fake_workers.calls[0].write()
+        await self.send_reply(self.fake_workers.calls[0], 202)
+        await self.send_callback("running")
         self.assertEqual(entry.txn.postings[0].progress, 0.5)
-        await self.back("done")
+        await self.send_callback("done")
         self.assertEqual(self.answers, [(200, b"done", ())])
         self.assertNotIn("a", self.service.ledger)
 
-    async def test_what_a_connection_came_up_too_late_for_is_withheld_at_its_first_byte(self) -> None:
-        """Decided in time, and a dial of 1.5 s later the worker had started anew, the window had closed, or the
-        client's time was over.
+    async def test_a_posting_whose_reason_ended_while_connecting_is_withheld(self) -> None:
+        """Guards against sending a posting whose reason ended while its connection was opened.
+
+        After a connect time of 1.5 s the worker had restarted, the deduplication window had closed, or the
+        txn had expired.
         """
-        for late in ("anew", "window", "expired", "in time"):
+        for change in ("restarted", "window", "expired", "in time"):
             self.open()
             entry = await self.ask(within="700")
             txn, posting = entry.txn, entry.txn.postings[0]
-            if late == "anew":
+            if change == "restarted":
                 row = Worker("w0", started_at=self.service.clock.now())
                 self.service.listed(ListUpdate.CHANGES, [Row(row, "x:1")])
-            elif late == "window":
+            elif change == "window":
                 txn.scheme = dataclasses.replace(txn.scheme, semantics=Semantics.REFERENCED, window=SECOND)
                 before = Posting(
                     txn, posting.worker, 0, self.service.loop.now - SECOND, outcome=Outcome.RESET
                 )
                 txn.postings.insert(0, before)
-            elif late == "expired":
+            elif change == "expired":
                 txn.expires_at = self.service.clock.now()
-            self.played.calls[0].write()
-            self.assertEqual(self.played.calls[0].withheld, late != "in time", late)
+            self.fake_workers.calls[0].write()
+            self.assertEqual(self.fake_workers.calls[0].withheld, change != "in time", change)
             await self.settle()
-            if late != "in time":
-                self.assertIs(posting.outcome, Outcome.MOOT, late)
+            if change != "in time":
+                self.assertIs(posting.outcome, Outcome.MOOT, change)
 
-    async def test_a_worker_is_told_what_is_left_at_the_first_byte_not_when_its_connection_was_asked_for(
+    async def test_the_deadline_header_holds_the_time_that_remains_at_the_first_byte(
         self,
     ) -> None:
-        """A dial of a second, and the worker hoped for a second longer than the client would wait."""
+        """Guards against counting the deadline from the start: one second of connect time was added to it."""
         self.open()
         entry = await self.ask(within="5000")
-        entry.txn.postings[0].sent_at -= SECOND  # the dial took so long
-        self.played.calls[0].write()
-        self.assertLessEqual(int(dict(self.played.calls[0].headers)[b"Req-Deadline-Ms"]), 4000)
+        entry.txn.postings[0].sent_at -= SECOND  # the connect time
+        self.fake_workers.calls[0].write()
+        self.assertLessEqual(int(dict(self.fake_workers.calls[0].headers)[b"Req-Deadline-Ms"]), 4000)
 
-    async def test_given_up_after_its_last_byte_it_may_have_run_whatever_our_task_has_seen(self) -> None:
-        """The kernel had taken all of it, and who wrote it had not resumed: its client was told to come again."""
+    async def test_a_posting_timed_out_after_its_last_byte_may_have_run(self) -> None:
+        """Guards against calling such a posting unsent.
+
+        The kernel had accepted the last byte, the writing task had not resumed, and the client was told to
+        retry.
+        """
         self.open()
         entry = await self.ask(kind="charge", within="100")
-        call = self.played.calls[0]
+        call = self.fake_workers.calls[0]
         call.begins(call.sending)
         call.sending.whole = True
         await self.settle(0.3)
         self.assertIs(entry.txn.postings[0].outcome, Outcome.TIMED_OUT)
         self.assertEqual([answer[0] for answer in self.answers], [500])
 
-    async def test_handed_back_is_no_proof_where_an_earlier_posting_of_it_went_to_that_worker(self) -> None:
-        """One callback names the txn and the worker, not which of two postings there it is about."""
+    async def test_returned_proves_nothing_after_an_earlier_posting_to_the_same_worker(self) -> None:
+        """A callback names the txn and the worker, but not which of two postings there it refers to."""
         self.open()
         entry = await self.ask()
-        self.played.calls[0].write()
-        self.played.calls[0].reply.set_exception(Lost("reset"))
+        self.fake_workers.calls[0].write()
+        self.fake_workers.calls[0].reply.set_exception(Lost("reset"))
         await self.settle(0.2)
-        self.assertEqual(len(self.played.calls), 2)
-        self.played.calls[1].write()
-        await self.back("returned")
+        self.assertEqual(len(self.fake_workers.calls), 2)
+        self.fake_workers.calls[1].write()
+        await self.send_callback("returned")
         self.assertTrue(all(posting.may_have_run for posting in entry.txn.postings))
 
-    async def test_done_before_the_202_and_told_again_counts_once(self) -> None:
+    async def test_done_before_the_202_and_repeated_counts_once(self) -> None:
         self.open()
         await self.ask()
-        self.played.calls[0].write()
-        await self.back("done")
-        await self.back("done")
-        await self.replies(self.played.calls[0], 202)
-        await self.back("lost")
+        self.fake_workers.calls[0].write()
+        await self.send_callback("done")
+        await self.send_callback("done")
+        await self.send_reply(self.fake_workers.calls[0], 202)
+        await self.send_callback("lost")
         self.assertEqual(self.answers, [(200, b"done", ())])
         self.assertEqual((self.counters["outcome.settled"], self.counters["callback.stray"]), (1, 2))
 
-    async def test_callbacks_of_nobody_and_from_a_worker_that_has_no_posting_change_nothing(self) -> None:
+    async def test_callbacks_that_match_no_posting_change_nothing(self) -> None:
         self.open()
         await self.ask()
-        self.played.calls[0].write()
-        await self.back("done", tag="b")
-        await self.back("done", worker="w9")
-        await self.back("exploded")
+        self.fake_workers.calls[0].write()
+        await self.send_callback("done", tag="b")
+        await self.send_callback("done", worker="w9")
+        await self.send_callback("exploded")
         self.assertEqual(self.answers, [])
 
-    async def test_the_end_of_an_earlier_posting_does_not_end_the_one_after_it(self) -> None:
+    async def test_a_callback_for_an_earlier_posting_does_not_end_the_next_one(self) -> None:
         self.open(workers=2)
         entry = await self.ask()
-        first = self.played.calls[0]
+        first = self.fake_workers.calls[0]
         first.write()
-        await self.replies(first, 503, srv_declined=b"1")
-        second = self.played.calls[1]
+        await self.send_reply(first, 503, srv_declined=b"1")
+        second = self.fake_workers.calls[1]
         self.assertNotEqual(second.worker, first.worker)
         second.write()
-        await self.back("lost", worker=first.worker)
+        await self.send_callback("lost", worker=first.worker)
         self.assertTrue(entry.txn.postings[1].is_in_flight)
 
-    async def test_a_break_before_the_last_byte_is_no_connection_and_after_it_a_reset(self) -> None:
+    async def test_a_break_before_the_last_byte_is_unconnected_and_after_it_a_reset(self) -> None:
         for written, counted in ((False, "outcome.unconnected"), (True, "outcome.reset")):
             self.open()
             await self.ask(kind="charge")
             if written:
-                self.played.calls[0].write()
-            self.played.calls[0].reply.set_exception(Lost("x") if written else NeverSent("x"))
+                self.fake_workers.calls[0].write()
+            self.fake_workers.calls[0].reply.set_exception(Lost("x") if written else NeverSent("x"))
             await self.settle()
             self.assertEqual(self.counters[counted], 1)
-            # Once-only: what may have run is reversed at once, what never ran may be posted again.
+            # Once-only: a txn that may have run is reversed at once, one that never ran may be posted again.
             self.assertEqual([answer[0] for answer in self.answers], [500] if written else [])
 
-    async def test_time_up_before_the_202_closes_and_after_it_withdraws(self) -> None:
-        for taken in (False, True):
+    async def test_a_timeout_before_the_202_closes_the_connection_and_after_it_withdraws(self) -> None:
+        for accepted in (False, True):
             self.open()
             await self.ask(within="60")
-            first = self.played.calls[0]
+            first = self.fake_workers.calls[0]
             first.write()
-            if taken:
-                await self.replies(first, 202)
+            if accepted:
+                await self.send_reply(first, 202)
             await self.settle(0.1)
             self.assertEqual(len(self.answers), 1)
             self.assertEqual(self.counters["outcome.timed_out"], 1)
-            self.assertEqual([call.method for call in self.played.calls[1:]], ["DELETE"] if taken else [])
-            self.assertEqual(first.reply.cancelled(), not taken)
+            self.assertEqual(
+                [call.method for call in self.fake_workers.calls[1:]], ["DELETE"] if accepted else []
+            )
+            self.assertEqual(first.reply.cancelled(), not accepted)
 
-    async def test_where_two_at_once_are_forbidden_the_withdrawal_comes_before_the_outcome(self) -> None:
+    async def test_without_hedging_a_posting_ends_only_after_its_withdrawal(self) -> None:
         self.open(allows_hedging=False)
         entry = await self.ask()
-        self.played.calls[0].write()
-        await self.replies(self.played.calls[0], 202)
+        self.fake_workers.calls[0].write()
+        await self.send_reply(self.fake_workers.calls[0], 202)
         posting: Posting = entry.txn.postings[0]
         self.service.cancel(posting)
         await self.settle()
-        self.assertTrue(posting.is_in_flight, "the worker has not been told yet")
-        self.played.calls[1].write()
-        await self.replies(self.played.calls[1], 204)
+        self.assertTrue(posting.is_in_flight, "the worker has not received the withdrawal yet")
+        self.fake_workers.calls[1].write()
+        await self.send_reply(self.fake_workers.calls[1], 204)
         self.assertEqual(self.counters["outcome.cancelled"], 1)
 
-    async def test_before_the_202_the_end_of_the_connection_has_time_to_arrive_first(self) -> None:
+    async def test_without_hedging_a_posting_before_its_202_ends_after_the_close_has_propagated(self) -> None:
         self.open(allows_hedging=False)
         posting = (await self.ask()).txn.postings[0]
-        self.played.calls[0].write()
+        self.fake_workers.calls[0].write()
         self.service.cancel(posting)
         await self.settle()
-        self.assertTrue(self.played.calls[0].reply.cancelled() and posting.is_in_flight)
+        self.assertTrue(self.fake_workers.calls[0].reply.cancelled() and posting.is_in_flight)
         await self.settle(0.06)
         self.assertEqual(self.counters["outcome.cancelled"], 1)
 
-    async def test_nothing_is_written_for_a_client_that_left_while_we_connected(self) -> None:
+    async def test_nothing_is_written_for_a_client_that_left_while_connecting(self) -> None:
         self.open()
         self.service.hang_up(await self.ask())
-        self.played.calls[0].write()
+        self.fake_workers.calls[0].write()
         await self.settle()
-        self.assertTrue(self.played.calls[0].withheld)
+        self.assertTrue(self.fake_workers.calls[0].withheld)
         self.assertEqual((self.counters["outcome.moot"], self.answers), (1, []))
         self.assertNotIn("a", self.service.ledger)
 
-    async def test_nothing_is_written_to_a_worker_that_was_told_to_drain_while_we_connected(self) -> None:
+    async def test_nothing_is_written_to_a_worker_that_began_to_drain_while_connecting(self) -> None:
         self.open()
         await self.ask()
         self.rows[0].worker.listed_state = ListedState.DRAINING
         self.service.listed(ListUpdate.CHANGES, self.rows)
-        self.played.calls[0].write()
+        self.fake_workers.calls[0].write()
         await self.settle()
-        self.assertTrue(self.played.calls[0].withheld)
+        self.assertTrue(self.fake_workers.calls[0].withheld)
 
-    async def test_where_dropped_workers_stay_open_a_posting_is_withheld_by_a_draining_alone(self) -> None:
-        for stay_open, told, withheld in (
+    async def test_with_delisted_workers_usable_only_draining_withholds_a_posting(self) -> None:
+        for stay_open, states, withheld in (
             (True, ["GONE"], False),
             (False, ["GONE"], True),
             (True, ["DRAINING", "GONE"], True),
         ):
             self.open(delisted_workers_usable=stay_open)
             await self.ask()
-            for standing in told:
+            for state in states:
                 self.service.listed(
-                    ListUpdate.CHANGES, [Row(Worker("w0", listed_state=ListedState[standing]), "x:1")]
+                    ListUpdate.CHANGES, [Row(Worker("w0", listed_state=ListedState[state]), "x:1")]
                 )
-            self.played.calls[0].write()
+            self.fake_workers.calls[0].write()
             await self.settle()
-            self.assertIs(self.played.calls[0].withheld, withheld, (stay_open, told))
+            self.assertIs(self.fake_workers.calls[0].withheld, withheld, (stay_open, states))
 
-    async def test_an_id_that_is_open_or_over_is_not_taken_again(self) -> None:
+    async def test_an_id_that_is_open_or_closed_is_refused(self) -> None:
         self.open()
         await self.ask()
         with self.assertRaises(Broken):
             await self.ask()
-        self.played.calls[0].write()
-        await self.back("done")
+        self.fake_workers.calls[0].write()
+        await self.send_callback("done")
         with self.assertRaises(Broken):
             await self.ask()
-        self.assertEqual((len(self.played.calls), len(self.answers)), (1, 1))
+        self.assertEqual((len(self.fake_workers.calls), len(self.answers)), (1, 1))
 
-    async def test_what_two_workers_call_unusable_is_answered_and_no_worker_is_shut_for_it(self) -> None:
+    async def test_a_txn_that_two_workers_reject_is_reversed_and_ejects_no_worker(self) -> None:
         self.open(workers=3)
         await self.ask("bad")
-        for call in self.played.calls:  # grows as the next is posted
+        for call in self.fake_workers.calls:  # grows with each posting
             call.write()
-            await self.replies(call, 400)
-        self.assertEqual((len(self.played.calls), [answer[0] for answer in self.answers]), (2, [500]))
-        books = self.service.loop.scheduler.workers.values()
-        self.assertEqual([book.ejected_until for book in books], [0, 0, 0])
+            await self.send_reply(call, 400)
+        self.assertEqual((len(self.fake_workers.calls), [answer[0] for answer in self.answers]), (2, [500]))
+        worker_states = self.service.loop.scheduler.workers.values()
+        self.assertEqual([worker_state.ejected_until for worker_state in worker_states], [0, 0, 0])
 
-    async def test_a_worker_alone_in_calling_it_unusable_is_shut(self) -> None:
+    async def test_a_worker_that_alone_rejects_a_txn_is_charged_a_failure(self) -> None:
         self.open(workers=2)
         await self.ask()
-        self.played.calls[0].write()
-        await self.replies(self.played.calls[0], 400)
-        self.played.calls[1].write()
-        await self.back("done", worker=self.played.calls[1].worker)
+        self.fake_workers.calls[0].write()
+        await self.send_reply(self.fake_workers.calls[0], 400)
+        self.fake_workers.calls[1].write()
+        await self.send_callback("done", worker=self.fake_workers.calls[1].worker)
         failed = {
-            worker.tag: book.consecutive_failures
-            for worker, book in self.service.loop.scheduler.workers.items()
+            worker.tag: worker_state.consecutive_failures
+            for worker, worker_state in self.service.loop.scheduler.workers.items()
         }
-        self.assertEqual(failed, {self.played.calls[0].worker: 1, self.played.calls[1].worker: 0})
+        self.assertEqual(failed, {self.fake_workers.calls[0].worker: 1, self.fake_workers.calls[1].worker: 0})
 
-    async def test_a_fault_in_the_decisions_reverses_one_txn_and_the_next_is_served(self) -> None:
+    async def test_a_scheduler_fault_reverses_one_txn_and_the_next_is_served(self) -> None:
         self.open()
         with mock.patch.object(self.service.loop.scheduler, "appraise", side_effect=ZeroDivisionError):
             await self.ask("bad")
         await self.ask("good")
         self.assertEqual([answer[0] for answer in self.answers], [500])
         self.assertEqual(self.counters["fault"], 1)
-        self.played.calls[0].write()
-        await self.back("done", tag="good")
+        self.fake_workers.calls[0].write()
+        await self.send_callback("done", tag="good")
         self.assertEqual([answer[0] for answer in self.answers], [500, 200])
 
-    async def test_a_fault_in_a_turn_costs_one_txn_its_life_and_not_its_answer(self) -> None:
+    async def test_a_fault_in_a_scheduling_pass_reverses_one_txn_and_answers_it(self) -> None:
         self.open()
         with mock.patch.object(self.service.loop.scheduler, "on_posting_sent", side_effect=ZeroDivisionError):
             await self.ask("bad")
@@ -354,36 +366,36 @@
         await self.settle(0.03)
         self.assertFalse(self.service.ledger.unanswered())
         await self.ask("good")
-        self.played.calls[-1].write()
-        await self.back("done", tag="good")
+        self.fake_workers.calls[-1].write()
+        await self.send_callback("done", tag="good")
         self.assertEqual([answer[0] for answer in self.answers], [500, 200])
 
-    async def test_told_to_end_it_answers_what_runs_by_then_and_what_still_comes(self) -> None:
+    async def test_a_stopping_service_answers_open_and_new_txns_by_its_deadline(self) -> None:
         self.open()
         await self.ask("runs", kind="charge")
-        self.played.calls[0].write()
+        self.fake_workers.calls[0].write()
         self.service.stop(self.service.clock.now() + 600)
         await self.ask("comes")
         await self.settle(0.1)
         self.assertEqual(sorted(answer[0] for answer in self.answers), [500, 503])
         self.assertFalse(self.service.ready)
 
-    async def test_a_decline_tells_when_to_come_back_and_no_worker_is_not_ready(self) -> None:
+    async def test_a_decline_sets_retry_after_and_without_workers_the_service_is_not_ready(self) -> None:
         self.open(workers=0)
         self.assertFalse(self.service.ready)
         await self.ask(within="30")
         await self.settle(0.05)
         self.assertEqual(self.answers, [(503, b"", ("Retry-After: 2.0000",))])
 
-    async def test_events_that_wait_together_share_one_turn(self) -> None:
+    async def test_events_due_together_share_one_scheduling_pass(self) -> None:
         self.open()
         await self.settle()
-        turns, turn = [], self.service.loop.run_pending
-        self.service.loop.run_pending = lambda: (turns.append(1), turn())[1]  # type: ignore[method-assign]
+        passes, run_pending = [], self.service.loop.run_pending
+        self.service.loop.run_pending = lambda: (passes.append(1), run_pending())[1]  # type: ignore[method-assign]
         for tag in ("a", "b", "c"):
             self.service.take(
                 Message(b"POST", b"/render", headers={b"req-id": tag.encode(), b"req-owner": b"acme"}),
                 lambda *_: None,
             )
         await self.settle()
-        self.assertEqual(len(turns), 1)
+        self.assertEqual(len(passes), 1)
