--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Stories of clients whose bytes, ends and answers cross: each order is forced, on the loopback."""
+"""Clients whose requests, disconnects and answers cross. Each order is forced, over loopback sockets."""
 
 import asyncio
 import errno
@@ -29,7 +29,7 @@
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 
 
-def job(tag: str, within: int = 5000, more: bytes = b"") -> bytes:
+def post_request(tag: str, within: int = 5000, more: bytes = b"") -> bytes:
     return (
         b"POST /render HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n%s"
         b"Content-Length: 0\r\n\r\n" % (tag.encode(), within, more)
@@ -37,7 +37,7 @@
 
 
 class Hooked(Tallied):
-    """Does something in the very moment in which the kernel has handed over bytes and nobody has resumed."""
+    """Runs a hook after the kernel has returned bytes and before the reading task has resumed."""
 
     __slots__ = ()
     hook: Callable[[], Any] | None = None
@@ -51,7 +51,7 @@
 
 
 class Clients(test_sockets.Peers):
-    """A front, with a worker that takes a connection and then says nothing; all on uvloop, as the program is."""
+    """A `Front` with a worker that accepts a connection and never answers, on uvloop as in production."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -63,13 +63,13 @@
 
     async def asyncSetUp(self) -> None:
         Hooked.hook = None
-        hooked = mock.patch.object(
+        patch = mock.patch.object(
             front_module,
             "to_counting_socket",
-            lambda given: Hooked(given.family, given.type, given.proto, fileno=given.detach()),
+            lambda accepted: Hooked(accepted.family, accepted.type, accepted.proto, fileno=accepted.detach()),
         )
-        hooked.start()
-        self.addCleanup(hooked.stop)
+        patch.start()
+        self.addCleanup(patch.stop)
         self.posted: list[bytes] = []
         self.counters, clock = Counters(), Clock()
         known = terms.terms(SETTINGS)
@@ -89,12 +89,12 @@
                 if line.startswith(b"Req-Id"):
                     self.posted.append(line)
         except asyncio.CancelledError:
-            pass  # the story has ended
+            pass  # the test has ended
 
     async def client(
         self, data: bytes = b"", room: int | None = None
     ) -> tuple[socket.socket, ClientConnection]:
-        """A client's bare socket, with room for so many bytes that it has not read, and our side of it."""
+        """Return a client's socket, with a receive buffer of `room` bytes, and its accepted connection."""
         sock = socket.socket()
         self.addCleanup(sock.close)
         if room is not None:
@@ -111,107 +111,109 @@
     def listed(self) -> None:
         self.service.listed(ListUpdate.WHOLE, [Row(Worker("w"), self.address)])
 
-    def done(self, tag: str, result: bytes = b"!") -> None:
-        """As the worker's callback tells it."""
+    def finish_txn(self, tag: str, result: bytes = b"!") -> None:
+        """Apply the worker's callback that the txn is done."""
         self.service.called_back(Callback(tag, "w", "done", Outcome.SETTLED, False, False, 0.0, result, None))
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def until(self, is_true: Callable[[], bool]) -> None:
         async with asyncio.timeout(10.0):
-            while not holds():
+            while not is_true():
                 await asyncio.sleep(0.002)
 
-    async def answer(self, sock: socket.socket) -> bytes:
-        """One answer, whole, or what came before the end."""
+    async def read_answer(self, sock: socket.socket) -> bytes:
+        """Return one answer, or what arrived before the connection ended."""
         async with asyncio.timeout(10.0):
-            came = b""
-            while b"\r\n\r\n" not in came:
-                part = await self.events.sock_recv(sock, 1 << 16)
-                if not part:
+            received = b""
+            while b"\r\n\r\n" not in received:
+                chunk = await self.events.sock_recv(sock, 1 << 16)
+                if not chunk:
                     break
-                came += part
-        return came
+                received += chunk
+        return received
 
-    async def rest(self, sock: socket.socket) -> bytes:
-        """All that still comes, up to a clean end."""
-        came = bytearray()
+    async def read_rest(self, sock: socket.socket) -> bytes:
+        """Return everything that still arrives, up to a clean end."""
+        received = bytearray()
         async with asyncio.timeout(10.0):
-            while part := await self.events.sock_recv(sock, 1 << 20):
-                came += part
-        return bytes(came)
+            while chunk := await self.events.sock_recv(sock, 1 << 20):
+                received += chunk
+        return bytes(received)
 
 
-class CrossingStory(Clients):
-    """Bytes that come in the moment in which their connection would be closed."""
+class CrossingRequestTest(Clients):
+    """Requests that arrive just as their connection would be closed."""
 
-    async def resting(self) -> tuple[socket.socket, ClientConnection]:
+    async def connect_idle(self) -> tuple[socket.socket, ClientConnection]:
         sock, connection = await self.client(READY)
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
         await self.until(lambda: connection.is_idle)
         return sock, connection
 
-    def closes(self) -> dict[str, Callable[[], Any]]:
+    def close_actions(self) -> dict[str, Callable[[], Any]]:
         return {"room": self.front.evict_connection, "stopping": self.front.quiet}
 
     def sweep(self) -> None:
-        """As if the time in which a call must be here were over."""
+        """Sweep as if the request timeout had passed."""
         with mock.patch.object(front_module, "REQUEST_TIMEOUT", 0):
             self.front.sweep()
 
-    async def test_a_call_that_the_kernel_has_handed_over_is_served_whatever_would_close_its_connection(
+    async def test_a_received_request_that_its_reader_has_not_seen_is_served_before_the_close(
         self,
     ) -> None:
-        for why, close in self.closes().items():
-            with self.subTest(why):
-                sock, connection = await self.resting()
+        for reason, close in self.close_actions().items():
+            with self.subTest(reason):
+                sock, connection = await self.connect_idle()
                 Hooked.hook = close
                 await self.events.sock_sendall(sock, READY)
-                self.assertIn(b" 200 ", await self.answer(sock))
+                self.assertIn(b" 200 ", await self.read_answer(sock))
                 self.assertIsNone(connection.code)
 
-    async def test_a_call_that_lies_unread_in_the_kernel_is_served_whatever_would_close_its_connection(
+    async def test_a_request_unread_in_the_kernel_is_served_before_the_close(
         self,
     ) -> None:
-        for why, close in self.closes().items():
-            with self.subTest(why):
-                sock, connection = await self.resting()
+        for reason, close in self.close_actions().items():
+            with self.subTest(reason):
+                sock, connection = await self.connect_idle()
                 sock.sendall(READY)
-                close()  # in the same turn: nobody has read
-                self.assertIn(b" 200 ", await self.answer(sock))
+                close()  # in the same event loop iteration: the reading task has not run
+                self.assertIn(b" 200 ", await self.read_answer(sock))
                 self.assertIsNone(connection.code)
 
-    async def test_a_first_call_that_came_while_we_stood_still_is_served_and_drops_put_nothing_off(
+    async def test_a_request_received_during_a_stall_is_served_and_trickled_bytes_extend_nothing(
         self,
     ) -> None:
         sock, _ = await self.client()
         sock.sendall(READY)
         self.sweep()
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
         sock, _ = await self.client()
         Hooked.hook = self.sweep
         sock.sendall(READY)
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
         sock, connection = await self.client(READY[:5])
         await self.until(lambda: connection.machine.midway)
         sock.sendall(READY[5:6])
         self.sweep()
-        self.assertIn(b" 408 ", await self.answer(sock))
+        self.assertIn(b" 408 ", await self.read_answer(sock))
 
-    async def test_with_nothing_unheard_it_is_closed_all_the_same(self) -> None:
-        for why, close in self.closes().items():
-            with self.subTest(why):
-                sock, connection = await self.resting()
+    async def test_without_unread_input_an_idle_connection_is_closed(self) -> None:
+        for reason, close in self.close_actions().items():
+            with self.subTest(reason):
+                sock, connection = await self.connect_idle()
                 close()
-                self.assertEqual(await self.rest(sock), b"")
-                self.assertEqual(connection.code, why)
+                self.assertEqual(await self.read_rest(sock), b"")
+                self.assertEqual(connection.code, reason)
 
 
-class GoneStory(Clients):
-    """Clients that leave, or say their last, while something of theirs waits."""
+class DisconnectTest(Clients):
+    """Clients that disconnect, or close their side, while a request of theirs waits."""
 
-    async def test_one_that_leaves_behind_a_full_buffer_is_seen_to_go_and_nothing_more_of_it_is_taken(
+    async def test_a_disconnect_behind_a_full_buffer_is_noticed_and_no_later_request_is_taken(
         self,
     ) -> None:
-        sock, connection = await self.client(job("a") + b"".join(job(f"b{i}") for i in range(50)))
+        sock, connection = await self.client(
+            post_request("a") + b"".join(post_request(f"b{i}") for i in range(50))
+        )
         await self.until(lambda: self.counters["posting.sent"] == 1 and connection.input.full)
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
@@ -219,170 +221,170 @@
             (connection.code, self.counters["txn.taken"], self.counters["posting"]), ("hung-up", 1, 1)
         )
 
-    async def test_what_is_too_much_behind_a_waiting_call_is_dropped_and_the_answer_says_so(self) -> None:
+    async def test_excess_input_behind_a_waiting_request_is_dropped_and_the_answer_closes(self) -> None:
         sock, connection = await self.client()
-        behind = b"".join(job(f"b{i}") for i in range(10_000))
+        later_requests = b"".join(post_request(f"b{i}") for i in range(10_000))
         async with asyncio.TaskGroup() as both:
-            both.create_task(self.events.sock_sendall(sock, job("a") + behind))
+            both.create_task(self.events.sock_sendall(sock, post_request("a") + later_requests))
             await self.until(lambda: self.counters["posting.sent"] == 1)
             await self.until(lambda: connection.read_bytes > 1_000_000)
-            self.assertLess(len(connection.input._room), 5000, "it took no memory")
-            self.done("a")
-            answer = await self.answer(sock)
+            self.assertLess(len(connection.input._room), 5000, "the buffer has not grown")
+            self.finish_txn("a")
+            answer = await self.read_answer(sock)
         self.assertIn(b" 200 ", answer)
         self.assertIn(b"\r\nConnection: close\r\n", answer)
-        self.assertEqual(await self.rest(sock), b"")
+        self.assertEqual(await self.read_rest(sock), b"")
         sock.close()
         await self.until(lambda: connection.code == "last-answer")
         self.assertEqual(self.counters["txn.taken"], 1)
 
-    async def test_a_few_calls_behind_a_waiting_one_are_served_in_their_order(self) -> None:
-        sock, _ = await self.client(job("a") + job("b") + READY)
+    async def test_a_few_pipelined_requests_are_served_in_order(self) -> None:
+        sock, _ = await self.client(post_request("a") + post_request("b") + READY)
         for tag in ("a", "b"):
             await self.until(lambda tag=tag: tag in self.service.ledger)  # type: ignore[misc]
             await self.until(lambda: self.counters["posting.sent"] == self.counters["txn.taken"])
-            self.done(tag, tag.encode())
-        came = b""
-        while came.count(b" 200 ") < 3:
-            came += await self.answer(sock)
-        self.assertLess(came.index(b"\r\n\r\na"), came.index(b"\r\n\r\nb"))
+            self.finish_txn(tag, tag.encode())
+        received = b""
+        while received.count(b" 200 ") < 3:
+            received += await self.read_answer(sock)
+        self.assertLess(received.index(b"\r\n\r\na"), received.index(b"\r\n\r\nb"))
 
-    async def test_nothing_of_one_that_left_while_it_was_held_is_posted_once_there_is_a_worker(self) -> None:
+    async def test_a_held_txn_of_a_disconnected_client_is_not_posted_later(self) -> None:
         self.service.listed(ListUpdate.WHOLE, [])
-        sock, _ = await self.client(job("a") + job("b"))
+        sock, _ = await self.client(post_request("a") + post_request("b"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
         self.listed()
-        await self.client(job("c"))
+        await self.client(post_request("c"))
         await self.until(lambda: self.counters["posting.sent"] == 1)
         self.assertEqual((self.counters["txn.taken"], self.counters["posting"]), (2, 1))
         await self.until(lambda: self.posted == [b"Req-Id: c\r\n"])
 
-    async def test_one_that_sends_its_call_and_leaves_at_once_is_not_sent_on(self) -> None:
+    async def test_a_txn_of_a_client_that_disconnects_at_once_is_not_posted(self) -> None:
         sock, _ = await self.client()
-        sock.sendall(job("a"))
+        sock.sendall(post_request("a"))
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
         self.assertEqual(self.counters["posting.sent"], 0)
 
-    async def test_a_call_behind_an_answered_one_is_not_sent_on_where_the_client_has_gone_by_then(
+    async def test_a_pipelined_txn_of_a_disconnected_client_is_not_posted(
         self,
     ) -> None:
-        sock, connection = await self.client(job("a") + job("b"))
+        sock, connection = await self.client(post_request("a") + post_request("b"))
         await self.until(lambda: self.counters["posting.sent"] == 1)
         sock.close()
-        self.done("a")  # in the same turn: the second is taken before its client's end is read
+        self.finish_txn("a")  # in the same iteration: the second request is taken before the FIN is read
         await self.until(lambda: connection.code is not None)
         self.listed()
-        await self.client(job("c"))
+        await self.client(post_request("c"))
         await self.until(lambda: self.counters["posting.sent"] == 2)
         self.assertEqual((self.counters["txn.taken"], self.counters["txn.hung_up"]), (3, 1))
         await self.until(lambda: len(self.posted) == 2)
         self.assertEqual(self.posted, [b"Req-Id: a\r\n", b"Req-Id: c\r\n"])
 
-    async def test_a_fin_while_it_waits_is_a_hang_up_and_under_an_answer_it_is_not(self) -> None:
-        sock, connection = await self.client(job("a"), room=100_000)
+    async def test_a_fin_hangs_up_a_waiting_request_but_not_an_answer_being_written(self) -> None:
+        sock, connection = await self.client(post_request("a"), room=100_000)
         await self.until(lambda: self.counters["posting.sent"] == 1)
-        self.done("a", b"x" * 8_000_000)
+        self.finish_txn("a", b"x" * 8_000_000)
         self.assertGreater(len(connection.output), 0)
         sock.shutdown(socket.SHUT_WR)
         await self.until(lambda: connection.peer_has_closed)
-        self.assertEqual((await self.rest(sock)).count(b"x"), 8_000_000)
+        self.assertEqual((await self.read_rest(sock)).count(b"x"), 8_000_000)
         self.assertEqual(connection.code, "last-answer")
-        sock, connection = await self.client(job("b"))
+        sock, connection = await self.client(post_request("b"))
         await self.until(lambda: self.counters["posting.sent"] == 2)
         sock.shutdown(socket.SHUT_WR)
-        self.assertEqual(await self.rest(sock), b"")
+        self.assertEqual(await self.read_rest(sock), b"")
         self.assertEqual((connection.code, self.counters["txn.hung_up"]), ("hung-up", 1))
 
-    async def test_of_two_answers_due_in_one_moment_one_goes_out(self) -> None:
-        sock, _ = await self.client(job("a"))
+    async def test_of_two_answers_due_at_once_only_one_is_sent(self) -> None:
+        sock, _ = await self.client(post_request("a"))
         await self.until(lambda: self.counters["posting.sent"] == 1)
         entry = self.service.ledger["a"]
-        self.done("a", b"first")
-        self.done("a", b"second")
+        self.finish_txn("a", b"first")
+        self.finish_txn("a", b"second")
         self.service._time_out(entry.exchanges[0])
         self.service.hang_up(entry)
         await self.events.sock_sendall(sock, READY)
-        came = await self.answer(sock)
-        while came.count(b"HTTP/1.1") < 2:
-            came += await self.answer(sock)
+        received = await self.read_answer(sock)
+        while received.count(b"HTTP/1.1") < 2:
+            received += await self.read_answer(sock)
         self.assertEqual(
-            [part.split(b"\r\n")[0] for part in came.split(b"HTTP/1.1 ")], [b"", b"200 OK", b"200 OK"]
+            [chunk.split(b"\r\n")[0] for chunk in received.split(b"HTTP/1.1 ")], [b"", b"200 OK", b"200 OK"]
         )
-        self.assertNotIn(b"second", came)
+        self.assertNotIn(b"second", received)
 
 
-class LastAnswerStory(Clients):
-    """Where the answer says `Connection: close` it arrives, whatever the client has sent behind its call."""
+class LastAnswerTest(Clients):
+    """An answer with `Connection: close` arrives, whatever the client has sent behind its request."""
 
     LAST = b"Connection: close\r\n"
 
-    async def answered(self, tag: str = "a") -> tuple[socket.socket, ClientConnection]:
-        """A client that has read its last answer, and does not close."""
+    async def connect_answered(self, tag: str = "a") -> tuple[socket.socket, ClientConnection]:
+        """Return a client that has read its last answer and does not close."""
         before = self.counters["posting.sent"]
-        sock, connection = await self.client(job(tag, more=self.LAST))
+        sock, connection = await self.client(post_request(tag, more=self.LAST))
         await self.until(lambda: self.counters["posting.sent"] > before)
-        self.done(tag)
-        self.assertIn(b" 200 ", await self.answer(sock))
-        self.assertEqual(await self.rest(sock), b"")
+        self.finish_txn(tag)
+        self.assertIn(b" 200 ", await self.read_answer(sock))
+        self.assertEqual(await self.read_rest(sock), b"")
         return sock, connection
 
-    async def test_bytes_behind_the_last_call_do_not_cost_its_answer(self) -> None:
-        self.front.stopping = True  # it is us who says that this answer is the last
+    async def test_bytes_behind_the_last_request_do_not_discard_its_answer(self) -> None:
+        self.front.stopping = True  # the server announces that this answer is the last
         sock, connection = await self.client(room=10_000)
-        sending = asyncio.create_task(self.events.sock_sendall(sock, job("a") + READY * 100_000))
+        sending = asyncio.create_task(self.events.sock_sendall(sock, post_request("a") + READY * 100_000))
         await self.until(lambda: self.counters["posting.sent"] == 1)
-        self.done("a", b"y" * 300_000)
-        # The most of it is with our kernel, and would go with a reset.
+        self.finish_txn("a", b"y" * 300_000)
+        # Most of the answer is in the kernel's send buffer; a reset would discard it.
         await self.until(lambda: not connection.output)
-        self.assertEqual((await self.rest(sock)).count(b"y"), 300_000)
+        self.assertEqual((await self.read_rest(sock)).count(b"y"), 300_000)
         await sending
 
-    async def test_nothing_that_comes_after_the_shutdown_is_taken(self) -> None:
-        sock, connection = await self.answered()
+    async def test_a_request_after_the_shutdown_of_a_connection_is_not_taken(self) -> None:
+        sock, connection = await self.connect_answered()
         self.assertIsNone(connection.code)
         before = connection.read_bytes
-        await self.events.sock_sendall(sock, job("late"))
+        await self.events.sock_sendall(sock, post_request("late"))
         await self.until(lambda: connection.read_bytes > before)
         sock.close()
         await self.until(lambda: connection.code == "last-answer")
         self.assertEqual(self.counters["txn.taken"], 1)
 
-    async def test_one_that_never_closes_is_let_go_in_time_and_first_of_all_for_room(self) -> None:
-        _, connection = await self.answered()
+    async def test_a_lingering_connection_times_out_and_is_evicted_first(self) -> None:
+        _, connection = await self.connect_answered()
         with mock.patch.object(front_module, "LINGER_IDLE_TIMEOUT", 0):
             self.front.sweep()
         self.assertEqual(connection.code, "last-answer")
-        idle, resting = await self.client(READY)
-        self.assertIn(b" 200 ", await self.answer(idle))
-        _, connection = await self.answered("b")
+        idle, idle_connections = await self.client(READY)
+        self.assertIn(b" 200 ", await self.read_answer(idle))
+        _, connection = await self.connect_answered("b")
         with mock.patch.object(front_module, "FIRST_BYTE_TIMEOUT", 0):
             self.assertTrue(self.front.evict_connection())
-        self.assertEqual((connection.code, resting.code), ("room", None))
+        self.assertEqual((connection.code, idle_connections.code), ("room", None))
 
 
-class AcceptStory(Clients):
-    """What happens at one accept is that connection's alone."""
+class AcceptTest(Clients):
+    """A fault in one accept affects only that connection."""
 
-    async def served(self) -> None:
+    async def assert_served(self) -> None:
         sock, _ = await self.client(READY)
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
 
-    async def test_one_that_cannot_be_set_up_ends_alone_and_the_next_is_accepted(self) -> None:
+    async def test_a_connection_whose_setup_fails_ends_alone_and_the_next_is_accepted(self) -> None:
         for fault in (OSError(errno.EINVAL, "gone"), ZeroDivisionError()):
             with mock.patch.object(front_module, "to_counting_socket", side_effect=fault):
                 sock = socket.create_connection(self.front.sock.getsockname())
                 self.addCleanup(sock.close)
                 sock.setblocking(False)
-                self.assertEqual(await self.rest(sock), b"")
-            await self.served()
+                self.assertEqual(await self.read_rest(sock), b"")
+            await self.assert_served()
         self.assertEqual(self.counters["visit_end.unwelcome"], 2)
 
-    async def test_an_accept_that_fails_is_not_the_last_and_costs_nobody_his_connection(self) -> None:
-        resting, connection = await self.client(READY)
-        self.assertIn(b" 200 ", await self.answer(resting))
+    async def test_after_a_failed_accept_others_are_accepted_and_no_connection_is_evicted(self) -> None:
+        idle_connections, connection = await self.client(READY)
+        self.assertIn(b" 200 ", await self.read_answer(idle_connections))
         for fault in (ConnectionAbortedError(errno.ECONNABORTED, "gone"), ZeroDivisionError()):
             with mock.patch.object(socket.socket, "accept", side_effect=fault):
                 sock = socket.create_connection(self.front.sock.getsockname())
@@ -391,12 +393,12 @@
                 await self.until(lambda code=code: self.counters[f"accept.{code}"] > 0)  # type: ignore[misc]
             before = self.counters["accepted"]
             await self.until(lambda before=before: self.counters["accepted"] > before)  # type: ignore[misc]
-            await self.served()
+            await self.assert_served()
         self.assertIsNone(connection.code)
 
 
-class FloodStory(Clients):
-    async def test_one_that_calls_and_calls_and_reads_nothing_costs_no_memory_and_is_served_as_it_reads(
+class FloodTest(Clients):
+    async def test_a_client_that_reads_no_answers_uses_bounded_memory_and_is_served_as_it_reads(
         self,
     ) -> None:
         many = 20_000
@@ -406,29 +408,29 @@
         await self.until(lambda: len(connection.output) > 100_000 or connection.input.full)
         self.assertLess(len(connection.output), 100_000)
         other, _ = await self.client(READY)
-        self.assertIn(b" 200 ", await self.answer(other))
-        count, came = 0, b""
+        self.assertIn(b" 200 ", await self.read_answer(other))
+        count, received = 0, b""
         async with asyncio.timeout(20.0):
             while count < many:
-                came = came[-11:] + await self.events.sock_recv(sock, 1 << 16)
-                count += came.count(b"HTTP/1.1 200")
-                came = came.rpartition(b"HTTP/1.1 200")[2]
+                received = received[-11:] + await self.events.sock_recv(sock, 1 << 16)
+                count += received.count(b"HTTP/1.1 200")
+                received = received.rpartition(b"HTTP/1.1 200")[2]
         self.assertLess(len(connection.output._room), 100_000)
         await sending
 
 
-class DescriptorStory(Clients):
-    """Idle clients hold all that there is, while discovery is down."""
+class DescriptorTest(Clients):
+    """Idle clients hold all descriptors while discovery is down."""
 
-    async def test_the_first_connection_to_each_worker_and_a_callback_are_had_all_the_same(self) -> None:
+    async def test_idle_clients_are_evicted_for_first_worker_links_and_callbacks(self) -> None:
         self.front.descriptor_limit, self.workers.links.most = 10, 2
-        resting = []
+        idle_connections = []
         for _ in range(8):
             sock, connection = await self.client(READY)
-            self.assertIn(b" 200 ", await self.answer(sock))
-            resting.append(connection)
+            self.assertIn(b" 200 ", await self.read_answer(sock))
+            idle_connections.append(connection)
         taken = []
-        for worker in range(6):  # three times as many as `links.most`: each its first one
+        for worker in range(6):  # three times `links.most`, each the first one to its worker
             self.assertTrue(self.front.spare_descriptor())
             pool = self.workers.links.pool(f"w{worker}")
             self.assertTrue(self.workers.links.may_open(pool))
@@ -438,23 +440,23 @@
                 self.workers.links.count + len(self.front.connections), self.front.descriptor_limit
             )
         self.assertEqual(
-            [connection.code for connection in resting],
+            [connection.code for connection in idle_connections],
             ["room"] * 4 + [None] * 4,
-            "the longest idle ones went",
+            "the longest idle ones were evicted",
         )
-        told = b'{"id":"a","from":"w","state":"started"}'
+        callback = b'{"id":"a","from":"w","state":"started"}'
         sock, connection = await self.client(
-            b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(told), told)
+            b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(callback), callback)
         )
-        self.assertIn(b" 204 ", await self.answer(sock))
+        self.assertIn(b" 204 ", await self.read_answer(sock))
         self.assertTrue(connection.is_worker)
         self.assertLessEqual(
             self.workers.links.count + len(self.front.connections), self.front.descriptor_limit
         )
 
-    async def test_none_is_had_where_every_client_waits_for_its_answer(self) -> None:
+    async def test_no_client_that_waits_for_an_answer_is_evicted(self) -> None:
         self.front.descriptor_limit = 1
-        sock, _ = await self.client(job("a"))
+        sock, _ = await self.client(post_request("a"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
         self.assertFalse(self.front.spare_descriptor())
         self.front.descriptor_limit = 3
@@ -463,72 +465,74 @@
         sock.close()
 
 
-class LastMomentStory(Clients):
-    """Who comes while we are about to end."""
+class ShutdownTest(Clients):
+    """Clients that connect at the end of the shutdown."""
 
-    def caller(self, data: bytes) -> socket.socket:
-        """Connected and written by the kernels alone: nobody has accepted it."""
+    def connect_unaccepted(self, data: bytes) -> socket.socket:
+        """Return a connected socket with data written; the server has not accepted it."""
         sock = socket.create_connection(self.front.sock.getsockname())
         self.addCleanup(sock.close)
         sock.sendall(data)
         sock.setblocking(False)
         return sock
 
-    async def finish(self, then: Callable[[], Any]) -> None:
-        """The end of a dispatcher that was told so; in its last moment this happens."""
+    async def finish(self, action: Callable[[], Any]) -> None:
+        """Run the shutdown of a dispatcher, with `action` right before its end."""
         dispatcher = Dispatcher.__new__(Dispatcher)
         dispatcher.clock, dispatcher.service, dispatcher.front = self.service.clock, self.service, self.front
         dispatcher.workers, dispatcher.discovery, dispatcher.fellows = self.workers, mock.Mock(), None
         dispatcher.longest = SECOND
-        quiet, moments = self.front.quiet, iter((then,))
+        quiet, actions = self.front.quiet, iter((action,))
 
         def last() -> bool:
             is_quiet = quiet()
             if is_quiet:
-                next(moments, lambda: None)()
+                next(actions, lambda: None)()
             return is_quiet
 
         with mock.patch.object(self.front, "quiet", last), mock.patch.object(start_module, "COMING", 0):
             await dispatcher._finish()
-        self.front.sock.close()  # as the end of the process does
+        self.front.sock.close()  # as the end of the process would
 
-    async def test_one_that_waits_in_the_kernels_queue_in_the_last_moment_is_answered(self) -> None:
+    async def test_a_client_in_the_accept_queue_at_the_end_is_answered(self) -> None:
         callers: list[socket.socket] = []
-        await self.finish(lambda: callers.extend(self.caller(job(tag)) for tag in ("a", "b")))
+        await self.finish(
+            lambda: callers.extend(self.connect_unaccepted(post_request(tag)) for tag in ("a", "b"))
+        )
         for sock in callers:
-            answer = await self.rest(sock)
+            answer = await self.read_rest(sock)
             self.assertIn(b" 503 ", answer)
             self.assertIn(b"\r\nConnection: close\r\n", answer)
-        self.assertEqual(self.counters["posting"], 0, "nothing is begun for what comes now")
+        self.assertEqual(self.counters["posting"], 0, "no posting is started during the shutdown")
 
-    async def test_one_accepted_in_the_moment_of_the_end_is_answered_and_the_next_is_refused(self) -> None:
+    async def test_a_client_accepted_during_the_close_is_answered_and_the_next_is_refused(self) -> None:
         accept, shutting, address = socket.socket.accept, [], self.front.sock.getsockname()
 
-        def accepts(listener: socket.socket) -> tuple[socket.socket, Any]:
-            pair = accept(listener)
+        def accept_and_shut(listener: socket.socket) -> tuple[socket.socket, Any]:
+            accepted = accept(listener)
             shutting.append(self.events.create_task(self.front.shut()))
-            return pair
+            return accepted
 
-        with mock.patch.object(socket.socket, "accept", accepts):
-            sock = self.caller(READY)
+        with mock.patch.object(socket.socket, "accept", accept_and_shut):
+            sock = self.connect_unaccepted(READY)
             await self.until(lambda: bool(shutting))
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
         await shutting[0]
         with self.assertRaises(ConnectionRefusedError):
             socket.create_connection(address)
 
-    async def test_one_just_accepted_is_given_time_for_its_first_call_before_the_end(self) -> None:
+    async def test_a_new_connection_has_time_for_its_first_request_before_the_end(self) -> None:
         sock, connection = await self.client()
         self.assertFalse(self.front.quiet())
         self.assertTrue(self.front.in_use())
         await self.events.sock_sendall(sock, READY)
-        self.assertIn(b" 200 ", await self.answer(sock))
+        self.assertIn(b" 200 ", await self.read_answer(sock))
         _, silent = await self.client()
         with mock.patch.object(front_module, "FIRST_BYTE_TIMEOUT", 0):
             self.assertTrue(self.front.quiet())
         self.assertEqual((connection.code, silent.code), ("stopping", "stopping"))
 
-    async def test_the_end_waits_for_a_last_answer_to_arrive_but_not_for_ever(self) -> None:
+    async def test_the_shutdown_waits_a_limited_time_for_a_last_answer_to_arrive(self) -> None:
         self.front.stopping = True
         _, connection = await self.client(READY)
         await self.until(lambda: connection.lingers_since is not None)
