--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -437,7 +437,7 @@
 
         The first connection to each worker is allowed beyond `links.most`. Without this check, those and the
         clients' connections together could exceed the descriptors. An evicted one is returned to the kernel
-        one event loop iteration later; until then the reserve covers it.
+        one event loop iteration later; until then the reserve (`SPARE` in start.py) covers it.
         """
         if self.service.workers.links.count + len(self.connections) >= self.descriptor_limit:
             self.evict_connection()
