--- a/pathsaddle/config/assembly.py
+++ b/pathsaddle/config/assembly.py
@@ -14,10 +14,10 @@
 from pathsaddle.config.schema import Configuration, Federation, Jobs
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.service.workers import Workers
-from pathsaddle.net.wire.forms import Words
+from pathsaddle.net.wire.forms import MessageDecoder
 from pathsaddle.scheduler_types import SchedulerConfig
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     """What every `TxnService` is made with, in the order of its constructor."""
 
     terms: SchedulerConfig
-    words: Words
+    words: MessageDecoder
     seed: int
     clock: Clock
     workers: Workers
@@ -104,7 +104,7 @@
 
 
 def build_membership(
-    configuration: Configuration, file: str, environment: Ground, counters: Counters
+    configuration: Configuration, file: str, environment: Environment, counters: Counters
 ) -> MembershipDriver | None:
     """Builds this dispatcher's member of the fleet.
 
--- a/pathsaddle/config/dispatcher.py
+++ b/pathsaddle/config/dispatcher.py
@@ -22,7 +22,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.discovery import DiscoveryWatch
-from pathsaddle.net.service.ground import Fellows, Ground
+from pathsaddle.net.service.ground import Environment, FleetParticipant
 from pathsaddle.net.service.txn_service import TxnService
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     from pathsaddle.settings.dispatcher_subscription import DispatcherSubscription
 
 
-class ConfiguredDispatcher(Ground):
+class ConfiguredDispatcher(Environment):
     """What a dispatcher takes from its machine and from its operator's file.
 
     Attributes:
@@ -93,7 +93,7 @@
         stream = MeteredStream(self._metering.meter, self.stream)
         return MeteredWatch(stream, address, index, service, counters)
 
-    def fellows(self, counters: Counters) -> Fellows | None:
+    def fellows(self, counters: Counters) -> FleetParticipant | None:
         """What begins and ends with the dispatcher: membership, and the subscription to shared settings.
 
         Returns:
--- a/pathsaddle/config/metering.py
+++ b/pathsaddle/config/metering.py
@@ -20,10 +20,10 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.discovery import DiscoveryWatch
-from pathsaddle.net.service.pump import Opening, Tallied
+from pathsaddle.net.service.pump import CountingSocket, SocketFactory
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.wire.forms import Words
-from pathsaddle.net.wire.http import Calling, Message
+from pathsaddle.net.wire.forms import MessageDecoder
+from pathsaddle.net.wire.http import ClientProtocol, Message
 from pathsaddle.net.wire.terms import Peer
 from pathsaddle.scheduler_types import LoadReport, Worker
 
@@ -54,13 +54,13 @@
         meter: What measures.
     """
 
-    def __init__(self, meter: ControlMeter, open_stream: Opening) -> None:
+    def __init__(self, meter: ControlMeter, open_stream: SocketFactory) -> None:
         """Opens nothing yet; `open_stream` opens a TCP socket to an address."""
         self.meter, self._open_stream = meter, open_stream
-        self._socket: Tallied | None = None
+        self._socket: CountingSocket | None = None
         self._received_bytes = self._sent_bytes = 0  # of the present socket, as far as they are in the meter
 
-    def open(self, address: str) -> tuple[Tallied, Peer]:
+    def open(self, address: str) -> tuple[CountingSocket, Peer]:
         """Opens the next socket, as `net` asks for one."""
         self.count_bytes()  # what the socket before has transferred since
         self._socket, peer = self._open_stream(address)
@@ -71,7 +71,7 @@
         """Adds to the meter what the socket has transferred since the last call."""
         if self._socket is None:
             return
-        received, sent = self._socket.taken, self._socket.given
+        received, sent = self._socket.received_bytes, self._socket.sent_bytes
         if (received, sent) != (self._received_bytes, self._sent_bytes):
             new_received, new_sent = received - self._received_bytes, sent - self._sent_bytes
             self._received_bytes, self._sent_bytes = received, sent
@@ -104,13 +104,13 @@
         await self._stream.meter.steps("list", super()._follow(), self._stream.count_bytes)
 
 
-class MeteredWords(Words):
+class MeteredWords(MessageDecoder):
     """Reads the wire's names; measures the reading of load reports and the bytes of probes' answers."""
 
     meter: ControlMeter
 
     @classmethod
-    def of(cls, words: Words, meter: ControlMeter) -> MeteredWords:
+    def of(cls, words: MessageDecoder, meter: ControlMeter) -> MeteredWords:
         """Makes a measured reader of the same names."""
         metered = cls.__new__(cls)
         metered.__dict__.update(words.__dict__)
@@ -120,16 +120,16 @@
     def report(self, load: Any) -> LoadReport | None:
         """Reads a worker's load report, wherever it stood."""
         self.meter.came("reports", len(load if isinstance(load, str) else str(load)))
-        return self.meter.runs("reports", lambda: Words.report(self, load))
+        return self.meter.runs("reports", lambda: MessageDecoder.decode_report(self, load))
 
-    def report_in(self, answer: Message) -> LoadReport | None:
+    def extract_report(self, answer: Message) -> LoadReport | None:
         """Reads the load report in an answer; that of a probe counts with all its bytes."""
         if self.meter.within("looks"):
             headers_bytes = sum(
-                len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in answer.lines
+                len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in answer.raw_headers
             )
             self.meter.came("looks", STATUS_LINE_BYTES + len(answer.body) + headers_bytes)
-        return super().report_in(answer)
+        return super().extract_report(answer)
 
 
 class DispatcherMetering:
@@ -170,12 +170,12 @@
 
     def meter_worker_probes(self, service: TxnService) -> None:
         """Measures each probe of a worker, and the bytes of its request."""
-        probe, workers, request = service.looks, service.workers, Calling()
+        probe, workers, request = service.looks, service.workers, ClientProtocol()
 
         def metered_probe(worker: Worker) -> Coroutine[Any, Any, None]:
             """The probe of one worker, measured."""
             host = workers.addresses.get(worker.tag, "")
-            self.meter.went("looks", len(request.ask("GET", service.look_target, host, [])))
+            self.meter.went("looks", len(request.send_request("GET", service.look_target, host, [])))
             return self.meter.steps("looks", probe(worker))
 
         service.looks = metered_probe
--- a/pathsaddle/config/register_schema.py
+++ b/pathsaddle/config/register_schema.py
@@ -61,10 +61,10 @@
 
 def _check_ipv4(key: str, address: str) -> None:
     """Raises ValueError where the address is none, or is one of IPv6."""
-    from pathsaddle.net.wire.terms import peer_of
+    from pathsaddle.net.wire.terms import parse_peer
 
     try:
-        is_ipv6 = ":" in peer_of(address)[0]
+        is_ipv6 = ":" in parse_peer(address)[0]
     except ValueError:
         is_ipv6 = True
     if is_ipv6:
--- a/pathsaddle/config/reload.py
+++ b/pathsaddle/config/reload.py
@@ -175,7 +175,7 @@
     new_terms = terms.terms(platform_settings(changed_only))
     schemes: dict[str, Scheme | None] = _replace_values(request_classes, new_terms.schemes)
     customers: dict[str, Customer | None] = _replace_values(tenants, new_terms.customers)
-    words = service.words.retuned(schemes, customers, after.zones)
+    words = service.words.with_changes(schemes, customers, after.zones)
     all_terms = dataclasses.replace(
         new_terms, schemes=list(words.schemes.values()), customers=list(words.customers.values())
     )
--- a/pathsaddle/consensus/__main__.py
+++ b/pathsaddle/consensus/__main__.py
@@ -20,7 +20,7 @@
 from pathsaddle.errors import Error
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.scheduler_types import SECOND
 
 USAGE = """python -m pathsaddle.ownership found CHARTER: begins a voter's register, once in its life.
@@ -49,7 +49,7 @@
     if command == "found":
         create_log(config.directory, config.name, config.acceptors)
     else:
-        asyncio.run(serve(RegisterDriver(config, Ground(), SystemRandom(), Counters())))
+        asyncio.run(serve(RegisterDriver(config, Environment(), SystemRandom(), Counters())))
 
 
 def main(arguments: list[str]) -> int:
--- a/pathsaddle/consensus/datagram_channel.py
+++ b/pathsaddle/consensus/datagram_channel.py
@@ -29,7 +29,7 @@
 from pathsaddle.fleet.rate_limiter import RateLimiter
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.wire.terms import Peer, parse_peer
 
 MAX_DATAGRAMS_PER_READ = 64  # then the event loop's other work has its turn
 MAX_PEERS = 4096  # addresses of processes that are no acceptors
@@ -66,10 +66,10 @@
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self._socket.bind(address)
         except (OSError, ValueError) as error:
-            from pathsaddle.net.service.place import unhad
+            from pathsaddle.net.service.place import bind_error
 
-            raise unhad(error, "fleet.owners.listen", config.listen, config.file) from None
-        self._peers: dict[str, Peer] = {name: peer_of(text) for name, text in config.acceptors.items()}
+            raise bind_error(error, "fleet.owners.listen", config.listen, config.file) from None
+        self._peers: dict[str, Peer] = {name: parse_peer(text) for name, text in config.acceptors.items()}
 
     def fileno(self) -> int:
         """Return the socket's file descriptor, for the event loop."""
--- a/pathsaddle/drill/codec.py
+++ b/pathsaddle/drill/codec.py
@@ -20,8 +20,8 @@
 }
 LIST_UPDATES = {
     "D": ListUpdate.CHANGES,
-    "F": ListUpdate.WHOLE,
-    "C": ListUpdate.REMEMBERED,
+    "F": ListUpdate.COMPLETE,
+    "C": ListUpdate.CACHED,
     "X": ListUpdate.FAILED,
 }
 LISTED_STATES = {"Ready": ListedState.READY, "Terminating": ListedState.DRAINING, "Gone": ListedState.GONE}
--- a/pathsaddle/emulator/ground/links.py
+++ b/pathsaddle/emulator/ground/links.py
@@ -20,10 +20,10 @@
 
 from pathsaddle.emulator.ground.moments import HOST, Linked, Moments, OwnClock, Process
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.service.pump import Tallied
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.service.pump import CountingSocket
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.wire.terms import Peer, parse_peer
 
 if TYPE_CHECKING:
     from pathsaddle.fleet.udp_driver import MembershipDriver
@@ -155,7 +155,7 @@
         self.knocking: deque[asyncio.Future[None]] = deque()
         self.open = True
         self.abrupt = False
-        self.given = self.taken = 0  # bytes that have gone out here, and that were read
+        self.sent_bytes = self.received_bytes = 0  # bytes that have gone out here, and that were read
         host.sockets[self] = None
 
     # As of socket.socket.
@@ -222,7 +222,7 @@
             side.stir()
             side.peer.stir()
 
-    def stirred(self) -> bool:
+    def has_unread_input(self) -> bool:
         side = self.side
         return side is None or bool(side.inbound) or side.fault is not None or side.closed or side.ended
 
@@ -327,7 +327,7 @@
         count = min(len(buf), len(side.inbound))
         buf[:count] = side.inbound[:count]
         del side.inbound[:count]
-        self.taken += count
+        self.received_bytes += count
         if side.peer.writer is not None:
             side.peer.stir()
         return count
@@ -357,12 +357,12 @@
             self.net.digest.update(b"%d %d\n" % (self.net.loop._ns, side.number))
             self.net.digest.update(part)
             side.peer.inbound += part
-            self.given += len(part)
+            self.sent_bytes += len(part)
             rest = rest[len(part) :]
             side.peer.stir()
 
 
-class VirtualGround(Ground):
+class VirtualGround(Environment):
     """What an emulated process takes from its host."""
 
     def __init__(
@@ -381,14 +381,14 @@
 
     def datagrams(self, address: str) -> tuple[socket.socket, Peer]:
         assert self.host.net.datagram is not None
-        return cast(socket.socket, self.host.net.datagram(self.host)), peer_of(address)
+        return cast(socket.socket, self.host.net.datagram(self.host)), parse_peer(address)
 
     def fellows(self, counters: Counters) -> MembershipDriver | None:
         return self._fellows(self, counters)
 
-    def stream(self, address: str) -> tuple[Tallied, Peer]:
-        peer = peer_of(address)
-        return cast(Tallied, self.host.net.stream(self.host)), peer
+    def stream(self, address: str) -> tuple[CountingSocket, Peer]:
+        peer = parse_peer(address)
+        return cast(CountingSocket, self.host.net.stream(self.host)), peer
 
     def service(self, *told: Any) -> TxnService:
         return self._service(*told)
--- a/pathsaddle/emulator/ground/relays.py
+++ b/pathsaddle/emulator/ground/relays.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pathsaddle.emulator.ground.air import Air
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.wire.terms import Peer, parse_peer
 
 MOST = 65_536
 AT_ONCE = 64
@@ -23,14 +23,14 @@
         """`now`: the run's clock, ticks. `ways`: by name, (its own address, ours for it)."""
         self.now, self.air = now, air
         self.loop = asyncio.get_running_loop()
-        self.own: dict[str, Peer] = {name: peer_of(own) for name, (own, _) in ways.items()}
+        self.own: dict[str, Peer] = {name: parse_peer(own) for name, (own, _) in ways.items()}
         self.names = {peer: name for name, peer in self.own.items()}
         self.sockets: dict[str, socket.socket] = {}
         for name, (_, ours) in ways.items():
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-            sock.bind(peer_of(ours))
+            sock.bind(parse_peer(ours))
             self.sockets[name] = sock
             self.loop.add_reader(sock.fileno(), self._come, name, sock)
 
@@ -74,11 +74,11 @@
 
     def __init__(self, air: Air, sender: str, taker: str, ours: str, own: str) -> None:
         self.air, self.ends = air, (sender, taker)
-        self.own = peer_of(own)
+        self.own = parse_peer(own)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
-        self.sock.bind(peer_of(ours))
+        self.sock.bind(parse_peer(ours))
         self.sock.listen(64)
         self.loop = asyncio.get_running_loop()
         self.tasks: dict[asyncio.Task[None], None] = {}
--- a/pathsaddle/emulator/hollow/open_txns.py
+++ b/pathsaddle/emulator/hollow/open_txns.py
@@ -18,7 +18,7 @@
 from pathsaddle.config.schema import Configuration
 from pathsaddle.config.validation import validate
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
-from pathsaddle.net.wire.birth import Birth, birth
+from pathsaddle.net.wire.birth import StartConfig, birth
 from pathsaddle.net.wire.http import Message
 from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import SECOND, ListUpdate, LoadReport, Outcome, Posting, Txn, Worker
@@ -101,10 +101,10 @@
         self.now = 100 * SECOND
         self.ledger = Ledger()
         self.door = Door(self.ledger)
-        self.loop = SchedulerDriver(self.door, self.born.terms, seed, self.now)
+        self.loop = SchedulerDriver(self.door, self.born.scheduler, seed, self.now)
         self.loop.set_now(self.now)
-        self.workers = [row.worker for row in self.born.rows]
-        self.loop.on_list_update(ListUpdate.WHOLE, self.workers)
+        self.workers = [row.worker for row in self.born.list_rows]
+        self.loop.on_list_update(ListUpdate.COMPLETE, self.workers)
         self.reports(self.workers, free)
         self.count = 0
 
@@ -129,10 +129,10 @@
             b"POST",
             b"/usual",
             headers={name.lower(): value for name, value in lines},
-            lines=lines,
+            raw_headers=lines,
             body=bytes(self.setting.body),
         )
-        entry = Entry(self.born.words.txn(call, self.now), call, answers_nothing)
+        entry = Entry(self.born.decoder.decode_txn(call, self.now), call, answers_nothing)
         self.ledger.open(entry)
         return entry
 
@@ -153,7 +153,7 @@
     pass
 
 
-def birth_of(seed: int, setting: Setting) -> Birth:
+def birth_of(seed: int, setting: Setting) -> StartConfig:
     charter = validate(
         Configuration,
         {
@@ -201,7 +201,7 @@
         found[f"{name}_bytes"] = (tracemalloc.get_traced_memory()[0] - before) / point
         tracemalloc.stop()
         member.loop.run_pending()
-        out = sum(bool(entry.exchanges) for entry in member.ledger.unanswered())
+        out = sum(bool(entry.exchanges) for entry in member.ledger.unanswered_entries())
         found[name] = out if name == "posted" else len(member.loop.scheduler.waiting)
         if name == "held":
             found |= looks(member)
@@ -210,7 +210,7 @@
             for _ in range(WATCHED):
                 member.passes()
             found["watch_us"] = (time.process_time() - begun) / point / (WATCHED / 10) * 1e6
-        entries = member.ledger.unanswered()
+        entries = member.ledger.unanswered_entries()
         begun = time.process_time()
         for entry in entries:
             member.loop.shorten_deadline(entry.txn, member.now + by)
@@ -249,7 +249,7 @@
     begun = time.process_time()
     for i, entry in enumerate(entries):
         posting = Posting(entry.txn, member.workers[i % len(member.workers)], 0, member.now - SECOND)
-        entry.exchanges.append(Exchange(posting, entry, 600 * SECOND, begun=True, accepted=True))
+        entry.exchanges.append(Exchange(posting, entry, 600 * SECOND, has_begun=True, is_accepted=True))
         member.loop.resume_txn(entry.txn, [posting])
     member.loop.run_pending()
     return (time.process_time() - begun) / point * 1e6
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -23,7 +23,7 @@
 from pathsaddle.config.schema import Configuration
 from pathsaddle.config.validation import validate
 from pathsaddle.net.wire.birth import birth
-from pathsaddle.net.wire.forms import Row
+from pathsaddle.net.wire.forms import ListRow
 from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     MILLISECOND,
@@ -155,14 +155,14 @@
         self.index = 1
         known = {"index": 1, "snapshot": True, "endpoints": []}
         self.born = birth(json.dumps(platform_config(charter(setting), known)))
-        self.born.terms.has_watch_heartbeats = (
+        self.born.scheduler.has_watch_heartbeats = (
             False  # the list here speaks by lines alone: no beat tells that it is still there
         )
-        self.scheme = self.born.terms.schemes[0]
+        self.scheme = self.born.scheduler.schemes[0]
         self.run = int(setting.run * SECOND)
         self.known: dict[str, Worker] = {}
         self.out: dict[Worker, int] = {}
-        self.loop = SchedulerDriver(self, self.born.terms, seed, self.now)
+        self.loop = SchedulerDriver(self, self.born.scheduler, seed, self.now)
 
     # What the loop asks for.
 
@@ -245,12 +245,12 @@
     def hears(self, line: bytes) -> tuple[int, int]:
         """A line of the list, read and told; nanoseconds for reading, and for the rest."""
         begun = time.thread_time_ns()
-        self.index, news, rows = self.born.words.list_line(line)
+        self.index, news, rows = self.born.decoder.decode_list_line(line)
         read = time.thread_time_ns()
         self.follows(news, rows)
         return read - begun, time.thread_time_ns() - read
 
-    def follows(self, news: ListUpdate, rows: Iterable[Row]) -> None:
+    def follows(self, news: ListUpdate, rows: Iterable[ListRow]) -> None:
         """As the txn service does it."""
         told_now = []
         for row in rows:
@@ -301,20 +301,20 @@
         door.txns(64)
         choice = door.loop.scheduler
         scans = scanned = ranked = 0
-        rooms, load = choice.rooms, choice.load
+        rooms, load = choice.competing_workers, choice.load
 
-        def rooms_counted(books: Iterable[WorkerState]) -> dict[WorkerState, float]:
+        def rooms_counted(states: Iterable[WorkerState]) -> dict[WorkerState, float]:
             nonlocal scans, scanned
-            several = list(books)
+            several = list(states)
             scans, scanned = scans + 1, scanned + len(several)
             return rooms(several)
 
-        def load_counted(book: WorkerState, room: float, txn: Txn) -> float:
+        def load_counted(state: WorkerState, free_slots: float, txn: Txn) -> float:
             nonlocal ranked
             ranked += 1
-            return load(book, room, txn)
+            return load(state, free_slots, txn)
 
-        choice.rooms, choice.load = rooms_counted, load_counted  # type: ignore[method-assign]
+        choice.competing_workers, choice.load = rooms_counted, load_counted  # type: ignore[method-assign]
         settled, looks = door.settled, door.looks
         door.txns(setting.txns)
         done = max(1, door.settled - settled)
@@ -325,8 +325,8 @@
             "looks_per_txn": (door.looks - looks) / done,
             "unsettled": float(setting.txns - (door.settled - settled)),
         }
-        del choice.rooms, choice.load
-        choice.ranked = []
+        del choice.competing_workers, choice.load
+        choice.scored_workers = []
         door.spent.clear()
         gc.collect()
         used = tracemalloc.get_traced_memory()[0]
@@ -373,7 +373,7 @@
     door.hears(line)
     begun = time.thread_time_ns()
     for n in range(ORDERS):
-        door.loop.scheduler.order(f"key {n}")
+        door.loop.scheduler.key_order(f"key {n}")
     figures["order_ms"] = (time.thread_time_ns() - begun) / ORDERS / 1e6
     # Every worker is full, and says so.
     door.full = True
@@ -386,7 +386,7 @@
     door.spent.clear()
     for _ in range(setting.looks):
         door.now += 10 * MILLISECOND
-        door.loop.scheduler.look_due = door.now
+        door.loop.scheduler.scan_due = door.now
         door.goes(lambda: None)
     figures["held_us"] = sum(door.spent) / setting.looks / 1e3
     return {**figures, **counted(setting, seed, point)}
--- a/pathsaddle/emulator/hollow/sockets_members.py
+++ b/pathsaddle/emulator/hollow/sockets_members.py
@@ -34,7 +34,7 @@
 from pathsaddle.fleet.rate_limiter import SECOND
 from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 
 LEASE = 2  # seconds: the shortest that a charter may say
 LONGEST = 30.0  # seconds that any step may take before the play is given up
@@ -104,7 +104,7 @@
             MembershipConfig(
                 place.name, place.zone, address, address, addresses[:3], "", options, budgets=quotas
             ),
-            Ground(),
+            Environment(),
             IncarnationStore(None, place.name),
             Random(f"{told['seed']}/{place.name}"),
             counters,
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -27,7 +27,7 @@
 from pathsaddle.config.loader import platform_settings, read_configuration
 from pathsaddle.config.schema import Configuration
 from pathsaddle.emulator.hollow.serving import Ground, rss_mib
-from pathsaddle.scheduler import HANDFUL
+from pathsaddle.scheduler import MIN_BUCKET_TXNS
 from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     SECOND,
@@ -325,7 +325,7 @@
         self.alarm = -1
         self.loop = SchedulerDriver(self, terms, seed, self.now)
         self.loop.set_now(self.now)
-        self.loop.on_list_update(ListUpdate.WHOLE, [Worker(f"w{i}") for i in range(workers)])
+        self.loop.on_list_update(ListUpdate.COMPLETE, [Worker(f"w{i}") for i in range(workers)])
         self.loop.run_pending()
 
     def later(self, when: int, what: Callable[[], None]) -> None:
@@ -416,13 +416,13 @@
     customers = [Customer(i, 5.25, 1 / teams) for i in range(teams)]
     door = HollowDoor(customers, 1, 1, seed)
     choice = door.loop.scheduler
-    for account in choice.accounts.values():
+    for account in choice.customer_usage.values():
         account.arrivals.extend(sorted(door.now - chance.randrange(60 * SECOND) for _ in range(10)))
     looks = max(20, 20_000 // teams)
 
     def look() -> None:
         for _ in range(looks):
-            choice.judge_part()
+            choice.update_traffic_share()
 
     return 1e6 * spent(look) / looks
 
@@ -464,7 +464,7 @@
 
 def granted(door: HollowDoor) -> float:
     """What part of a team's share this dispatcher takes to be its own to grant, as `Choice.appraise` has it."""
-    return 1.15 * door.loop.scheduler.part
+    return 1.15 * door.loop.scheduler.traffic_share
 
 
 def hop_times(teams: int, setting: Setting) -> float:
@@ -472,7 +472,7 @@
     share = setting.busy / teams
     even, within = 1.15 / setting.dispatchers, 0
     for second in range(setting.hops):
-        account = CustomerUsage(share / SECOND, second * SECOND, HANDFUL)
+        account = CustomerUsage(share / SECOND, second * SECOND, MIN_BUCKET_TXNS)
         sends = max(10, int(10 * share))
         within += sum(account.try_consume(second * SECOND + i * SECOND // sends, even) for i in range(sends))
     return within / (share * setting.hops)
--- a/pathsaddle/emulator/overload/member.py
+++ b/pathsaddle/emulator/overload/member.py
@@ -28,7 +28,7 @@
 from pathsaddle.fleet.quota.quota_limiter import QuotaConfig
 from pathsaddle.fleet.udp_driver import MembershipConfig, MembershipDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.scheduler_types import SECOND
 
 RUN = SECOND // 5
@@ -52,7 +52,7 @@
             MembershipConfig(
                 self.name, "east", told["listen"], told["address"], told["seeds"], "", ways, budgets=dealt
             ),
-            Ground(),
+            Environment(),
             IncarnationStore(None, self.name),
             Random(f"{self.name} fellows"),
             Counters(),
--- a/pathsaddle/emulator/ownership/process.py
+++ b/pathsaddle/emulator/ownership/process.py
@@ -36,8 +36,8 @@
 from pathsaddle.event_log import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.scheduler_types import SECOND
 
 WORK_PAUSE_SECONDS = 0.01
@@ -51,7 +51,7 @@
     def __init__(self, register: RegisterDriver, events: Path, stores: list[str]) -> None:
         self.register, self.name = register, register.config.name
         self.file = events.open("ab", buffering=0)
-        self.stores = [peer_of(store) for store in stores]
+        self.stores = [parse_peer(store) for store in stores]
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         self.effects = 0
@@ -161,7 +161,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     configuration = read_configuration(Path(file))
     logbook.open_log(configuration.log.level, configuration.log.form)
-    register = RegisterDriver(register_config(configuration), Ground(), SystemRandom(), Counters())
+    register = RegisterDriver(register_config(configuration), Environment(), SystemRandom(), Counters())
     worker = Worker(register, Path(events), list(stores))
     worker.log("member.began", life=register.lease_manager.incarnation)
     register.begin()
--- a/pathsaddle/emulator/state/user.py
+++ b/pathsaddle/emulator/state/user.py
@@ -26,7 +26,7 @@
 from pathsaddle.fleet.quota.shared_state import SPARE_TOPIC, SharedState
 from pathsaddle.fleet.udp_driver import MembershipDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.scheduler_types import SECOND
 
 
@@ -36,7 +36,7 @@
         assert self.charter.fleet is not None
         self.told, self.chance = told, Random(f"{told['seed']} {self.charter.name} {os.getpid()}")
         self.log = os.open(told["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-        ground = Ground()
+        ground = Environment()
         folder = self.charter.fleet.folder
         self.fellows = MembershipDriver(
             fellow(self.charter),
--- a/pathsaddle/federation/request_handler.py
+++ b/pathsaddle/federation/request_handler.py
@@ -28,9 +28,9 @@
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.service.workers import Lost, NeverSent
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError
 from pathsaddle.net.wire import forms
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import MILLISECOND, Outcome, Semantics, Txn
 
 CROSSED = b"crossed-from"
@@ -57,7 +57,7 @@
 
     @property
     def sent(self) -> bool:
-        return self.sending is not None and self.sending.whole
+        return self.sending is not None and self.sending.is_complete
 
 
 class FederatedRequestHandler(TxnService):
@@ -104,27 +104,31 @@
     def free(self) -> ReleaseNotice:
         """Of this dispatcher's room. Own ones wait: they are taken and nowhere posted."""
         waiting = sum(
-            not entry.txn.postings for entry in self.ledger.unanswered() if entry.txn.tag not in self.foreign
+            not entry.txn.postings
+            for entry in self.ledger.unanswered_entries()
+            if entry.txn.tag not in self.foreign
         )
         of: dict[str, int] = {}
         for scheme in self.foreign.values():
             of[scheme] = of.get(scheme, 0) + 1
-        return ReleaseNotice(self.room - len(self.ledger.unanswered()), waiting, len(self.foreign), of)
+        return ReleaseNotice(
+            self.room - len(self.ledger.unanswered_entries()), waiting, len(self.foreign), of
+        )
 
     # From abroad.
 
     def take(self, call: Message, answer: Answer) -> Entry | None:
         self._at()
         # Before anything is open: a fault in the call is the same fault as ever.
-        txn, now = self.words.txn(call, self.loop.now), self.member.now()
+        txn, now = self.words.decode_txn(call, self.loop.now), self.member.now()
         scheme = self.names[txn.scheme.index]
         holder = self.member.holder
         rule = holder.rule(scheme, now)
         here = self.member.region
         if call.text(CROSSED) is None and here == rule.home and here in rule.may:
             return super().take(call, answer)
-        if self.ledger.knows(txn.tag) or txn.tag in self.crossings:
-            raise Broken(409, "this id is not new")
+        if self.ledger.has_seen(txn.tag) or txn.tag in self.crossings:
+            raise HttpError(409, "this id is not new")
         if call.text(CROSSED) is None:
             # It belongs elsewhere: home first, and here only as a lender.
             elsewhere = Entry(txn, call, answer)
@@ -187,7 +191,7 @@
         self._end(exchange, Outcome.MOOT)
         if not txn.is_closed:
             if (
-                any(one.sent for one in exchange.entry.exchanges)
+                any(one.is_sent for one in exchange.entry.exchanges)
                 and txn.scheme.semantics is not Semantics.REPEATABLE
             ):
                 self.reverse(txn)
@@ -212,10 +216,10 @@
 
     def _leaves(self, txn: Txn, come_back: int) -> bool:
         entry = self.ledger[txn.tag]
-        if entry.answer is None or txn.tag in self.foreign or entry.call.text(CROSSED) is not None:
+        if entry.answer is None or txn.tag in self.foreign or entry.request.text(CROSSED) is not None:
             return False
         unknown = []
-        if txn.scheme.semantics is Semantics.REFERENCED and any(one.sent for one in entry.exchanges):
+        if txn.scheme.semantics is Semantics.REFERENCED and any(one.is_sent for one in entry.exchanges):
             unknown = [self.member.region]  # it may have run here: only where one group drops repeats of both
         place = self._choose(txn, unknown, {}, FAR)  # it has just been declined here
         if place.what != "send" or not self._sets_out(entry, place, come_back, unknown=unknown):
@@ -269,7 +273,7 @@
         )
         due = seconds(txn.expires_at - self.clock.now() - LAST)
         crossing.alarm = self._events.call_later(max(0.0, due), self._overdue, crossing)
-        crossing.task = self._start(self._cross(crossing, entry.call, place, doors, come_back))
+        crossing.task = self._start(self._cross(crossing, entry.request, place, doors, come_back))
         return True
 
     async def _cross(
@@ -277,7 +281,7 @@
     ) -> None:
         door = self.member.chance.choice(doors)
         name = f"door:{door}"
-        self.workers.located(name, door)
+        self.workers.set_address(name, door)
         # Its decline must be back before ours is due: silence would be all that we know.
         way = self.member.abroad.ways.ways[place.region].patience()
         left = crossing.txn.expires_at - self.clock.now() - 2 * LAST - way
@@ -287,7 +291,7 @@
             # Connecting took time, and a process may stand still between its look and its sending.
             now = self.member.now()
             if place.region not in self.member.holder.rule(self.names[crossing.txn.scheme.index], now).may:
-                raise NeverSent("the spec was tightened")
+                raise RequestNotSentError("the spec was tightened")
             crossing.sending = sending
 
         try:
@@ -299,9 +303,9 @@
                 call.body,
                 begins,
             )
-        except NeverSent:
+        except RequestNotSentError:
             self._crossed(crossing, "declined", come_back)
-        except Lost:
+        except ConnectionLostError:
             self._crossed(crossing, "unknown", come_back)
         else:
             if answer.status == 200:
@@ -340,7 +344,7 @@
         if outcome == "settled":
             kind, status = "settled", 200
         elif not crossing.unknown or txn.scheme.semantics is Semantics.REPEATABLE:
-            kind, status, headers = "declined", 503, forms.come_back_header(come_back)
+            kind, status, headers = "declined", 503, forms.retry_after_header(come_back)
         else:
             kind, status = "reversed", 500
         self.counters.add(f"txn.{kind}")
@@ -357,7 +361,7 @@
         place = self._choose(txn, crossing.unknown, crossing.again, FAR)
         if place.what == "send":
             return self._sets_out(crossing.entry, place, come_back, crossing)
-        if place.what != "run" or self.ledger.knows(txn.tag):
+        if place.what != "run" or self.ledger.has_seen(txn.tag):
             return False
         # It belongs elsewhere, and the decisions here have not seen it yet.
         scheme = self.names[txn.scheme.index]
--- a/pathsaddle/federation/spec_register.py
+++ b/pathsaddle/federation/spec_register.py
@@ -38,8 +38,8 @@
 from pathsaddle.federation.errors import FederationFault, NoAddress, NoWay, Outrun
 from pathsaddle.leased_versions import Version
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.scheduler_types import SECOND
 
 KEY = "spec"
@@ -79,7 +79,7 @@
         )
     for name, address in form.names.items():
         try:
-            peer_of(address)
+            parse_peer(address)
         except ValueError:
             raise NoAddress(file=file, key=f"voters.names.{name}", address=address) from None
 
@@ -131,13 +131,13 @@
             form.fleet,
             form.key.encode(),
             dict(form.names),
-            f"{peer_of(listen)[0]}:0",
+            f"{parse_peer(listen)[0]}:0",
             folder,
             int(form.lease),
             {KEY: True} if commits else {},
         )
         self.tell, self.name, self.asked = tell, name, 0
-        self.register = RegisterDriver(told, Ground(), chance, Counters())
+        self.register = RegisterDriver(told, Environment(), chance, Counters())
         self.register.lease_manager.record_history()
         self.register.on_event.append(self._log_event)
 
--- a/pathsaddle/federation/udp_driver.py
+++ b/pathsaddle/federation/udp_driver.py
@@ -52,8 +52,8 @@
     VersionServer,
     new_subscriber,
 )
-from pathsaddle.net.service.place import unhad
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.service.place import bind_error
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.scheduler_types import SECOND
 
 BYTES = 200_000  # that one process sends in any second
@@ -151,7 +151,7 @@
         for name, row in rows.items():
             for key, told in (("address", row.address), ("listen", row.listen or row.address)):
                 try:
-                    peer_of(told)
+                    parse_peer(told)
                 except ValueError:
                     raise NoAddress(file=path, key=f"{table}.{name}.{key}", address=told) from None
     return ground
@@ -177,8 +177,8 @@
         had(folder, "log", ground.file)
         self._log = (folder / f"{name}.jsonl").open("ab", buffering=0)
         self.peers = {
-            **{name: peer_of(row.address) for name, row in ground.members.items()},
-            **{name: peer_of(row.address) for name, row in ground.keepers.items()},
+            **{name: parse_peer(row.address) for name, row in ground.members.items()},
+            **{name: parse_peer(row.address) for name, row in ground.keepers.items()},
         }
 
     def now(self) -> int:
@@ -193,13 +193,13 @@
         """Raises one of `pathsaddle.net.service.place`'s."""
         try:
             await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: self, local_addr=peer_of(self.listen)
+                lambda: self, local_addr=parse_peer(self.listen)
             )
         except OSError as fault:
             key, file = (
                 (self.listen_key, self.ground.file) if self.listen_key else ("--listen", "the command")
             )
-            raise unhad(fault, key, self.listen, file) from None
+            raise bind_error(fault, key, self.listen, file) from None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -619,7 +619,7 @@
         """Raises SpecFaulty, NoFolder, NoAddress."""
         self.spec = load_spec(path)
         try:
-            at = peer_of(listen)
+            at = parse_peer(listen)
         except ValueError:
             raise NoAddress(file="the command", key="--listen", address=listen) from None
         super().__init__(ground, COMMITTER, listen)
--- a/pathsaddle/fleet/datagram_socket.py
+++ b/pathsaddle/fleet/datagram_socket.py
@@ -7,7 +7,7 @@
 from pathsaddle.control_metrics import NullMeter, Purpose
 from pathsaddle.fleet.messages import MAX_DATAGRAM_BYTES, AddressedDatagram
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.wire.terms import Peer, parse_peer
 
 MAX_PEERS = 8192  # parsed addresses that are cached
 READ_BYTES = MAX_DATAGRAM_BYTES + 1  # one more than is allowed: a longer datagram shows by its length
@@ -52,7 +52,7 @@
             if len(self._peers) >= MAX_PEERS:
                 self._peers.clear()
             try:
-                self._peers[address] = peer_of(address)
+                self._peers[address] = parse_peer(address)
             except ValueError:
                 self._peers[address] = None
         return self._peers[address]
--- a/pathsaddle/fleet/overload/scheduler_gate.py
+++ b/pathsaddle/fleet/overload/scheduler_gate.py
@@ -51,14 +51,14 @@
 
     def admission_request(self, txn: Txn, choice: Scheduler) -> AdmissionRequest:
         """Return what the gate has to know of a request."""
-        run_ticks = choice.run_of(txn)
+        run_ticks = choice.run_time_of(txn)
         key = txn.key if txn.key is not None else f"{txn.hint} {txn.slots} {txn.memory}"
         lost_slot_ticks = run_ticks * txn.slots * LOST_WORK_SHARE
         return AdmissionRequest(
             tenant=str(txn.customer.index) if txn.customer is not None else "",
             key=key,
             request_class=str(txn.scheme.index),
-            value=choice.worth(txn),
+            value=choice.value_of(txn),
             late_share=txn.scheme.late_value,
             work_slot_ticks=run_ticks * txn.slots,
             time_left_ticks=choice.in_time_until(txn) + int(run_ticks) - choice.now,
@@ -72,12 +72,14 @@
         states = [
             state for state in choice.workers.values() if state.worker.listed_state is ListedState.READY
         ]
-        slots = {state: state.slot_count or choice.least_slots for state in states}
+        slots = {state: state.slot_count or choice.min_slot_count for state in states}
         # A worker that only this member can't reach counts whole: the others are served by it, and queues
         # show a sum that is too high.
         capacity_slots = sum(size / state.pace for state, size in slots.items())
         fresh = [
-            (slots[state], choice.room(state)) for state in states if choice.now - state.reported_at < SECOND
+            (slots[state], choice.free_slots(state))
+            for state in states
+            if choice.now - state.reported_at < SECOND
         ]
         fresh_slots = sum(size for size, _ in fresh)
         idle_share = queue_per_slot = 0.0
@@ -86,7 +88,7 @@
             queue_per_slot = sum(max(0.0, -free) for _, free in fresh) / fresh_slots
         queue_per_slot += len(choice.waiting) / max(1.0, sum(slots.values()) * self.core.member_share)
         self.core.observe_workers(capacity_slots, idle_share, queue_per_slot)
-        self.core.rejection_rate = min(1.0, choice.doubt())
+        self.core.rejection_rate = min(1.0, choice.rejection_level())
 
     def update_if_due(self, choice: Scheduler) -> None:
         """Update the core where its next update is due."""
--- a/pathsaddle/fleet/udp_driver.py
+++ b/pathsaddle/fleet/udp_driver.py
@@ -152,9 +152,9 @@
             sock, peer = self.ground.datagrams(config.listen)
             sock.bind(peer)
         except (OSError, ValueError) as error:
-            from pathsaddle.net.service.place import unhad
+            from pathsaddle.net.service.place import bind_error
 
-            raise unhad(error, "fleet.listen", config.listen, config.file) from None
+            raise bind_error(error, "fleet.listen", config.listen, config.file) from None
         return sock
 
     # From begin to end.
@@ -178,9 +178,9 @@
             endpoint = ControlEndpoint(listener, config.control, self._answer, self.fault_log)
             endpoint.begin()
         except (OSError, ValueError) as error:
-            from pathsaddle.net.service.place import unhad
+            from pathsaddle.net.service.place import bind_error
 
-            raise unhad(error, "fleet.control", config.control, config.file) from None
+            raise bind_error(error, "fleet.control", config.control, config.file) from None
         return endpoint
 
     def metered(self, meter: NullMeter, control: Callable[[], ForeignReply]) -> None:
--- a/pathsaddle/jobs/active_job.py
+++ b/pathsaddle/jobs/active_job.py
@@ -11,7 +11,7 @@
 from pathsaddle.jobs.state_machine import JobOutcome, JobStateMachine, Ticks
 from pathsaddle.jobs.store_rows import JobRecord
 from pathsaddle.net.memory.ledger import Answer, Entry
-from pathsaddle.net.wire.forms import Words
+from pathsaddle.net.wire.forms import MessageDecoder
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,7 +80,7 @@
 
     machine: JobStateMachine
     record: JobRecord
-    request_parser: Words | None = None
+    request_parser: MessageDecoder | None = None
     entry: Entry | None = None
     polls: list[PendingPoll] = field(default_factory=list)
     is_running: bool = False
--- a/pathsaddle/jobs/admission.py
+++ b/pathsaddle/jobs/admission.py
@@ -26,7 +26,7 @@
 )
 from pathsaddle.net.memory.ledger import Answer, Entry
 from pathsaddle.net.service import logbook
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import SECOND, Txn
 
 FULL_LOG_INTERVAL: Ticks = 60 * SECOND  # between two log lines of memory that is full of open jobs
@@ -59,7 +59,7 @@
             known = self._registry.find_ended_by_key(owner, key)
         if known is not None:
             if known.record.digest != digest:
-                raise Broken(409, "this key is another job's")
+                raise HttpError(409, "this key is another job's")
             self._host.start_task(self._answer_repeated(known, answer))
             return
         reason = self._refusal_reason() or ("we are to end" if self._host.stopping is not None else None)
@@ -67,7 +67,7 @@
             self._refuse(answer, reason)
             return
         worker_call = to_worker_call(call, self._new_job_id())
-        request = self._host.words.txn(worker_call, self._host.clock.now())
+        request = self._host.words.decode_txn(worker_call, self._host.clock.now())
         job = self._make_job(request, owner, key, digest, worker_call)
         job.request_parser = self._host.words
         self._registry.add_key(job)
@@ -91,10 +91,10 @@
             self._refuse(answer, reason)
             return None
         host = self._host
-        request = host.words.txn(call, host.advance_decisions())
+        request = host.words.decode_txn(call, host.advance_decisions())
         job_id = request.tag
-        if job_id in self._registry.jobs or host.ledger.knows(job_id) or self._registry.is_on_disk(job_id):
-            raise Broken(409, "this id is not new")
+        if job_id in self._registry.jobs or host.ledger.has_seen(job_id) or self._registry.is_on_disk(job_id):
+            raise HttpError(409, "this id is not new")
         job = self._make_job(request, owner_of(call), None, digest_of(call), call)
         self._registry.add_open(job)
         # Its commit comes before that of its first intent, which is waited for: it needs no wait of its own.
--- a/pathsaddle/jobs/job_host.py
+++ b/pathsaddle/jobs/job_host.py
@@ -15,7 +15,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.memory.ledger import Entry, Exchange, Ledger
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.wire.forms import Words
+from pathsaddle.net.wire.forms import MessageDecoder
 from pathsaddle.scheduler_types import Outcome, Posting, Txn, Worker
 
 Notify = Callable[[bool], None]  # told whether the end is on disk; at once where that is not known in time
@@ -41,7 +41,7 @@
     counters: Counters
     ledger: Ledger
     known: dict[str, Worker]
-    words: Words
+    words: MessageDecoder
     stopping: int | None
 
     @property
--- a/pathsaddle/jobs/job_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -37,7 +37,7 @@
 from pathsaddle.jobs.worker_client import WorkerClient
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.wire.forms import Callback, Row
+from pathsaddle.net.wire.forms import Callback, ListRow
 from pathsaddle.net.wire.http import Message
 from pathsaddle.scheduler_types import ListUpdate, LoadReport, Outcome, Posting, Txn
 
@@ -121,14 +121,14 @@
         """Answer who waits on a connection by then; submitted jobs stay open for the store's next owner."""
         self.stopping = by
         self._at()
-        for entry in self.ledger.unanswered():
+        for entry in self.ledger.unanswered_entries():
             if entry.answer is not None:
                 self._guard(entry.txn, partial(self.loop.shorten_deadline, entry.txn, by))
 
-    def listed(self, news: ListUpdate, rows: list[Row]) -> None:
+    def listed(self, news: ListUpdate, rows: list[ListRow]) -> None:
         """Take the endpoint list over; the recovery waits for its first."""
         super().listed(news, rows)
-        if news in (ListUpdate.WHOLE, ListUpdate.CHANGES):
+        if news in (ListUpdate.COMPLETE, ListUpdate.CHANGES):
             self.recovery.endpoints_known.set()
 
     # What clients bring.
@@ -191,7 +191,7 @@
     def called_back(self, told: Callback) -> None:
         """Act on a callback; a result of a lease that was given up is taken while the job is open."""
         job = self.registry.jobs.get(told.tag)
-        exchange = self.ledger.exchange(told.tag, told.worker)
+        exchange = self.ledger.find_exchange(told.tag, told.worker)
         if (
             job is not None
             and job.machine.is_open
--- a/pathsaddle/jobs/leases.py
+++ b/pathsaddle/jobs/leases.py
@@ -51,7 +51,7 @@
         intent = LeaseIntended(machine.job_id, now, machine.next_lease_number, attempt.worker.tag)
         machine.apply(intent)
         lease = machine.leases[-1]
-        if not await self._commits.put_until(attempt.sent_at + exchange.within - MILLISECOND, intent):
+        if not await self._commits.put_until(attempt.sent_at + exchange.timeout_ticks - MILLISECOND, intent):
             lease.never_ran = True
             self._host.end_attempt(exchange, Outcome.MOOT)
             return False
@@ -60,10 +60,10 @@
             self.clear(machine, lease)
             self._host.end_attempt(exchange, Outcome.MOOT)
             return False
-        call = exchange.entry.call
+        call = exchange.entry.request
         call.headers[b"job-lease"] = b"%d" % lease.number
-        call.lines = [line for line in call.lines if line[0].lower() != b"job-lease"]
-        call.lines.append((b"Job-Lease", b"%d" % lease.number))
+        call.raw_headers = [line for line in call.raw_headers if line[0].lower() != b"job-lease"]
+        call.raw_headers.append((b"Job-Lease", b"%d" % lease.number))
         self._host.start_task(self.watch(job, exchange, lease))
         return True
 
@@ -92,7 +92,7 @@
             if remaining > 0:
                 await asyncio.sleep(seconds(remaining))
                 continue
-            if not exchange.sent:
+            if not exchange.is_sent:
                 return
             answer = await self._worker_client.query_lease(machine.job_id, lease)
             queried_at = clock.now()
--- a/pathsaddle/jobs/polling.py
+++ b/pathsaddle/jobs/polling.py
@@ -15,7 +15,7 @@
 from pathsaddle.jobs.submitted_call import JOBS_PATH, owner_of
 from pathsaddle.net.memory.ledger import Answer
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import MILLISECOND
 
 
@@ -44,7 +44,7 @@
         wait_ticks = min(longest_poll_ticks, int(float(fields.get("wait_ms", "0")) * MILLISECOND))
         return PollOptions(wait_ticks, int(fields.get("since", "-1")))
     except ValueError:
-        raise Broken(400, "wait_ms and since are numbers") from None
+        raise HttpError(400, "wait_ms and since are numbers") from None
 
 
 def find_own_job(registry: JobRegistry, call: Message) -> ActiveJob:
@@ -55,7 +55,7 @@
     """
     job = registry.find(job_id_of(call))
     if job is None or owner_of(call) != job.record.owner:
-        raise Broken(404, "no such job")
+        raise HttpError(404, "no such job")
     return job
 
 
--- a/pathsaddle/jobs/recovery.py
+++ b/pathsaddle/jobs/recovery.py
@@ -18,10 +18,10 @@
 from pathsaddle.jobs.leases import JobLeases
 from pathsaddle.jobs.state_machine import JobStateMachine, Lease, LeaseDecision, LeaseReport, Ticks
 from pathsaddle.jobs.store_rows import StoredJob
-from pathsaddle.net.memory.ledger import Entry, Exchange, Whole
+from pathsaddle.net.memory.ledger import Entry, Exchange, KnownSending
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.net.wire.http import Broken
+from pathsaddle.net.wire.http import HttpError
 from pathsaddle.scheduler_types import MILLISECOND, Outcome, Posting, Semantics
 
 JOBS_PER_SLICE = 100  # jobs taken up between two turns of the event loop
@@ -107,7 +107,10 @@
             async with gate:
                 try:
                     await self._take_up(job)
-                except (Broken, ValueError):  # its request class is gone: that job alone waits for its worker
+                except (
+                    HttpError,
+                    ValueError,
+                ):  # its request class is gone: that job alone waits for its worker
                     self._host.start_task(self._wait_for_report(job))
 
         for i in range(0, len(jobs), JOBS_PER_SLICE):
@@ -139,7 +142,9 @@
             if worker is None:
                 continue  # its report may still come, as a late result
             attempt = Posting(entry.txn, worker, i, lease.intended_at, accepted_at=lease.intended_at)
-            exchange = Exchange(attempt, entry, NO_TIME_LIMIT, begun=True, sending=Whole(), accepted=True)
+            exchange = Exchange(
+                attempt, entry, NO_TIME_LIMIT, has_begun=True, sending=KnownSending(), is_accepted=True
+            )
             entry.exchanges.append(exchange)
             attempts.append(attempt)
             if lease.never_ran:
--- a/pathsaddle/jobs/registry.py
+++ b/pathsaddle/jobs/registry.py
@@ -15,7 +15,7 @@
 from pathsaddle.jobs.store import Store
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.wire.http import Broken
+from pathsaddle.net.wire.http import HttpError
 
 # Bytes of memory that an ended job takes beside its result (kept/jobs_store.jsonl: 1,460 with a call).
 ENDED_JOB_BYTES = 1000
@@ -144,9 +144,9 @@
             raise self._unreadable(error) from None
         return None if stored is None else ActiveJob(stored.machine, stored.record)
 
-    def _unreadable(self, error: Exception) -> Broken:
+    def _unreadable(self, error: Exception) -> HttpError:
         self._counters.add("jobs.unread")
-        return Broken(503, f"the store can't be read: {error}"[:MAX_ERROR_TEXT])
+        return HttpError(503, f"the store can't be read: {error}"[:MAX_ERROR_TEXT])
 
     def _release_open(self, job: ActiveJob) -> None:
         self.open_bytes -= OPEN_JOB_BYTES + len(job.record.call)
--- a/pathsaddle/jobs/run_queue.py
+++ b/pathsaddle/jobs/run_queue.py
@@ -14,7 +14,7 @@
 from pathsaddle.jobs.state_machine import JobOutcome, Ticks
 from pathsaddle.jobs.submitted_call import decode_call
 from pathsaddle.net.memory.ledger import Entry
-from pathsaddle.net.wire.http import Broken
+from pathsaddle.net.wire.http import HttpError
 from pathsaddle.scheduler_types import Outcome, Posting
 
 MAX_RUNNING_JOBS = (
@@ -57,7 +57,7 @@
                 continue
             try:
                 entry = job.entry or self.open_entry(job)
-            except (Broken, ValueError) as error:
+            except (HttpError, ValueError) as error:
                 status = getattr(error, "status", 400)
                 self._host.end_job(job, FinalAnswer(JobOutcome.FAILED, status, str(error).encode()))
                 continue
@@ -87,7 +87,7 @@
             Broken, ValueError: By today's settings the call is no request any more.
         """
         call = decode_call(job.record.call)
-        request = (job.request_parser or self._host.words).txn(call, self._host.clock.now())
+        request = (job.request_parser or self._host.words).decode_txn(call, self._host.clock.now())
         request.expires_at = job.machine.expires_at - self._margin_ticks
         job.entry, job.request_parser = Entry(request, call, None), None
         self._host.ledger.open(job.entry)
--- a/pathsaddle/jobs/submitted_call.py
+++ b/pathsaddle/jobs/submitted_call.py
@@ -10,7 +10,7 @@
 import json
 import re
 
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.http import HttpError, Message
 
 IDEMPOTENCY_KEY = re.compile(r"[!-~]{1,128}")
 JOBS_PATH = b"/jobs/"
@@ -24,7 +24,7 @@
     head = json.dumps(
         [
             call.target.decode("latin-1"),
-            [[name.decode("latin-1"), value.decode("latin-1")] for name, value in call.lines],
+            [[name.decode("latin-1"), value.decode("latin-1")] for name, value in call.raw_headers],
         ]
     )
     return head.encode() + b"\n" + call.body
@@ -43,7 +43,7 @@
         b"POST",
         target.encode("latin-1"),
         headers={name.lower(): value for name, value in pairs},
-        lines=pairs,
+        raw_headers=pairs,
         body=body,
     )
 
@@ -56,7 +56,7 @@
     """
     key = call.text(b"idempotency-key")
     if key is None or not IDEMPOTENCY_KEY.fullmatch(key):
-        raise Broken(400, "no Idempotency-Key of 1 to 128 visible characters")
+        raise HttpError(400, "no Idempotency-Key of 1 to 128 visible characters")
     return key
 
 
@@ -67,13 +67,13 @@
 
 def to_worker_call(call: Message, job_id: str) -> Message:
     """Return the call that goes to the worker: the path of the request class, and the job's id."""
-    lines = [(name, value) for name, value in call.lines if name.lower() not in HEADERS_NOT_FORWARDED]
+    lines = [(name, value) for name, value in call.raw_headers if name.lower() not in HEADERS_NOT_FORWARDED]
     lines.append((b"Req-Id", job_id.encode()))
     return Message(
         b"POST",
         b"/" + call.target[len(JOBS_PATH) :],
         headers={name.lower(): value for name, value in lines},
-        lines=lines,
+        raw_headers=lines,
         body=call.body,
     )
 
@@ -84,7 +84,7 @@
         call.target,
         *(
             name.lower() + b":" + value
-            for name, value in sorted(call.lines)
+            for name, value in sorted(call.raw_headers)
             if name.lower().startswith(b"req-")
             and name.lower() not in HEADERS_NOT_FORWARDED
             and name.lower() != b"req-retry"
--- a/pathsaddle/jobs/worker_client.py
+++ b/pathsaddle/jobs/worker_client.py
@@ -14,7 +14,7 @@
 from pathsaddle.jobs.state_machine import Lease, LeaseReport
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.net.service.workers import Lost, NeverSent, Workers
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError, Workers
 
 REPORTS_BY_STATE = {"running": LeaseReport.RUNNING, "failed": LeaseReport.FAILED}  # by the protocol's states
 
@@ -44,9 +44,9 @@
         """
         target = b"/jobs/%s?fence=%d" % (job_id.encode(), lease.number)
         try:
-            async with asyncio.timeout(seconds(self._workers.connect_within)):
+            async with asyncio.timeout(seconds(self._workers.connect_timeout)):
                 answer = await self._workers.call(lease.worker, "GET", target, [])
-        except (NeverSent, Lost, TimeoutError):
+        except (RequestNotSentError, ConnectionLostError, TimeoutError):
             return UNKNOWN
         try:
             document = json.loads(answer.body) if answer.status == HTTPStatus.OK else {}
@@ -63,7 +63,7 @@
         """Tell a worker that a job is withdrawn; whether it has heard of it is only counted."""
         self._counters.add("withdrawal")
         try:
-            async with asyncio.timeout(seconds(self._workers.connect_within)):
+            async with asyncio.timeout(seconds(self._workers.connect_timeout)):
                 await self._workers.call(worker, "DELETE", b"/jobs/" + job_id.encode(), [])
-        except (NeverSent, Lost, TimeoutError):
+        except (RequestNotSentError, ConnectionLostError, TimeoutError):
             self._counters.add("withdrawal.unanswered")
--- a/pathsaddle/net/memory/ledger.py
+++ b/pathsaddle/net/memory/ledger.py
@@ -18,15 +18,15 @@
     """The transmission of one request to a worker."""
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the kernel has accepted the last byte; from then on the request may have run."""
 
 
 @dataclass(slots=True, eq=False)
-class Whole:
+class KnownSending:
     """A transmission whose state is known without a socket of this process, as after a restart."""
 
-    whole: bool = True
+    is_complete: bool = True
 
 
 @dataclass(slots=True, eq=False)
@@ -35,20 +35,22 @@
 
     posting: Posting
     entry: Entry
-    within: int
-    begun: bool = False  # the first byte is sent
+    timeout_ticks: int
+    has_begun: bool = False  # the first byte is sent
     sending: Sending | None = None  # set from the first byte on
-    accepted: bool = False  # the worker answered 202: cancelling takes a request, closing no longer suffices
-    alarm: asyncio.TimerHandle | None = None
+    is_accepted: bool = (
+        False  # the worker answered 202: cancelling takes a request, closing no longer suffices
+    )
+    timer: asyncio.TimerHandle | None = None
     task: asyncio.Task[None] | None = None
 
     @property
-    def sent(self) -> bool:
+    def is_sent(self) -> bool:
         """Whether the last byte is sent, so that the posting may have run.
 
         Decided by the bytes that the kernel has accepted: the sending task resumes only later.
         """
-        return self.sending is not None and self.sending.whole
+        return self.sending is not None and self.sending.is_complete
 
 
 @dataclass(slots=True, eq=False)
@@ -56,12 +58,12 @@
     """A txn, the client's request as received, and the callback that answers its connection."""
 
     txn: Txn
-    call: Message
+    request: Message
     answer: Answer | None
     exchanges: list[Exchange] = field(default_factory=list)
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Whether the txn is closed and none of its postings is in flight."""
         return self.txn.is_closed and not any(exchange.posting.is_in_flight for exchange in self.exchanges)
 
@@ -73,7 +75,7 @@
         self._entries: dict[str, Entry] = {}
         self._closed_ids: dict[str, None] = {}
 
-    def knows(self, tag: str) -> bool:
+    def has_seen(self, tag: str) -> bool:
         """Return whether a txn with this id is open or was closed recently.
 
         Clients use a new id for each call. A call with an id that was used before belongs to someone else,
@@ -93,12 +95,12 @@
 
     def close(self, entry: Entry) -> None:
         """Remove a txn if its final answer is sent and none of its postings is in flight; keep its id."""
-        if entry.done and self._entries.pop(entry.txn.tag, None) is not None:
+        if entry.is_done and self._entries.pop(entry.txn.tag, None) is not None:
             self._closed_ids[entry.txn.tag] = None
             if len(self._closed_ids) > MAX_CLOSED_IDS:
                 del self._closed_ids[next(iter(self._closed_ids))]
 
-    def exchange(self, tag: str, worker: str) -> Exchange | None:
+    def find_exchange(self, tag: str, worker: str) -> Exchange | None:
         """Return the posting in flight that a worker's callback refers to, if there is one."""
         entry = self._entries.get(tag)
         if entry is not None:
@@ -107,7 +109,7 @@
                     return exchange
         return None
 
-    def ambiguous(self, exchange: Exchange) -> bool:
+    def is_ambiguous(self, exchange: Exchange) -> bool:
         """Return whether an earlier posting to the same worker was given up or lost and may have run.
 
         The worker's messages for the txn may then refer to that posting instead of this one.
@@ -118,10 +120,10 @@
             if other is not exchange
         )
 
-    def schemes(self) -> list[Scheme]:
+    def open_schemes(self) -> list[Scheme]:
         """Return the schemes under which the open txns were accepted, each once."""
         return list(dict.fromkeys(entry.txn.scheme for entry in self._entries.values()))
 
-    def unanswered(self) -> list[Entry]:
+    def unanswered_entries(self) -> list[Entry]:
         """Return the txns that have no final answer yet."""
         return [entry for entry in self._entries.values() if not entry.txn.is_closed]
--- a/pathsaddle/net/memory/links.py
+++ b/pathsaddle/net/memory/links.py
@@ -17,15 +17,15 @@
     """A connection to a worker, as its pool sees it."""
 
     idle_since: int  # when the answer to the last call on it was read
-    rests: bool  # whether a second answer to that call could be taken for the next call's answer
-    ended: bool
+    needs_cooldown: bool  # whether a second answer to that call could be taken for the next call's answer
+    has_ended: bool
 
     @property
-    def sound(self) -> bool:
+    def is_sound(self) -> bool:
         """Whether the connection is open and every answer read from it belonged to its call."""
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the link is sound and has nothing unread, neither an EOF nor bytes that answer no call."""
 
     def end(self, code: str) -> None:
@@ -49,25 +49,25 @@
     waiters: deque[asyncio.Future[None]] = field(default_factory=deque)
 
     @property
-    def used(self) -> int:
+    def used_count(self) -> int:
         """The number of links that are in use or being connected."""
         return self._used
 
-    @used.setter
-    def used(self, used: int) -> None:
+    @used_count.setter
+    def used_count(self, used: int) -> None:
         """Set the number, and update the total of all pools by the change."""
         self.links.count += used - self._used
         self._used = used
 
     @property
-    def idle(self) -> list[L]:
+    def idle_links(self) -> list[L]:
         """All links without a call in flight, roughly from the longest idle to the latest."""
         return [*self.ready, *self.cooling]
 
     @property
     def count(self) -> int:
         """The number of links, in use, being connected or idle."""
-        return self.used + len(self.ready) + len(self.cooling)
+        return self.used_count + len(self.ready) + len(self.cooling)
 
     def pop_oldest(self) -> L | None:
         """Remove and return a link that has been idle for about the longest, or None if none is idle."""
@@ -88,7 +88,7 @@
             idle_timeout: The ticks for which an idle link is kept.
             cooldown: The ticks after an answer in which a second answer to the same call may still arrive.
         """
-        self.most = most
+        self.max_links = most
         self.idle_timeout = idle_timeout
         self.cooldown = cooldown
         self.pools: dict[str, WorkerPool[L]] = {}
@@ -104,27 +104,27 @@
 
     def max_per_worker(self) -> int:
         """Return each worker's equal share of the limit: one silent worker must leave links to the others."""
-        return max(2, self.most // max(1, len(self.pools)))
+        return max(2, self.max_links // max(1, len(self.pools)))
 
-    def take(self, pool: WorkerPool[L], now: int) -> L | None:
+    def acquire(self, pool: WorkerPool[L], now: int) -> L | None:
         """Return an idle link that is safe for the next call, or None if there is none.
 
         The worker will not close it before the call's bytes arrive, and a late answer to an earlier call can
         no longer arrive on it.
         """
         cooling, ready = pool.cooling, pool.ready
-        while cooling and (now - cooling[0].idle_since >= self.cooldown or cooling[0].ended):
+        while cooling and (now - cooling[0].idle_since >= self.cooldown or cooling[0].has_ended):
             ready.append(cooling.popleft())
         while ready:
             link = ready.pop()
             self.count -= 1
-            if link.usable and now - link.idle_since < self.idle_timeout:
-                pool.used += 1
+            if link.is_usable and now - link.idle_since < self.idle_timeout:
+                pool.used_count += 1
                 return link
             link.end("idle" if now - link.idle_since >= self.idle_timeout else "worker-stirred")
         return None
 
-    def gives_up_resting(self, pool: WorkerPool[L]) -> bool:
+    def close_cooling(self, pool: WorkerPool[L]) -> bool:
         """Close the pool's oldest idle link to make room for a new one; return False if none is idle.
 
         Called at the worker's limit while every idle link is cooling down: connecting anew is faster than
@@ -136,61 +136,61 @@
         link.end("resting")
         return True
 
-    def may_open(self, pool: WorkerPool[L]) -> bool:
+    def try_make_room(self, pool: WorkerPool[L]) -> bool:
         """Return whether the limits allow one more link to the worker; may close the oldest idle link."""
         if pool.count >= self.max_per_worker():
             return False
-        if self.count >= self.most:
-            self.let_go_oldest()
+        if self.count >= self.max_links:
+            self.close_oldest()
         # A worker without any link may always get one: silent workers must not lock it out.
-        return self.count < self.most or not pool.count
+        return self.count < self.max_links or not pool.count
 
     def put_back(self, pool: WorkerPool[L], link: L, now: int) -> None:
         """Return a link to its pool after a call.
 
         Bytes that are unread by now are left to its reader: `take` checks for them, and one check is enough.
         """
-        if link.sound:
+        if link.is_sound:
             link.idle_since = now
             self.count += 1
-            if link.rests:
+            if link.needs_cooldown:
                 pool.cooling.append(link)
             else:
                 pool.ready.append(link)
         else:
             link.end("worker-stirred")
-        self.release(pool)
+        self.release_slot(pool)
 
-    def release(self, pool: WorkerPool[L]) -> None:
+    def release_slot(self, pool: WorkerPool[L]) -> None:
         """Free the slot of a link that is no longer in use or that failed to connect."""
-        pool.used -= 1
+        pool.used_count -= 1
         self._wake_next(pool)
 
-    def sweep(self, now: int) -> None:
+    def close_expired(self, now: int) -> None:
         """Close the links that have been idle for too long, and remove those that have ended."""
         for pool in self.pools.values():
-            for link in pool.idle:
+            for link in pool.idle_links:
                 if now - link.idle_since >= self.idle_timeout:
                     link.end("idle")
             before = pool.count
-            pool.ready = [link for link in pool.ready if not link.ended]
-            pool.cooling = deque(link for link in pool.cooling if not link.ended)
+            pool.ready = [link for link in pool.ready if not link.has_ended]
+            pool.cooling = deque(link for link in pool.cooling if not link.has_ended)
             self.count -= before - pool.count
 
-    def drop_idle(self, worker: str, code: str) -> None:
+    def close_idle(self, worker: str, code: str) -> None:
         """Close all idle links to the worker, with the reason code to log and count."""
         pool = self.pools.get(worker)
         while pool is not None and (link := pool.pop_oldest()) is not None:
             link.end(code)
 
-    def forget(self, worker: str) -> None:
+    def remove_worker(self, worker: str) -> None:
         """Close the idle links to a worker that gets no more calls, and release its share of the limit."""
-        self.drop_idle(worker, "worker-gone")
+        self.close_idle(worker, "worker-gone")
         pool = self.pools.get(worker)
-        if pool is not None and not pool.used and not pool.waiters:
+        if pool is not None and not pool.used_count and not pool.waiters:
             del self.pools[worker]
 
-    async def turn(self, pool: WorkerPool[L]) -> None:
+    async def wait_for_link(self, pool: WorkerPool[L]) -> None:
         """Wait until a link of the pool is free; a waiter that is woken but cancelled wakes the next one."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         pool.waiters.append(waiter)
@@ -208,7 +208,7 @@
                 waiter.set_result(None)
                 return
 
-    def let_go_oldest(self) -> None:
+    def close_oldest(self) -> None:
         """Close the link of all workers that has been idle for the longest, if any is idle."""
         pool = min(
             (pool for pool in self.pools.values() if pool.ready or pool.cooling),
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -7,10 +7,10 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
-from pathsaddle.net.service.pump import Opening, Tallied, outgoing, stream
+from pathsaddle.net.service.pump import CountingSocket, SocketFactory, outgoing, stream
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import forms
-from pathsaddle.net.wire.http import MOST_RECORD, Broken, Calling
+from pathsaddle.net.wire.http import MAX_RECORD_BYTES, ClientProtocol, HttpError
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.scheduler_types import LIST_SILENCE_TIMEOUT, SECOND, ListUpdate
 
@@ -28,9 +28,9 @@
     whose versions start elsewhere, does not know the requested version and sends the whole list.
     """
 
-    def __init__(self, discovery: DiscoveryWatch, sock: Tallied) -> None:
+    def __init__(self, discovery: DiscoveryWatch, sock: CountingSocket) -> None:
         self.discovery, self.sock = discovery, sock
-        self.http, self.receive_ring = Calling(streams=True), Ring()
+        self.http, self.receive_ring = ClientProtocol(streams=True), Ring()
         self.requested_index = discovery.index  # the version that the call asks for
         self.parsed_bytes = 0  # of the bytes that the socket has received
         self.line_count = 0  # heartbeats included
@@ -69,7 +69,7 @@
             if self.line_count or self.requested_index or record.strip():
                 self.line_count, self.last_line_at = self.line_count + 1, asyncio.get_running_loop().time()
             if record.strip():
-                self.discovery.index, update, rows = self.discovery.service.words.list_line(record)
+                self.discovery.index, update, rows = self.discovery.service.words.decode_list_line(record)
                 self.discovery.service.listed(update, rows)
             elif self.line_count:
                 # A heartbeat: nothing has changed since the requested version, or since the last line.
@@ -82,10 +82,10 @@
         and, when the watch ends, never will. The read is bounded in case the peer keeps sending.
         """
         received, lines_before = 0, self.line_count
-        if self.sock.taken > self.parsed_bytes:
-            received = self.sock.taken - self.parsed_bytes
+        if self.sock.received_bytes > self.parsed_bytes:
+            received = self.sock.received_bytes - self.parsed_bytes
             self.receive(received)
-        while received < MOST_RECORD and not self.end_code:
+        while received < MAX_RECORD_BYTES and not self.end_code:
             try:
                 data = self.sock.recv(READ_SIZE_BYTES)
             except OSError:  # no more data for now, or the connection is lost
@@ -94,7 +94,7 @@
                 break
             received += len(data)
             self.feed(data)
-        self.parsed_bytes = self.sock.taken
+        self.parsed_bytes = self.sock.received_bytes
         return self.line_count > lines_before
 
 
@@ -102,7 +102,12 @@
     """Follows discovery's list over one connection at a time and passes its updates to the txn service."""
 
     def __init__(
-        self, address: str, index: int, service: TxnService, counters: Counters, opening: Opening = stream
+        self,
+        address: str,
+        index: int,
+        service: TxnService,
+        counters: Counters,
+        opening: SocketFactory = stream,
     ) -> None:
         self.opening = opening
         self.address = address
@@ -112,7 +117,7 @@
         self._watch: WatchConnection | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def ask(self) -> None:
+    def call_discovery(self) -> None:
         """Call discovery; a call that is still open is replaced."""
         self.stop("replaced")
         self._task = asyncio.get_running_loop().create_task(self._follow())
@@ -124,10 +129,12 @@
         while, updates lie in the socket, and a posting that was decided earlier may resume before the watch.
         """
         watch = self._watch
-        if watch is not None and (watch.sock.taken > watch.parsed_bytes or watch.sock.stirred()):
+        if watch is not None and (
+            watch.sock.received_bytes > watch.parsed_bytes or watch.sock.has_unread_input()
+        ):
             try:
                 watch.drain_socket()
-            except Broken as fault:
+            except HttpError as fault:
                 logbook.no_list(why=fault)  # the reader meets the same parser and ends the watch
                 watch.end_code = "malformed"
 
@@ -140,7 +147,7 @@
         if address != self.address:
             self.stop("moved")
             self.address, self.index = address, 0
-            self.service.listed(ListUpdate.MOVED, [])
+            self.service.listed(ListUpdate.REDIRECTED, [])
 
     def stop(self, why: str) -> None:
         """Apply the updates that have arrived and end the current call, with `why` as its end code."""
@@ -148,7 +155,7 @@
         if watch is not None:
             try:
                 watch.drain_socket()
-            except Broken as fault:
+            except HttpError as fault:
                 logbook.no_list(why=fault)
             except Exception as fault:  # noqa: BLE001  # no defect may keep the next call from starting
                 logbook.fault_watch(fault)
@@ -163,7 +170,7 @@
             code = await self._receive_updates(sock, peer, started_at)
         except OSError as fault:  # including a connect timeout
             code = "reset" if isinstance(fault, ConnectionResetError) else "unreachable"
-        except Broken as fault:
+        except HttpError as fault:
             code = "malformed"
             logbook.no_list(why=fault)
         except asyncio.CancelledError as why:
@@ -179,7 +186,7 @@
         self._watch = None
         self.service.listed(ListUpdate.SILENT if code in ("silent", "unanswered") else ListUpdate.FAILED, [])
 
-    async def _receive_updates(self, sock: Tallied, peer: tuple[str, int], started_at: float) -> str:
+    async def _receive_updates(self, sock: CountingSocket, peer: tuple[str, int], started_at: float) -> str:
         """Connect and receive updates until the watch ends; return its end code."""
         events = asyncio.get_running_loop()
         async with asyncio.timeout(seconds(CONNECT_TIMEOUT)):
@@ -187,18 +194,18 @@
         watch = self._watch = WatchConnection(self, sock)
         watch.last_line_at = started_at
         await events.sock_sendall(
-            sock, watch.http.ask("GET", forms.watch_target(self.index), self.address, [])
+            sock, watch.http.send_request("GET", forms.watch_target(self.index), self.address, [])
         )
         while not watch.end_code:
             # Only complete lines extend the timeout; bytes that never form one do not.
             timeout, lines = LIST_SILENCE_TIMEOUT if watch.line_count else FIRST, watch.line_count
             try:
                 async with asyncio.timeout_at(watch.last_line_at + seconds(timeout)):
-                    count = await events.sock_recv_into(sock, watch.receive_ring.space())
+                    count = await events.sock_recv_into(sock, watch.receive_ring.free_space())
                 if not count:
                     return "closed"
-                if sock.taken > watch.parsed_bytes:  # else drain_socket has parsed them
-                    watch.receive(sock.taken - watch.parsed_bytes)
+                if sock.received_bytes > watch.parsed_bytes:  # else drain_socket has parsed them
+                    watch.receive(sock.received_bytes - watch.parsed_bytes)
             except TimeoutError:
                 # After the process has been stopped for a while, the timeout fires before the bytes that
                 # have arrived are read. A server that is cut off falls silent; the scheduler still counts
--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -11,10 +11,10 @@
 from pathsaddle.net.memory.ledger import Entry
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
-from pathsaddle.net.service.pump import Opening, Tallied, drain, stream, to_counting_socket
+from pathsaddle.net.service.pump import CountingSocket, SocketFactory, drain, stream, to_counting_socket
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.wire import forms
-from pathsaddle.net.wire.http import Broken, Called, Message
+from pathsaddle.net.wire.http import HttpError, Message, ServerProtocol
 from pathsaddle.net.wire.ring import Ring
 from pathsaddle.scheduler_types import MILLISECOND, SECOND
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Room:
+class ClientLimits:
     """The limits that the process's memory sets for clients.
 
     Attributes:
@@ -50,12 +50,12 @@
 class ClientConnection:
     """One accepted connection."""
 
-    def __init__(self, front: Front, sock: Tallied, peer: str) -> None:
+    def __init__(self, front: Front, sock: CountingSocket, peer: str) -> None:
         self.front = front
         self.sock = sock
         self.peer = peer
         self.read_bytes = 0  # bytes that the reading task has seen, of those in `sock.taken`
-        self.machine = Called()
+        self.machine = ServerProtocol()
         self.input, self.output = Ring(), Ring()
         self.entry: Entry | None = None  # the txn whose answer the client waits for
         self.calls = 0
@@ -76,12 +76,18 @@
     @property
     def has_unseen(self) -> bool:
         """Whether bytes were received that the reading task has not seen yet, possibly a whole request."""
-        return self.sock.taken != self.read_bytes
+        return self.sock.received_bytes != self.read_bytes
 
     @property
     def is_idle(self) -> bool:
         """Whether no request or answer is in progress and no input is waiting."""
-        return not (self.machine.busy or self.machine.midway or self.input or self.output or self.has_unseen)
+        return not (
+            self.machine.is_busy
+            or self.machine.has_partial_request
+            or self.input
+            or self.output
+            or self.has_unseen
+        )
 
     @property
     def has_unread_input(self) -> bool:
@@ -90,7 +96,7 @@
         Without such input an idle connection is closed at once, without lingering: no answer is in transit,
         and a request that crosses the close is reset unread, which tells its client that it was not taken.
         """
-        return self.has_unseen or self.sock.stirred()
+        return self.has_unseen or self.sock.has_unread_input()
 
     def is_awaiting_first_request(self, now: int) -> bool:
         """Return whether the connection is so new that its first request may still be in transit.
@@ -114,24 +120,24 @@
         machine = self.machine
         try:
             while True:
-                while self.input.full and not machine.busy:
+                while self.input.is_full and not machine.is_busy:
                     self._buffer_drained.clear()
                     await self._buffer_drained.wait()
-                if self.input.full:
+                if self.input.is_full:
                     # The buffer is full behind a waiting request. Further input is read and dropped, and the
                     # answer says so with `Connection: close`. Left unread, it would hide the peer's FIN until
                     # the answer.
-                    machine.spill()
-                is_discarding = machine.over or machine.spilt
+                    machine.discard_rest()
+                is_discarding = machine.is_closed or machine.is_discarding
                 count = await self._events.sock_recv_into(
-                    self.sock, self.front.discard_buffer if is_discarding else self.input.space()
+                    self.sock, self.front.discard_buffer if is_discarding else self.input.free_space()
                 )
                 self.read_bytes += count
                 self.last_read_at = self.front.clock.now()
                 if is_discarding and count:
                     continue
-                if not count and self.output and not machine.busy:
-                    machine.over = self.peer_has_closed = True  # the writer ends the connection
+                if not count and self.output and not machine.is_busy:
+                    machine.is_closed = self.peer_has_closed = True  # the writer ends the connection
                     return
                 if not count:
                     code = self.end_code()
@@ -141,7 +147,9 @@
                 if self.code is not None:
                     return  # another read would outlive the descriptor
         except ConnectionError:
-            code = "hung-up" if machine.busy else "reset" if self.lingers_since is None else self.end_code()
+            code = (
+                "hung-up" if machine.is_busy else "reset" if self.lingers_since is None else self.end_code()
+            )
         except OSError:
             code = "error"
         except asyncio.CancelledError:
@@ -151,9 +159,9 @@
     def end_code(self) -> str:
         """Return the reason code for a connection that the peer has closed or whose lingering is over."""
         machine = self.machine
-        if machine.over:
+        if machine.is_closed:
             return "malformed" if machine.fault else "last-answer"
-        return "hung-up" if machine.busy else "cut-off" if machine.midway else "closed"
+        return "hung-up" if machine.is_busy else "cut-off" if machine.has_partial_request else "closed"
 
     def process_input(self) -> None:
         """Process the buffered input; an exception ends only this connection."""
@@ -168,29 +176,29 @@
     def _process_input(self) -> None:
         """Parse and handle requests; input behind a request that waits for its answer stays in the buffer."""
         machine = self.machine
-        while not machine.over and self.code is None:
+        while not machine.is_closed and self.code is None:
             if len(self.output) >= MAX_UNREAD_ANSWER_BYTES:
                 break  # the peer reads none of its answers; the writer resumes this loop
-            call = machine.next()
+            call = machine.next_request()
             if call is not None:
                 self.calls += 1
                 self._handle_request(call)
-            elif machine.busy or not self.input:
+            elif machine.is_busy or not self.input:
                 break
             else:
                 chunk = self.input.data()
                 machine.feed(chunk)
                 self.input.drop(len(chunk))
                 self.front.update_body_bytes(self)
-                self._put(machine.go_on())
-        objection = machine.objection()
+                self._put(machine.take_interim_response())
+        objection = machine.error_response()
         if objection:
             self.front.counters.add("objection")
             self.front.update_body_bytes(self)
             self._put(objection)
-        while machine.over and self.input:
+        while machine.is_closed and self.input:
             self.input.drop(len(self.input.data()))
-        if self.began_at is None and not machine.busy and (machine.midway or self.input):
+        if self.began_at is None and not machine.is_busy and (machine.has_partial_request or self.input):
             self.began_at = self.front.clock.now()
         self._buffer_drained.set()
 
@@ -201,9 +209,9 @@
             if path == forms.READY:
                 self._answer(200 if self.front.service.ready else 503)
             elif call.method != b"POST" and not self.front.service.takes(call):
-                raise Broken(405, "jobs come by POST")
+                raise HttpError(405, "jobs come by POST")
             elif path == forms.CALLBACK:
-                callback = self.front.service.words.callback(call.body)
+                callback = self.front.service.words.decode_callback(call.body)
                 if callback.worker in self.front.service.known:
                     self.is_worker = True
                     self.front.mark_proven(self)
@@ -215,7 +223,7 @@
                 self.front.mark_proven(self)
                 if entry is not None and entry.answer is not None:
                     self.entry = entry
-        except Broken as fault:
+        except HttpError as fault:
             self.front.counters.add(f"malformed.{fault.status}")
             self._answer(fault.status, str(fault).encode())
 
@@ -230,8 +238,8 @@
     def _answer(
         self, status: int, body: bytes = b"", headers: tuple[str, ...] = (), keep: bool = True
     ) -> None:
-        keep = self.is_worker or (keep and not self.front.stopping)
-        self._put(self.machine.answer(status, body, headers, keep))
+        keep = self.is_worker or (keep and not self.front.is_stopping)
+        self._put(self.machine.respond(status, body, headers, keep))
         self.idle_since = self.front.clock.now()
         self.front.update_body_bytes(self)
 
@@ -247,14 +255,14 @@
             self._writer = None
             if self.peer_has_closed:
                 self.end(self.end_code())
-            elif self.machine.over:
+            elif self.machine.is_closed:
                 # A lingering close: a close with unread input would reset the connection and lose the answer.
                 # Input is discarded from now on; lingering connections are the first to be evicted.
                 self.sock.shutdown(socket.SHUT_WR)
                 self.lingers_since = self.last_read_at = self.front.clock.now()
             elif self.is_idle:
                 self.front.on_descriptor_freed()
-            elif not self.machine.busy:
+            elif not self.machine.is_busy:
                 self.process_input()
         except TimeoutError:
             self.end("unread")
@@ -268,7 +276,9 @@
         if self.lingers_since is not None:
             if now - self.last_read_at >= LINGER_IDLE_TIMEOUT or now - self.lingers_since >= LINGER_TIMEOUT:
                 self.end(self.end_code())
-        elif self.began_at is not None and now - self.began_at >= REQUEST_TIMEOUT and not self.machine.busy:
+        elif (
+            self.began_at is not None and now - self.began_at >= REQUEST_TIMEOUT and not self.machine.is_busy
+        ):
             if self.has_unread_input:
                 # The process stalled, not the peer. One short delay only: a peer that trickles bytes must not
                 # extend it.
@@ -277,24 +287,24 @@
                 self._time_out_request(self.began_at)
 
     def _time_out_request(self, since: int) -> None:
-        if self.code is not None or self.began_at != since or self.machine.busy:
+        if self.code is not None or self.began_at != since or self.machine.is_busy:
             return
-        if self.machine.midway or self.calls:
-            self.machine.object(408, "the rest of the call did not come")
+        if self.machine.has_partial_request or self.calls:
+            self.machine.reject(408, "the rest of the call did not come")
             self.process_input()
-        elif not self.machine.over:
+        elif not self.machine.is_closed:
             self.end("silent")
 
     def eviction_priority(self, now: int) -> int:
         """Return the eviction priority: 0 for never, else higher values first."""
         machine = self.machine
-        if machine.busy or self.output:
+        if machine.is_busy or self.output:
             return 0
-        if machine.over:
+        if machine.is_closed:
             return 3 if now - self.last_read_at >= FIRST_BYTE_TIMEOUT else 0
         if self.has_unseen:
             return 0
-        if self.calls and not machine.midway and not self.input:
+        if self.calls and not machine.has_partial_request and not self.input:
             return 1 if self.is_proven else 4
         # No request yet: the first one may be in transit and would be lost.
         return 2 if not self.is_proven and now - self.last_read_at >= FIRST_BYTE_TIMEOUT else 0
@@ -333,11 +343,11 @@
         self,
         listen: str,
         descriptor_limit: int,
-        limits: Room,
+        limits: ClientLimits,
         service: TxnService,
         clock: Clock,
         counters: Counters,
-        opening: Opening = stream,
+        opening: SocketFactory = stream,
     ) -> None:
         self.service = service
         self.clock = clock
@@ -348,7 +358,7 @@
         self.unproven: dict[ClientConnection, None] = {}  # those that have carried no txn or callback yet
         self.held_body_bytes = 0  # bytes of the bodies of incomplete and open requests
         self.discard_buffer = memoryview(bytearray(64 * 1024))  # shared by all connections
-        self.stopping = False
+        self.is_stopping = False
         self._descriptor_freed = asyncio.Event()
         self._is_shut = False  # no further connection is accepted
         self.sock, address = opening(listen)
@@ -368,7 +378,7 @@
                 logbook.accept_failed(why=fault)
                 # A peer that left before the accept costs no other peer its connection.
                 if code in RESOURCE_ERRNOS and not self.evict_connection():
-                    self.service.workers.links.let_go_oldest()
+                    self.service.workers.links.close_oldest()
                 if code not in CONNECTION_ERRNOS:
                     await asyncio.sleep(seconds(ACCEPT_RETRY_DELAY))
                 continue
@@ -405,7 +415,7 @@
     def max_connections(self) -> int:
         """The connection limit: bounded by memory and by the descriptors that worker links may use."""
         links = self.service.workers.links
-        return min(self.limits.connections, self.descriptor_limit - max(links.most, links.count))
+        return min(self.limits.connections, self.descriptor_limit - max(links.max_links, links.count))
 
     def evict_connection(self) -> bool:
         """Evict one connection and return whether there was one to evict.
@@ -427,12 +437,12 @@
         ):
             if not connection.eviction_priority(now):
                 break
-            if connection.machine.over or not connection.has_unread_input:
+            if connection.machine.is_closed or not connection.has_unread_input:
                 connection.end("room")
                 return True
         return False
 
-    def spare_descriptor(self) -> bool:
+    def ensure_free_descriptor(self) -> bool:
         """Return whether a worker connection can have a descriptor; evict an idle client if necessary.
 
         The first connection to each worker is allowed beyond `links.most`. Without this check, those and the
@@ -449,10 +459,10 @@
 
     def update_body_bytes(self, connection: ClientConnection) -> None:
         """Update the sum of all bodies and refuse this connection's body with 503 if the sum is too large."""
-        self.held_body_bytes += connection.machine.held - connection.held_body_bytes
-        connection.held_body_bytes = connection.machine.held
-        if self.held_body_bytes > self.limits.bodies and connection.machine.part is not None:
-            connection.machine.object(503, "no room for this body now")
+        self.held_body_bytes += connection.machine.held_bytes - connection.held_body_bytes
+        connection.held_body_bytes = connection.machine.held_bytes
+        if self.held_body_bytes > self.limits.bodies and connection.machine.partial is not None:
+            connection.machine.reject(503, "no room for this body now")
 
     def sweep(self) -> None:
         """Enforce the time limits of all connections."""
@@ -470,7 +480,7 @@
         logbook.client_end(code=connection.code, peer=connection.peer, calls=connection.calls)
         self.on_descriptor_freed()
 
-    async def shut(self) -> None:
+    async def close_listener(self) -> None:
         """Close the listener.
 
         Connections in the kernel's accept queue are accepted first, since closing the listener would reset
@@ -490,18 +500,18 @@
             pass  # the queue is empty, or no descriptor is left
         self.sock.close()
 
-    def in_use(self) -> bool:
+    def is_in_use(self) -> bool:
         """Return whether an open connection may still carry a client's next or first txn."""
         now = self.clock.now()
         return any(
-            connection.machine.busy
+            connection.machine.is_busy
             or connection.output
             or connection.is_awaiting_first_request(now)
-            or (connection.is_proven and not connection.is_worker and not connection.machine.over)
+            or (connection.is_proven and not connection.is_worker and not connection.machine.is_closed)
             for connection in self.connections
         )
 
-    def quiet(self) -> bool:
+    def close_idle_connections(self) -> bool:
         """Close idle connections and return whether no client or worker waits for an answer any more."""
         now = self.clock.now()
         for connection in list(self.connections):
--- a/pathsaddle/net/service/ground.py
+++ b/pathsaddle/net/service/ground.py
@@ -16,11 +16,11 @@
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.service.discovery import DiscoveryWatch
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.wire.birth import WHERE, Unreadable, moved_to
+from pathsaddle.net.wire.birth import WHERE, UnreadableConfigError, read_discovery_address
 from pathsaddle.net.wire.terms import Peer
 
 
-class Fellows(Protocol):
+class FleetParticipant(Protocol):
     """The dispatcher's part in a fleet of dispatchers, as this layer sees it (see `pathsaddle/fleet`)."""
 
     def begin(self) -> None:
@@ -35,13 +35,13 @@
         ...
 
 
-class Ground:
+class Environment:
     """The environment that the operating system's kernel provides."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
 
-    def stream(self, address: str) -> tuple[pump.Tallied, Peer]:
+    def stream(self, address: str) -> tuple[pump.CountingSocket, Peer]:
         """Return a new non-blocking TCP socket and the address in the form that it takes.
 
         Raises:
@@ -57,7 +57,7 @@
         """
         return pump.stream(address, socket.SOCK_DGRAM)
 
-    def fellows(self, counters: Counters) -> Fellows | None:
+    def fellows(self, counters: Counters) -> FleetParticipant | None:
         """Return the dispatcher's part in a fleet, or None where none is configured."""
         return None
 
@@ -89,7 +89,7 @@
         Raises:
             Error: The file can't be read, or has no valid address of discovery.
         """
-        return moved_to(self.told())
+        return read_discovery_address(self.told())
 
     def told(self) -> str:
         """Read the configuration file.
@@ -101,4 +101,4 @@
             with open(os.environ[WHERE], encoding="utf-8") as file:
                 return file.read()
         except (OSError, UnicodeDecodeError) as fault:
-            raise Unreadable(file=self.file(), why=why(fault)) from None
+            raise UnreadableConfigError(file=self.file(), why=why(fault)) from None
--- a/pathsaddle/net/service/place.py
+++ b/pathsaddle/net/service/place.py
@@ -67,7 +67,7 @@
 }
 
 
-def unhad(fault: Exception, key: str, address: str, file: str) -> Error:
+def bind_error(fault: Exception, key: str, address: str, file: str) -> Error:
     """Return the operator-facing error for a listener that could not be bound.
 
     Args:
--- a/pathsaddle/net/service/pump.py
+++ b/pathsaddle/net/service/pump.py
@@ -9,10 +9,10 @@
 
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.wire.terms import Peer, parse_peer
 
 
-class Tallied(socket.socket):
+class CountingSocket(socket.socket):
     """A socket that counts its bytes in the system calls themselves.
 
     A coroutine that awaits `sock_sendall` or `sock_recv_into` resumes one event loop iteration after the
@@ -24,25 +24,25 @@
         taken: The number of bytes received from the peer, whether or not their reader has resumed.
     """
 
-    __slots__ = ("given", "taken")
+    __slots__ = ("received_bytes", "sent_bytes")
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self.given = self.taken = 0
+        self.sent_bytes = self.received_bytes = 0
 
     def send(self, data: Any, flags: int = 0) -> int:
         """Send `data` and count the bytes that the kernel has accepted."""
         count = super().send(data, flags)
-        self.given += count
+        self.sent_bytes += count
         return count
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
         """Receive into `buffer` and count the bytes."""
         count = super().recv_into(buffer, nbytes, flags)
-        self.taken += count
+        self.received_bytes += count
         return count
 
-    def stirred(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Return whether the kernel holds unread input: bytes, the end of the stream, or a reset."""
         try:
             self.recv(1, socket.MSG_PEEK)
@@ -54,33 +54,33 @@
 
 
 # Returns a new socket and the parsed address; simulations pass their own.
-Opening = Callable[[str], tuple[Tallied, Peer]]
+SocketFactory = Callable[[str], tuple[CountingSocket, Peer]]
 
 
-def to_counting_socket(sock: Any) -> Tallied:
+def to_counting_socket(sock: Any) -> CountingSocket:
     """Return an accepted socket as a counting one.
 
     A simulated socket counts its own bytes and is returned unchanged.
     """
-    if isinstance(sock, socket.socket) and not isinstance(sock, Tallied):
-        return Tallied(sock.family, sock.type, sock.proto, fileno=sock.detach())
-    counting_socket: Tallied = sock
+    if isinstance(sock, socket.socket) and not isinstance(sock, CountingSocket):
+        return CountingSocket(sock.family, sock.type, sock.proto, fileno=sock.detach())
+    counting_socket: CountingSocket = sock
     return counting_socket
 
 
-def stream(address: str, kind: int = socket.SOCK_STREAM) -> tuple[Tallied, Peer]:
+def stream(address: str, kind: int = socket.SOCK_STREAM) -> tuple[CountingSocket, Peer]:
     """Return a non-blocking socket of the address's family, and the address as (host, port).
 
     Raises:
         ValueError: The text is not an address.
     """
-    peer = peer_of(address)  # before the socket, so that an invalid address does not leak a descriptor
-    sock = Tallied(socket.AF_INET6 if ":" in peer[0] else socket.AF_INET, kind)
+    peer = parse_peer(address)  # before the socket, so that an invalid address does not leak a descriptor
+    sock = CountingSocket(socket.AF_INET6 if ":" in peer[0] else socket.AF_INET, kind)
     sock.setblocking(False)
     return sock, peer
 
 
-def outgoing(address: str, opening: Opening = stream) -> tuple[Tallied, Peer]:
+def outgoing(address: str, opening: SocketFactory = stream) -> tuple[CountingSocket, Peer]:
     """Return a socket for an outgoing connection, with TCP_NODELAY set, and the peer's (host, port)."""
     sock, peer = opening(address)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -108,4 +108,4 @@
             async with asyncio.timeout(seconds(within)):
                 await event_loop.sock_sendall(sock, part)
         ring.drop(len(part))
-    ring.rest()
+    ring.release_if_empty()
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -14,10 +14,10 @@
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import seconds
 from pathsaddle.net.service.discovery import DiscoveryWatch
-from pathsaddle.net.service.front import Front, Room
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.front import ClientLimits, Front
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.net.service.workers import Workers
-from pathsaddle.net.wire.birth import WHERE, Birth, birth
+from pathsaddle.net.wire.birth import WHERE, StartConfig, birth
 from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate
 
 SPARE_DESCRIPTORS = 12  # for the listener, discovery's watch and connections that are being closed
@@ -47,7 +47,7 @@
         fellows: The part in a fleet of dispatchers; None without one.
     """
 
-    def __init__(self, config: Birth, environment: Ground) -> None:
+    def __init__(self, config: StartConfig, environment: Environment) -> None:
         self.environment = environment
         self.discovery: DiscoveryWatch
         self.clock = environment.clock
@@ -57,35 +57,35 @@
         free = config.sockets - environment.descriptors() - SPARE_DESCRIPTORS
         # Of the memory that is left a third goes to connections, a quarter to bodies, the rest to all else.
         free_mb = max(0.0, 0.9 * config.memory_mb - environment.memory_mb())
-        limits = Room(
+        limits = ClientLimits(
             max(MIN_CONNECTIONS, int(min(free, free_mb / 3 / CONNECTION_MB))),
             int(max(MIN_BODY_MB, min(1e3, free_mb / 4)) * 1e6),
         )
-        self.workers = Workers(config.reach, free // 4, self.clock, self.counters, environment.stream)
-        config.terms.max_open_txns = min(
-            config.terms.max_open_txns, min(limits.connections, free - free // 4) * 3 // 4
+        self.workers = Workers(config.timeouts, free // 4, self.clock, self.counters, environment.stream)
+        config.scheduler.max_open_txns = min(
+            config.scheduler.max_open_txns, min(limits.connections, free - free // 4) * 3 // 4
         )
         self.service = environment.service(
-            config.terms,
-            config.words,
+            config.scheduler,
+            config.decoder,
             config.seed,
             self.clock,
             self.workers,
             self.counters,
-            lambda: self.discovery.ask(),
+            lambda: self.discovery.call_discovery(),
         )
-        self.discovery = environment.watch(config.discovery, config.index, self.service, self.counters)
+        self.discovery = environment.watch(config.discovery, config.list_index, self.service, self.counters)
         self.service.catch_up = self.discovery.catch_up
-        self.service.listed(ListUpdate.REMEMBERED, config.rows)
+        self.service.listed(ListUpdate.CACHED, config.list_rows)
         try:
             self.front = Front(
                 config.listen, free, limits, self.service, self.clock, self.counters, environment.stream
             )
         except (OSError, ValueError) as fault:
-            from pathsaddle.net.service.place import unhad
+            from pathsaddle.net.service.place import bind_error
 
-            raise unhad(fault, "listen", config.listen, environment.file()) from None
-        self.workers.make_room = self.front.spare_descriptor
+            raise bind_error(fault, "listen", config.listen, environment.file()) from None
+        self.workers.free_descriptor = self.front.ensure_free_descriptor
         self.fellows = environment.fellows(self.counters)
         self._stop = asyncio.Event()
 
@@ -112,10 +112,10 @@
         self.report()
 
     async def _finish(self) -> None:
-        logbook.stopping(unanswered=len(self.service.ledger.unanswered()))
+        logbook.stopping(unanswered=len(self.service.ledger.unanswered_entries()))
         if self.fellows is not None:
             self.fellows.leave()
-        schemes = (*self.service.words.schemes.values(), *self.service.ledger.schemes())
+        schemes = (*self.service.words.schemes.values(), *self.service.ledger.open_schemes())
         drain_time = min(MAX_DRAIN_TIME, max((scheme.expiry for scheme in schemes), default=MAX_DRAIN_TIME))
         started_at = self.clock.now()
         deadline = started_at + drain_time + LATE_TXN_TIME
@@ -123,24 +123,24 @@
         # Clients go on using their open connections, and there may be no other dispatcher for them: when
         # they were closed at once, 4 in 10 txns of a zone with one dispatcher failed until the next started.
         while self.clock.now() < started_at + drain_time and (
-            self.clock.now() < started_at + COMING or self.front.in_use()
+            self.clock.now() < started_at + COMING or self.front.is_in_use()
         ):
             await asyncio.sleep(seconds(FLUSH_TIME) / 5)
-        self.front.stopping = True
+        self.front.is_stopping = True
         # Workers' callbacks may still need a new connection; clients' connections are closed once idle.
-        while not self.front.quiet() and self.clock.now() < deadline:
+        while not self.front.close_idle_connections() and self.clock.now() < deadline:
             await asyncio.sleep(seconds(FLUSH_TIME) / 5)
-        await self.front.shut()
+        await self.front.close_listener()
         # Connections that waited in the kernel's accept queue get an answer; no posting starts any more.
         self.service.stop(min(deadline, self.clock.now()))
-        while not self.front.quiet() and self.clock.now() < deadline + FLUSH_TIME:
+        while not self.front.close_idle_connections() and self.clock.now() < deadline + FLUSH_TIME:
             await asyncio.sleep(seconds(FLUSH_TIME) / 5)
-        logbook.stopped(unanswered=len(self.service.ledger.unanswered()))
+        logbook.stopped(unanswered=len(self.service.ledger.unanswered_entries()))
         self.discovery.stop("stopping")
         for connection in list(self.front.connections):
             connection.end("stopping")
         for worker in self.service.known:
-            self.workers.links.drop_idle(worker, "stopping")
+            self.workers.links.close_idle(worker, "stopping")
 
     async def _run_maintenance(self) -> None:
         while True:
@@ -150,7 +150,7 @@
             self.counters.most("lag_ms_most", lag / MILLISECOND)
             if lag > LAG_WARNING_THRESHOLD:
                 logbook.late(ms=lag // MILLISECOND)
-            self.workers.links.sweep(self.clock.now())
+            self.workers.links.close_expired(self.clock.now())
             self.front.sweep()
             self.counters.most("links_most", self.workers.links.count)
             memory = self.environment.memory_mb()
@@ -178,7 +178,7 @@
         logbook.counters(counters=self.counters.text())
 
 
-async def serve(environment: Ground) -> None:
+async def serve(environment: Environment) -> None:
     """Start a dispatcher and serve until it is signalled to end.
 
     Raises:
@@ -190,7 +190,7 @@
     await dispatcher.run()
 
 
-def run(environment: Ground) -> None:
+def run(environment: Environment) -> None:
     """Run one dispatcher in the foreground until it is signalled to end.
 
     Raises:
@@ -216,7 +216,7 @@
         logbook.untold(variable=WHERE)
         return 2
     try:
-        run(Ground())
+        run(Environment())
     except Error as fault:
         logbook.refused(name=fault.name, what=fault.what, do=fault.do)
         return fault.code
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -16,10 +16,10 @@
 from pathsaddle.net.memory.ledger import Answer, Entry, Exchange, Ledger, Sending
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
-from pathsaddle.net.service.workers import Lost, NeverSent, Workers
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError, Workers
 from pathsaddle.net.wire import forms
-from pathsaddle.net.wire.forms import Callback, Row, Words
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.forms import Callback, ListRow, MessageDecoder
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_driver import SchedulerDriver
 from pathsaddle.scheduler_types import (
     MILLISECOND,
@@ -50,7 +50,7 @@
     def __init__(
         self,
         config: SchedulerConfig,
-        words: Words,
+        words: MessageDecoder,
         seed: int,
         clock: Clock,
         workers: Workers,
@@ -59,7 +59,7 @@
     ) -> None:
         self.two_at_once = config.allows_hedging
         self.dropped_stay_open = config.delisted_workers_usable
-        self.look_target = forms.look_target(config.reports_in_probes)
+        self.look_target = forms.probe_target(config.reports_in_probes)
         self.words = words
         self.clock = clock
         self.workers = workers
@@ -76,7 +76,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._events = asyncio.get_running_loop()
         self.loop = SchedulerDriver(self, config, seed, clock.now())
-        workers.broke = self.broke
+        workers.on_connection_broken = self.broke
 
     # The transport of the scheduler driver.
 
@@ -93,7 +93,9 @@
         exchange = Exchange(posting, entry, min(within, remaining) if within else remaining)
         entry.exchanges.append(exchange)
         self.counters.add("posting")
-        exchange.alarm = self._events.call_later(max(0.0, seconds(exchange.within)), self._time_out, exchange)
+        exchange.timer = self._events.call_later(
+            max(0.0, seconds(exchange.timeout_ticks)), self._time_out, exchange
+        )
         exchange.task = self._start(self._carry(exchange))
 
     def cancel(self, posting: Posting) -> None:
@@ -105,16 +107,16 @@
         exchange = self.ledger[posting.txn.tag].exchanges[posting.number]
         if not posting.is_in_flight:
             return
-        if exchange.accepted:
+        if exchange.is_accepted:
             self._start(self._withdraw(exchange))
         else:
             self._abort_request(exchange)  # no byte is sent after this; the socket has counted those before
             # The next posting may reach its worker sooner than the end of the connection reaches this one.
             self._events.call_later(
-                seconds(CLOSE_PROPAGATION_DELAY if exchange.sent and not self.two_at_once else 0),
+                seconds(CLOSE_PROPAGATION_DELAY if exchange.is_sent and not self.two_at_once else 0),
                 self._end,
                 exchange,
-                Outcome.CANCELLED if exchange.sent else Outcome.MOOT,
+                Outcome.CANCELLED if exchange.is_sent else Outcome.MOOT,
             )
 
     def decline(self, txn: Txn, come_back: int, elsewhere: bool) -> None:
@@ -125,7 +127,7 @@
             come_back: When the client may retry, for the Retry-After header.
             elsewhere: Whether the client should retry at another dispatcher; its connection is then closed.
         """
-        self._answer(txn, "declined", 503, b"", forms.come_back_header(come_back), keep=not elsewhere)
+        self._answer(txn, "declined", 503, b"", forms.retry_after_header(come_back), keep=not elsewhere)
 
     def reverse(self, txn: Txn) -> None:
         """Answer a txn with 500: it may have run, and no result will follow."""
@@ -179,9 +181,9 @@
             Broken: The request is not a valid txn.
         """
         self._at()
-        txn = self.words.txn(call, self.loop.now)
-        if self.ledger.knows(txn.tag):
-            raise Broken(409, "this id is not new")
+        txn = self.words.decode_txn(call, self.loop.now)
+        if self.ledger.has_seen(txn.tag):
+            raise HttpError(409, "this id is not new")
         if self.stopping is not None:
             txn.shorten_deadline(self.stopping)
         entry = Entry(txn, call, answer)
@@ -207,28 +209,30 @@
 
     def called_back(self, callback: Callback) -> None:
         """Apply a callback; a duplicate or late one matches no posting in flight and is only counted."""
-        self.counters.add(f"callback.{callback.name}")
-        exchange = self.ledger.exchange(callback.tag, callback.worker)
-        if exchange is None or not exchange.begun:
+        self.counters.add(f"callback.{callback.state_name}")
+        exchange = self.ledger.find_exchange(callback.tag, callback.worker)
+        if exchange is None or not exchange.has_begun:
             self.counters.add("callback.stray")
         elif callback.outcome is not None:
             outcome = callback.outcome
-            if outcome.never_ran and self.ledger.ambiguous(exchange):
+            if outcome.never_ran and self.ledger.is_ambiguous(exchange):
                 outcome = Outcome.ERROR  # it may refer to an earlier posting at that worker: no proof
             self._end(exchange, outcome, callback.report, callback.result)
-        elif callback.note:
+        elif callback.is_progress:
             self._at()
             posting = exchange.posting
-            self._guard(posting.txn, lambda: self.loop.on_progress(posting, callback.started, callback.level))
+            self._guard(
+                posting.txn, lambda: self.loop.on_progress(posting, callback.has_started, callback.progress)
+            )
 
-    def listed(self, update: ListUpdate, rows: list[Row]) -> None:
+    def listed(self, update: ListUpdate, rows: list[ListRow]) -> None:
         """Apply an update of discovery's list: addresses here, states in the scheduler."""
         listed_workers = []
         for row in rows:
             known = self.known.setdefault(row.worker.tag, row.worker)
             if known is not row.worker:
                 known.update_from(row.worker)
-            self.workers.located(known.tag, row.address)
+            self.workers.set_address(known.tag, row.address)
             listed_workers.append(known)
         self._at()
         self._guard(None, lambda: self.loop.on_list_update(update, listed_workers))
@@ -236,7 +240,7 @@
             if worker.listed_state is ListedState.GONE and not worker.can_receive_postings(
                 self.dropped_stay_open
             ):
-                self.workers.links.forget(worker.tag)
+                self.workers.links.remove_worker(worker.tag)
 
     def broke(self, worker: str) -> None:
         """Report to the scheduler that a worker ended a connection."""
@@ -249,10 +253,10 @@
         """Begin the shutdown: shorten the deadline of every open and later txn to `by`."""
         self.stopping = by
         self._at()
-        for entry in self.ledger.unanswered():
+        for entry in self.ledger.unanswered_entries():
             self._guard(entry.txn, partial(self.loop.shorten_deadline, entry.txn, by))
 
-    def retune(self, config: SchedulerConfig, words: Words) -> None:
+    def retune(self, config: SchedulerConfig, words: MessageDecoder) -> None:
         """Apply a new configuration to later requests; open txns keep theirs.
 
         It raises nothing: `config/reload.py` has checked the configuration.
@@ -260,7 +264,7 @@
         self._at()
         self.words, self.dropped_stay_open = words, config.delisted_workers_usable
         self.loop.scheduler.update_config(
-            config, [scheme for scheme in self.ledger.schemes() if scheme not in config.schemes]
+            config, [scheme for scheme in self.ledger.open_schemes() if scheme not in config.schemes]
         )
 
     @property
@@ -280,7 +284,7 @@
     # One posting, from its start to its only outcome.
 
     async def _carry(self, exchange: Exchange) -> None:
-        posting, call = exchange.posting, exchange.entry.call
+        posting, call = exchange.posting, exchange.entry.request
         headers: list[tuple[bytes, bytes]] = []
 
         def begin_sending(sending: Sending) -> None:
@@ -293,10 +297,12 @@
             if not self.loop.can_begin_posting(posting):
                 self.counters.add("posting.withheld")
                 raise PostingWithheldError
-            exchange.begun, exchange.sending = True, sending
+            exchange.has_begun, exchange.sending = True, sending
             # The remaining time counts from the first byte. Counted from the start of the posting, the worker
             # would keep working for the connect time longer than the client waits.
-            headers.extend(forms.posting_headers(call, posting.sent_at + exchange.within - self.clock.now()))
+            headers.extend(
+                forms.posting_headers(call, posting.sent_at + exchange.timeout_ticks - self.clock.now())
+            )
 
         try:
             answer = await self.workers.call(
@@ -304,28 +310,28 @@
             )
         except PostingWithheldError:
             self._end(exchange, Outcome.MOOT)
-        except NeverSent:
+        except RequestNotSentError:
             self._end(exchange, Outcome.UNCONNECTED)
-        except Lost:
+        except ConnectionLostError:
             self._end(exchange, Outcome.RESET)
         else:
             outcome = forms.outcome_of(answer)
             if outcome is None:
-                exchange.accepted = True
+                exchange.is_accepted = True
                 if posting.is_in_flight:
                     self._at()
                     self._guard(posting.txn, lambda: self.loop.on_posting_accepted(posting))
             else:
-                self._end(exchange, outcome, self.words.report_in(answer))
+                self._end(exchange, outcome, self.words.extract_report(answer))
 
     def _time_out(self, exchange: Exchange) -> None:
         """End a posting at its time limit; one that its worker has received in full may have run."""
         if exchange.posting.is_in_flight:
-            if exchange.accepted:
+            if exchange.is_accepted:
                 self._start(self._send_withdrawal(exchange))
             else:
                 self._abort_request(exchange)  # before `sent` is read: no byte is sent after this
-            self._end(exchange, Outcome.TIMED_OUT if exchange.sent else Outcome.MOOT)
+            self._end(exchange, Outcome.TIMED_OUT if exchange.is_sent else Outcome.MOOT)
 
     def _abort_request(self, exchange: Exchange) -> None:
         if exchange.task is not None:
@@ -341,19 +347,19 @@
         sendings: list[Sending] = []
         self.counters.add("withdrawal")
         try:
-            async with asyncio.timeout(seconds(self.workers.connect_within)):
+            async with asyncio.timeout(seconds(self.workers.connect_timeout)):
                 await self.workers.call(
                     exchange.posting.worker.tag,
                     "DELETE",
-                    forms.withdrawal_target(exchange.posting.txn.tag),
+                    forms.cancellation_target(exchange.posting.txn.tag),
                     [],
                     begins=sendings.append,
                 )
-        except (NeverSent, Lost, TimeoutError) as fault:
+        except (RequestNotSentError, ConnectionLostError, TimeoutError) as fault:
             self.counters.add("withdrawal.unanswered")
-            if isinstance(fault, Lost):
+            if isinstance(fault, ConnectionLostError):
                 return False  # the worker may have reset the connection before it read the request
-        return any(sending.whole for sending in sendings)
+        return any(sending.is_complete for sending in sendings)
 
     def _end(
         self, exchange: Exchange, outcome: Outcome, report: LoadReport | None = None, result: bytes = b""
@@ -361,11 +367,11 @@
         posting = exchange.posting
         if not posting.is_in_flight:
             return
-        if exchange.alarm is not None:
-            exchange.alarm.cancel()
-        if exchange.sent and not exchange.accepted and exchange.task is not None:
+        if exchange.timer is not None:
+            exchange.timer.cancel()
+        if exchange.is_sent and not exchange.is_accepted and exchange.task is not None:
             # The callback arrived before the 202, which may never follow.
-            self._events.call_later(seconds(self.workers.connect_within), exchange.task.cancel)
+            self._events.call_later(seconds(self.workers.connect_timeout), exchange.task.cancel)
         self.counters.add(f"outcome.{outcome.name.lower()}")
         txn = posting.txn
         self._at()
@@ -380,14 +386,14 @@
         started_at = self.clock.now()
         outcome, report = Outcome.TIMED_OUT, None
         try:
-            async with asyncio.timeout(seconds(self.workers.connect_within)):
+            async with asyncio.timeout(seconds(self.workers.connect_timeout)):
                 answer = await self.workers.call(worker.tag, "GET", self.look_target, [])
-            outcome, report = forms.look_outcome(answer), self.words.report_in(answer)
+            outcome, report = forms.probe_outcome(answer), self.words.extract_report(answer)
         except TimeoutError:
             pass
-        except NeverSent:
+        except RequestNotSentError:
             outcome = Outcome.UNCONNECTED
-        except Lost:
+        except ConnectionLostError:
             outcome = Outcome.RESET
         self.counters.add(f"probe.{outcome.name.lower()}")
         self._at()
@@ -408,7 +414,7 @@
         if self._guard(None, self.loop.run_pending):
             return
         # A txn whose lifecycle the fault has ended is answered; the rest of the pass is repeated.
-        for entry in self.ledger.unanswered():
+        for entry in self.ledger.unanswered_entries():
             if (
                 entry.txn.lifecycle is None
                 or inspect.getgeneratorstate(entry.txn.lifecycle) == inspect.GEN_CLOSED
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -12,10 +12,10 @@
 from pathsaddle.net.memory.links import Links
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock, seconds
-from pathsaddle.net.service.pump import Opening, Tallied, drain, outgoing, stream
-from pathsaddle.net.wire.http import Broken, Calling, Message
+from pathsaddle.net.service.pump import CountingSocket, SocketFactory, drain, outgoing, stream
+from pathsaddle.net.wire.http import ClientProtocol, HttpError, Message
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.net.wire.terms import Reach
+from pathsaddle.net.wire.terms import ConnectionTimeouts
 from pathsaddle.scheduler_types import MILLISECOND
 
 # A worker may send a second answer some milliseconds after the first, and HTTP answers do not name their
@@ -24,11 +24,11 @@
 REST_AFTER_ANSWER = 50 * MILLISECOND
 
 
-class NeverSent(Exception):
+class RequestNotSentError(Exception):
     """The last byte of the request was not written, so the request has not run."""
 
 
-class Lost(Exception):
+class ConnectionLostError(Exception):
     """The connection broke after the last byte of the request, so the request may have run."""
 
 
@@ -37,32 +37,36 @@
 
     __slots__ = ("end_offset", "sock")
 
-    def __init__(self, sock: Tallied) -> None:
+    def __init__(self, sock: CountingSocket) -> None:
         self.sock = sock
         self.end_offset: int | None = None  # `sock.given` after the last byte; None before the first byte
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the kernel has accepted the last byte of the request."""
-        return self.end_offset is not None and self.sock.given >= self.end_offset
+        return self.end_offset is not None and self.sock.sent_bytes >= self.end_offset
 
 
 class Link:
     """One connection to a worker."""
 
     def __init__(
-        self, sock: Tallied, peer: str, counters: Counters, on_broken: Callable[[], None] = lambda: None
+        self,
+        sock: CountingSocket,
+        peer: str,
+        counters: Counters,
+        on_broken: Callable[[], None] = lambda: None,
     ) -> None:
         self.sock = sock
         self.peer = peer
         self.counters = counters
         self.on_broken = on_broken
-        self.machine = Calling()
+        self.machine = ClientProtocol()
         self.input, self.output = Ring(), Ring()
         self.idle_since = 0
         self.calls = 0
-        self.ended = False
-        self.rests = False
+        self.has_ended = False
+        self.needs_cooldown = False
         self._method = ""  # of the current request, or of the last one
         self._previous_was_probe = False  # the request before it was a probe
         self._has_stray_answer = False  # an answer arrived that was not for the current request
@@ -73,14 +77,14 @@
         self._reader = self._event_loop.create_task(self._read())
 
     @property
-    def sound(self) -> bool:
+    def is_sound(self) -> bool:
         """Whether the link is open and everything received on it was an answer to its request."""
-        return not (self.ended or self._has_stray_answer) and self.sock.taken == self._read_bytes
+        return not (self.has_ended or self._has_stray_answer) and self.sock.received_bytes == self._read_bytes
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the link is sound and the kernel holds no unread input for it."""
-        return self.sound and not self.sock.stirred()
+        return self.is_sound and not self.sock.has_unread_input()
 
     async def write(self, method: str, data: bytes, sending: RequestTransmission) -> None:
         """Write one request.
@@ -97,9 +101,9 @@
         self._previous_was_probe, self._method = self._method == "GET", method
         # The answer to a probe cannot be mistaken for the answer to a posting: no rest is needed after a
         # probe.
-        self.rests = method != "GET"
+        self.needs_cooldown = method != "GET"
         self._answer = self._event_loop.create_future()
-        self._sending, sending.end_offset = sending, self.sock.given + len(data)
+        self._sending, sending.end_offset = sending, self.sock.sent_bytes + len(data)
         self.output.put(data)
         await drain(self.sock, self.output)
 
@@ -118,7 +122,7 @@
     async def _read(self) -> None:
         code = "fault"
         try:
-            while count := await self._event_loop.sock_recv_into(self.sock, self.input.space()):
+            while count := await self._event_loop.sock_recv_into(self.sock, self.input.free_space()):
                 self.input.fill(count)
                 self._read_bytes += count
                 while self.input:
@@ -130,7 +134,7 @@
             code = "worker-closed"
         except OSError as fault:
             code = "worker-reset" if isinstance(fault, ConnectionError) else "worker-error"
-        except Broken:
+        except HttpError:
             code = "worker-malformed"
         except asyncio.CancelledError:
             code = "stopping"
@@ -146,18 +150,18 @@
             # waiting for its timeout.
             self._has_stray_answer = True
             self.counters.add("answer.stray")
-            later_answers, self.machine.behind = self.machine.behind, []
-            if len(later_answers) == 1 and self.machine.part is None:
-                self.machine.more = False
+            later_answers, self.machine.extra_responses = self.machine.extra_responses, []
+            if len(later_answers) == 1 and self.machine.partial is None:
+                self.machine.has_extra_bytes = False
                 return self._handle_answer(later_answers[0])
             if later_answers:
                 self.end("worker-more")  # the posting's answer cannot be told from the others
-            self.machine.asked = True
-        elif self._sending is not None and not self._sending.whole:
+            self.machine.is_awaiting_response = True
+        elif self._sending is not None and not self._sending.is_complete:
             # The answer precedes the end of the request. No further byte is written, so the request has not
             # run.
             self.end("worker-early")
-        elif self.machine.more or self.input:
+        elif self.machine.has_extra_bytes or self.input:
             # More bytes follow the answer. It is unclear which belong to the request, so a decline proves
             # nothing.
             if self._answer is not None and not self._answer.done() and answer.status == 202:
@@ -166,9 +170,9 @@
         else:
             if self._answer is not None and not self._answer.done():
                 self._answer.set_result(answer)
-            if not answer.keep:
+            if not answer.keep_alive:
                 self.end("worker-last")
-        return not self.ended
+        return not self.has_ended
 
     def end(self, code: str) -> None:
         """Close the connection; a request without an answer fails with `Lost`.
@@ -176,10 +180,10 @@
         Args:
             code: The reason code, for the log and the counters.
         """
-        if self.ended:
+        if self.has_ended:
             return
-        self.ended = True
-        if self._sending is not None and not self._sending.whole:
+        self.has_ended = True
+        if self._sending is not None and not self._sending.is_complete:
             # The close comes later. A pending write must fail now, before it can send the last byte.
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
@@ -188,7 +192,7 @@
             self.on_broken()
         logbook.worker_end(code=code, peer=self.peer, calls=self.calls)
         if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(Lost(code))
+            self._answer.set_exception(ConnectionLostError(code))
             self._answer.exception()  # marks it as retrieved: a failed writer raises its own error
         self._reader.cancel()
         # After the reader has released the descriptor; otherwise a new connection could reuse its number.
@@ -199,24 +203,29 @@
     """The connections to all workers, and the workers' addresses."""
 
     def __init__(
-        self, reach: Reach, sockets: int, clock: Clock, counters: Counters, opening: Opening = stream
+        self,
+        reach: ConnectionTimeouts,
+        sockets: int,
+        clock: Clock,
+        counters: Counters,
+        opening: SocketFactory = stream,
     ) -> None:
-        self.opening = opening
+        self.open_socket = opening
         self.clock = clock
         self.counters = counters
-        self.connect_within = reach.connect_within
+        self.connect_timeout = reach.connect_timeout
         # Called with the worker's name when the worker's side ended a connection.
-        self.broke: Callable[[str], None] = lambda worker: None
-        idle_margin = max(500, reach.idle_within // 10)
-        self.links: Links[Link] = Links(sockets, max(0, reach.idle_within - idle_margin), REST_AFTER_ANSWER)
+        self.on_connection_broken: Callable[[str], None] = lambda worker: None
+        idle_margin = max(500, reach.idle_timeout // 10)
+        self.links: Links[Link] = Links(sockets, max(0, reach.idle_timeout - idle_margin), REST_AFTER_ANSWER)
         # Called before each new connection, to free a descriptor for it.
-        self.make_room: Callable[[], object] = lambda: None
+        self.free_descriptor: Callable[[], object] = lambda: None
         self.addresses: dict[str, str] = {}
 
-    def located(self, worker: str, address: str) -> None:
+    def set_address(self, worker: str, address: str) -> None:
         """Set a worker's address; a change closes its idle connections."""
         if address and self.addresses.get(worker) != address:
-            self.links.drop_idle(worker, "worker-moved")
+            self.links.close_idle(worker, "worker-moved")
             self.addresses[worker] = address
             self.links.pool(worker)
 
@@ -250,58 +259,58 @@
             sending = RequestTransmission(link.sock)
             begins(sending)
             try:
-                call = link.machine.ask(method, target, self.addresses[worker], headers, body)
+                call = link.machine.send_request(method, target, self.addresses[worker], headers, body)
                 await link.write(method, call, sending)
             except OSError as fault:
                 link.end("worker-unwritten")
-                if sending.whole:
-                    raise Lost(str(fault)) from None
-                raise NeverSent(str(fault)) from None
+                if sending.is_complete:
+                    raise ConnectionLostError(str(fault)) from None
+                raise RequestNotSentError(str(fault)) from None
             if method == "POST":
                 self.counters.add("posting.sent")
             return await link.answer()
         finally:
             # The request was cancelled: its answer may still arrive, so the connection cannot be reused.
-            if link.machine.asked:
+            if link.machine.is_awaiting_response:
                 link.end("given-up")
             self.links.put_back(pool, link, self.clock.now())
 
     async def _acquire_link(self, worker: str) -> Link:
         pool = self.links.pool(worker)
-        link = self.links.take(pool, self.clock.now())
+        link = self.links.acquire(pool, self.clock.now())
         if link is not None:
             return link  # the common case: without the timer, which costs more than the rest of the method
         try:
-            async with asyncio.timeout(seconds(self.connect_within)):
+            async with asyncio.timeout(seconds(self.connect_timeout)):
                 while True:
-                    link = self.links.take(pool, self.clock.now())
+                    link = self.links.acquire(pool, self.clock.now())
                     if link is not None:
                         return link
-                    if self.links.may_open(pool):
+                    if self.links.try_make_room(pool):
                         break
-                    if not self.links.gives_up_resting(pool):
-                        await self.links.turn(pool)
+                    if not self.links.close_cooling(pool):
+                        await self.links.wait_for_link(pool)
                 return await self._open_link(worker)
         except TimeoutError:
             self.counters.add("connect.late")
-            raise NeverSent("no connection in time") from None
+            raise RequestNotSentError("no connection in time") from None
         except (OSError, ValueError, KeyError) as fault:  # also an invalid or unknown address
             self.counters.add("connect.refused")
-            raise NeverSent(str(fault)) from None
+            raise RequestNotSentError(str(fault)) from None
 
     async def _open_link(self, worker: str) -> Link:
         pool = self.links.pool(worker)
-        self.make_room()
-        pool.used += 1
+        self.free_descriptor()
+        pool.used_count += 1
         address = self.addresses[worker]
         sock = None
         try:
-            sock, peer = outgoing(address, self.opening)
+            sock, peer = outgoing(address, self.open_socket)
             await asyncio.get_running_loop().sock_connect(sock, peer)
         except BaseException:
             if sock is not None:
                 asyncio.get_running_loop().call_soon(sock.close)
-            self.links.release(pool)
+            self.links.release_slot(pool)
             raise
         self.counters.add("connect.made")
-        return Link(sock, f"{worker}@{address}", self.counters, lambda: self.broke(worker))
+        return Link(sock, f"{worker}@{address}", self.counters, lambda: self.on_connection_broken(worker))
--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -8,8 +8,8 @@
 
 from pathsaddle.errors import Error, why
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Row, Words
-from pathsaddle.net.wire.terms import InvalidSettingError, Reach, SettingsSection, peer_of
+from pathsaddle.net.wire.forms import ListRow, MessageDecoder
+from pathsaddle.net.wire.terms import ConnectionTimeouts, InvalidSettingError, SettingsSection, parse_peer
 from pathsaddle.scheduler_types import SECOND, SchedulerConfig
 
 WHERE = "GW_CONFIG"  # the environment variable with the path of the configuration file
@@ -18,7 +18,7 @@
 MIN_SOCKETS, MIN_MEMORY_MB = 64, 21.0
 
 
-class Unreadable(Error):
+class UnreadableConfigError(Error):
     """The configuration file cannot be read."""
 
     name = "start.unreadable"
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Birth:
+class StartConfig:
     """The start configuration, in the types that the program uses."""
 
     listen: str
@@ -62,14 +62,14 @@
     seed: int
     sockets: int
     memory_mb: float
-    terms: SchedulerConfig
-    words: Words
-    reach: Reach
-    index: int  # the version of the last known worker list, which may be outdated
-    rows: list[Row]  # its entries
+    scheduler: SchedulerConfig
+    decoder: MessageDecoder
+    timeouts: ConnectionTimeouts
+    list_index: int  # the version of the last known worker list, which may be outdated
+    list_rows: list[ListRow]  # its entries
 
 
-def moved_to(text: str) -> str:
+def read_discovery_address(text: str) -> str:
     """Return the address of discovery in a changed configuration file.
 
     All other keys are read at the start only, since open txns depend on them.
@@ -87,7 +87,7 @@
     if not isinstance(address, str):
         raise MissingKeyError(key="discovery")
     try:
-        peer_of(address)
+        parse_peer(address)
     except ValueError as fault:
         raise InvalidKeyError(key="discovery", why=why(fault)) from None
     return address
@@ -103,7 +103,7 @@
     return config
 
 
-def birth(text: str) -> Birth:
+def birth(text: str) -> StartConfig:
     """Parse the text of the configuration file.
 
     Raises:
@@ -121,7 +121,7 @@
         raise InvalidKeyError(key=fault.key, why=fault.why) from None
 
 
-def _build(config: dict[str, Any]) -> Birth:
+def _build(config: dict[str, Any]) -> StartConfig:
     """Check the configuration, from the platform's file or from a charter; raises InvalidSettingError."""
     settings = {} if config.get("settings") is None else config["settings"]
     seed, limits = _seed(config), SettingsSection(config.get("limits"), "limits")
@@ -143,9 +143,9 @@
         settings.get("Discovery") == "automatic",
     )
     scheduler.list_poll_interval = scheduler.list_poll_interval or 10 * SECOND
-    words = Words(settings, scheduler)
+    words = MessageDecoder(settings, scheduler)
     index, rows = _known_list(words, SettingsSection(config.get("known"), "known"))
-    return Birth(
+    return StartConfig(
         config["listen"],
         config["discovery"],
         seed,
@@ -171,15 +171,15 @@
         raise SettingsSection(config, "").invalid("seed", "a hexadecimal number") from None
 
 
-def _known_list(words: Words, known: SettingsSection) -> tuple[int, list[Row]]:
+def _known_list(words: MessageDecoder, known: SettingsSection) -> tuple[int, list[ListRow]]:
     """Read the last known list. Its hundreds of rows are checked one by one only if the whole fails."""
     index, rows = known.integer("index"), known.entries("endpoints")
     try:
-        return index, words.list({"index": index, "endpoints": rows})[2]
+        return index, words.decode_list({"index": index, "endpoints": rows})[2]
     except (LookupError, TypeError, ValueError, AttributeError, OverflowError):
         for i, row in enumerate(rows):
             try:
-                words.list({"index": index, "endpoints": [row]})
+                words.decode_list({"index": index, "endpoints": [row]})
             except (LookupError, TypeError, ValueError, AttributeError, OverflowError):
                 expected = "a worker with its name, and with numbers for group, weight and since_ms"
                 raise known.invalid("endpoints", expected, i) from None
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import (
     MILLISECOND,
     SECOND,
@@ -58,17 +58,17 @@
 
     tag: str
     worker: str
-    name: str  # the name of the state, for the counters
+    state_name: str  # the name of the state, for the counters
     outcome: Outcome | None  # set if the posting has ended
-    note: bool  # a progress message of a posting that has not ended
-    started: bool  # the worker has begun to run the posting
-    level: float  # the part of the work that is done, as the worker reports it
+    is_progress: bool  # a progress message of a posting that has not ended
+    has_started: bool  # the worker has begun to run the posting
+    progress: float  # the part of the work that is done, as the worker reports it
     result: bytes
     report: LoadReport | None
 
 
 @dataclass(slots=True)
-class Row:
+class ListRow:
     """An entry of the worker list: a worker, and the address at which this dispatcher reaches it."""
 
     worker: Worker
@@ -96,10 +96,10 @@
     return None
 
 
-class Words:
+class MessageDecoder:
     """Decodes messages by the configured names of schemes, customers, zones and machine kinds.
 
-    A new configuration makes a new instance (`retuned`); the old one still decodes by the names as they were.
+    A new configuration makes a new instance (`with_changes`); the old one still decodes by the names as they were.
     """
 
     def __init__(self, values: dict[str, Any], config: SchedulerConfig) -> None:
@@ -125,12 +125,12 @@
             found[name] = None
         return list(found)
 
-    def retuned(
+    def with_changes(
         self,
         schemes: Mapping[str, Scheme | None],
         customers: Mapping[str, Customer | None],
         zones: Iterable[str] = (),
-    ) -> Words:
+    ) -> MessageDecoder:
         """Return a copy with these schemes and customers added, changed or removed (None), by name.
 
         A name keeps its index until it is removed. A changed scheme is a new object, so that an accepted txn
@@ -163,20 +163,20 @@
 
     # From clients.
 
-    def txn(self, call: Message, now: int) -> Txn:
+    def decode_txn(self, call: Message, now: int) -> Txn:
         """Decode a client's request; raises Broken with the status to answer."""
         tag, kind = call.text(b"req-id"), call.text(b"req-kind")
         path = call.target.partition(b"?")[0].lstrip(b"/").partition(b"/")[0].decode("latin-1")
         scheme = self.schemes.get(path)
         customer = self.customers.get(call.text(b"req-owner") or "")
         if not tag or not TXN_ID.fullmatch(tag):
-            raise Broken(400, "no Req-Id")
+            raise HttpError(400, "no Req-Id")
         if scheme is None or (kind is not None and kind not in self.schemes):
-            raise Broken(404, "no such kind of job")
+            raise HttpError(404, "no such kind of job")
         if kind is not None and kind != path:
-            raise Broken(400, "two kinds of job at once")
+            raise HttpError(400, "two kinds of job at once")
         if customer is None and self.customers:
-            raise Broken(403, "no such owner")
+            raise HttpError(403, "no such owner")
         try:
             deadline_ms = call.text(b"req-deadline-ms")
             expiry = scheme.expiry if deadline_ms is None else int(parse_number(deadline_ms) * MILLISECOND)
@@ -198,11 +198,11 @@
                 is_retry=call.text(b"req-retry") == "1",
             )
         except ValueError as fault:
-            raise Broken(400, f"a figure that is none: {fault}") from None
+            raise HttpError(400, f"a figure that is none: {fault}") from None
 
     # From workers.
 
-    def callback(self, body: bytes) -> Callback:
+    def decode_callback(self, body: bytes) -> Callback:
         """Decode the body of a worker's callback; raises Broken."""
         try:
             message = json.loads(body)
@@ -220,12 +220,12 @@
                 state == STARTED,
                 float(message.get("share") or 0.0),
                 result.encode("utf-8", "surrogatepass"),
-                self.report(load) if load is not None else None,
+                self.decode_report(load) if load is not None else None,
             )
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
-            raise Broken(400, f"no callback: {type(fault).__name__}") from None
+            raise HttpError(400, f"no callback: {type(fault).__name__}") from None
 
-    def report(self, load: Any) -> LoadReport | None:
+    def decode_report(self, load: Any) -> LoadReport | None:
         """Decode a load report, an object or name=value text; None if it is malformed or all zeros.
 
         A worker reports zeros before its first measurement. Taken as a full worker, they caused half a second
@@ -239,30 +239,30 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def report_in(self, answer: Message) -> LoadReport | None:
+    def extract_report(self, answer: Message) -> LoadReport | None:
         """Decode the load report in the `Srv-Load` header or in the body of a worker's answer, if any."""
         load = answer.text(b"srv-load")
         if load is not None:
-            return self.report(load)
+            return self.decode_report(load)
         if answer.body.lstrip()[:1] == b"{":
             try:
                 body = json.loads(answer.body)
-                return self.report(body.get("load", body))
+                return self.decode_report(body.get("load", body))
             except ValueError:
                 return None
-        return self.report(answer.body.decode("latin-1")) if b"=" in answer.body else None
+        return self.decode_report(answer.body.decode("latin-1")) if b"=" in answer.body else None
 
     # From discovery.
 
-    def list_line(self, line: bytes) -> tuple[int, ListUpdate, list[Row]]:
+    def decode_list_line(self, line: bytes) -> tuple[int, ListUpdate, list[ListRow]]:
         """Decode a record of the watch; raises Broken."""
         try:
             record = json.loads(line)
-            return self.list(record)
+            return self.decode_list(record)
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
-            raise Broken(400, f"malformed list record: {type(fault).__name__}") from None
+            raise HttpError(400, f"malformed list record: {type(fault).__name__}") from None
 
-    def list(self, record: dict[str, Any]) -> tuple[int, ListUpdate, list[Row]]:
+    def decode_list(self, record: dict[str, Any]) -> tuple[int, ListUpdate, list[ListRow]]:
         """Return the index, the kind and the entries of a list record."""
         rows = []
         for entry in record.get("endpoints") or []:
@@ -270,7 +270,7 @@
             # A worker with an unknown status gets no new postings; the other entries stay valid.
             listed_state = LISTED_STATES.get(entry.get("status"), ListedState.DRAINING)
             rows.append(
-                Row(
+                ListRow(
                     Worker(
                         name,
                         self.zones.setdefault(str(entry.get("zone")), len(self.zones)),
@@ -284,7 +284,11 @@
                     str(entry.get("address") or ""),
                 )
             )
-        return int(record["index"]), ListUpdate.WHOLE if record.get("snapshot") else ListUpdate.CHANGES, rows
+        return (
+            int(record["index"]),
+            ListUpdate.COMPLETE if record.get("snapshot") else ListUpdate.CHANGES,
+            rows,
+        )
 
 
 # To workers.
@@ -295,11 +299,11 @@
 
     The time left is rounded down, since a worker must not expect the dispatcher to wait for longer.
     """
-    forwarded = [(name, value) for name, value in call.lines if name.lower() not in NOT_FORWARDED]
+    forwarded = [(name, value) for name, value in call.raw_headers if name.lower() not in NOT_FORWARDED]
     return [*forwarded, (b"Req-Deadline-Ms", b"%d" % max(1, time_left // MILLISECOND))]
 
 
-def withdrawal_target(tag: str) -> bytes:
+def cancellation_target(tag: str) -> bytes:
     """Return the request target by which a worker cancels a txn's posting."""
     return b"/jobs/" + quote(tag, safe="").encode()
 
@@ -315,12 +319,12 @@
     return Outcome.UNUSABLE if is_bad_request else Outcome.ERROR
 
 
-def look_target(reports: bool) -> bytes:
+def probe_target(reports: bool) -> bytes:
     """Return the request target of a probe; `reports`: whether workers answer one with a load report."""
     return LOAD if reports else HEALTH
 
 
-def look_outcome(answer: Message) -> Outcome:
+def probe_outcome(answer: Message) -> Outcome:
     """Return the outcome that a probe's answer states."""
     if answer.status == 200:
         return Outcome.SETTLED
@@ -338,6 +342,6 @@
 # To clients.
 
 
-def come_back_header(retry_after: int) -> tuple[str, ...]:
+def retry_after_header(retry_after: int) -> tuple[str, ...]:
     """Return the Retry-After header for a delay in ticks, in seconds; none for 0."""
     return (f"Retry-After: {retry_after / SECOND:.4f}",) if retry_after > 0 else ()
--- a/pathsaddle/net/wire/ring.py
+++ b/pathsaddle/net/wire/ring.py
@@ -13,10 +13,10 @@
     may be pending while the bytes before them are dropped.
     """
 
-    __slots__ = ("_head", "_room", "_size")
+    __slots__ = ("_buffer", "_head", "_size")
 
     def __init__(self) -> None:
-        self._room = bytearray()
+        self._buffer = bytearray()
         self._head = 0
         self._size = 0
 
@@ -24,20 +24,20 @@
         return self._size
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the allocated buffer has no free byte."""
-        return 0 < len(self._room) == self._size
+        return 0 < len(self._buffer) == self._size
 
-    def space(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Return the longest contiguous run of free bytes, for one read."""
-        if not self._room:
-            self._room = bytearray(INITIAL_BYTES)
+        if not self._buffer:
+            self._buffer = bytearray(INITIAL_BYTES)
         if not self._size:
             self._head = 0
         tail = self._head + self._size
-        if tail >= len(self._room):
-            return memoryview(self._room)[tail - len(self._room) : self._head]
-        return memoryview(self._room)[tail:]
+        if tail >= len(self._buffer):
+            return memoryview(self._buffer)[tail - len(self._buffer) : self._head]
+        return memoryview(self._buffer)[tail:]
 
     def fill(self, count: int) -> None:
         """Mark the first `count` bytes of `space` as written."""
@@ -45,25 +45,25 @@
 
     def data(self) -> memoryview:
         """Return the longest contiguous run of buffered bytes, for one write or one call of the parser."""
-        return memoryview(self._room)[self._head : min(len(self._room), self._head + self._size)]
+        return memoryview(self._buffer)[self._head : min(len(self._buffer), self._head + self._size)]
 
     def drop(self, count: int) -> None:
         """Discard the first `count` buffered bytes."""
         self._size -= count
-        self._head = (self._head + count) % len(self._room)
+        self._head = (self._head + count) % len(self._buffer)
 
-    def rest(self) -> None:
+    def release_if_empty(self) -> None:
         """Free the memory if the buffer is empty; no read into `space` may be pending."""
         if not self._size:
-            self._room, self._head = bytearray(), 0
+            self._buffer, self._head = bytearray(), 0
 
     def put(self, data: bytes) -> None:
         """Append `data`, and enlarge the buffer if it does not fit."""
-        if len(data) > len(self._room) - self._size:
+        if len(data) > len(self._buffer) - self._size:
             self._grow(self._size + len(data))
         start = 0
         while start < len(data):
-            space = self.space()
+            space = self.free_space()
             count = min(len(space), len(data) - start)
             space[:count] = data[start : start + count]
             self.fill(count)
@@ -76,6 +76,6 @@
             part = self.data()
             buffer[end : end + len(part)] = part
             end += len(part)
-            self._head = (self._head + len(part)) % len(self._room)
+            self._head = (self._head + len(part)) % len(self._buffer)
             self._size -= len(part)
-        self._room, self._head, self._size = buffer, 0, size
+        self._buffer, self._head, self._size = buffer, 0, size
--- a/pathsaddle/net/wire/terms.py
+++ b/pathsaddle/net/wire/terms.py
@@ -43,7 +43,7 @@
 Peer = tuple[str, int]
 
 
-def peer_of(address: str) -> Peer:
+def parse_peer(address: str) -> Peer:
     """Split a `host:port` address into the pair that sockets take; raises ValueError if it is malformed."""
     host, _, port = address.rpartition(":")
     if not host or not 0 <= int(port) < 1 << 16:
@@ -287,17 +287,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reach:
+class ConnectionTimeouts:
     """The timeouts of connections to workers, in ticks."""
 
-    connect_within: int
-    idle_within: int
+    connect_timeout: int
+    idle_timeout: int
 
 
-def reach(values: dict[str, Any]) -> Reach:
+def reach(values: dict[str, Any]) -> ConnectionTimeouts:
     """Read the timeouts of connections to workers; raises InvalidSettingError."""
     limits = SettingsSection(values, "settings").section("Limits")
-    return Reach(
+    return ConnectionTimeouts(
         nonzero_limit(limits.integer("ConnectTimeout")) or SECOND,
         nonzero_limit(limits.integer("IdleClose")) or 60 * SECOND,
     )
--- a/pathsaddle/placement/leadership.py
+++ b/pathsaddle/placement/leadership.py
@@ -23,7 +23,7 @@
 from pathsaddle.consensus.fleet_member import register_config
 from pathsaddle.consensus.udp_driver import RegisterDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
+from pathsaddle.net.service.ground import Environment
 from pathsaddle.placement.errors import InventoryUnreadableError
 from pathsaddle.scheduler_types import SECOND
 
@@ -51,7 +51,7 @@
                 "as docs/ownership.md shows",
             )
         self._register = RegisterDriver(
-            register_config(config, str(config_path)), Ground(), SystemRandom(), Counters()
+            register_config(config, str(config_path)), Environment(), SystemRandom(), Counters()
         )
         self._loop = asyncio.new_event_loop()
         self._loop.call_soon(self._register.begin)
