--- a/pathsaddle/scheduler.py
+++ b/pathsaddle/scheduler.py
@@ -57,7 +57,7 @@
 )
 
 BLIND_MAX_REJECTION_LEVEL = 0.3  # highest rejection level at which posting on late reports beats holding
-HANDFUL = 8.0  # txns in excess before a customer counts as over its share
+MIN_BUCKET_TXNS = 8.0  # txns in excess before a customer counts as over its share
 RISK_EXPONENT = 2  # exponent by which the chance to end in time falls with the time needed
 MIN_EXPECTED_FREE_SLOTS = 0.3  # expected free slots that justify a posting
 # Probe rounds per txn; workers probed in a round, also the number of failures that suspend a zone.
@@ -88,7 +88,7 @@
         generator = Random(seed)
         self.random, self.choose = generator.random, generator.choice
         self.transport, self.gate, self.tick = transport, gate, max(1, config.tick)
-        self.now = self.born = self.look_due = self.probe_due = self.estimates_updated_at = now
+        self.now = self.history_start = self.scan_due = self.probe_due = self.estimates_updated_at = now
         self.workers: dict[Worker, WorkerState] = {}
         self.home_zone, self.hold_count, self.open_count, self.max_open_txns = (
             config.zone,
@@ -99,7 +99,7 @@
         # The last scan granted a worker, so that the next scan may grant another one.
         self.has_granted = False
         # (load, worker) of each candidate in the last scan.
-        self.ranked: list[tuple[float, WorkerState]] = []
+        self.scored_workers: list[tuple[float, WorkerState]] = []
         # Classes of txns that found no worker in this scan.
         self.unplaceable_classes: dict[tuple[Any, ...], None] = {}
         # Held txns, highest priority first.
@@ -111,7 +111,7 @@
         self.turn_step = pow(stride, -1, self.dispatchers)
         # The dispatcher's estimated share of the fleet's traffic, and the share if all dispatchers had the
         # same.
-        self.part = self.even_traffic_share = 1.0 / config.dispatchers
+        self.traffic_share = self.even_traffic_share = 1.0 / config.dispatchers
         # Slots that must stay free after a posting for a customer over its share.
         self.over_share_reserve = 1.5
         self.probe_interval = (
@@ -141,13 +141,13 @@
         # Pace of the fastest worker, the closest observable reference for hints.
         self.fastest_pace = 1.0
         # Slots of the smallest known worker, the guess for the size of a cold one.
-        self.least_slots = 1.0
-        self.late_start_delay, self.age = 40 * MILLISECOND + 2 * self.tick, CANDIDATE_AGES[0]
+        self.min_slot_count = 1.0
+        self.late_start_delay, self.report_age = 40 * MILLISECOND + 2 * self.tick, CANDIDATE_AGES[0]
         # (when, squared error by candidate age).
         self.age_errors: deque[tuple[int, list[float]]] = deque(maxlen=48)
         self.zone_baselines: dict[int, ZoneBaseline] = {}  # by zone
         self.recent_keys: deque[str] = deque(maxlen=KEY_HISTORY_SIZE)  # keys of the last txns
-        self.order = lru_cache(KEY_HISTORY_SIZE)(self.rank_workers_for_key)
+        self.key_order = lru_cache(KEY_HISTORY_SIZE)(self.rank_workers_for_key)
         # (slots, slots times run time) of the last txns with a key.
         self.keyed_work: deque[tuple[float, float]] = deque(maxlen=KEY_HISTORY_SIZE)
         self.wide_job_min_slots = 0.0  # slots from which a job needs a whole worker
@@ -208,7 +208,7 @@
                 else self.list_spread
             )
             self.list_request_due = now + int(spread * self.random())
-        self.runs, self.accounts, self.overload_window = (
+        self.run_times, self.customer_usage, self.overload_window = (
             dict[Scheme, deque[int]](),
             dict[Any, CustomerUsage](),
             FOREVER,
@@ -224,22 +224,24 @@
         if config.overload_window > self.overload_window:
             # Sends before the shorter old window are forgotten, so that cold workers have to wait as after a
             # restart.
-            self.born = self.now
+            self.history_start = self.now
         self.schemes, scheme_by_index = config.schemes, {s.index: s for s in config.schemes}
-        run_times = {s.index: runs for s, runs in self.runs.items()}
-        self.runs = {s: run_times.get(s.index, deque(maxlen=48)) for s in (*config.schemes, *retired_schemes)}
+        run_times = {s.index: runs for s, runs in self.run_times.items()}
+        self.run_times = {
+            s: run_times.get(s.index, deque(maxlen=48)) for s in (*config.schemes, *retired_schemes)
+        }
         for state in self.workers.values():
             state.scheme_pauses = {
                 scheme_by_index[s.index]: pause
                 for s, pause in state.scheme_pauses.items()
                 if s.index in scheme_by_index
             }
-        self.accounts = {
-            customer: self.accounts.get(customer) or CustomerUsage(0.0, self.now, HANDFUL)
+        self.customer_usage = {
+            customer: self.customer_usage.get(customer) or CustomerUsage(0.0, self.now, MIN_BUCKET_TXNS)
             for customer in config.customers
             if customer.quota_rate > 0
         }
-        for customer, usage in self.accounts.items():
+        for customer, usage in self.customer_usage.items():
             usage.quota_rate = customer.quota_rate / SECOND  # over all dispatchers
         self.trial_schemes = (
             list(filter(self.is_repeatable_anywhere, config.schemes))
@@ -250,9 +252,9 @@
         self.probes_periodically = self.probe_interval and (
             self.probes_all_workers or (self.has_no_repeatable_scheme and self.silence_timeout)
         )
-        self.max_postings, self.two_at_once = config.max_postings, config.allows_hedging
+        self.max_postings, self.allows_hedging = config.max_postings, config.allows_hedging
         self.can_cancel, self.delisted_workers_usable = config.can_cancel, config.delisted_workers_usable
-        self.cold_share, self.ramp_time, self.overload_window = (
+        self.slow_start_share, self.ramp_time, self.overload_window = (
             config.slow_start_share,
             config.slow_start_time,
             config.overload_window,
@@ -260,7 +262,7 @@
         self.slow_start_work_per_slot = 0.5 * config.overload_multiple * config.overload_window
         # With many dispatchers, an even share of what a slot can do when it is coldest holds no whole job
         # (0.1 s). Then the whole budget is given out in turns.
-        self.cold_by_turns = (
+        self.uses_slow_start_turns = (
             self.slow_start_work_per_slot * config.slow_start_share / config.dispatchers < SECOND // 10
         )
         # Prices are in units of the mean txn's value.
@@ -273,12 +275,12 @@
     def serve(self, txn: Txn) -> Generator[Action, Any, None]:
         """Run the lifecycle of a txn, from its arrival to its final answer."""
         self.open_count += 1
-        self.appraise(txn)
+        self.register_txn(txn)
         for posting in txn.postings:
             yield from self.watch_posting(txn, posting)
         # With every connection taken by open txns, none would be left for the message that ends one of them.
         while self.open_count <= self.max_open_txns and (not self.gate or self.gate.admits(txn, self)):
-            until = self.worth_posting_until(txn)
+            until = self.post_until(txn)
             if self.now >= until:
                 break  # nothing more can be done: answer now instead of at the expiry
             self.hold(txn)
@@ -305,7 +307,7 @@
             yield from self.watch_posting(txn, posting)
         while any(p.is_in_flight for p in txn.postings) and self.now < self.answer_by(txn):
             yield Wait(self.answer_by(txn))
-        if self.may_decline(txn) and not self.is_unusable(txn):
+        if self.can_decline(txn) and not self.is_unusable(txn):
             self.remember_declined(txn)
             wait = self.gate.retry_after(txn, self) if self.gate else self.max_retry_after
             yield Decline(wait, txn.is_deadline_shortened and self.give_up_at(txn) < self.in_time_until(txn))
@@ -315,9 +317,11 @@
     def watch_posting(self, txn: Txn, posting: Posting) -> Generator[Action, Any, None]:
         """Wait until the posting has ended or the txn needs another worker."""
         while posting.is_in_flight and self.now < self.answer_by(txn):
-            yield Wait(min(self.answer_by(txn), self.look_again_at(posting)))
-            if posting.is_in_flight and self.now < self.answer_by(txn) and self.elsewhere(txn, posting):
-                if self.two_at_once and not (self.can_cancel and self.now >= self.accept_deadline(posting)):
+            yield Wait(min(self.answer_by(txn), self.recheck_at(posting)))
+            if posting.is_in_flight and self.now < self.answer_by(txn) and self.should_move(txn, posting):
+                if self.allows_hedging and not (
+                    self.can_cancel and self.now >= self.accept_deadline(posting)
+                ):
                     break
                 if not posting.is_cancelled:
                     yield CancelPosting(posting)
@@ -338,8 +342,8 @@
 
     def can_post_again(self, txn: Txn) -> bool:
         """Decide whether another posting, to some worker, is safe now (rule 2, first half)."""
-        return self.now < min(self.answer_by(txn), self.may_go_on_until(txn)) and (
-            self.two_at_once or not any(p.is_in_flight and p.may_have_run for p in txn.postings)
+        return self.now < min(self.answer_by(txn), self.postable_until(txn)) and (
+            self.allows_hedging or not any(p.is_in_flight and p.may_have_run for p in txn.postings)
         )
 
     def can_post_to(self, txn: Txn, worker: Worker) -> bool:
@@ -349,7 +353,7 @@
         """
         return not any(
             (p.is_in_flight and p.worker is worker)
-            or (p.may_have_run and not self.same_group(txn.scheme, p.worker, worker))
+            or (p.may_have_run and not self.shares_dedup_group(txn.scheme, p.worker, worker))
             for p in txn.postings
         )
 
@@ -364,10 +368,10 @@
             and worker.can_receive_postings(self.delisted_workers_usable)
             and worker.started_at == posting.worker_started_at
             and not self.is_list_stale(self.now)
-            and self.now < min(self.answer_by(txn), self.may_go_on_until(txn, posting))
+            and self.now < min(self.answer_by(txn), self.postable_until(txn, posting))
         )
 
-    def may_go_on_until(self, txn: Txn, excluded: Posting | None = None) -> int:
+    def postable_until(self, txn: Txn, excluded: Posting | None = None) -> int:
         """Return the time until which another posting, to some worker, is safe.
 
         Args:
@@ -385,7 +389,7 @@
             return min(p.sent_at for p in possible_runs) + txn.scheme.window - self.tick
         return FOREVER
 
-    def may_decline(self, txn: Txn) -> bool:
+    def can_decline(self, txn: Txn) -> bool:
         """Decide whether the client may safely be told to try again (rule 2, second half)."""
         return self.is_repeatable_anywhere(txn.scheme) or not any(p.may_have_run for p in txn.postings)
 
@@ -399,7 +403,7 @@
             scheme.semantics is Semantics.REFERENCED and scheme.group is DeduplicationGroup.ALL
         )
 
-    def same_group(self, scheme: Scheme, one: Worker, other: Worker) -> bool:
+    def shares_dedup_group(self, scheme: Scheme, one: Worker, other: Worker) -> bool:
         """Return whether two workers drop repeats of the scheme's txns together."""
         if scheme.semantics is not Semantics.REFERENCED or scheme.group is DeduplicationGroup.ALL:
             return True
@@ -415,7 +419,7 @@
         """Return the txn's work in slot ticks, or 1 if it has no hint."""
         return max(1, int(txn.hint * txn.slots)) if txn.hint is not None else 1
 
-    def room(self, state: WorkerState) -> float:
+    def free_slots(self, state: WorkerState) -> float:
         """Return the worker's estimated free slots, cached for `estimate_lifetime` if nothing happens."""
         if self.now >= state.free_slots_estimate_until:
             state.free_slots_estimate = self.estimate_free_slots(state)
@@ -427,11 +431,11 @@
         report = state.report
         baseline = self.zone_baselines.get(state.worker.zone)
         zone_excess = baseline.mean if baseline is not None else 0.0
-        if state.may_be_warming_up and self.cold_by_turns and self.slow_start_left(state):
+        if state.may_be_warming_up and self.uses_slow_start_turns and self.slow_start_left(state):
             # Other dispatchers have no turn at a cold worker either, so its zone's mean does not apply.
             if report is None or report.free_slots is None:
-                return self.least_slots - len(state.in_flight)
-            zone_excess = -self.least_slots
+                return self.min_slot_count - len(state.in_flight)
+            zone_excess = -self.min_slot_count
         if report is None or report.free_slots is None:
             # An unreported worker is assumed to be as busy as its zone's mean, not idle.
             if baseline is not None:
@@ -450,7 +454,7 @@
         if self.reports_start and (queue_wait := self.queue_wait(state)) > self.late_start_delay:
             # A posting that has not started by now is in a queue at least as long as the work that would have
             # run since. Nothing else shows a worker that hangs or reports less than it holds.
-            free = min(free, -queue_wait / self.mean_run_time * (state.slot_count or self.least_slots))
+            free = min(free, -queue_wait / self.mean_run_time * (state.slot_count or self.min_slot_count))
         return free
 
     def queue_wait(self, state: WorkerState) -> int:
@@ -489,21 +493,21 @@
 
     def compute_mean_run_time(self) -> float:
         """Return the mean of the last run times of all schemes, in ticks."""
-        runs = [run for scheme in self.schemes for run in self.runs[scheme]]
+        runs = [run for scheme in self.schemes for run in self.run_times[scheme]]
         return sum(runs) / len(runs) if runs else float(SECOND)
 
-    def load(self, book: WorkerState, room: float, txn: Txn) -> float:
+    def load(self, state: WorkerState, free_slots: float, txn: Txn) -> float:
         """Score a worker for a txn by the paper's rule, lower is better.
 
         The score is the backlogged work of the txn's own type, scaled by the reported queue length, the
         worker's pace and its risk of ending late.
         """
-        own: float = book.backlog.get(txn.work_type, 0) + txn.work
-        if book.initial_backlog:
-            own += book.initial_backlog.get(txn.work_type, 0.0)
-        queue_length = max(0.0, (book.slot_count or self.least_slots) - room)
-        pace = book.pace
-        if book.may_be_warming_up and (time_left := self.slow_start_left(book)):
+        own: float = state.backlog.get(txn.work_type, 0) + txn.work
+        if state.initial_backlog:
+            own += state.initial_backlog.get(txn.work_type, 0.0)
+        queue_length = max(0.0, (state.slot_count or self.min_slot_count) - free_slots)
+        pace = state.pace
+        if state.may_be_warming_up and (time_left := self.slow_start_left(state)):
             pace /= self.slow_start_capacity(time_left)
         return own * (1.0 + queue_length) * pace * min(100.0, 1.0 + (pace / txn.slack_ratio) ** RISK_EXPONENT)
 
@@ -535,11 +539,11 @@
             + len(txn.postings)
             + int(1.25 * txn.key_worker_count * (wide_share if is_wide else 1.0 - wide_share))
         )
-        order, selected, retry_at = self.order(txn.key), {}, FOREVER
+        order, selected, retry_at = self.key_order(txn.key), {}, FOREVER
         # The first few workers are mostly enough; the rest is estimated only on demand.
-        batches = (self.rooms(batch) for batch in (order[: 2 * wanted], order[2 * wanted :]))
+        batches = (self.competing_workers(batch) for batch in (order[: 2 * wanted], order[2 * wanted :]))
         for state, free_slots in chain.from_iterable(map(dict.items, batches)):
-            if ((state in self.wide_job_workers) == is_wide or any_width) and self.eligible(state, txn):
+            if ((state in self.wide_job_workers) == is_wide or any_width) and self.is_eligible(state, txn):
                 retry_at = min(retry_at, pause_end := state.last_full_at + int(self.mean_run_time / 4))
                 if self.now > pause_end:
                     selected[state] = free_slots
@@ -567,11 +571,13 @@
         wide_share = (
             sum(work for slots, work in self.keyed_work if slots >= self.wide_job_min_slots) / total_work
         )
-        ready_workers = [state for state in self.order("") if state.worker.listed_state is ListedState.READY]
+        ready_workers = [
+            state for state in self.key_order("") if state.worker.listed_state is ListedState.READY
+        ]
         for state in ready_workers[: int(1.25 * wide_share * len(ready_workers) + 0.5)]:
             self.wide_job_workers[state] = None
 
-    def doubt(self) -> float:
+    def rejection_level(self) -> float:
         """Return the level of recent rejections, each decaying over the mean run time.
 
         Rejections by several workers at once show that all are fuller than estimated.
@@ -584,9 +590,9 @@
 
     def compute_slack_ratio(self, txn: Txn) -> float:
         """Return the txn's time left over its time needed."""
-        return max(0.001, (self.sla_deadline(txn) - self.now) / self.run_of(txn))
+        return max(0.001, (self.sla_deadline(txn) - self.now) / self.run_time_of(txn))
 
-    def eligible(self, state: WorkerState, txn: Txn) -> bool:
+    def is_eligible(self, state: WorkerState, txn: Txn) -> bool:
         """Decide whether the txn may go to the worker, apart from free slots."""
         worker = state.worker
         machine = txn.scheme.machine
@@ -611,17 +617,17 @@
             # A txn that a single error loses does not go where a posting has failed lately.
             and (self.now >= state.error_backoff_until or txn.scheme.semantics is not Semantics.ONCE_ONLY)
             and not (txn.is_over_share and self.reports_start and self.has_queued_lately(state))
-            and (not state.may_be_warming_up or self.cold_allows(state, txn))
+            and (not state.may_be_warming_up or self.fits_slow_start(state, txn))
         )
 
-    def need(self, txn: Txn) -> float:
+    def required_slots(self, txn: Txn) -> float:
         """Return the free slots that a worker must have for the txn."""
         return (
             (self.over_share_reserve if txn.is_over_share else 0.0)
             + txn.slots
             - 1.0
             + MIN_EXPECTED_FREE_SLOTS
-            + (0.25 + self.doubt() / 2) * len(txn.postings)
+            + (0.25 + self.rejection_level() / 2) * len(txn.postings)
         )
 
     def should_post_blindly(self, free_slots: dict[WorkerState, float]) -> bool:
@@ -630,14 +636,16 @@
         If reports are late and most jobs belong to other dispatchers, a posting tells more than an estimate
         of free slots, as long as few postings were rejected lately.
         """
-        if self.age <= self.mean_run_time / 2 or self.doubt() >= BLIND_MAX_REJECTION_LEVEL:
+        if self.report_age <= self.mean_run_time / 2 or self.rejection_level() >= BLIND_MAX_REJECTION_LEVEL:
             return False
         jobs = sum(max(0.0, state.slot_count - free) for state, free in free_slots.items())
         return 4 * sum(len(state.in_flight) for state in free_slots) < jobs
 
-    def best(self, txn: Txn, free_slots: dict[WorkerState, float], is_blind: bool) -> WorkerState | None:
+    def choose_worker(
+        self, txn: Txn, free_slots: dict[WorkerState, float], is_blind: bool
+    ) -> WorkerState | None:
         """Choose the worker for a txn, or None if it has to be held."""
-        required = self.need(txn)
+        required = self.required_slots(txn)
         is_blind = is_blind and not txn.is_over_share
         if txn.key is not None:
             free_slots, required = self.key_workers(txn), -float(FOREVER)
@@ -655,10 +663,10 @@
                     and not state.scheme_pauses
                     and self.now >= state.error_backoff_until
                 )
-                or self.eligible(state, txn)
+                or self.is_eligible(state, txn)
             )
         ]
-        self.ranked = loads
+        self.scored_workers = loads
         if txn.scheme.semantics is Semantics.ONCE_ONLY and txn.key is None:
             # A txn that a single error loses goes where one has lately settled: each of forty dispatchers
             # learned of a failing worker by a txn of its own, and half of the txns lost that way were once-
@@ -669,7 +677,7 @@
             return self.least(loads)
         near = self.least([entry for entry in loads if entry[1].worker.zone == self.home_zone])
         far = self.least([entry for entry in loads if entry[1].worker.zone != self.home_zone])
-        return far if far is not None and self.crossing_pays(txn, near, far) else near
+        return far if far is not None and self.should_cross(txn, near, far) else near
 
     def least(self, loads: list[tuple[float, WorkerState]]) -> WorkerState | None:
         """Choose the worker with the least load, ties at random (the paper's rule).
@@ -684,7 +692,7 @@
                 winners.append(state)
         return self.choose(winners) if len(winners) > 1 else winners[0] if winners else None
 
-    def crossing_pays(self, txn: Txn, near: WorkerState | None, far: WorkerState) -> bool:
+    def should_cross(self, txn: Txn, near: WorkerState | None, far: WorkerState) -> bool:
         """Decide whether the higher chance to end in time at another zone's worker is worth the crossing.
 
         Without free slots in the home zone, the results of the last txns held for it set the chance there.
@@ -696,7 +704,9 @@
             home_chance = left_share * (1 + sum(self.home_wait_results)) / (2 + len(self.home_wait_results))
         accepted_share = (1 + sum(self.crossing_results)) / (1 + len(self.crossing_results))
         return (
-            self.worth(txn) / self.mean_value * (self.in_time_chance(far, txn) * accepted_share - home_chance)
+            self.value_of(txn)
+            / self.mean_value
+            * (self.in_time_chance(far, txn) * accepted_share - home_chance)
             > self.price_cross
         )
 
@@ -710,13 +720,13 @@
     def grant_next(self) -> tuple[Txn, Worker] | None:
         """Choose the next held txn that gets a worker: the highest value first, then the most urgent."""
         if self.is_list_stale(self.now):
-            self.look_due = self.now + SCAN_INTERVAL
+            self.scan_due = self.now + SCAN_INTERVAL
             return None
-        if not self.waiting or (not self.has_events and not self.has_granted and self.now < self.look_due):
+        if not self.waiting or (not self.has_events and not self.has_granted and self.now < self.scan_due):
             return None
-        if self.has_events or self.now >= self.look_due:
+        if self.has_events or self.now >= self.scan_due:
             self.unplaceable_classes.clear()
-        self.has_events, self.has_granted, self.look_due = (
+        self.has_events, self.has_granted, self.scan_due = (
             False,
             False,
             self.now + max(SCAN_INTERVAL, self.estimate_lifetime // 4),
@@ -725,17 +735,17 @@
         max_free, is_blind = -float(FOREVER), False
         for _, _, txn in self.waiting[:64]:
             # Txns of one class fail alike at every worker, so that one attempt per class saves CPU time.
-            value_class = int(4 * self.worth(txn) / self.mean_value)
+            value_class = int(4 * self.value_of(txn) / self.mean_value)
             txn_class = (txn.scheme, txn.is_over_share, value_class, len(txn.postings), txn.key)
             if txn_class in self.unplaceable_classes or self.now <= txn.key_workers_full_until:
                 continue
             if self.now < txn.probes_valid_until and any(state.is_probing for state in txn.probed_workers):
-                self.look_due = min(self.look_due, txn.probes_valid_until)
+                self.scan_due = min(self.scan_due, txn.probes_valid_until)
                 continue
             if txn.postings and not self.can_post_again(txn):
                 continue
             if free_slots is None and (txn.key is None or not self.probes_all_workers):
-                free_slots = self.rooms(self.workers.values())
+                free_slots = self.competing_workers(self.workers.values())
                 max_free, is_blind = (
                     max(free_slots.values(), default=-FOREVER),
                     self.should_post_blindly(free_slots),
@@ -743,9 +753,9 @@
             txn.slack_ratio = self.compute_slack_ratio(txn)
             # No scan is needed if no worker has the required free slots: many txns are held when all workers
             # are full.
-            is_feasible = is_blind or txn.key is not None or max_free >= self.need(txn)
-            state = self.best(txn, free_slots or {}, is_blind) if is_feasible else None
-            is_probing = self.look(txn, state, free_slots or {})
+            is_feasible = is_blind or txn.key is not None or max_free >= self.required_slots(txn)
+            state = self.choose_worker(txn, free_slots or {}, is_blind) if is_feasible else None
+            is_probing = self.probe_candidates(txn, state, free_slots or {})
             if (
                 state is not None
                 and not is_probing
@@ -757,15 +767,15 @@
                 self.unplaceable_classes[txn_class] = None
         return None
 
-    def rooms(self, books: Iterable[WorkerState]) -> dict[WorkerState, float]:
+    def competing_workers(self, states: Iterable[WorkerState]) -> dict[WorkerState, float]:
         """Return the free slots of each worker that competes, without ranking them."""
         now = self.now
         # A worker that has not answered a probe in the time that probes take may be gone.
         cutoff = -FOREVER if self.probes_all_workers else now - 2 * max(self.probe_durations) - self.tick
         suspended_zones = [zone for zone, until in self.zone_suspended_until.items() if now < until]
         return {
-            s: s.free_slots_estimate if now < s.free_slots_estimate_until else self.room(s)
-            for s in books
+            s: s.free_slots_estimate if now < s.free_slots_estimate_until else self.free_slots(s)
+            for s in states
             if ((worker := s.worker).listed_state is ListedState.READY or self.is_still_alive(s))
             and now >= s.ejected_until
             and not (suspended_zones and worker.zone in suspended_zones)
@@ -796,7 +806,9 @@
             state.last_alive_at, state.reported_at
         ) > state.delisted_at and state.worker.can_receive_postings(self.delisted_workers_usable)
 
-    def look(self, txn: Txn, chosen: WorkerState | None, free_slots: dict[WorkerState, float]) -> bool:
+    def probe_candidates(
+        self, txn: Txn, chosen: WorkerState | None, free_slots: dict[WorkerState, float]
+    ) -> bool:
         """Probe the few workers that the scan ranks first, if their reports are stale or missing.
 
         With hundreds of dispatchers, the own backlog is mostly zero and the last answer of a worker is long
@@ -808,7 +820,7 @@
         if (
             not self.probe_interval
             or self.probes_all_workers
-            or self.age > self.probe_interval
+            or self.report_age > self.probe_interval
             or self.probe_tokens < 1.0
         ):
             return False
@@ -823,12 +835,12 @@
             return False  # all are full: keep the probe budget for when there is a choice
         is_home = chosen is None or chosen.worker.zone == self.home_zone
         loads = (
-            self.ranked
+            self.scored_workers
             if chosen is not None
             else [
                 (self.load(state, free, txn), state)
                 for state, free in free_slots.items()
-                if self.eligible(state, txn)
+                if self.is_eligible(state, txn)
             ]
         )
         ranked = [
@@ -860,16 +872,16 @@
 
         Among txns of similar value, the customer that has used least of its share goes first.
         """
-        value = self.worth(txn) * (1.0 if self.now < self.in_time_until(txn) else txn.scheme.late_value)
-        return -value / self.run_of(txn) * (1.0 + min(1.0, txn.unused_share)), self.give_up_at(txn)
+        value = self.value_of(txn) * (1.0 if self.now < self.in_time_until(txn) else txn.scheme.late_value)
+        return -value / self.run_time_of(txn) * (1.0 + min(1.0, txn.unused_share)), self.give_up_at(txn)
 
     # The value of a txn, and how long holding it pays.
 
-    def appraise(self, txn: Txn) -> None:
+    def register_txn(self, txn: Txn) -> None:
         """Record an arriving txn: its work, key, first request time and its customer's usage."""
         txn.work_type, txn.work = self.work_type_of(txn), self.work_of(txn)
         # The config may have changed twice since it was taken.
-        self.runs.setdefault(txn.scheme, deque(maxlen=48))
+        self.run_times.setdefault(txn.scheme, deque(maxlen=48))
         txn.retry_fingerprint = (txn.scheme, txn.customer, txn.hint, txn.slots, txn.memory)
         if txn.hint is not None:
             self.hinted_work.append(txn.hint * txn.slots)
@@ -883,27 +895,29 @@
                 len(self.workers) * self.recent_keys.count(txn.key) / max(1, len(self.recent_keys))
             )
             self.recent_keys.append(txn.key)
-            self.keyed_work.append((txn.slots, txn.slots * self.run_of(txn)))
+            self.keyed_work.append((txn.slots, txn.slots * self.run_time_of(txn)))
         self.probe_tokens = min(self.probe_tokens + self.probe_tokens_per_txn, 20 * self.probe_tokens_per_txn)
-        self.recent_values.append(self.worth(txn))
+        self.recent_values.append(self.value_of(txn))
         self.arrival_times.append(self.now)
         self.mean_value = sum(self.recent_values) / len(self.recent_values)
-        usage = self.accounts.get(txn.customer) if txn.customer is not None else None
+        usage = self.customer_usage.get(txn.customer) if txn.customer is not None else None
         if usage is not None:
             usage.arrivals.append(self.now)
-            txn.is_over_share = not usage.try_consume(self.now, 1.15 * self.part)
-            txn.unused_share = usage.tokens / usage.bucket_size(self.part)
+            txn.is_over_share = not usage.try_consume(self.now, 1.15 * self.traffic_share)
+            txn.unused_share = usage.tokens / usage.bucket_size(self.traffic_share)
 
-    def judge_part(self) -> None:
+    def update_traffic_share(self) -> None:
         """Update the share of the fleet's traffic that comes through this dispatcher.
 
         Customers' shares are for the whole fleet, and this dispatcher may see an uneven part of their
         traffic. The median customer shows which part; a single customer that floods does not move the median.
         """
-        rates = sorted(usage.arrival_rate(self.now) / usage.quota_rate for usage in self.accounts.values())
+        rates = sorted(
+            usage.arrival_rate(self.now) / usage.quota_rate for usage in self.customer_usage.values()
+        )
         if len(rates) > 1:
             median = (rates[(len(rates) - 1) // 2] + rates[len(rates) // 2]) / 2
-            self.part = min(2.0 * self.even_traffic_share, max(self.even_traffic_share, median))
+            self.traffic_share = min(2.0 * self.even_traffic_share, max(self.even_traffic_share, median))
 
     def remember_declined(self, txn: Txn) -> None:
         """Remember a declined txn, to recognize its client's next attempt."""
@@ -923,7 +937,7 @@
             first -= txn.scheme.sla_time
         return first if self.now - first < txn.scheme.expiry else self.now
 
-    def worth(self, txn: Txn) -> float:
+    def value_of(self, txn: Txn) -> float:
         """Return the value of a txn, reduced if its customer is over its share."""
         value = txn.scheme.value * (txn.hint or 1 if self.value_by_work else 1)
         return value * self.over_share_value if txn.is_over_share else value
@@ -931,14 +945,14 @@
     def sla_deadline(self, txn: Txn) -> int:
         """Return the time by which the txn has to end to be in time."""
         scheme = txn.scheme
-        run_time = self.run_of(txn) * (1.0 if txn.hint is not None else self.fastest_pace)
+        run_time = self.run_time_of(txn) * (1.0 if txn.hint is not None else self.fastest_pace)
         return txn.first_seen_at + scheme.sla_time + int(scheme.stretch * run_time)
 
-    def run_of(self, txn: Txn) -> float:
+    def run_time_of(self, txn: Txn) -> float:
         """Return the expected run time of the txn, in ticks."""
         if txn.hint is not None:
             return float(txn.hint)
-        runs = self.runs[txn.scheme]
+        runs = self.run_times[txn.scheme]
         return sum(runs) / len(runs) if runs else float(max(1, txn.scheme.sla_time))
 
     def give_up_at(self, txn: Txn) -> int:
@@ -947,18 +961,18 @@
         late_counts = txn.scheme.late_value > 0
         # A txn that can't end before this process does is answered while it can still be served elsewhere.
         if late_counts or txn.is_deadline_shortened:
-            deadline = int(deadline - self.run_of(txn))
+            deadline = int(deadline - self.run_time_of(txn))
         return deadline if late_counts else min(deadline, self.in_time_until(txn))
 
-    def worth_posting_until(self, txn: Txn) -> int:
+    def post_until(self, txn: Txn) -> int:
         """Return the time after which a posting of the txn is unsafe or no longer pays."""
-        return min(self.give_up_at(txn), self.may_go_on_until(txn))
+        return min(self.give_up_at(txn), self.postable_until(txn))
 
     def in_time_until(self, txn: Txn) -> int:
         """Return the time until which a posting of the txn can still end in time."""
         scheme = txn.scheme
         # Past its SLA time, a txn without a hint is in time only if it happens to be a long one.
-        slack = self.sla_deadline(txn) - txn.first_seen_at - scheme.sla_time - int(self.run_of(txn))
+        slack = self.sla_deadline(txn) - txn.first_seen_at - scheme.sla_time - int(self.run_time_of(txn))
         return txn.first_seen_at + scheme.sla_time + max(0, slack // (1 if txn.hint is not None else 2))
 
     def hold(self, txn: Txn) -> None:
@@ -975,7 +989,7 @@
 
     # Monitoring of postings.
 
-    def look_again_at(self, posting: Posting) -> int:
+    def recheck_at(self, posting: Posting) -> int:
         """Return when a posting has to be checked next for acceptance or silence."""
         if self.now < (due := self.accept_deadline(posting)) < FOREVER:
             return due
@@ -987,7 +1001,7 @@
             max(state.last_alive_at, posting.sent_at) + self.silence_timeout,
         )
 
-    def elsewhere(self, txn: Txn, posting: Posting) -> bool:
+    def should_move(self, txn: Txn, posting: Posting) -> bool:
         """Decide whether to look for another worker, as this one is silent or has not accepted the txn."""
         state = self.workers[posting.worker]
         self.update_suspicion(state)
@@ -1000,8 +1014,8 @@
             )
         return (
             (state.is_suspect or is_unaccepted)
-            and (self.two_at_once or self.can_cancel)
-            and self.now < self.worth_posting_until(txn)
+            and (self.allows_hedging or self.can_cancel)
+            and self.now < self.post_until(txn)
         )
 
     def accept_deadline(self, posting: Posting) -> int:
@@ -1036,7 +1050,7 @@
 
     def slow_start_capacity(self, time_left: int) -> float:
         """Return the least fraction of its full capacity that a worker has with this slow-start time left."""
-        return self.cold_share + (1.0 - self.cold_share) * (1.0 - time_left / self.ramp_time)
+        return self.slow_start_share + (1.0 - self.slow_start_share) * (1.0 - time_left / self.ramp_time)
 
     def is_restart_possible(self, state: WorkerState) -> bool:
         """Return whether a worker may have restarted unnoticed, while the list is unreachable.
@@ -1048,26 +1062,28 @@
             state.inferred_restart_at, self.list_lost_at - self.list_request_timeout
         )
 
-    def cold_allows(self, state: WorkerState, txn: Txn) -> bool:
+    def fits_slow_start(self, state: WorkerState, txn: Txn) -> bool:
         """Decide whether a posting keeps to this dispatcher's share of a cold worker's capacity (rule 4)."""
         time_left = self.slow_start_left(state)
         if not time_left:
             return True
-        if self.now < self.born + self.overload_window or (txn.hint is None and not self.runs[txn.scheme]):
+        if self.now < self.history_start + self.overload_window or (
+            txn.hint is None and not self.run_times[txn.scheme]
+        ):
             # Sends before this process started may still load the worker, or the job's size is unknown.
             return False
         # Sends since the worker's start count, even if the list reported that start later.
         since = FOREVER if state.worker.started_at is None else state.worker.started_at
         work = self.charge(txn) + sum(w for at, w, cold in self.last_sends(state) if cold or at >= since)
-        slot_count = self.least_slots if self.hinted_work else state.slot_count or self.least_slots
+        slot_count = self.min_slot_count if self.hinted_work else state.slot_count or self.min_slot_count
         budget = self.slow_start_work_per_slot * self.slow_start_capacity(time_left) * slot_count
-        if self.cold_by_turns:
+        if self.uses_slow_start_turns:
             # Beyond the budget of N mean jobs per window, 2 sqrt(N) + 2 jobs are allowed for chance. One turn
             # gets half of the sum, because a window touches two turns. Without hints a third of N is kept
             # back for each dispatcher's errors in run times (docs/fleet.md).
             mean_work = self.mean_job_work
             if not self.hinted_work:
-                mean_work *= self.error_factor(sum(len(self.runs[s]) for s in self.schemes))
+                mean_work *= self.error_factor(sum(len(self.run_times[s]) for s in self.schemes))
             jobs = 2.0 * budget / mean_work
             turn_work = (
                 (jobs * (1.0 if self.hinted_work else 2 / 3) + 2.0 * sqrt(jobs) + 2.0) * mean_work / 2.0
@@ -1085,8 +1101,8 @@
 
         Without a hint the charge is higher, because the mean of a few run times is often too low.
         """
-        work = self.run_of(txn) * txn.slots
-        return work if txn.hint is not None else work * self.error_factor(len(self.runs[txn.scheme]))
+        work = self.run_time_of(txn) * txn.slots
+        return work if txn.hint is not None else work * self.error_factor(len(self.run_times[txn.scheme]))
 
     def error_factor(self, runs: int) -> float:
         """Return the factor on a mean run time that allows for the error of a mean of so few runs."""
@@ -1141,11 +1157,11 @@
             self.crossing_results.append(posting.may_have_run)
         if outcome is Outcome.SETTLED:
             run_time = self.now - (posting.started_at or posting.sent_at)
-            state.pace_samples.append(max(0.1, min(10.0, run_time / self.run_of(posting.txn))))
+            state.pace_samples.append(max(0.1, min(10.0, run_time / self.run_time_of(posting.txn))))
             # A few samples of work this uneven say little, so the mean leans on a pace of 1, which counts as
             # three samples.
             state.pace = exp(sum(map(log, state.pace_samples)) / (len(state.pace_samples) + 3))
-            self.runs[posting.txn.scheme].append(max(1, run_time))
+            self.run_times[posting.txn.scheme].append(max(1, run_time))
             state.mark_alive(self.now)
             self.clear_zone_failures(state.worker)
             state.consecutive_failures, state.last_success_at = 0, self.now
@@ -1188,9 +1204,9 @@
                     # discredits all reports (see the report age).
                     if sum(self.rejection_claims) > CLAIM_WINDOW // 2:
                         self.reports_distrusted_until = self.now + int(8 * self.mean_run_time)
-                        self.judge_age()
+                        self.update_report_age()
                     known_load = None
-                self.judge_age()
+                self.update_report_age()
             # The rejection is current and first-hand: an older report of free slots is no longer believed.
             full_report = LoadReport(
                 free_slots=0.0, queued_jobs=known_load.queued_jobs if known_load is not None else 0.0
@@ -1209,7 +1225,7 @@
                 len(state.in_flight),
             )
         elif report is not None:
-            self.read(state, report)
+            self.apply_report(state, report)
 
     def record_zone_failure(self, worker: Worker) -> None:
         """Record a failed worker, and suspend its zone when several failed without any sign of life from it.
@@ -1251,7 +1267,7 @@
         """Record that a connection to the worker broke, so that it may have restarted."""
         self.workers[worker].connection_broken_at, self.workers[worker].may_be_warming_up = self.now, True
 
-    def read(self, state: WorkerState, report: LoadReport) -> None:
+    def apply_report(self, state: WorkerState, report: LoadReport) -> None:
         """Apply a load report to the worker's state and to the estimates of its zone and the report age."""
         self.clear_zone_failures(state.worker)
         if report.free_slots is None:
@@ -1273,7 +1289,7 @@
         if state.others_load is not None and self.now - state.others_load[0] < 3 * SECOND:
             self.age_errors.append((self.now, [(a - b) ** 2 for a, b in zip(others, state.others_load[1])]))
         state.others_load = (self.now, others)
-        state.others_readings.append(excess - state.own_in_flight_at(self.now - self.age))
+        state.others_readings.append(excess - state.own_in_flight_at(self.now - self.report_age))
         self.zone_baselines.setdefault(state.worker.zone, ZoneBaseline()).add_reading(
             self.now, state.others_readings[-1]
         )
@@ -1282,16 +1298,16 @@
             + (
                 report.held_slots - (report.queued_jobs or 0.0)
                 if report.held_slots is not None
-                else state.own_in_flight_at(self.now - self.age)
+                else state.own_in_flight_at(self.now - self.report_age)
             )
         )
         state.slot_count, state.free_slots_estimate_until = max(state.slot_samples), 0
-        if self.now - self.age >= state.described_at:
+        if self.now - self.report_age >= state.described_at:
             state.report, state.reported_at = report, self.now
-            state.described_at = self.now - self.age
+            state.described_at = self.now - self.report_age
             state.own_in_flight_then = state.own_in_flight_at(state.described_at)
 
-    def judge_age(self) -> None:
+    def update_report_age(self) -> None:
         """Update the estimated age of reports on arrival.
 
         It is the age at which the other dispatchers' load, as the reports imply it, changes least between
@@ -1302,7 +1318,7 @@
         # With few txns, one period of late reports would be remembered for most of the day.
         while self.age_errors and self.now - self.age_errors[0][0] > 8 * SECOND:
             self.age_errors.popleft()
-        self.age = CANDIDATE_AGES[0]
+        self.report_age = CANDIDATE_AGES[0]
         if len(self.age_errors) >= 8:
             sums = [sum(column) for column in zip(*(errors for _, errors in self.age_errors))]
             # A few samples fit some age by chance, so an age has to fit far better than prompt reports do.
@@ -1313,11 +1329,11 @@
             # between two reports, one or two jumps of other dispatchers' load selected an age, and a third of
             # all postings of forty dispatchers were sent blindly.
             if sum(gains) > AGE_MIN_STANDARD_ERRORS * sum(gain * gain for gain in gains) ** 0.5:
-                self.age = next(age for age, total in zip(CANDIDATE_AGES, sums) if total <= acceptable)
+                self.report_age = next(age for age, total in zip(CANDIDATE_AGES, sums) if total <= acceptable)
         if self.now < self.reports_distrusted_until:
             # Workers that reject postings claim to be idle: reports are old, by an unknown age, and a probe
             # returns more of the same. All dispatchers that believe them meet at the same few workers.
-            self.age = CANDIDATE_AGES[-1]
+            self.report_age = CANDIDATE_AGES[-1]
 
     def on_posting_accepted(self, posting: Posting) -> None:
         """Record that the worker has accepted the posting, which ends the pause of its scheme there."""
@@ -1341,7 +1357,7 @@
 
         There was a free slot when it was sent, or a queue as long as the work that has run since.
         """
-        start_delay, slot_count = self.now - posting.sent_at, state.slot_count or self.least_slots
+        start_delay, slot_count = self.now - posting.sent_at, state.slot_count or self.min_slot_count
         free_slots = state.report.free_slots or 0.0 if state.report is not None else 0.0
         if start_delay <= self.late_start_delay:
             state.report = LoadReport(free_slots=max(1.0, free_slots), queued_jobs=0.0)
@@ -1363,7 +1379,7 @@
         state.is_probing, self.has_events = False, True
         if report is not None:
             self.probe_durations.append(spent)
-            self.read(state, report)
+            self.apply_report(state, report)
         elif outcome is not Outcome.SETTLED and not self.probes_all_workers:
             # The worker drains or is gone before the list says so: learned at the price of a probe, not of a
             # posting.
@@ -1419,7 +1435,7 @@
             )
             self.has_events = True
             return
-        if update is ListUpdate.MOVED:
+        if update is ListUpdate.REDIRECTED:
             # Requested at once: changes at the new address soon count as delivered, and failures of the old
             # one don't matter.
             self.list_failures, self.list_request_due = 0, self.now
@@ -1427,13 +1443,13 @@
                 self.list_valid_until, self.now + LIST_VALIDITY_AFTER_MOVE
             )
             return
-        if update is not ListUpdate.REMEMBERED:
+        if update is not ListUpdate.CACHED:
             self.list_failures, self.list_request_due, self.has_list = 0, FOREVER, True
             self.list_valid_until = self.now + self.list_validity
         self.has_events, listed = True, dict.fromkeys(workers)
         if update is ListUpdate.CHANGES and not listed:
             return  # a heartbeat without changes
-        self.order.cache_clear()
+        self.key_order.cache_clear()
         if update is not ListUpdate.CHANGES:
             for worker in self.workers:
                 if worker not in listed and worker.listed_state is not ListedState.GONE:
@@ -1488,8 +1504,8 @@
             due = self.list_request_due
         if self.now >= self.estimates_updated_at + SECOND // 4:
             self.estimates_updated_at = self.now
-            self.judge_age()
-            self.judge_part()
+            self.update_report_age()
+            self.update_traffic_share()
             self.update_late_start_delay()
             self.mean_run_time = self.compute_mean_run_time()
             self.mean_job_work = (
@@ -1502,7 +1518,7 @@
             )
             self.estimate_lifetime = max(SCAN_INTERVAL, int(self.mean_run_time / 16))
             self.fastest_pace = min((s.pace for s in self.workers.values()), default=1.0)
-            self.least_slots = min(
+            self.min_slot_count = min(
                 (s.slot_count for s in self.workers.values() if s.slot_count > 0), default=1.0
             )
             self.update_wide_job_workers()
@@ -1511,7 +1527,7 @@
                 self.probe_due = self.probe_due_workers()
             due = min(due, self.probe_due)
         if self.waiting:
-            due = min(due, self.look_due)
+            due = min(due, self.scan_due)
         return due
 
     def probe_due_workers(self) -> int:
--- a/pathsaddle/scheduler_types.py
+++ b/pathsaddle/scheduler_types.py
@@ -72,11 +72,11 @@
     """The kind of an update from the worker list."""
 
     CHANGES = "changed entries only"
-    WHOLE = "the complete list"
-    REMEMBERED = "the complete list from a cache, possibly out of date"
+    COMPLETE = "the complete list"
+    CACHED = "the complete list from a cache, possibly out of date"
     FAILED = "a call failed or the subscription broke"
     SILENT = "nothing arrived on a subscription, or after the call for one, for LIST_SILENCE_TIMEOUT"
-    MOVED = "the list is served at another address from now on"
+    REDIRECTED = "the list is served at another address from now on"
 
 
 @dataclass(slots=True, eq=False)
--- a/pathsaddle/settings/cluster_file.py
+++ b/pathsaddle/settings/cluster_file.py
@@ -16,7 +16,7 @@
 from pathsaddle.config.schema import ConfigTable
 from pathsaddle.config.units import Duration
 from pathsaddle.config.validation import load_toml, validate
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.scheduler_types import SECOND
 from pathsaddle.settings.errors import ClusterFileError
 
@@ -149,7 +149,7 @@
     addresses |= {f"members.{name}.listen": entry.listen for name, entry in file.members.items()}
     for key, address in addresses.items():
         try:
-            peer_of(address)
+            parse_peer(address)
         except ValueError:
             raise ClusterFileError(
                 f"{path}: {key}: {address!r} is no address",
@@ -171,7 +171,7 @@
 def is_loopback(address: str) -> bool:
     """Whether host:port is on the loopback."""
     try:
-        host = peer_of(address)[0]
+        host = parse_peer(address)[0]
         return host == "localhost" or ipaddress.ip_address(host).is_loopback
     except ValueError:
         return False
--- a/pathsaddle/settings/control_client.py
+++ b/pathsaddle/settings/control_client.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pathsaddle.errors import CATALOGUE, Error, why
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.settings.errors import ChangeRejectedError, ServerDefectError, ServerUnreachableError
 
 MAX_ANSWER_BYTES = 64 << 20
@@ -36,7 +36,7 @@
     """
     received = b""
     try:
-        peer = peer_of(address)
+        peer = parse_peer(address)
         with socket.create_connection((peer[0], peer[1]), timeout=patience) as sock:
             sock.sendall(json.dumps({"word": request, **members}).encode() + b"\n")
             while not received.endswith(b"\n") and len(received) < MAX_ANSWER_BYTES:
--- a/pathsaddle/settings/dispatcher_subscription.py
+++ b/pathsaddle/settings/dispatcher_subscription.py
@@ -15,7 +15,7 @@
 from pathsaddle.config.validation import InvalidConfigError
 from pathsaddle.errors import Error
 from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Fellows
+from pathsaddle.net.service.ground import FleetParticipant
 from pathsaddle.settings.active_settings import ActiveSettings
 from pathsaddle.settings.cluster_file import ClusterFile, entry_named, load_cluster_file
 from pathsaddle.settings.driver_config import DriverConfig
@@ -79,7 +79,7 @@
             StorageError: The directory can't be read, or is not as it was written.
             Error: The address can't be had (net/service/place.py).
         """
-        self.fellows: Fellows | None = None
+        self.fellows: FleetParticipant | None = None
         self.is_rejected = False
         self.member = ConfigSubscriberDriver(
             driver_config(load_cluster_file(path), path, name), SystemRandom(), self._log
--- a/pathsaddle/settings/driver_config.py
+++ b/pathsaddle/settings/driver_config.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.service.place import unhad
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.service.place import bind_error
 from pathsaddle.settings.timing import DEFAULT_LEASE_TICKS
 
 RECEIVE_BUFFER_BYTES = 1 << 20
@@ -48,12 +48,12 @@
     """Returns a socket that is bound to the configured address; raises Error (net/service/place.py)."""
     sock = None
     try:
-        sock, address = Ground().datagrams(config.listen)
+        sock, address = Environment().datagrams(config.listen)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind(address)
     except (OSError, ValueError) as fault:
         if sock is not None:
             sock.close()
         table, _, file = config.location.partition(" in ")
-        raise unhad(fault, f"{table}.listen", config.listen, file) from None
+        raise bind_error(fault, f"{table}.listen", config.listen, file) from None
     return sock
--- a/pathsaddle/settings/register_session.py
+++ b/pathsaddle/settings/register_session.py
@@ -20,8 +20,8 @@
 from pathsaddle.consensus.messages import Value
 from pathsaddle.consensus.udp_driver import RegisterConfig, RegisterDriver
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.settings.documents import INITIAL_REVISION, InvalidDocumentError, RevisionId
 from pathsaddle.settings.errors import NoQuorumError
 from pathsaddle.settings.timing import SECOND
@@ -100,7 +100,7 @@
 def reading_driver(where: RegisterLocation, voters: VoterConfig, rng: Random) -> RegisterDriver:
     """Returns the driver by which a server reads the register, and votes if its name is among the voters'."""
     return RegisterDriver(
-        _register_config(where, voters, where.name, voters.listen, {}), Ground(), rng, Counters()
+        _register_config(where, voters, where.name, voters.listen, {}), Environment(), rng, Counters()
     )
 
 
@@ -125,10 +125,10 @@
 
     def __init__(self, where: RegisterLocation, voters: VoterConfig, rng: Random) -> None:
         """Opens a socket of its own; `register.begin()` starts the campaign."""
-        host = peer_of(voters.listen)[0]
+        host = parse_peer(voters.listen)[0]
         listen = f"[{host}]:0" if ":" in host else f"{host}:0"
         config = _register_config(where, voters, f"{where.name}.commits", listen, {REGISTER_KEY: True})
-        self.register = RegisterDriver(config, Ground(), rng, Counters())
+        self.register = RegisterDriver(config, Environment(), rng, Counters())
 
     async def acquire(self, deadline: float) -> OwnedRevision:
         """Waits until the key is ours.
--- a/pathsaddle/settings/udp_driver.py
+++ b/pathsaddle/settings/udp_driver.py
@@ -24,8 +24,8 @@
 from pathsaddle.control_metrics import NullMeter
 from pathsaddle.errors import Error
 from pathsaddle.fleet.rate_limiter import RateLimiter
-from pathsaddle.net.service.place import unhad
-from pathsaddle.net.wire.terms import Peer, peer_of
+from pathsaddle.net.service.place import bind_error
+from pathsaddle.net.wire.terms import Peer, parse_peer
 from pathsaddle.settings.active_settings import ActiveSettings
 from pathsaddle.settings.control_endpoint import ControlEndpoint
 from pathsaddle.settings.control_messages import Answer, Request
@@ -92,7 +92,9 @@
         self.rate_limiter = RateLimiter(
             config.max_bytes_per_second, config.max_datagrams_per_second, monotonic_ticks()
         )
-        self.addresses: dict[str, Peer] = {name: peer_of(address) for name, address in config.servers.items()}
+        self.addresses: dict[str, Peer] = {
+            name: parse_peer(address) for name, address in config.servers.items()
+        }
         self.core: C | None = self._make_core()
         self.sock = bind_socket(config)
         self.disk_thread = ThreadPoolExecutor(1, "settings")
@@ -112,12 +114,12 @@
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self.sock.fileno(), self._on_readable)
         if self.config.control:
-            host, port = peer_of(self.config.control)[:2]
+            host, port = parse_peer(self.config.control)[:2]
             try:
                 await self.control.start(host, port)
             except OSError as fault:
                 table, _, file = self.config.location.partition(" in ")
-                raise unhad(fault, f"{table}.control", self.config.control, file) from None
+                raise bind_error(fault, f"{table}.control", self.config.control, file) from None
         self.turn(lambda core, now: core.wake(now))
 
     async def end(self) -> None:
--- a/tests/data/write_jobs.py
+++ b/tests/data/write_jobs.py
@@ -82,7 +82,7 @@
             b"POST",
             target.encode("latin-1"),
             headers={n.lower(): v for n, v in pairs},
-            lines=pairs,
+            raw_headers=pairs,
             body=bytes.fromhex(body),
         )
         inner = submitted_call.as_txn(call, "j1-1-00000001")
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -94,7 +94,7 @@
         *schemes: Scheme,
         workers: int = 2,
         customers: list[Customer] | None = None,
-        news: ListUpdate = ListUpdate.WHOLE,
+        news: ListUpdate = ListUpdate.COMPLETE,
         seed: int = 7,
         **config: object,
     ) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,14 +14,14 @@
 from pathsaddle.net.service import front as front_module
 from pathsaddle.net.service import start as start_module
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.service.front import ClientConnection, Front, Room
-from pathsaddle.net.service.pump import Tallied
+from pathsaddle.net.service.front import ClientConnection, ClientLimits, Front
+from pathsaddle.net.service.pump import CountingSocket
 from pathsaddle.net.service.start import Dispatcher
 from pathsaddle.net.service.txn_service import TxnService
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Callback, Row, Words
-from pathsaddle.net.wire.terms import Reach
+from pathsaddle.net.wire.forms import Callback, ListRow, MessageDecoder
+from pathsaddle.net.wire.terms import ConnectionTimeouts
 from pathsaddle.scheduler_types import SECOND, ListUpdate, Outcome, Worker
 from tests import test_sockets
 from tests.fakehost import SETTINGS
@@ -36,7 +36,7 @@
     )
 
 
-class Hooked(Tallied):
+class Hooked(CountingSocket):
     """Runs a hook after the kernel has returned bytes and before the reading task has resumed."""
 
     __slots__ = ()
@@ -73,13 +73,13 @@
         self.posted: list[bytes] = []
         self.counters, clock = Counters(), Clock()
         known = terms.terms(SETTINGS)
-        self.workers = Workers(Reach(2000, 60_000), 8, clock, self.counters)
+        self.workers = Workers(ConnectionTimeouts(2000, 60_000), 8, clock, self.counters)
         self.service = TxnService(
-            known, Words(SETTINGS, known), 7, clock, self.workers, self.counters, lambda: None
+            known, MessageDecoder(SETTINGS, known), 7, clock, self.workers, self.counters, lambda: None
         )
         self.address = await self.peer(self.silent)
         self.listed()
-        self.front = Front("127.0.0.1:0", 20, Room(20, 100_000), self.service, clock, self.counters)
+        self.front = Front("127.0.0.1:0", 20, ClientLimits(20, 100_000), self.service, clock, self.counters)
         self.addCleanup(self.front.sock.close)
         self.events = asyncio.get_running_loop()
 
@@ -109,7 +109,7 @@
         return sock, connection
 
     def listed(self) -> None:
-        self.service.listed(ListUpdate.WHOLE, [Row(Worker("w"), self.address)])
+        self.service.listed(ListUpdate.COMPLETE, [ListRow(Worker("w"), self.address)])
 
     def finish_txn(self, tag: str, result: bytes = b"!") -> None:
         """Apply the worker's callback that the txn is done."""
@@ -150,7 +150,7 @@
         return sock, connection
 
     def close_actions(self) -> dict[str, Callable[[], Any]]:
-        return {"room": self.front.evict_connection, "stopping": self.front.quiet}
+        return {"room": self.front.evict_connection, "stopping": self.front.close_idle_connections}
 
     def sweep(self) -> None:
         """Sweep as if the request timeout had passed."""
@@ -191,7 +191,7 @@
         sock.sendall(READY)
         self.assertIn(b" 200 ", await self.read_answer(sock))
         sock, connection = await self.client(READY[:5])
-        await self.until(lambda: connection.machine.midway)
+        await self.until(lambda: connection.machine.has_partial_request)
         sock.sendall(READY[5:6])
         self.sweep()
         self.assertIn(b" 408 ", await self.read_answer(sock))
@@ -214,7 +214,7 @@
         sock, connection = await self.client(
             post_request("a") + b"".join(post_request(f"b{i}") for i in range(50))
         )
-        await self.until(lambda: self.counters["posting.sent"] == 1 and connection.input.full)
+        await self.until(lambda: self.counters["posting.sent"] == 1 and connection.input.is_full)
         sock.close()
         await self.until(lambda: self.counters["txn.hung_up"] == 1)
         self.assertEqual(
@@ -228,7 +228,7 @@
             both.create_task(self.events.sock_sendall(sock, post_request("a") + later_requests))
             await self.until(lambda: self.counters["posting.sent"] == 1)
             await self.until(lambda: connection.read_bytes > 1_000_000)
-            self.assertLess(len(connection.input._room), 5000, "the buffer has not grown")
+            self.assertLess(len(connection.input._buffer), 5000, "the buffer has not grown")
             self.finish_txn("a")
             answer = await self.read_answer(sock)
         self.assertIn(b" 200 ", answer)
@@ -250,7 +250,7 @@
         self.assertLess(received.index(b"\r\n\r\na"), received.index(b"\r\n\r\nb"))
 
     async def test_a_held_txn_of_a_disconnected_client_is_not_posted_later(self) -> None:
-        self.service.listed(ListUpdate.WHOLE, [])
+        self.service.listed(ListUpdate.COMPLETE, [])
         sock, _ = await self.client(post_request("a") + post_request("b"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
         sock.close()
@@ -332,7 +332,7 @@
         return sock, connection
 
     async def test_bytes_behind_the_last_request_do_not_discard_its_answer(self) -> None:
-        self.front.stopping = True  # the server announces that this answer is the last
+        self.front.is_stopping = True  # the server announces that this answer is the last
         sock, connection = await self.client(room=10_000)
         sending = asyncio.create_task(self.events.sock_sendall(sock, post_request("a") + READY * 100_000))
         await self.until(lambda: self.counters["posting.sent"] == 1)
@@ -405,7 +405,7 @@
         sock, connection = await self.client(room=10_000)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 10_000)
         sending = asyncio.create_task(self.events.sock_sendall(sock, READY * many))
-        await self.until(lambda: len(connection.output) > 100_000 or connection.input.full)
+        await self.until(lambda: len(connection.output) > 100_000 or connection.input.is_full)
         self.assertLess(len(connection.output), 100_000)
         other, _ = await self.client(READY)
         self.assertIn(b" 200 ", await self.read_answer(other))
@@ -415,7 +415,7 @@
                 received = received[-11:] + await self.events.sock_recv(sock, 1 << 16)
                 count += received.count(b"HTTP/1.1 200")
                 received = received.rpartition(b"HTTP/1.1 200")[2]
-        self.assertLess(len(connection.output._room), 100_000)
+        self.assertLess(len(connection.output._buffer), 100_000)
         await sending
 
 
@@ -423,7 +423,7 @@
     """Idle clients hold all descriptors while discovery is down."""
 
     async def test_idle_clients_are_evicted_for_first_worker_links_and_callbacks(self) -> None:
-        self.front.descriptor_limit, self.workers.links.most = 10, 2
+        self.front.descriptor_limit, self.workers.links.max_links = 10, 2
         idle_connections = []
         for _ in range(8):
             sock, connection = await self.client(READY)
@@ -431,10 +431,10 @@
             idle_connections.append(connection)
         taken = []
         for worker in range(6):  # three times `links.most`, each the first one to its worker
-            self.assertTrue(self.front.spare_descriptor())
+            self.assertTrue(self.front.ensure_free_descriptor())
             pool = self.workers.links.pool(f"w{worker}")
-            self.assertTrue(self.workers.links.may_open(pool))
-            pool.used += 1
+            self.assertTrue(self.workers.links.try_make_room(pool))
+            pool.used_count += 1
             taken.append(pool)
             self.assertLessEqual(
                 self.workers.links.count + len(self.front.connections), self.front.descriptor_limit
@@ -458,9 +458,9 @@
         self.front.descriptor_limit = 1
         sock, _ = await self.client(post_request("a"))
         await self.until(lambda: self.counters["txn.taken"] == 1)
-        self.assertFalse(self.front.spare_descriptor())
+        self.assertFalse(self.front.ensure_free_descriptor())
         self.front.descriptor_limit = 3
-        self.assertTrue(self.front.spare_descriptor())
+        self.assertTrue(self.front.ensure_free_descriptor())
         self.assertEqual(self.counters["visit_end.room"], 0)
         sock.close()
 
@@ -482,7 +482,7 @@
         dispatcher.clock, dispatcher.service, dispatcher.front = self.service.clock, self.service, self.front
         dispatcher.workers, dispatcher.discovery, dispatcher.fellows = self.workers, mock.Mock(), None
         dispatcher.longest = SECOND
-        quiet, actions = self.front.quiet, iter((action,))
+        quiet, actions = self.front.close_idle_connections, iter((action,))
 
         def last() -> bool:
             is_quiet = quiet()
@@ -490,7 +490,10 @@
                 next(actions, lambda: None)()
             return is_quiet
 
-        with mock.patch.object(self.front, "quiet", last), mock.patch.object(start_module, "COMING", 0):
+        with (
+            mock.patch.object(self.front, "close_idle_connections", last),
+            mock.patch.object(start_module, "COMING", 0),
+        ):
             await dispatcher._finish()
         self.front.sock.close()  # as the end of the process would
 
@@ -510,7 +513,7 @@
 
         def accept_and_shut(listener: socket.socket) -> tuple[socket.socket, Any]:
             accepted = accept(listener)
-            shutting.append(self.events.create_task(self.front.shut()))
+            shutting.append(self.events.create_task(self.front.close_listener()))
             return accepted
 
         with mock.patch.object(socket.socket, "accept", accept_and_shut):
@@ -523,22 +526,22 @@
 
     async def test_a_new_connection_has_time_for_its_first_request_before_the_end(self) -> None:
         sock, connection = await self.client()
-        self.assertFalse(self.front.quiet())
-        self.assertTrue(self.front.in_use())
+        self.assertFalse(self.front.close_idle_connections())
+        self.assertTrue(self.front.is_in_use())
         await self.events.sock_sendall(sock, READY)
         self.assertIn(b" 200 ", await self.read_answer(sock))
         _, silent = await self.client()
         with mock.patch.object(front_module, "FIRST_BYTE_TIMEOUT", 0):
-            self.assertTrue(self.front.quiet())
+            self.assertTrue(self.front.close_idle_connections())
         self.assertEqual((connection.code, silent.code), ("stopping", "stopping"))
 
     async def test_the_shutdown_waits_a_limited_time_for_a_last_answer_to_arrive(self) -> None:
-        self.front.stopping = True
+        self.front.is_stopping = True
         _, connection = await self.client(READY)
         await self.until(lambda: connection.lingers_since is not None)
-        self.assertFalse(self.front.quiet())
+        self.assertFalse(self.front.close_idle_connections())
         with mock.patch.object(front_module, "SHUTDOWN_LINGER_TIMEOUT", 0):
-            self.assertTrue(self.front.quiet())
+            self.assertTrue(self.front.close_idle_connections())
         self.assertEqual(connection.code, "last-answer")
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -77,7 +77,7 @@
             self.assertIs(
                 birth(
                     json.dumps(platform_config(read_configuration(self.path)))
-                ).terms.delisted_workers_usable,
+                ).scheduler.delisted_workers_usable,
                 is_open,
             )
 
@@ -119,10 +119,10 @@
             json.dumps({"listen": "127.0.0.1:8080", "discovery": "127.0.0.1:9090", "settings": settings})
         )
         self.assertEqual((one.listen, one.discovery), (other.listen, other.discovery))
-        a, b = one.terms.schemes[0], other.terms.schemes[0]
+        a, b = one.scheduler.schemes[0], other.scheduler.schemes[0]
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (Semantics.ONCE_ONLY, 4000, 80_000))
         self.assertEqual((a.semantics, a.sla_time, a.expiry), (b.semantics, b.sla_time, b.expiry))
-        self.assertTrue(one.terms.list_needs_subscription and other.terms.list_needs_subscription)
+        self.assertTrue(one.scheduler.list_needs_subscription and other.scheduler.list_needs_subscription)
 
     def test_a_reload_takes_over_what_may_change_and_names_the_keys_that_stay(self) -> None:
         self.path.write_text(GOOD)
--- a/tests/test_config_reload.py
+++ b/tests/test_config_reload.py
@@ -30,8 +30,8 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.wire.birth import birth
-from pathsaddle.net.wire.forms import Row
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.forms import ListRow
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import SECOND, ListUpdate, Outcome, Worker
 from pathsaddle.settings import configuration
 from tests.fakehost import FakeHost, scheme
@@ -74,9 +74,9 @@
         self.played: Any = PlayedWorkers()
         self.answers: list[tuple[int, bytes]] = []
         self.service = self.dispatcher.service(
-            born.terms, born.words, 7, Clock(), self.played, Counters(), lambda: None
+            born.scheduler, born.decoder, 7, Clock(), self.played, Counters(), lambda: None
         )
-        self.service.listed(ListUpdate.WHOLE, [Row(Worker(f"w{n}"), "x:1") for n in range(4)])
+        self.service.listed(ListUpdate.COMPLETE, [ListRow(Worker(f"w{n}"), "x:1") for n in range(4)])
 
     def reload(self, **more: Any) -> dict[str, str]:
         return self.dispatcher.reload(configuration_of(**more))
@@ -90,7 +90,7 @@
         return self.service.take(call, lambda *answer: self.answers.append(answer[:2]))
 
     def refused(self, tag: str, kind: str = "render", owner: str = "acme") -> int:
-        with self.assertRaises(Broken) as caught:
+        with self.assertRaises(HttpError) as caught:
             self.ask(tag, kind, owner)
         return caught.exception.status
 
@@ -106,7 +106,7 @@
         await self.settle()
         worker = self.service.ledger[tag].txn.postings[-1].worker.tag
         self.service.called_back(
-            self.service.words.callback(
+            self.service.words.decode_callback(
                 json.dumps({"id": tag, "from": worker, "state": "done", "result": "well"}).encode()
             )
         )
@@ -147,11 +147,11 @@
         for tag in "abde":
             await self.done(tag)
         self.assertEqual(self.answers, [(200, b"well")] * 4)
-        runs = self.service.loop.scheduler.runs
+        runs = self.service.loop.scheduler.run_times
         self.assertEqual(list(runs[young.txn.scheme]), list(runs[was]))
         self.reload(schemes=BASE["schemes"][:1])
         self.assertEqual(
-            len(self.service.loop.scheduler.runs), 1, "what nobody goes by any more is forgotten"
+            len(self.service.loop.scheduler.run_times), 1, "what nobody goes by any more is forgotten"
         )
 
     async def test_unchanged_request_classes_and_tenants_stay_the_same_objects(self) -> None:
@@ -163,7 +163,7 @@
         self.assertIs(self.service.words.schemes["render"], words.schemes["render"])
         self.assertIs(self.service.words.customers["acme"], words.customers["acme"])
         self.assertEqual(words.customers["acme"].quota_rate, 1.0)
-        self.assertEqual(self.service.loop.scheduler.cold_share, 0.5)
+        self.assertEqual(self.service.loop.scheduler.slow_start_share, 0.5)
 
     async def test_a_wrong_file_changes_nothing_and_every_error_is_reported(self) -> None:
         self.begin()
@@ -223,7 +223,7 @@
         )
         self.service.recovery.is_done = True
         said = {b"req-kind": b"charge", b"req-owner": b"zeta", b"idempotency-key": b"k"}
-        call = Message(b"POST", b"/jobs/charge", headers=said, lines=list(said.items()))
+        call = Message(b"POST", b"/jobs/charge", headers=said, raw_headers=list(said.items()))
         self.service.take(call, lambda *answer: self.answers.append(answer[:2]))
         job = next(iter(self.service.registry.jobs.values()))
         self.reload(customers=BASE["customers"][:1], schemes=BASE["schemes"][:1])
@@ -245,14 +245,14 @@
 
     def test_a_quota_changed_under_load_binds_from_the_next_request_on(self) -> None:
         served = configuration_of(customers=[{"name": "acme", "allowance": 20.0}])
-        made = birth(json.dumps(platform_config(served))).terms
+        made = birth(json.dumps(platform_config(served))).scheduler
         host = FakeHost(*made.schemes, customers=made.customers)
         acme = made.customers[0]
         self.assertEqual(self.over(host, acme, 10, 10), 0)
-        account = host.loop.scheduler.accounts[acme]
+        account = host.loop.scheduler.customer_usage[acme]
         acme.quota_rate = 2.0
         host.loop.scheduler.update_config(made)
-        self.assertIs(host.loop.scheduler.accounts[acme], account)
+        self.assertIs(host.loop.scheduler.customer_usage[acme], account)
         lowered = self.over(host, acme, 10, 20)
         self.assertGreater(lowered, 100, "eight in ten are beyond it")
         acme.quota_rate = 20.0
@@ -261,19 +261,19 @@
         self.assertEqual(self.over(host, acme, 10, 10), 0)
 
     def test_a_longer_fall_time_holds_back_from_workers_that_warm_up_until_it_has_passed(self) -> None:
-        made = birth(json.dumps(platform_config(configuration_of()))).terms
+        made = birth(json.dumps(platform_config(configuration_of()))).scheduler
         host = FakeHost(scheme())
         choice = host.loop.scheduler
         host.passes(5 * SECOND)
         host.loop.set_now(host.now)
         made.overload_window = 4 * SECOND
         choice.update_config(made)
-        self.assertEqual(choice.born, host.now)
+        self.assertEqual(choice.history_start, host.now)
         made.overload_window = SECOND
         host.passes(SECOND)
         host.loop.set_now(host.now)
         choice.update_config(made)
-        self.assertEqual(choice.born, host.now - SECOND)
+        self.assertEqual(choice.history_start, host.now - SECOND)
 
 
 class KeysThatAskForARestart(unittest.TestCase):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -45,7 +45,7 @@
 from pathsaddle.event_log import Event
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Ground as Machine
+from pathsaddle.net.service.ground import Environment as Machine
 from pathsaddle.scheduler_types import SECOND
 
 
--- a/tests/test_control_metrics.py
+++ b/tests/test_control_metrics.py
@@ -16,7 +16,7 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Words
+from pathsaddle.net.wire.forms import MessageDecoder
 from pathsaddle.net.wire.http import Message
 
 S = 1_000_000_000
@@ -252,10 +252,10 @@
     def setUp(self) -> None:
         self.meter = ControlMeter()
         settings = platform_settings(charter(control.Setting(), "127.0.0.1:1", "127.0.0.1:1"))
-        self.words = MeteredWords.of(Words(settings, terms.terms(settings)), self.meter)
+        self.words = MeteredWords.of(MessageDecoder(settings, terms.terms(settings)), self.meter)
 
     def test_reports_are_read_and_stay_metered_when_terms_change(self) -> None:
-        changed = self.words.retuned({}, {})
+        changed = self.words.with_changes({}, {})
         self.assertIsInstance(changed, MeteredWords)
         report = changed.report({"x0": 2.0, "queue": 1})
         self.assertIsNotNone(report)
@@ -266,27 +266,27 @@
 
     def test_an_answer_to_a_probe_counts_for_looks_and_one_to_an_attempt_does_not(self) -> None:
         answer = Message(
-            status=200, lines=[(b"srv-load", b"x0=2,queue=1")], headers={b"srv-load": b"x0=2,queue=1"}
+            status=200, raw_headers=[(b"srv-load", b"x0=2,queue=1")], headers={b"srv-load": b"x0=2,queue=1"}
         )
-        self.words.report_in(answer)
+        self.words.extract_report(answer)
         self.assertEqual(self.meter.spent["looks"].got, 0)
-        self.meter.runs("looks", lambda: self.words.report_in(answer))
+        self.meter.runs("looks", lambda: self.words.extract_report(answer))
         self.assertEqual(
             self.meter.spent["looks"].got, len("HTTP/1.1 200 OK\r\n\r\n") + len("srv-load: x0=2,queue=1\r\n")
         )
 
     def test_bytes_of_each_connection_of_the_watch_are_counted_once(self) -> None:
-        socks = [SimpleNamespace(taken=0, given=0) for _ in range(2)]
+        socks = [SimpleNamespace(received_bytes=0, sent_bytes=0) for _ in range(2)]
         opened = iter(socks)
         stream = MeteredStream(self.meter, lambda address: (next(opened), ("a", 1)))
         watch = MeteredWatch(stream, "a:1", 0, SimpleNamespace(), Counters())
         watch.opening("a:1")
-        socks[0].taken, socks[0].given = 100, 40
+        socks[0].received_bytes, socks[0].sent_bytes = 100, 40
         stream.count_bytes()
         stream.count_bytes()
-        socks[0].taken = 130
+        socks[0].received_bytes = 130
         watch.opening("a:1")
-        socks[1].taken = 7
+        socks[1].received_bytes = 7
         stream.count_bytes()
         self.assertEqual((self.meter.spent["list"].got, self.meter.spent["list"].said), (137, 40))
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -57,8 +57,8 @@
 from pathsaddle.leased_versions import Version
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import logbook
-from pathsaddle.net.service.ground import Ground
-from pathsaddle.net.service.place import unhad
+from pathsaddle.net.service.ground import Environment
+from pathsaddle.net.service.place import bind_error
 from pathsaddle.settings.changes import changes_from_tables
 from pathsaddle.settings.cluster_file import load_cluster_file as settings_ground
 from pathsaddle.settings.driver_config import DriverConfig as SettingsTold
@@ -405,12 +405,14 @@
         self.reads(str(self.process(GW_CONFIG=config)[1]), "address.none", "'x'", "config.json")
         # Root may have low ports, and some kernels give them to all: the kernel's word itself, as it would come.
         self.reads(
-            str(unhad(PermissionError(errno.EACCES, "Permission denied"), "listen", "127.0.0.1:80", "c")),
+            str(
+                bind_error(PermissionError(errno.EACCES, "Permission denied"), "listen", "127.0.0.1:80", "c")
+            ),
             "address.forbidden",
             "above 1023",
         )
         self.reads(
-            str(unhad(OSError(errno.EMFILE, "Too many open files"), "listen", "127.0.0.1:80", "c")),
+            str(bind_error(OSError(errno.EMFILE, "Too many open files"), "listen", "127.0.0.1:80", "c")),
             "address.unusable",
             "too many open files",
         )
@@ -457,7 +459,7 @@
                 self.reads(said, name, *words)
                 if name != "start.unfit":  # whose seed nobody reads again
                     with mock.patch.dict(os.environ, GW_CONFIG=path), self.assertRaises(errors.Error):
-                        Ground().moved()  # as SIGHUP would
+                        Environment().moved()  # as SIGHUP would
 
     def test_the_base_type_imports_nothing(self) -> None:
         text = (ROOT / "pathsaddle/errors.py").read_text()
@@ -691,7 +693,7 @@
         control,
         MembershipOptions("f", b"sixteen bytes or more", 500, 150),
     )
-    made = MembershipDriver(told, Ground(), IncarnationStore(folder, "a"), Random(1), Counters())
+    made = MembershipDriver(told, Environment(), IncarnationStore(folder, "a"), Random(1), Counters())
     made.quiet = True
     return made
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -49,7 +49,7 @@
         """With all workers full at once, the four postings of a txn were used up within milliseconds."""
         host = FakeHost(workers=8)
         for worker in host.workers:
-            host.loop.scheduler.read(
+            host.loop.scheduler.apply_report(
                 host.loop.scheduler.workers[worker],
                 LoadReport(free_slots=1.0, queued_jobs=0.0, held_slots=1.0),
             )
@@ -74,7 +74,7 @@
         host = FakeHost()
         for worker, free in zip(host.workers, (1.0, 4.0)):
             report = LoadReport(free_slots=free, queued_jobs=0.0, held_slots=4.0 - free)
-            host.loop.scheduler.read(host.loop.scheduler.workers[worker], report)
+            host.loop.scheduler.apply_report(host.loop.scheduler.workers[worker], report)
         host.ask("wide", slots=4.0)
         self.assertEqual([p.worker for p in host.posted], [host.workers[1]])
 
@@ -193,7 +193,7 @@
         host = FakeHost(workers=2, price_cross=0.3, value_by_work=True)
         host.workers[1].zone = 1
         host.ask("first", hint=SECOND)
-        host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full())
+        host.loop.scheduler.apply_report(host.loop.scheduler.workers[host.workers[0]], full())
         host.ask("small", hint=SECOND // 10)
         host.ask("large", hint=2 * SECOND)
         self.assertEqual([p.txn.tag for p in host.posted], ["first", "large"])
@@ -214,13 +214,13 @@
 
 class WorkerListTest(unittest.TestCase):
     def test_a_failed_subscription_is_requested_again(self) -> None:
-        host = FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED)
+        host = FakeHost(list_needs_subscription=True, news=ListUpdate.CACHED)
         host.list(ListUpdate.FAILED)
         host.passes(2 * SECOND)
         self.assertEqual(host.subscribed, 2)
 
     def test_an_unanswered_list_request_is_repeated_in_time(self) -> None:
-        host = FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED)
+        host = FakeHost(list_needs_subscription=True, news=ListUpdate.CACHED)
         host.passes(9 * SECOND)
         self.assertEqual(host.subscribed, 2)
 
@@ -228,7 +228,7 @@
         """The mean left out all workers named in a complete list, and so was zero."""
         host = FakeHost()
         host.ask("a")
-        host.list(ListUpdate.WHOLE, *host.workers, new := Worker("new"))
+        host.list(ListUpdate.COMPLETE, *host.workers, new := Worker("new"))
         self.assertEqual(list(host.loop.scheduler.workers[new].initial_backlog.values()), [0.5])
 
     def test_the_late_start_delay_is_no_finer_than_a_tick(self) -> None:
@@ -399,7 +399,7 @@
         )
         for index, worker in enumerate(host.workers):
             worker.name_hash = index * 2654435761 % (1 << 32)
-        host.list(ListUpdate.WHOLE, *host.workers)
+        host.list(ListUpdate.COMPLETE, *host.workers)
         return host
 
     def workers_by_key(self, host: FakeHost, keys: str) -> dict[str, set[str]]:
@@ -466,7 +466,7 @@
             host = FakeHost(scheme(expiry=60 * SECOND), workers=16, allows_backfill=backfill)
             for index, worker in enumerate(host.workers):
                 worker.name_hash = index * 2654435761 % (1 << 32)
-            host.list(ListUpdate.WHOLE, *host.workers)
+            host.list(ListUpdate.COMPLETE, *host.workers)
             for worker in host.workers:
                 host.tell(worker, LoadReport(free_slots=4.0, queued_jobs=0.0))
             by_width: dict[float, set[str]] = {1.0: set(), 4.0: set()}
@@ -491,7 +491,7 @@
         """In incident i6d62e5 and the first full-size days, decisions took longer than the day."""
         host = FakeHost(workers=60)
         for worker in host.workers:
-            host.loop.scheduler.read(host.loop.scheduler.workers[worker], full())
+            host.loop.scheduler.apply_report(host.loop.scheduler.workers[worker], full())
         host.ask("held")
         with mock.patch.object(Scheduler, "estimate_free_slots", autospec=True, return_value=0.0) as estimate:
             for tag in range(40):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -56,7 +56,7 @@
                 last_answer_at = now
                 _, host, is_waiting = self.queue.popleft()
                 if is_waiting:
-                    host.list(ListUpdate.WHOLE, *host.workers)
+                    host.list(ListUpdate.COMPLETE, *host.workers)
                     self.watching[self.hosts.index(host)] = now - start
 
 
@@ -73,7 +73,7 @@
                     dispatchers=40,
                     number=n,
                     seed=n,
-                    news=ListUpdate.REMEMBERED,
+                    news=ListUpdate.CACHED,
                 )
                 for n in range(40)
             ]
@@ -106,9 +106,7 @@
         of them.
         """
         for seed in range(20):
-            host = FakeHost(
-                list_needs_subscription=True, dispatchers=200, seed=seed, news=ListUpdate.REMEMBERED
-            )
+            host = FakeHost(list_needs_subscription=True, dispatchers=200, seed=seed, news=ListUpdate.CACHED)
             while not host.subscribed:
                 host.passes(STEP)
             host.passes(4 * SECOND)
@@ -118,7 +116,7 @@
 
     def test_a_single_dispatcher_calls_immediately(self) -> None:
         """Guards against a delay that only spreads the calls of several dispatchers."""
-        self.assertEqual(FakeHost(list_needs_subscription=True, news=ListUpdate.REMEMBERED).subscribed, 1)
+        self.assertEqual(FakeHost(list_needs_subscription=True, news=ListUpdate.CACHED).subscribed, 1)
 
 
 class ReportAgeTest(unittest.TestCase):
@@ -143,8 +141,8 @@
                             free_slots=4.0 - held_slots, queued_jobs=0.0, held_slots=held_slots
                         ),
                     )
-            host.loop.scheduler.judge_age()
-            misjudged += host.loop.scheduler.age > SECOND // 10
+            host.loop.scheduler.update_report_age()
+            misjudged += host.loop.scheduler.report_age > SECOND // 10
         self.assertLess(misjudged, 5)
 
 
@@ -157,11 +155,11 @@
         posted = []
         for number in (2, 3, 16):
             host = FakeHost(workers=1, dispatchers=40, number=number)
-            host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full(4.0))
+            host.loop.scheduler.apply_report(host.loop.scheduler.workers[host.workers[0]], full(4.0))
             host.passes(3 * SECOND)
             new = Worker("new", started_at=host.now - 4 * SECOND, name_hash=0)
             host.list(ListUpdate.CHANGES, new)
-            host.loop.scheduler.read(host.loop.scheduler.workers[host.workers[0]], full(4.0))
+            host.loop.scheduler.apply_report(host.loop.scheduler.workers[host.workers[0]], full(4.0))
             host.ask("a", hint=SECOND * 7 // 10)
             posted.append([p.worker.tag for p in host.posted])
         self.assertEqual(posted, [["new"], [], ["new"]])
--- a/tests/test_golden_consensus.py
+++ b/tests/test_golden_consensus.py
@@ -29,7 +29,7 @@
 from pathsaddle.emulator.ownership.faults import layout_with_faults, run_with_faults
 from pathsaddle.fleet.incarnation_store import IncarnationStore
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.service.ground import Ground as Machine
+from pathsaddle.net.service.ground import Environment as Machine
 
 GOLDEN = json.loads((Path(__file__).parent / "data" / "consensus.json").read_text())
 FLEET_KEY = b"sixteen bytes or more"
--- a/tests/test_golden_jobs.py
+++ b/tests/test_golden_jobs.py
@@ -154,7 +154,7 @@
                 b"POST",
                 target.encode("latin-1"),
                 headers={name.lower(): value for name, value in pairs},
-                lines=pairs,
+                raw_headers=pairs,
                 body=bytes.fromhex(body),
             )
             worker_call = to_worker_call(call, "j1-1-00000001")
--- a/tests/test_hollow_workers.py
+++ b/tests/test_hollow_workers.py
@@ -21,11 +21,11 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.service.discovery import DiscoveryWatch
-from pathsaddle.net.service.workers import Lost, NeverSent
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError
 from pathsaddle.net.service.workers import Workers as Links
 from pathsaddle.net.wire import forms, terms
-from pathsaddle.net.wire.forms import Callback, Words
-from pathsaddle.net.wire.terms import Reach
+from pathsaddle.net.wire.forms import Callback, MessageDecoder
+from pathsaddle.net.wire.terms import ConnectionTimeouts
 from pathsaddle.scheduler_types import SECOND, ListedState, ListUpdate, Outcome
 
 SHORT = workers.Setting(
@@ -68,10 +68,10 @@
         self.told: list[Callback] = []
         given = platform_settings(CHARTER)
         known = terms.terms(given)
-        self.words = Words(given, known)
-        self.links = Links(Reach(20_000, 600_000), 64, Clock(), Counters())
+        self.words = MessageDecoder(given, known)
+        self.links = Links(ConnectionTimeouts(20_000, 600_000), 64, Clock(), Counters())
         self.addCleanup(
-            lambda: [self.links.links.drop_idle(worker, "over") for worker in self.links.addresses]
+            lambda: [self.links.links.close_idle(worker, "over") for worker in self.links.addresses]
         )
         self.server = await asyncio.start_server(self.door, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
@@ -87,7 +87,7 @@
                 for said in hearing.feed(data, 0):
                     self.assertEqual((said.method, said.target), ("POST", "/callback"))
                     if self.answers:
-                        self.told.append(self.words.callback(said.body))
+                        self.told.append(self.words.decode_callback(said.body))
                         writer.write(speech.answer(204))
         except (OSError, httptools.HttpParserError, asyncio.CancelledError):
             pass
@@ -97,7 +97,7 @@
         made = await super().hollow(count, slots, waiting, run)
         made.dispatcher = self.server.sockets[0].getsockname()
         for row in made.rows:
-            self.links.located(row["name"], row["address"])
+            self.links.set_address(row["name"], row["address"])
         return made
 
     async def post(self, worker: str, tag: str, cost: int = 20):
@@ -120,28 +120,28 @@
         self.assertEqual((first.status, second.status), (202, 202))
         third = await self.post("w00000", "c")
         self.assertIs(forms.outcome_of(third), Outcome.FULL)
-        report = self.words.report_in(third)
+        report = self.words.extract_report(third)
         self.assertEqual((report.free_slots, report.queued_jobs), (0.0, 1.0))
 
     async def test_a_look_tells_what_runs(self) -> None:
         made = await self.hollow(1, slots=2)
         await self.post("w00000", "a", 5000)
-        answer = await self.links.call("w00000", "GET", forms.look_target(True), [])
-        self.assertIs(forms.look_outcome(answer), Outcome.SETTLED)
-        self.assertEqual((self.words.report_in(answer).free_slots, made.looked), (1.0, 1))
+        answer = await self.links.call("w00000", "GET", forms.probe_target(True), [])
+        self.assertIs(forms.probe_outcome(answer), Outcome.SETTLED)
+        self.assertEqual((self.words.extract_report(answer).free_slots, made.looked), (1.0, 1))
 
     async def test_what_waits_is_withdrawn_by_delete(self) -> None:
         made = await self.hollow(1)
         await self.post("w00000", "a", 5000)
         await self.post("w00000", "b")
-        answer = await self.links.call("w00000", "DELETE", forms.withdrawal_target("b"), [])
+        answer = await self.links.call("w00000", "DELETE", forms.cancellation_target("b"), [])
         self.assertEqual((answer.status, len(made.all[0].line)), (204, 0))
 
     async def test_a_death_ends_its_connections_and_its_agent_tells_what_is_lost(self) -> None:
         made = await self.hollow(1)
         await self.post("w00000", "a", 5000)
         made.all[0].dies()
-        with self.assertRaises((NeverSent, Lost)):
+        with self.assertRaises((RequestNotSentError, ConnectionLostError)):
             for _ in range(3):  # a link that broke unseen may be tried first
                 await self.post("w00000", "b")
         await self.until(lambda: self.told)
@@ -233,21 +233,21 @@
         given = platform_settings(CHARTER)
 
         class TxnService:
-            words = Words(given, terms.terms(given))
+            words = MessageDecoder(given, terms.terms(given))
 
             def listed(service, news, rows) -> None:
                 self.heard.append((news, [row.worker.tag for row in rows]))
                 self.rows = rows
 
         self.discovery = discovery = DiscoveryWatch(await told.open(), index, TxnService(), Counters())
-        self.discovery.ask()
+        self.discovery.call_discovery()
         self.addCleanup(discovery.stop, "over")
         await self.until(lambda: self.heard)
         return told
 
     async def test_who_knows_no_version_of_it_gets_the_whole_list_then_changes(self) -> None:
         told = await self.watched(1)
-        self.assertEqual(self.heard.pop(), (ListUpdate.WHOLE, [f"w0000{n}" for n in range(5)]))
+        self.assertEqual(self.heard.pop(), (ListUpdate.COMPLETE, [f"w0000{n}" for n in range(5)]))
         told.rows["w00003"]["status"] = "leaving"
         told.change("w00003")
         await self.until(lambda: self.heard)
@@ -263,7 +263,7 @@
         told.change("w00001")
         told.change("w00002")
         self.heard.clear()
-        self.discovery.ask()
+        self.discovery.call_discovery()
         await self.until(lambda: self.heard)
         self.assertEqual(self.heard, [(ListUpdate.CHANGES, ["w00001", "w00002"])])
 
@@ -273,7 +273,7 @@
         told.rows["w00000"]["status"] = "left"
         told.whole()
         await self.until(lambda: self.heard)
-        self.assertEqual(self.heard, [(ListUpdate.WHOLE, [f"w0000{n}" for n in range(1, 5)])])
+        self.assertEqual(self.heard, [(ListUpdate.COMPLETE, [f"w0000{n}" for n in range(1, 5)])])
 
     async def test_a_change_is_as_long_whatever_the_list_is(self) -> None:
         sizes = []
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -37,13 +37,13 @@
 from pathsaddle.jobs.store_rows import JobRecord
 from pathsaddle.jobs.store_writer import EmulatedDiskWriter, ThreadWriter
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.memory.ledger import Whole
+from pathsaddle.net.memory.ledger import KnownSending
 from pathsaddle.net.service import logbook
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.service.workers import Lost, NeverSent
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Row, Words
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.forms import ListRow, MessageDecoder
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate, Semantics, Worker
 from tests.fakehost import SETTINGS
 
@@ -256,15 +256,15 @@
 
     def __init__(self, story: "JobServiceStory") -> None:
         self.story = story
-        self.connect_within = SECOND
+        self.connect_timeout = SECOND
         self.attempts: list[tuple[str, str, int]] = []  # worker, job, lease
         self.reports: dict[str, dict[str, Any] | None] = {}  # by worker: its answer to a query
         self.queries: list[tuple[str, str]] = []
         self.mode = "take"
-        self.broke: Any = None
+        self.on_connection_broken: Any = None
         self.links = mock.Mock()
 
-    def located(self, worker: str, address: str) -> None:
+    def set_address(self, worker: str, address: str) -> None:
         pass
 
     async def call(
@@ -280,20 +280,20 @@
             self.queries.append((worker, target.decode()))
             report = self.reports.get(worker)
             if report is None:
-                raise NeverSent("silent")
+                raise RequestNotSentError("silent")
             return Message(status=200 if report else 404, body=json.dumps(report).encode())
         if method != "POST":
             return Message(status=200, body=b'{"x0":8,"queue":0,"inflight":0}')
         if self.mode == "hangs":
             await asyncio.sleep(99.0)
-        sending = Whole(False)
+        sending = KnownSending(False)
         begins(sending)
         job_id = dict(headers)[b"Req-Id"].decode()
         self.story.check_intent(job_id, int(dict(headers).get(b"Job-Lease", b"0")))
         self.attempts.append((worker, job_id, int(dict(headers).get(b"Job-Lease", b"0"))))
-        sending.whole = True
+        sending.is_complete = True
         if self.mode == "reset":
-            raise Lost("reset")
+            raise ConnectionLostError("reset")
         return Message(status=202)
 
 
@@ -323,7 +323,7 @@
         known = terms.terms(PLATFORM_SETTINGS)
         self.service = JobService(
             known,
-            Words(PLATFORM_SETTINGS, known),
+            MessageDecoder(PLATFORM_SETTINGS, known),
             7,
             Clock(self.wall, self.loop.time),
             self.fake_workers,
@@ -333,7 +333,7 @@
             options=self.options,
             rng=Random(1),
         )
-        self.service.listed(ListUpdate.WHOLE, [Row(Worker(f"w{i}"), "x:1") for i in range(workers)])
+        self.service.listed(ListUpdate.COMPLETE, [ListRow(Worker(f"w{i}"), "x:1") for i in range(workers)])
 
     def start(self, **options: Any) -> None:
         self.host = Host(self.net, "d")
@@ -371,7 +371,9 @@
             (name.replace("_", "-").encode(), value.encode())
             for name, value in {"Req-Owner": "acme", **headers}.items()
         ]
-        message = Message(method, target, headers={n.lower(): v for n, v in lines}, lines=lines, body=body)
+        message = Message(
+            method, target, headers={n.lower(): v for n, v in lines}, raw_headers=lines, body=body
+        )
 
         def answer(status: int, body: bytes, _: tuple[str, ...], keep: bool) -> None:
             answers.append((status, json.loads(body) if body[:1] == b"{" else {"text": body.decode()}))
@@ -379,10 +381,10 @@
         async def take() -> None:
             try:
                 if target == b"/callback":
-                    self.service.heard(self.service.words.callback(body), answer)
+                    self.service.heard(self.service.words.decode_callback(body), answer)
                 else:
                     self.service.take(message, answer)
-            except Broken as fault:
+            except HttpError as fault:
                 answers.append((fault.status, {"why": str(fault)}))
 
         self.run_work(take())
@@ -446,7 +448,7 @@
             b"POST",
             b"/jobs/charge",
             headers={n.lower(): v for n, v in head.items()},
-            lines=list(head.items()),
+            raw_headers=list(head.items()),
             body=b"b",
         )
         statuses: list[int] = []
@@ -691,7 +693,7 @@
         )
         self.assertEqual(self.submit("other")[0], 503)
         during: list[int] = []
-        callback = self.service.words.callback(
+        callback = self.service.words.decode_callback(
             json.dumps({"id": job_id, "from": "w0", "state": "done", "result": "r"}).encode()
         )
         self.run_work(asyncio.sleep(0))
@@ -823,7 +825,7 @@
             b"POST",
             b"/charge",
             headers={n.lower(): v for n, v in head.items()},
-            lines=list(head.items()),
+            raw_headers=list(head.items()),
             body=b"b",
         )
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,10 +10,10 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.memory.links import Links, WorkerPool
 from pathsaddle.net.service.clock import Clock
-from pathsaddle.net.service.pump import Tallied, drain, stream
+from pathsaddle.net.service.pump import CountingSocket, drain, stream
 from pathsaddle.net.service.workers import Workers
 from pathsaddle.net.wire.ring import Ring
-from pathsaddle.net.wire.terms import Reach
+from pathsaddle.net.wire.terms import ConnectionTimeouts
 from pathsaddle.scheduler_types import MILLISECOND
 
 COOLDOWN, IDLE_TIMEOUT = 50, 1000
@@ -23,20 +23,20 @@
     """A link without a socket that counts how often the pool reads its state."""
 
     def __init__(self, rests: bool = True) -> None:
-        self.rests = rests
+        self.needs_cooldown = rests
         self.idle_since = 0
         self.reads = 0
-        self.sound = self.has_nothing_unread = True
+        self.is_sound = self.has_nothing_unread = True
         self.code = ""
 
     @property
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         self.reads += 1
         return bool(self.code)
 
     @property
-    def usable(self) -> bool:
-        return self.sound and self.has_nothing_unread and not self.code
+    def is_usable(self) -> bool:
+        return self.is_sound and self.has_nothing_unread and not self.code
 
     def end(self, code: str) -> None:
         self.code = self.code or code
@@ -49,7 +49,7 @@
 
     def answered(self, now: int, rests: bool = True) -> FakeLink:
         link = FakeLink(rests)
-        self.pool.used += 1
+        self.pool.used_count += 1
         self.links.put_back(self.pool, link, now)
         return link
 
@@ -60,24 +60,24 @@
             pool = self.links.pool(f"w{random.randrange(5)}")
             step = random.randrange(8)
             if step == 0:
-                pool.used += 1  # as a link that is being connected
-            elif step == 1 and pool.used:
-                self.links.release(pool)
+                pool.used_count += 1  # as a link that is being connected
+            elif step == 1 and pool.used_count:
+                self.links.release_slot(pool)
             elif step == 2:
-                self.links.take(pool, now)
-            elif step == 3 and pool.used:
+                self.links.acquire(pool, now)
+            elif step == 3 and pool.used_count:
                 link = FakeLink(rests=random.random() < 0.5)
-                link.sound = random.random() < 0.8
+                link.is_sound = random.random() < 0.8
                 self.links.put_back(pool, link, now)
             elif step == 4:
-                self.links.gives_up_resting(pool)
+                self.links.close_cooling(pool)
             elif step == 5:
-                self.links.let_go_oldest()
+                self.links.close_oldest()
             elif step == 6 and random.random() < 0.2:
-                self.links.sweep(now)
+                self.links.close_expired(now)
             elif step == 7 and random.random() < 0.2:
-                self.links.forget(f"w{random.randrange(5)}")
-            expected = sum(each.used + len(each.idle) for each in self.links.pools.values())
+                self.links.remove_worker(f"w{random.randrange(5)}")
+            expected = sum(each.used_count + len(each.idle_links) for each in self.links.pools.values())
             self.assertEqual(self.links.count, expected)
             max_count = max(max_count, expected)
         self.assertGreater(max_count, 5)
@@ -87,19 +87,19 @@
 
     def test_no_link_is_taken_while_cooling_down_and_of_the_ready_ones_the_latest_is(self) -> None:
         first, second, third = (self.answered(now) for now in (0, 10, 20))
-        self.assertIsNone(self.links.take(self.pool, COOLDOWN - 1))
-        self.assertIs(self.links.take(self.pool, COOLDOWN + 10), second)
-        self.assertIs(self.links.take(self.pool, COOLDOWN + 10), first)
-        self.assertIsNone(self.links.take(self.pool, COOLDOWN + 10))
-        self.assertIs(self.links.take(self.pool, COOLDOWN + 20), third)
-        self.assertEqual((self.pool.used, self.pool.count), (3, 3))
+        self.assertIsNone(self.links.acquire(self.pool, COOLDOWN - 1))
+        self.assertIs(self.links.acquire(self.pool, COOLDOWN + 10), second)
+        self.assertIs(self.links.acquire(self.pool, COOLDOWN + 10), first)
+        self.assertIsNone(self.links.acquire(self.pool, COOLDOWN + 10))
+        self.assertIs(self.links.acquire(self.pool, COOLDOWN + 20), third)
+        self.assertEqual((self.pool.used_count, self.pool.count), (3, 3))
 
     def test_a_link_that_answered_a_probe_is_taken_at_once_even_behind_cooling_ones(self) -> None:
         self.answered(0)
         probed = self.answered(1, rests=False)
         self.answered(2)
-        self.assertIs(self.links.take(self.pool, 2), probed)
-        self.assertIsNone(self.links.take(self.pool, 2))
+        self.assertIs(self.links.acquire(self.pool, 2), probed)
+        self.assertIsNone(self.links.acquire(self.pool, 2))
 
     def test_a_call_does_not_scan_the_cooling_links(self) -> None:
         """A fast worker has as many cooling links as answers in a cooldown, and each call read them all."""
@@ -107,45 +107,45 @@
         for link in cooling:
             link.reads = 0
         for now in range(5):
-            self.assertIsNone(self.links.take(self.pool, 40 + now))
+            self.assertIsNone(self.links.acquire(self.pool, 40 + now))
         self.assertLessEqual(sum(link.reads for link in cooling), 5)
 
     def test_a_link_that_ended_while_cooling_is_never_taken_and_the_next_sweep_removes_it(self) -> None:
         links = [self.answered(now) for now in range(3)]
         links[1].end("worker-closed")
-        self.links.sweep(5)
+        self.links.close_expired(5)
         self.assertEqual(self.pool.count, 2)
         links[0].end("worker-closed")
-        self.assertIs(self.links.take(self.pool, COOLDOWN + 5), links[2])
-        self.assertIsNone(self.links.take(self.pool, COOLDOWN + 5))
+        self.assertIs(self.links.acquire(self.pool, COOLDOWN + 5), links[2])
+        self.assertIsNone(self.links.acquire(self.pool, COOLDOWN + 5))
 
     def test_a_link_with_an_answer_to_another_call_is_not_put_back(self) -> None:
         link = FakeLink()
-        link.sound = False
-        self.pool.used += 1
+        link.is_sound = False
+        self.pool.used_count += 1
         self.links.put_back(self.pool, link, 0)
         self.assertEqual((self.pool.count, link.code), (0, "worker-stirred"))
 
     def test_a_link_with_unread_bytes_when_it_is_taken_is_ended(self) -> None:
         link = self.answered(0)
         link.has_nothing_unread = False
-        self.assertIsNone(self.links.take(self.pool, COOLDOWN))
+        self.assertIsNone(self.links.acquire(self.pool, COOLDOWN))
         self.assertEqual((self.pool.count, link.code), (0, "worker-stirred"))
 
     def test_cooling_links_count_against_the_limits_and_the_oldest_makes_room_first(self) -> None:
         first, second = self.answered(0), self.answered(1)
-        self.assertTrue(self.links.gives_up_resting(self.pool))
+        self.assertTrue(self.links.close_cooling(self.pool))
         self.assertEqual((first.code, second.code), ("resting", ""))
-        self.links.let_go_oldest()
+        self.links.close_oldest()
         self.assertEqual((second.code, self.pool.count), ("room", 0))
-        self.assertFalse(self.links.gives_up_resting(self.pool))
-        self.links.let_go_oldest()
+        self.assertFalse(self.links.close_cooling(self.pool))
+        self.links.close_oldest()
 
     def test_links_are_closed_at_the_idle_timeout_and_when_their_worker_is_gone(self) -> None:
         expired, recent = self.answered(0), self.answered(IDLE_TIMEOUT - 1)
-        self.links.sweep(IDLE_TIMEOUT)
+        self.links.close_expired(IDLE_TIMEOUT)
         self.assertEqual((expired.code, recent.code), ("idle", ""))
-        self.links.forget("w")
+        self.links.remove_worker("w")
         self.assertEqual((recent.code, self.links.pools), ("worker-gone", {}))
 
 
@@ -168,15 +168,15 @@
         self.addCleanup(server.close)
         self.now = 0.0
         self.workers = Workers(
-            Reach(10_000 * MILLISECOND, 60_000 * MILLISECOND),
+            ConnectionTimeouts(10_000 * MILLISECOND, 60_000 * MILLISECOND),
             8,
             Clock(wall=lambda: 0.0, steady=lambda: self.now),
             Counters(),
         )
         self.addAsyncCleanup(closed.wait)
-        self.addCleanup(self.workers.links.drop_idle, "w", "stopping")
+        self.addCleanup(self.workers.links.close_idle, "w", "stopping")
         host, port = server.sockets[0].getsockname()
-        self.workers.located("w", f"{host}:{port}")
+        self.workers.set_address("w", f"{host}:{port}")
         await self.post()
         self.now += 0.06
 
@@ -185,13 +185,13 @@
 
     async def test_taking_a_link_peeks_at_its_socket_once(self) -> None:
         peeked_at: list[int] = []
-        peek = Tallied.stirred
+        peek = CountingSocket.has_unread_input
 
-        def counting_peek(sock: Tallied) -> bool:
-            peeked_at.append(sock.given)
+        def counting_peek(sock: CountingSocket) -> bool:
+            peeked_at.append(sock.sent_bytes)
             return peek(sock)
 
-        with mock.patch.object(Tallied, "stirred", counting_peek):
+        with mock.patch.object(CountingSocket, "has_unread_input", counting_peek):
             await self.post()
         self.assertEqual(len(peeked_at), 1)
         self.assertEqual(self.workers.counters["connect.made"], 1)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -20,9 +20,9 @@
 from pathsaddle.net.memory.counters import Counters
 from pathsaddle.net.service import discovery as discovery_module
 from pathsaddle.net.service.discovery import CONNECT_TIMEOUT, FIRST, DiscoveryWatch
-from pathsaddle.net.service.pump import Tallied, stream
+from pathsaddle.net.service.pump import CountingSocket, stream
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Row, Words
+from pathsaddle.net.wire.forms import ListRow, MessageDecoder
 from pathsaddle.net.wire.terms import Peer
 from pathsaddle.scheduler_types import (
     LIST_SILENCE_TIMEOUT,
@@ -37,11 +37,11 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE, CHANGES, FAILED, SILENT, MOVED = (
-    ListUpdate.WHOLE,
+    ListUpdate.COMPLETE,
     ListUpdate.CHANGES,
     ListUpdate.FAILED,
     ListUpdate.SILENT,
-    ListUpdate.MOVED,
+    ListUpdate.REDIRECTED,
 )
 Update = tuple[ListUpdate, list[tuple[str, ListedState]]]
 
@@ -96,27 +96,27 @@
 class WatchTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.updates: list[Update] = []
-        self.sockets: list[Tallied] = []
+        self.sockets: list[CountingSocket] = []
         self.after_read: Callable[[int], None] | None = None  # called between the system call and its reader
         self.watch_ended, self.counters = asyncio.Event(), Counters()
         test_case = self
 
         class TxnService:
-            words = Words(SETTINGS, terms.terms(SETTINGS))
+            words = MessageDecoder(SETTINGS, terms.terms(SETTINGS))
 
-            def listed(self, kind: ListUpdate, rows: list[Row]) -> None:
+            def listed(self, kind: ListUpdate, rows: list[ListRow]) -> None:
                 test_case.updates.append((kind, [(row.worker.tag, row.worker.listed_state) for row in rows]))
                 if kind in (FAILED, SILENT):
                     test_case.watch_ended.set()
 
-        class HookedSocket(Tallied):
+        class HookedSocket(CountingSocket):
             def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
                 count = super().recv_into(buffer, nbytes, flags)
                 if test_case.after_read is not None:
                     test_case.after_read(count)
                 return count
 
-        def open_socket(address: str) -> tuple[Tallied, Peer]:
+        def open_socket(address: str) -> tuple[CountingSocket, Peer]:
             plain, peer = stream(address)
             sock = HookedSocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
             sock.setblocking(False)
@@ -141,7 +141,7 @@
 
     async def start_watch(self) -> socket.socket:
         """Start a watch; return its connection once it has received the first list, index 5."""
-        self.discovery.ask()
+        self.discovery.call_discovery()
         connection = await self.server.accept_call()
         connection.send(HEAD + chunk(line(5, "active", is_snapshot=True)))
         await self.wait_until(lambda: bool(self.updates))
@@ -157,7 +157,7 @@
         self.assertEqual(
             self.updates[1:], [update(CHANGES, ListedState.DRAINING), (CHANGES, []), (MOVED, [])]
         )
-        self.discovery.ask()
+        self.discovery.call_discovery()
         connection = await self.other_server.accept_call()
         self.assertIn(
             b"index=0 ", self.other_server.requests[0], "the new server numbers its versions itself"
@@ -167,9 +167,9 @@
         self.assertEqual((self.updates[4], self.discovery.index), (update(WHOLE, ListedState.READY), 2))
 
     async def test_unread_updates_are_applied_before_a_call_is_replaced(self) -> None:
-        self.discovery.ask()
+        self.discovery.call_discovery()
         (await self.server.accept_call()).send(HEAD + chunk(line(5, "leaving", is_snapshot=True)))
-        self.discovery.ask()
+        self.discovery.call_discovery()
         self.assertEqual(self.updates, [update(WHOLE, ListedState.DRAINING)])
         await self.server.accept_call()
         self.assertIn(b"index=5 ", self.server.requests[1])
@@ -227,7 +227,7 @@
         ):
             self.updates.clear()
             self.watch_ended.clear()
-            self.discovery.ask()
+            self.discovery.call_discovery()
             connection = await self.server.accept_call()
             connection.send(
                 HEAD
@@ -255,7 +255,7 @@
         """
         connection = await self.start_watch()
         connection.send(chunk(line(6, "leaving")))
-        await self.wait_until(self.sockets[0].stirred)
+        await self.wait_until(self.sockets[0].has_unread_input)
         self.discovery.catch_up()
         self.assertEqual(self.updates[1:], [update(CHANGES, ListedState.DRAINING)])
         connection.send(chunk(line(7, "left")))
@@ -284,7 +284,7 @@
             connection = await self.start_watch()
             started_at = asyncio.get_running_loop().time()
             connection.send(chunk(b"\n"))
-            await self.wait_until(self.sockets[0].stirred)
+            await self.wait_until(self.sockets[0].has_unread_input)
             self.discovery.catch_up()
             caught_up_at = asyncio.get_running_loop().time()
             await asyncio.wait_for(self.watch_ended.wait(), 5.0)
@@ -295,7 +295,7 @@
     async def test_malformed_bytes_read_by_catch_up_end_the_watch(self) -> None:
         connection = await self.start_watch()
         connection.send(b"zz\r\nnonsense")
-        await self.wait_until(self.sockets[0].stirred)
+        await self.wait_until(self.sockets[0].has_unread_input)
         self.discovery.catch_up()
         connection.close()
         await asyncio.wait_for(self.watch_ended.wait(), 5.0)
@@ -311,11 +311,11 @@
             .replace(b"}", b"\n}")
         )
         data = HEAD + chunk(text) + chunk(line(6, "left"))
-        self.discovery.ask()
+        self.discovery.call_discovery()
         connection = await self.server.accept_call()
         for at in range(len(data)):
             connection.send(data[at : at + 1])
-            await self.wait_until(lambda at=at: self.sockets[0].taken == at + 1)  # type: ignore[misc]
+            await self.wait_until(lambda at=at: self.sockets[0].received_bytes == at + 1)  # type: ignore[misc]
         await self.wait_until(lambda: len(self.updates) > 1)
         self.assertEqual(
             self.updates, [update(WHOLE, ListedState.DRAINING), update(CHANGES, ListedState.GONE)]
@@ -330,27 +330,27 @@
         self.assertEqual(
             self.updates[1:], [update(CHANGES, ListedState.DRAINING), update(WHOLE, ListedState.GONE)]
         )
-        self.discovery.ask()
+        self.discovery.call_discovery()
         await self.server.accept_call()
         self.assertIn(b"index=2 ", self.server.requests[1])
 
     async def test_a_heartbeat_before_any_line_confirms_the_held_list_but_not_after_a_move(
         self,
     ) -> None:
-        self.discovery.ask()
+        self.discovery.call_discovery()
         (await self.server.accept_call()).send(HEAD + chunk(b"\n"))
         await self.wait_until(lambda: bool(self.updates))
         self.assertEqual(self.updates, [(CHANGES, [])])
         self.discovery.move(self.other_server.address)
         with mock.patch.multiple(discovery_module, FIRST=SECOND // 5):
-            self.discovery.ask()
+            self.discovery.call_discovery()
             (await self.other_server.accept_call()).send(HEAD + chunk(b"\n"))
             await asyncio.wait_for(self.watch_ended.wait(), 5.0)
         self.assertEqual(self.updates[1:], [(MOVED, []), (SILENT, [])])
 
     async def test_bytes_that_form_no_line_do_not_extend_the_timeout(self) -> None:
         """Each byte used to extend the timeout of the watch."""
-        self.discovery.ask()
+        self.discovery.call_discovery()
         with mock.patch.multiple(discovery_module, FIRST=SECOND // 5, LIST_SILENCE_TIMEOUT=SECOND // 5):
             connection = await self.server.accept_call()
             connection.send(HEAD)
@@ -375,10 +375,10 @@
             fillers.append(sock)
             self.addCleanup(sock.close)
         self.discovery.move(unresponsive.address)
-        self.discovery.ask()
+        self.discovery.call_discovery()
         await self.wait_until(lambda: bool(self.sockets))
         self.discovery.move(self.other_server.address)
-        self.discovery.ask()
+        self.discovery.call_discovery()
         connection = await self.other_server.accept_call()
         connection.send(HEAD + chunk(line(1, "active", is_snapshot=True)))
         await self.wait_until(lambda: len(self.updates) > 2)
@@ -389,9 +389,9 @@
         connection = await self.start_watch()
         connection.send(chunk(line(6, "leaving")))
         self.discovery.move(self.other_server.address)
-        self.discovery.ask()
+        self.discovery.call_discovery()
         self.discovery.move(self.server.address)
-        self.discovery.ask()
+        self.discovery.call_discovery()
         self.discovery.move(self.server.address)  # the same address: the call under way continues
         connection.close()
         connection = await self.server.accept_call()
@@ -412,7 +412,7 @@
         await self.start_watch()
         self.other_server.listener.close()
         self.discovery.move(self.other_server.address)
-        self.discovery.ask()
+        self.discovery.call_discovery()
         await asyncio.wait_for(self.watch_ended.wait(), 5.0)
         self.assertEqual(self.updates[1:], [(MOVED, []), (FAILED, [])])
 
@@ -682,7 +682,7 @@
 
     def test_starting_dispatchers_post_nothing_while_discovery_is_overloaded(self) -> None:
         for seed in range(100):
-            simulation = SimulatedDiscovery(seed, 200, update=ListUpdate.REMEMBERED)
+            simulation = SimulatedDiscovery(seed, 200, update=ListUpdate.CACHED)
             self.assertEqual(find_stale_postings(simulation.run(), simulation.reachable_spans()), [], seed)
 
     def test_an_outage_in_which_every_call_fails_stops_no_dispatcher(self) -> None:
@@ -740,7 +740,7 @@
                         is_list_pushed=is_pushed,
                         dispatchers=200,
                         seed=seed,
-                        news=ListUpdate.REMEMBERED,
+                        news=ListUpdate.CACHED,
                     )
                     txn = host.ask("a")
                     for _ in range(failures):
@@ -772,7 +772,7 @@
                     has_watch_heartbeats=True,
                     dispatchers=dispatchers,
                     seed=seed,
-                    news=ListUpdate.REMEMBERED,
+                    news=ListUpdate.CACHED,
                 )
                 while not host.subscribed:
                     host.passes(10 * MILLISECOND)
@@ -788,7 +788,7 @@
                 has_watch_heartbeats=True,
                 dispatchers=16,
                 seed=seed,
-                news=ListUpdate.REMEMBERED,
+                news=ListUpdate.CACHED,
             )
             self.wait_for_call(host)
             for one in delays:
@@ -824,7 +824,7 @@
                 has_watch_heartbeats=True,
                 dispatchers=starting + reconnecting,
                 seed=1000 * seed + n,
-                news=ListUpdate.REMEMBERED,
+                news=ListUpdate.CACHED,
             )
             for n in range(starting + reconnecting)
         ]
@@ -881,7 +881,7 @@
                 has_watch_heartbeats=True,
                 dispatchers=200,
                 seed=seed,
-                news=ListUpdate.REMEMBERED,
+                news=ListUpdate.CACHED,
             )
             for _ in range(5):
                 calls_seen, since = host.subscribed, host.now
@@ -950,7 +950,7 @@
             is_list_pushed=is_pushed,
             drain_grace=self.GRACE,
             dispatchers=5,
-            news=ListUpdate.REMEMBERED,
+            news=ListUpdate.CACHED,
         )
 
     def test_a_remembered_list_is_stale_from_the_start(self) -> None:
@@ -961,7 +961,7 @@
         for is_pushed in (True, False):
             host = self.host(is_pushed)
             self.assertTrue(host.loop.scheduler.is_list_stale(host.now))
-            host.list(ListUpdate.WHOLE, *host.workers)
+            host.list(ListUpdate.COMPLETE, *host.workers)
             self.assertFalse(host.loop.scheduler.is_list_stale(host.now + LIST_VALIDITY - 1))
 
     def test_without_heartbeats_a_remembered_list_is_valid_for_the_poll_interval(self) -> None:
@@ -969,14 +969,14 @@
 
         The score of hcm-prod-later fell from 0.908 to 0.695 while starting dispatchers held back postings.
         """
-        host = FakeHost(list_needs_subscription=True, dispatchers=200, news=ListUpdate.REMEMBERED)
+        host = FakeHost(list_needs_subscription=True, dispatchers=200, news=ListUpdate.CACHED)
         host.ask("a")
         self.assertEqual(len(host.posted), 1)
         self.assertTrue(host.loop.scheduler.is_list_stale(host.now + host.terms.list_poll_interval))
 
     def test_the_list_is_stale_a_grace_after_the_watch_breaks_or_a_failed_call_begins(self) -> None:
         host = self.host()
-        host.list(ListUpdate.WHOLE, *host.workers)
+        host.list(ListUpdate.COMPLETE, *host.workers)
         host.passes(SECOND)
         host.list(FAILED)
         self.assertFalse(host.loop.scheduler.is_list_stale(host.now))
@@ -987,7 +987,7 @@
         self.assertEqual(host.posted, [])
         host.list(FAILED)  # discovery was down when it was called, so its agent learns nothing either
         self.assertTrue(host.loop.scheduler.is_list_stale(host.now + self.GRACE))
-        host.list(ListUpdate.WHOLE, *host.workers)
+        host.list(ListUpdate.COMPLETE, *host.workers)
         self.assertEqual([posting.txn.tag for posting in host.posted], ["a"])
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -73,7 +73,7 @@
 
     def test_a_worker_missing_from_the_complete_list_is_gone(self) -> None:
         host = FakeHost(workers=2)
-        host.list(ListUpdate.WHOLE, host.workers[1])
+        host.list(ListUpdate.COMPLETE, host.workers[1])
         for tag in "abcdef":
             host.ask(tag)
             host.end(host.posted[-1], report=idle())
@@ -82,7 +82,7 @@
     def test_a_usable_delisted_worker_gets_postings_once_it_shows_life(self) -> None:
         host = FakeHost(workers=1, delisted_workers_usable=True, reports_in_answers=False, can_probe=True)
         host.passes(SECOND // 10)
-        host.list(ListUpdate.WHOLE)
+        host.list(ListUpdate.COMPLETE)
         host.ask("a")
         host.passes(SECOND // 4)
         self.assertEqual(host.posted, [], "it has shown no life since")
@@ -97,7 +97,7 @@
             if final_state is not None:
                 host.standing(host.workers[0], final_state)
             else:
-                host.list(ListUpdate.WHOLE)
+                host.list(ListUpdate.COMPLETE)
             probe_count = len(host.probes)
             host.tell(host.workers[0], idle())
             host.ask("a")
@@ -187,7 +187,7 @@
         self.assertGreater(max(sent_per_window[: len(sent_at) // 2]), 6, "the budget is used")
 
     def test_a_restart_of_the_dispatcher_does_not_renew_its_share(self) -> None:
-        host = FakeHost(workers=1, news=ListUpdate.REMEMBERED)
+        host = FakeHost(workers=1, news=ListUpdate.CACHED)
         host.workers[0].started_at = host.now - SECOND
         host.list(ListUpdate.CHANGES, host.workers[0])
         host.ask("a", hint=SECOND // 10)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.birth import Birth, InvalidKeyError, MissingKeyError, birth
+from pathsaddle.net.wire.birth import InvalidKeyError, MissingKeyError, StartConfig, birth
 from pathsaddle.scheduler_types import SECOND, DeduplicationGroup, Semantics
 from tests.fakehost import SETTINGS
 
@@ -196,7 +196,7 @@
             terms.terms(settings)
 
 
-def parse_with(*path: Any, to: Any) -> Birth:
+def parse_with(*path: Any, to: Any) -> StartConfig:
     return birth(config_with(*path, to=to))
 
 
@@ -218,68 +218,70 @@
     def test_the_last_known_list(self) -> None:
         for value in (MISSING, None, {}, {"index": None, "endpoints": None}):
             parsed = parse_with("known", to=value)
-            self.assertEqual((parsed.index, parsed.rows), (0, []))
+            self.assertEqual((parsed.list_index, parsed.list_rows), (0, []))
         minimal = parse_with(
             "known", "endpoints", to=[{"name": "w", "weight": None, "group": None, "since_ms": None}]
-        ).rows[0]
+        ).list_rows[0]
         self.assertEqual(
             (minimal.worker.weight, minimal.worker.cell, minimal.worker.started_at), (1.0, 0, None)
         )
 
     def test_a_scheme(self) -> None:
         for value in self.UNSET:
-            scheme = parse_with(*SCHEME, "SlaTime", to=value).terms.schemes[0]
+            scheme = parse_with(*SCHEME, "SlaTime", to=value).scheduler.schemes[0]
             self.assertEqual(scheme.sla_time, scheme.expiry)
-            scheme = parse_with(*SCHEME, "Window", to=value).terms.schemes[0]
+            scheme = parse_with(*SCHEME, "Window", to=value).scheduler.schemes[0]
             self.assertEqual((scheme.window, scheme.value), (0, 1.0))
         for value in (MISSING, None, ""):
             self.assertIs(
-                parse_with(*SCHEME, "Semantics", to=value).terms.schemes[0].semantics, Semantics.ONCE_ONLY
+                parse_with(*SCHEME, "Semantics", to=value).scheduler.schemes[0].semantics, Semantics.ONCE_ONLY
             )
             self.assertIs(
-                parse_with(*SCHEME, "Group", to=value).terms.schemes[0].group, DeduplicationGroup.ALL
+                parse_with(*SCHEME, "Group", to=value).scheduler.schemes[0].group, DeduplicationGroup.ALL
             )
 
     def test_limits_and_rules(self) -> None:
         for value in self.UNSET:
-            self.assertEqual(parse_with(*LIMITS, "MaxPostings", to=value).terms.max_postings, 1)
-            self.assertEqual(parse_with(*LIMITS, "OpenCap", to=value).terms.max_open_txns, 1 << 60)
-            self.assertEqual(parse_with(*LIMITS, "MaxRetryAfter", to=value).terms.max_retry_after, 0)
-            self.assertEqual(parse_with(*LIMITS, "ConnectTimeout", to=value).reach.connect_within, SECOND)
-            self.assertEqual(parse_with(*LIMITS, "IdleClose", to=value).reach.idle_within, 60 * SECOND)
+            self.assertEqual(parse_with(*LIMITS, "MaxPostings", to=value).scheduler.max_postings, 1)
+            self.assertEqual(parse_with(*LIMITS, "OpenCap", to=value).scheduler.max_open_txns, 1 << 60)
+            self.assertEqual(parse_with(*LIMITS, "MaxRetryAfter", to=value).scheduler.max_retry_after, 0)
+            self.assertEqual(parse_with(*LIMITS, "ConnectTimeout", to=value).timeouts.connect_timeout, SECOND)
+            self.assertEqual(parse_with(*LIMITS, "IdleClose", to=value).timeouts.idle_timeout, 60 * SECOND)
             self.assertEqual(
-                parse_with(*OBLIGATIONS, "AskEvery", to=value).terms.list_poll_interval, 10 * SECOND
+                parse_with(*OBLIGATIONS, "AskEvery", to=value).scheduler.list_poll_interval, 10 * SECOND
             )
-            self.assertEqual(parse_with(*OBLIGATIONS, "RampTime", to=value).terms.slow_start_time, 0)
-            self.assertEqual(parse_with("settings", "Balancers", to=value).terms.dispatchers, 1)
+            self.assertEqual(parse_with(*OBLIGATIONS, "RampTime", to=value).scheduler.slow_start_time, 0)
+            self.assertEqual(parse_with("settings", "Balancers", to=value).scheduler.dispatchers, 1)
         for key in ("Limits", "Obligations", "Prices", "Report", "FamilyInfo", "Customers", "Azs", "Kinds"):
             for value in (MISSING, None):
                 with self.subTest(key, value=value):
-                    self.assertEqual(len(parse_with("settings", key, to=value).terms.schemes), 2)
+                    self.assertEqual(len(parse_with("settings", key, to=value).scheduler.schemes), 2)
 
     def test_unknown_values_of_optional_features_count_as_missing(self) -> None:
-        parsed = parse_with("settings", "Report", to={"Source": "dreams", "Fields": ["x0", "mood"]}).terms
+        parsed = parse_with("settings", "Report", to={"Source": "dreams", "Fields": ["x0", "mood"]}).scheduler
         self.assertFalse(parsed.reports_in_answers or parsed.reports_in_probes)
         self.assertFalse(
-            parse_with("settings", "FamilyInfo", "QueueOrder", to="lottery").terms.allows_backfill
+            parse_with("settings", "FamilyInfo", "QueueOrder", to="lottery").scheduler.allows_backfill
         )
-        self.assertFalse(parse_with("settings", "ValueBasis", to="weight").terms.value_by_work)
-        self.assertEqual(len(parse_with("settings", "SomethingNew", to={"x": 1}).terms.schemes), 2)
+        self.assertFalse(parse_with("settings", "ValueBasis", to="weight").scheduler.value_by_work)
+        self.assertEqual(len(parse_with("settings", "SomethingNew", to={"x": 1}).scheduler.schemes), 2)
 
     def test_a_duration_shorter_than_a_tick_is_not_taken_for_not_set(self) -> None:
-        self.assertEqual(parse_with(*LIMITS, "ConnectTimeout", to=50_000).reach.connect_within, 1)
-        self.assertEqual(parse_with(*OBLIGATIONS, "AskEvery", to=1).terms.list_poll_interval, 1)
-        self.assertEqual(parse_with(*SCHEME, "Expiry", to=1).terms.schemes[0].expiry, 1)
+        self.assertEqual(parse_with(*LIMITS, "ConnectTimeout", to=50_000).timeouts.connect_timeout, 1)
+        self.assertEqual(parse_with(*OBLIGATIONS, "AskEvery", to=1).scheduler.list_poll_interval, 1)
+        self.assertEqual(parse_with(*SCHEME, "Expiry", to=1).scheduler.schemes[0].expiry, 1)
         self.assertEqual(
-            parse_with(*SCHEME, "Window", to=99_999).terms.schemes[0].window, 0, "no repeat beyond a window"
+            parse_with(*SCHEME, "Window", to=99_999).scheduler.schemes[0].window,
+            0,
+            "no repeat beyond a window",
         )
 
     def test_the_longest_duration_means_for_ever(self) -> None:
         forever = (1 << 63) - 1
-        self.assertEqual(parse_with(*SCHEME, "Expiry", to=forever).terms.schemes[0].expiry, terms.LONGEST)
-        self.assertGreater(parse_with(*LIMITS, "IdleClose", to=forever).reach.idle_within, terms.LONGEST)
+        self.assertEqual(parse_with(*SCHEME, "Expiry", to=forever).scheduler.schemes[0].expiry, terms.LONGEST)
+        self.assertGreater(parse_with(*LIMITS, "IdleClose", to=forever).timeouts.idle_timeout, terms.LONGEST)
         self.assertGreater(
-            parse_with(*OBLIGATIONS, "AskEvery", to=forever).terms.list_poll_interval, terms.LONGEST
+            parse_with(*OBLIGATIONS, "AskEvery", to=forever).scheduler.list_poll_interval, terms.LONGEST
         )
 
     def test_the_dispatcher_count_covers_the_own_number(self) -> None:
@@ -290,7 +292,7 @@
                 del config["settings"]["Balancers"]
             else:
                 config["settings"]["Balancers"] = value
-            self.assertEqual(birth(json.dumps(config)).terms.dispatchers, 4)
+            self.assertEqual(birth(json.dumps(config)).scheduler.dispatchers, 4)
 
 
 class SettingsPageTest(unittest.TestCase):
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -24,7 +24,7 @@
 from pathsaddle.emulator.settings.judge import judge
 from pathsaddle.errors import Error
 from pathsaddle.event_log import Event, read
-from pathsaddle.net.wire.terms import peer_of
+from pathsaddle.net.wire.terms import parse_peer
 from pathsaddle.settings.control_client import query
 from pathsaddle.settings.documents import content_hash
 from tests.ports import tcp_port
@@ -95,13 +95,13 @@
     """
 
     def __init__(self, ways):
-        self.own = {name: peer_of(own) for name, (own, _) in ways.items()}
+        self.own = {name: parse_peer(own) for name, (own, _) in ways.items()}
         self.names = {peer: name for name, peer in self.own.items()}
         self.cuts, self.lost, self.guests, self.over = set(), 0, {}, False
         self.selector = selectors.DefaultSelector()
         for name, (_, ours) in ways.items():
             self.opens(
-                peer_of(ours), lambda sock, data, source, taker=name: self.comes(sock, data, source, taker)
+                parse_peer(ours), lambda sock, data, source, taker=name: self.comes(sock, data, source, taker)
             )
         self.thread = threading.Thread(target=self.carries)
         self.thread.start()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,14 +16,14 @@
 from pathsaddle.net.service import front as front_module
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.service.discovery import DiscoveryWatch
-from pathsaddle.net.service.front import Front, Room
-from pathsaddle.net.service.pump import Tallied
+from pathsaddle.net.service.front import ClientLimits, Front
+from pathsaddle.net.service.pump import CountingSocket
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.service.workers import Lost, NeverSent, Workers
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError, Workers
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Row, Words
+from pathsaddle.net.wire.forms import ListRow, MessageDecoder
 from pathsaddle.net.wire.http import Message
-from pathsaddle.net.wire.terms import Reach
+from pathsaddle.net.wire.terms import ConnectionTimeouts
 from pathsaddle.scheduler_types import MILLISECOND, SECOND, ListUpdate, Outcome, Worker
 from tests.fakehost import SETTINGS
 
@@ -61,8 +61,8 @@
     async def workers(self, handler: Handler, idle: int = 60_000, sockets: int = 8) -> Workers:
         self.counters, self.ahead = Counters(), 0.0
         clock = Clock(steady=lambda: time.monotonic() + self.ahead)
-        workers = Workers(Reach(200 * MILLISECOND, idle), sockets, clock, self.counters)
-        workers.located("w", await self.peer(handler))
+        workers = Workers(ConnectionTimeouts(200 * MILLISECOND, idle), sockets, clock, self.counters)
+        workers.set_address("w", await self.peer(handler))
         return workers
 
     async def post(self, workers: Workers, body: bytes = b"x") -> Message:
@@ -94,7 +94,7 @@
             await self.post(workers)
             self.assertEqual(self.connection_count, connections)
         self.assertLessEqual(workers.clock.now(), first)
-        workers.located("v", await self.peer(answer_probes))
+        workers.set_address("v", await self.peer(answer_probes))
         for _ in range(3):
             await workers.call("v", "GET", b"/health", [])
         self.assertEqual(self.connection_count, 1)
@@ -135,14 +135,16 @@
             workers = await self.workers(handler_for())
             if is_separate:
                 self.assertEqual((await self.post(workers)).status, 503)
-                link = workers.links.pool("w").idle[0]
+                link = workers.links.pool("w").idle_links[0]
                 # The rest is over; the second answer arrives and its reader has not run yet.
                 self.ahead += 0.06
                 self.may_repeat.set()
-                while not link.ended and not link.sock.stirred():
+                while not link.has_ended and not link.sock.has_unread_input():
                     await asyncio.sleep(0)
             else:
-                with self.assertRaises(Lost):  # two answers prove nothing: the posting may have run
+                with self.assertRaises(
+                    ConnectionLostError
+                ):  # two answers prove nothing: the posting may have run
                     await self.post(workers)
             self.ahead += 0.06
             self.assertEqual((await self.post(workers)).status, 202, is_separate)
@@ -190,10 +192,10 @@
                 self.may_repeat = asyncio.Event()
                 workers = await self.workers(handle)
                 await workers.call("w", "GET", b"/health", [])
-                link = workers.links.pool("w").idle[0]
+                link = workers.links.pool("w").idle_links[0]
                 if before:
                     self.may_repeat.set()
-                    while not link.ended and not link.sock.stirred():
+                    while not link.has_ended and not link.sock.has_unread_input():
                         await asyncio.sleep(0)
                 statuses = []
                 for _ in expected:
@@ -203,7 +205,9 @@
                             b"srv-declined", answer.headers, "no answer claims that the posting never ran"
                         )
                         statuses.append(answer.status)
-                    except Lost:  # in one read with the 202: indistinguishable, so the posting may have run
+                    except (
+                        ConnectionLostError
+                    ):  # in one read with the 202: indistinguishable, so the posting may have run
                         statuses.append(503)
                     self.ahead += 0.06
                 self.assertEqual((statuses, self.connection_count), (expected, 2))
@@ -215,15 +219,15 @@
         link: Any = None
         for case in ("unread", "taken"):
             await self.post(workers)
-            link = workers.links.pool("w").idle[-1]
+            link = workers.links.pool("w").idle_links[-1]
             self.ahead += 0.06
             if case == "unread":
-                with mock.patch.object(Tallied, "stirred", side_effect=[True, False]):
+                with mock.patch.object(CountingSocket, "has_unread_input", side_effect=[True, False]):
                     await self.post(workers)
             else:
-                link.sock.taken += 4
+                link.sock.received_bytes += 4
                 await self.post(workers)
-            self.assertTrue(link.ended, case)
+            self.assertTrue(link.has_ended, case)
         self.assertEqual((self.connection_count, self.counters["link_end.worker-stirred"]), (3, 2))
 
     async def test_an_answer_before_the_end_of_the_request_stops_it_and_it_has_not_run(self) -> None:
@@ -236,7 +240,7 @@
         self.read = -1
         workers = await self.workers(answer_early)
         body = b"x" * 30_000_000  # more than the send buffer holds
-        with self.assertRaises(NeverSent):
+        with self.assertRaises(RequestNotSentError):
             await self.post(workers, body)
         while self.read < 0:
             await asyncio.sleep(0.01)
@@ -252,16 +256,16 @@
         workers = await self.workers(self.accept_postings)
         whole_before_and_after: list[tuple[bool, bool]] = []
         sendings: list[Sending] = []
-        send = Tallied.send
+        send = CountingSocket.send
 
-        def send_observed(sock: Tallied, data: Any, flags: int = 0) -> int:
-            before = sendings[0].whole if sendings else False
+        def send_observed(sock: CountingSocket, data: Any, flags: int = 0) -> int:
+            before = sendings[0].is_complete if sendings else False
             count = send(sock, data, flags)
             # The sending task has not resumed yet.
-            whole_before_and_after.append((before, sendings[0].whole if sendings else False))
+            whole_before_and_after.append((before, sendings[0].is_complete if sendings else False))
             return count
 
-        with mock.patch.object(Tallied, "send", send_observed):
+        with mock.patch.object(CountingSocket, "send", send_observed):
             await workers.call("w", "POST", b"/render", [(b"Req-Id", b"a")], b"x", sendings.append)
         self.assertEqual(whole_before_and_after, [(False, True)])
 
@@ -282,7 +286,7 @@
         workers = await self.workers(endless)
         self.assertEqual((await self.post(workers)).status, 202)
         for _ in range(2):
-            with self.assertRaises(Lost):
+            with self.assertRaises(ConnectionLostError):
                 await asyncio.wait_for(self.post(workers), TIMEOUT_SECONDS)
         self.assertEqual(self.counters["link_end.worker-malformed"], 2)
 
@@ -293,7 +297,7 @@
         await self.post(workers)
         self.assertEqual(self.connection_count, 2)
         await asyncio.sleep(0.07)
-        workers.links.sweep(workers.clock.now())
+        workers.links.close_expired(workers.clock.now())
         self.assertEqual(workers.links.count, 0)
 
     async def test_a_link_that_the_worker_closed_is_not_reused(self) -> None:
@@ -327,32 +331,32 @@
         workers = await self.workers(silent, sockets=4)
         stuck = [asyncio.create_task(self.post(workers)) for _ in range(4)]
         await asyncio.sleep(0.02)
-        with self.assertRaises(NeverSent):
+        with self.assertRaises(RequestNotSentError):
             await self.post(workers)
-        workers.located("v", await self.peer(self.accept_postings))
+        workers.set_address("v", await self.peer(self.accept_postings))
         answer = await workers.call("v", "POST", b"/render", [], b"x")
         self.assertEqual(answer.status, 202)
         for task in stuck:
             task.cancel()
         await asyncio.gather(*stuck, return_exceptions=True)
-        self.assertEqual(workers.links.pool("w").used, 0)
+        self.assertEqual(workers.links.pool("w").used_count, 0)
 
     async def test_requests_without_a_connection_have_not_run(self) -> None:
         workers = await self.workers(self.accept_postings)
         with socket.socket() as unresponsive, socket.socket() as first, socket.socket() as second:
             unresponsive.bind(("127.0.0.1", 0))
-            workers.located("w", "{}:{}".format(*unresponsive.getsockname()))
-            with self.assertRaises(NeverSent):
+            workers.set_address("w", "{}:{}".format(*unresponsive.getsockname()))
+            with self.assertRaises(RequestNotSentError):
                 await self.post(workers)
             unresponsive.listen(0)
             for filler in (first, second):  # fills the accept queue: further connects get no answer
                 filler.setblocking(False)
                 filler.connect_ex(unresponsive.getsockname())
             await asyncio.sleep(0.02)
-            with self.assertRaises(NeverSent):
+            with self.assertRaises(RequestNotSentError):
                 await asyncio.wait_for(self.post(workers), TIMEOUT_SECONDS)
-        workers.located("w", "no address")
-        with self.assertRaises(NeverSent):
+        workers.set_address("w", "no address")
+        with self.assertRaises(RequestNotSentError):
             await self.post(workers)
         self.assertEqual((self.counters["connect.refused"], self.counters["connect.late"]), (2, 1))
 
@@ -362,9 +366,9 @@
             writer.transport.abort()
 
         workers = await self.workers(abort)
-        with self.assertRaises(Lost):
+        with self.assertRaises(ConnectionLostError):
             await self.post(workers)
-        with self.assertRaises(NeverSent):
+        with self.assertRaises(RequestNotSentError):
             # More than the send buffer holds: the connection breaks midway.
             await self.post(workers, b"x" * 30_000_000)
 
@@ -374,7 +378,7 @@
             writer.write(b"what?\r\n\r\n")
 
         workers = await self.workers(send_garbage)
-        with self.assertRaises(Lost):
+        with self.assertRaises(ConnectionLostError):
             await self.post(workers)
         self.assertEqual(self.counters["link_end.worker-malformed"], 1)
 
@@ -383,10 +387,12 @@
     async def asyncSetUp(self) -> None:
         self.counters, clock = Counters(), Clock()
         config = terms.terms(SETTINGS)
-        workers = Workers(Reach(2000, 60_000), 8, clock, self.counters)
-        service = TxnService(config, Words(SETTINGS, config), 7, clock, workers, self.counters, lambda: None)
-        service.listed(ListUpdate.WHOLE, [Row(Worker("w"), "127.0.0.1:1")])
-        self.front = Front("127.0.0.1:0", 10, Room(10, 100_000), service, clock, self.counters)
+        workers = Workers(ConnectionTimeouts(2000, 60_000), 8, clock, self.counters)
+        service = TxnService(
+            config, MessageDecoder(SETTINGS, config), 7, clock, workers, self.counters, lambda: None
+        )
+        service.listed(ListUpdate.COMPLETE, [ListRow(Worker("w"), "127.0.0.1:1")])
+        self.front = Front("127.0.0.1:0", 10, ClientLimits(10, 100_000), service, clock, self.counters)
         self.addCleanup(self.front.sock.close)
         self.address = self.front.sock.getsockname()
 
@@ -549,9 +555,9 @@
         done = asyncio.Event()
 
         class RecordingService:
-            words = Words(SETTINGS, terms.terms(SETTINGS))
+            words = MessageDecoder(SETTINGS, terms.terms(SETTINGS))
 
-            def listed(self, update: ListUpdate, rows: list[Row]) -> None:
+            def listed(self, update: ListUpdate, rows: list[ListRow]) -> None:
                 updates.append((update, len(rows)))
                 if update in (ListUpdate.FAILED, ListUpdate.SILENT):
                     done.set()
@@ -559,7 +565,7 @@
         self.counters = Counters()
         self.discovery = DiscoveryWatch(await self.peer(handler), 4, RecordingService(), self.counters)  # type: ignore[arg-type]
         with mock.patch.multiple(discovery_module, LIST_SILENCE_TIMEOUT=SECOND, FIRST=2 * SECOND):
-            self.discovery.ask()
+            self.discovery.call_discovery()
             await asyncio.wait_for(done.wait(), TIMEOUT_SECONDS)
         await asyncio.sleep(0.1)  # no further update follows
         return updates
@@ -584,7 +590,7 @@
         heartbeat = (ListUpdate.CHANGES, 0)
         self.assertEqual(
             await self.watch(send_heartbeats),
-            [(ListUpdate.WHOLE, 1), heartbeat, heartbeat, heartbeat, (ListUpdate.SILENT, 0)],
+            [(ListUpdate.COMPLETE, 1), heartbeat, heartbeat, heartbeat, (ListUpdate.SILENT, 0)],
         )
         self.assertIn(b"index=4 ", self.call)
         self.assertEqual(
@@ -624,10 +630,12 @@
             await reader.read()
 
         counters, clock, config = Counters(), Clock(), terms.terms(SETTINGS)
-        workers = Workers(Reach(50 * MILLISECOND, 60_000), 8, clock, counters)
-        service = TxnService(config, Words(SETTINGS, config), 7, clock, workers, counters, lambda: None)
+        workers = Workers(ConnectionTimeouts(50 * MILLISECOND, 60_000), 8, clock, counters)
+        service = TxnService(
+            config, MessageDecoder(SETTINGS, config), 7, clock, workers, counters, lambda: None
+        )
         worker = Worker("w")
-        service.listed(ListUpdate.WHOLE, [Row(worker, await self.peer(silent))])
+        service.listed(ListUpdate.COMPLETE, [ListRow(worker, await self.peer(silent))])
         outcomes: list[Outcome] = []
         service.loop.on_probe_result = lambda w, outcome, spent, report: outcomes.append(outcome)  # type: ignore
         service.probe(worker)
--- a/tests/test_txn_service.py
+++ b/tests/test_txn_service.py
@@ -9,13 +9,13 @@
 from unittest import mock
 
 from pathsaddle.net.memory.counters import Counters
-from pathsaddle.net.memory.ledger import Entry, Sending, Whole
+from pathsaddle.net.memory.ledger import Entry, KnownSending, Sending
 from pathsaddle.net.service.clock import Clock
 from pathsaddle.net.service.txn_service import TxnService
-from pathsaddle.net.service.workers import Lost, NeverSent
+from pathsaddle.net.service.workers import ConnectionLostError, RequestNotSentError
 from pathsaddle.net.wire import terms
-from pathsaddle.net.wire.forms import Row, Words
-from pathsaddle.net.wire.http import Broken, Message
+from pathsaddle.net.wire.forms import ListRow, MessageDecoder
+from pathsaddle.net.wire.http import HttpError, Message
 from pathsaddle.scheduler_types import SECOND, ListedState, ListUpdate, Outcome, Posting, Semantics, Worker
 from tests.fakehost import SETTINGS
 
@@ -25,7 +25,7 @@
 
     def __init__(self, worker: str, method: str, begins: Callable[[Sending], None]) -> None:
         self.worker, self.method, self.begins = worker, method, begins
-        self.sending = Whole(False)
+        self.sending = KnownSending(False)
         self.reply: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self.withheld = False
         self.headers: list[tuple[bytes, bytes]] = []
@@ -37,22 +37,22 @@
             self.withheld = True
             self.reply.set_exception(fault)
         else:
-            self.sending.whole = True
+            self.sending.is_complete = True
 
 
 class PlayedWorkers:
     """Stands in for `Workers` and records the requests."""
 
-    connect_within = SECOND // 20
+    connect_timeout = SECOND // 20
 
     def __init__(self) -> None:
         self.links = self
         self.calls: list[FakeCall] = []
 
-    def located(self, worker: str, address: str) -> None:
+    def set_address(self, worker: str, address: str) -> None:
         pass
 
-    def forget(self, worker: str) -> None:
+    def remove_worker(self, worker: str) -> None:
         pass
 
     async def call(
@@ -81,10 +81,16 @@
         self.answers: list[tuple[int, bytes, tuple[str, ...]]] = []
         self.counters = Counters()
         self.service = TxnService(
-            config, Words(settings, config), 7, Clock(), self.fake_workers, self.counters, lambda: None
+            config,
+            MessageDecoder(settings, config),
+            7,
+            Clock(),
+            self.fake_workers,
+            self.counters,
+            lambda: None,
         )
-        self.rows = [Row(Worker(f"w{n}"), "x:1") for n in range(workers)]
-        self.service.listed(ListUpdate.WHOLE, self.rows)
+        self.rows = [ListRow(Worker(f"w{n}"), "x:1") for n in range(workers)]
+        self.service.listed(ListUpdate.COMPLETE, self.rows)
 
     async def ask(self, tag: str = "a", kind: str = "render", within: str = "5000") -> Entry:
         call = Message(
@@ -109,7 +115,7 @@
         self, state: str, tag: str = "a", worker: str = "w0", result: str = "done"
     ) -> None:
         callback = {"id": tag, "from": worker, "state": state, "share": 0.5, "result": result}
-        self.service.called_back(self.service.words.callback(json.dumps(callback).encode()))
+        self.service.called_back(self.service.words.decode_callback(json.dumps(callback).encode()))
         await self.settle()
 
     async def send_reply(self, call: FakeCall, status: int, **headers: bytes) -> None:
@@ -144,7 +150,7 @@
             txn, posting = entry.txn, entry.txn.postings[0]
             if change == "restarted":
                 row = Worker("w0", started_at=self.service.clock.now())
-                self.service.listed(ListUpdate.CHANGES, [Row(row, "x:1")])
+                self.service.listed(ListUpdate.CHANGES, [ListRow(row, "x:1")])
             elif change == "window":
                 txn.scheme = dataclasses.replace(txn.scheme, semantics=Semantics.REFERENCED, window=SECOND)
                 before = Posting(
@@ -179,7 +185,7 @@
         entry = await self.ask(kind="charge", within="100")
         call = self.fake_workers.calls[0]
         call.begins(call.sending)
-        call.sending.whole = True
+        call.sending.is_complete = True
         await self.settle(0.3)
         self.assertIs(entry.txn.postings[0].outcome, Outcome.TIMED_OUT)
         self.assertEqual([answer[0] for answer in self.answers], [500])
@@ -189,7 +195,7 @@
         self.open()
         entry = await self.ask()
         self.fake_workers.calls[0].write()
-        self.fake_workers.calls[0].reply.set_exception(Lost("reset"))
+        self.fake_workers.calls[0].reply.set_exception(ConnectionLostError("reset"))
         await self.settle(0.2)
         self.assertEqual(len(self.fake_workers.calls), 2)
         self.fake_workers.calls[1].write()
@@ -234,7 +240,9 @@
             await self.ask(kind="charge")
             if written:
                 self.fake_workers.calls[0].write()
-            self.fake_workers.calls[0].reply.set_exception(Lost("x") if written else NeverSent("x"))
+            self.fake_workers.calls[0].reply.set_exception(
+                ConnectionLostError("x") if written else RequestNotSentError("x")
+            )
             await self.settle()
             self.assertEqual(self.counters[counted], 1)
             # Once-only: a txn that may have run is reversed at once, one that never ran may be posted again.
@@ -307,7 +315,7 @@
             await self.ask()
             for state in states:
                 self.service.listed(
-                    ListUpdate.CHANGES, [Row(Worker("w0", listed_state=ListedState[state]), "x:1")]
+                    ListUpdate.CHANGES, [ListRow(Worker("w0", listed_state=ListedState[state]), "x:1")]
                 )
             self.fake_workers.calls[0].write()
             await self.settle()
@@ -316,11 +324,11 @@
     async def test_an_id_that_is_open_or_closed_is_refused(self) -> None:
         self.open()
         await self.ask()
-        with self.assertRaises(Broken):
+        with self.assertRaises(HttpError):
             await self.ask()
         self.fake_workers.calls[0].write()
         await self.send_callback("done")
-        with self.assertRaises(Broken):
+        with self.assertRaises(HttpError):
             await self.ask()
         self.assertEqual((len(self.fake_workers.calls), len(self.answers)), (1, 1))
 
@@ -349,7 +357,7 @@
 
     async def test_a_scheduler_fault_reverses_one_txn_and_the_next_is_served(self) -> None:
         self.open()
-        with mock.patch.object(self.service.loop.scheduler, "appraise", side_effect=ZeroDivisionError):
+        with mock.patch.object(self.service.loop.scheduler, "register_txn", side_effect=ZeroDivisionError):
             await self.ask("bad")
         await self.ask("good")
         self.assertEqual([answer[0] for answer in self.answers], [500])
@@ -364,7 +372,7 @@
             await self.ask("bad")
         self.assertEqual([answer[0] for answer in self.answers], [500])
         await self.settle(0.03)
-        self.assertFalse(self.service.ledger.unanswered())
+        self.assertFalse(self.service.ledger.unanswered_entries())
         await self.ask("good")
         self.fake_workers.calls[-1].write()
         await self.send_callback("done", tag="good")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,8 +4,8 @@
 import unittest
 
 from pathsaddle.net.wire import forms, terms
-from pathsaddle.net.wire.forms import Words
-from pathsaddle.net.wire.http import MAX_BODY_BYTES, Broken, Called, Calling, Message
+from pathsaddle.net.wire.forms import MessageDecoder
+from pathsaddle.net.wire.http import MAX_BODY_BYTES, ClientProtocol, HttpError, Message, ServerProtocol
 from pathsaddle.net.wire.ring import INITIAL_BYTES, Ring
 from pathsaddle.scheduler_types import ListedState, ListUpdate, Outcome, Semantics
 from tests.fakehost import SETTINGS
@@ -17,12 +17,12 @@
 )
 
 
-def words() -> Words:
-    return Words(SETTINGS, terms.terms(SETTINGS))
+def words() -> MessageDecoder:
+    return MessageDecoder(SETTINGS, terms.terms(SETTINGS))
 
 
-def parse_requests(*pieces: bytes) -> Called:
-    machine = Called()
+def parse_requests(*pieces: bytes) -> ServerProtocol:
+    machine = ServerProtocol()
     for piece in pieces:
         machine.feed(piece)
     return machine
@@ -46,19 +46,19 @@
     def test_a_full_buffer_has_no_space_and_an_empty_one_frees_its_growth(self) -> None:
         ring = Ring()
         ring.put(b"x" * INITIAL_BYTES)
-        self.assertTrue(ring.full)
-        self.assertEqual(len(ring.space()), 0)
+        self.assertTrue(ring.is_full)
+        self.assertEqual(len(ring.free_space()), 0)
         ring.put(b"y" * 3 * INITIAL_BYTES)
         ring.drop(len(ring.data()))
-        ring.rest()
-        self.assertEqual(len(ring.space()), INITIAL_BYTES)
-        ring.rest()
-        self.assertFalse(ring.full)
+        ring.release_if_empty()
+        self.assertEqual(len(ring.free_space()), INITIAL_BYTES)
+        ring.release_if_empty()
+        self.assertFalse(ring.is_full)
 
     def test_a_pending_read_stays_valid_while_the_bytes_before_it_are_dropped(self) -> None:
         ring = Ring()
         ring.put(b"abc")
-        pending = ring.space()
+        pending = ring.free_space()
         ring.drop(3)
         pending[:2] = b"de"
         ring.fill(2)
@@ -68,49 +68,49 @@
 class CalledTest(unittest.TestCase):
     def test_a_request_split_anywhere_is_the_same_request(self) -> None:
         for cut in range(1, len(REQUEST)):
-            call = parse_requests(REQUEST[:cut], REQUEST[cut:]).next()
+            call = parse_requests(REQUEST[:cut], REQUEST[cut:]).next_request()
             assert call is not None
             self.assertEqual(
-                (call.method, call.target, call.body, call.headers[b"req-id"], call.keep),
+                (call.method, call.target, call.body, call.headers[b"req-id"], call.keep_alive),
                 (b"POST", b"/render?k=7f", b"hello", b"a1", True),
             )
 
     def test_the_next_request_is_returned_after_the_response_to_the_one_before(self) -> None:
         machine = parse_requests(REQUEST + REQUEST.replace(b"a1", b"a2"))
-        self.assertIsNotNone(machine.next())
-        self.assertIsNone(machine.next())
-        self.assertIn(b"Content-Length: 2\r\n\r\nok", machine.answer(200, b"ok"))
-        second = machine.next()
+        self.assertIsNotNone(machine.next_request())
+        self.assertIsNone(machine.next_request())
+        self.assertIn(b"Content-Length: 2\r\n\r\nok", machine.respond(200, b"ok"))
+        second = machine.next_request()
         self.assertEqual(second and second.headers[b"req-id"], b"a2")
 
     def test_the_response_to_connection_close_says_close(self) -> None:
         machine = parse_requests(REQUEST.replace(b"Host", b"Connection: close\r\nHost"))
-        machine.next()
-        self.assertIn(b"Connection: close", machine.answer(200))
-        self.assertTrue(machine.over)
+        machine.next_request()
+        self.assertIn(b"Connection: close", machine.respond(200))
+        self.assertTrue(machine.is_closed)
 
     def test_bodies_up_to_64_kib_are_accepted_and_larger_ones_get_413_in_either_framing(self) -> None:
         def request_of(size: int) -> bytes:
             return REQUEST.replace(b"Content-Length: 5", b"Content-Length: %d" % size)[:-5] + b"x" * size
 
-        request = parse_requests(request_of(MAX_BODY_BYTES)).next()
+        request = parse_requests(request_of(MAX_BODY_BYTES)).next_request()
         self.assertEqual(request and len(request.body), MAX_BODY_BYTES)
         chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
         chunked = REQUEST.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
         for too_large in (request_of(MAX_BODY_BYTES + 1), chunked + chunk * 3):
             machine = parse_requests(too_large)
-            self.assertIsNone(machine.next())
-            self.assertTrue(machine.objection().startswith(b"HTTP/1.1 413"))
-        request = parse_requests(chunked + chunk * 2 + b"0\r\n\r\n").next()
+            self.assertIsNone(machine.next_request())
+            self.assertTrue(machine.error_response().startswith(b"HTTP/1.1 413"))
+        request = parse_requests(chunked + chunk * 2 + b"0\r\n\r\n").next_request()
         self.assertEqual(request and len(request.body), MAX_BODY_BYTES)
 
     def test_malformed_bytes_get_400_after_the_responses_to_the_requests_before_them(self) -> None:
         machine = parse_requests(REQUEST + b"\x00what is this\r\n\r\n")
-        self.assertIsNotNone(machine.next())
-        self.assertEqual(machine.objection(), b"")
-        machine.answer(200)
-        self.assertTrue(machine.objection().startswith(b"HTTP/1.1 400"))
-        self.assertTrue(machine.over)
+        self.assertIsNotNone(machine.next_request())
+        self.assertEqual(machine.error_response(), b"")
+        machine.respond(200)
+        self.assertTrue(machine.error_response().startswith(b"HTTP/1.1 400"))
+        self.assertTrue(machine.is_closed)
 
     def test_ambiguous_framing_and_unknown_versions_are_rejected(self) -> None:
         content_length, chunked = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n"
@@ -127,20 +127,20 @@
             (content_length + b"Req-Id: b2\r\n", 400),
         ):
             machine = parse_requests(REQUEST.replace(content_length, head))
-            self.assertIsNone(machine.next(), head)
-            self.assertTrue(machine.objection().startswith(b"HTTP/1.1 %d" % status), head)
+            self.assertIsNone(machine.next_request(), head)
+            self.assertTrue(machine.error_response().startswith(b"HTTP/1.1 %d" % status), head)
         for version, status in ((b"HTTP/2.0", 505), (b"HTTP/1.9", 400), (b"", 400)):
             machine = parse_requests(REQUEST.replace(b"HTTP/1.1", version))
-            self.assertIsNone(machine.next())
-            self.assertTrue(machine.objection().startswith(b"HTTP/1.1 %d" % status))
+            self.assertIsNone(machine.next_request())
+            self.assertTrue(machine.error_response().startswith(b"HTTP/1.1 %d" % status))
 
     def test_trailer_fields_do_not_change_the_headers(self) -> None:
         call = parse_requests(
             REQUEST.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
             + b"5\r\nhello\r\n0\r\nReq-Id: b2\r\n\r\n"
-        ).next()
+        ).next_request()
         self.assertEqual(call and (call.headers[b"req-id"], call.body), (b"a1", b"hello"))
-        self.assertNotIn((b"Req-Id", b"b2"), call and call.lines)
+        self.assertNotIn((b"Req-Id", b"b2"), call and call.raw_headers)
 
     def test_an_endless_line_or_chunk_header_is_rejected_before_it_takes_memory(self) -> None:
         chunked = REQUEST.replace(b"Content-Length: 5", b"Transfer-Encoding: chunked")[:-5]
@@ -151,7 +151,7 @@
             (chunked + b"0\r\nX: ", b"y" * 1000, 413),
         ):
             machine, fed_bytes = parse_requests(start), 0
-            while not machine.objection():
+            while not machine.error_response():
                 machine.feed(piece)
                 fed_bytes += len(piece)
                 self.assertLess(fed_bytes, 600_000)
@@ -159,14 +159,14 @@
 
     def test_headers_over_16_kib_get_431(self) -> None:
         machine = parse_requests(b"GET / HTTP/1.1\r\n", b"X: " + b"y" * 20000 + b"\r\nZ: 1\r\n")
-        self.assertTrue(machine.objection().startswith(b"HTTP/1.1 431"))
+        self.assertTrue(machine.error_response().startswith(b"HTTP/1.1 431"))
 
     def test_a_client_that_expects_100_continue_gets_it_once(self) -> None:
         machine = parse_requests(REQUEST[:-5].replace(b"Host", b"Expect: 100-continue\r\nHost"))
-        self.assertTrue(machine.go_on().startswith(b"HTTP/1.1 100"))
-        self.assertEqual(machine.go_on(), b"")
+        self.assertTrue(machine.take_interim_response().startswith(b"HTTP/1.1 100"))
+        self.assertEqual(machine.take_interim_response(), b"")
         machine.feed(b"hello")
-        self.assertIsNotNone(machine.next())
+        self.assertIsNotNone(machine.next_request())
 
 
 class CallingTest(unittest.TestCase):
@@ -176,19 +176,19 @@
             b"Content-Length: 2\r\n\r\nno"
         )
         for cut in range(1, len(answer)):
-            machine = Calling()
-            machine.ask("POST", b"/render", "w:1", [])
+            machine = ClientProtocol()
+            machine.send_request("POST", b"/render", "w:1", [])
             response = machine.feed(answer[:cut]) or machine.feed(answer[cut:])
             assert response is not None
             self.assertEqual(forms.outcome_of(response), Outcome.FULL)
-            report = words().report_in(response)
+            report = words().extract_report(response)
             self.assertEqual(
                 report and (report.held_slots, report.queued_jobs, report.free_slots), (7.0, 2.0, 0.5)
             )
 
     def test_a_response_without_a_request_is_rejected(self) -> None:
-        with self.assertRaises(Broken):
-            Calling().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        with self.assertRaises(HttpError):
+            ClientProtocol().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     def test_only_202_accepts_a_posting_and_only_a_marked_503_or_504_declines_it(self) -> None:
         declined = {b"srv-declined": b"1"}
@@ -232,14 +232,14 @@
             for piece in (record[i : i + 7] for i in range(0, len(record), 7))
         )
         for cut in range(1, len(stream)):
-            machine = Calling(streams=True)
-            machine.ask("GET", forms.watch_target(41), "d:1", [])
+            machine = ClientProtocol(streams=True)
+            machine.send_request("GET", forms.watch_target(41), "d:1", [])
             machine.feed(stream[:cut])
             records = machine.records()
             machine.feed(stream[cut:])
             records += machine.records()
             self.assertEqual(len(records), 2)
-            index, update, rows = words().list_line(records[0])
+            index, update, rows = words().decode_list_line(records[0])
             worker = rows[0].worker
             self.assertEqual((index, update, rows[0].address), (43, ListUpdate.CHANGES, "10.1.0.18:8000"))
             self.assertEqual(
@@ -261,22 +261,22 @@
             body = json.dumps(record, indent=indent).encode() + b"\n\n"
             stream = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(body), body)
             for cut in range(1, len(stream)):
-                machine = Calling(streams=True)
-                machine.ask("GET", forms.watch_target(0), "d:1", [])
+                machine = ClientProtocol(streams=True)
+                machine.send_request("GET", forms.watch_target(0), "d:1", [])
                 machine.feed(stream[:cut])
                 records = machine.records()
                 machine.feed(stream[cut:])
                 records += machine.records()
                 self.assertEqual((len(records), records[1]), (2, b""))
                 self.assertEqual(
-                    [row.address for row in words().list_line(records[0])[2]], ["w}{", 'w"}\\', "w"]
+                    [row.address for row in words().decode_list_line(records[0])[2]], ["w}{", 'w"}\\', "w"]
                 )
 
     def test_an_endless_list_record_is_rejected_before_it_takes_memory(self) -> None:
-        machine = Calling(streams=True)
-        machine.ask("GET", forms.watch_target(0), "d:1", [])
+        machine = ClientProtocol(streams=True)
+        machine.send_request("GET", forms.watch_target(0), "d:1", [])
         machine.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        with self.assertRaises(Broken):
+        with self.assertRaises(HttpError):
             for _ in range(80):
                 machine.feed(b"10000\r\n" + b'{"a":\n'.ljust(65_536) + b"\r\n")
                 machine.records()
@@ -284,7 +284,7 @@
 
 class FormsTest(unittest.TestCase):
     def test_a_worker_with_an_unknown_status_is_draining_and_other_entries_stay_valid(self) -> None:
-        _, _, rows = words().list(
+        _, _, rows = words().decode_list(
             {
                 "index": 1,
                 "endpoints": [{"name": "a", "status": "dreaming"}, {"name": "b", "status": "active"}],
@@ -293,9 +293,9 @@
         self.assertEqual([row.worker.listed_state for row in rows], [ListedState.DRAINING, ListedState.READY])
 
     def test_a_request_becomes_a_txn_with_its_deadline_rounded_down(self) -> None:
-        call = parse_requests(REQUEST.replace(b"480", b"480.06")).next()
+        call = parse_requests(REQUEST.replace(b"480", b"480.06")).next_request()
         assert call is not None
-        txn = words().txn(call, 1000)
+        txn = words().decode_txn(call, 1000)
         self.assertEqual(
             (txn.tag, txn.expires_at, txn.hint, txn.slots, txn.memory, txn.is_retry),
             ("a1", 1000 + 4800, 13, 2.0, 1.5, False),
@@ -310,7 +310,7 @@
     def test_a_posting_forwards_the_client_headers_except_those_of_the_connection(self) -> None:
         call = parse_requests(
             REQUEST.replace(b"Host", b"Idempotency-Key: k1\r\nConnection: keep-alive\r\nHost")
-        ).next()
+        ).next_request()
         assert call is not None
         headers = forms.posting_headers(call, 799)
         # Without Idempotency-Key the worker could not recognise a repeat.
@@ -343,27 +343,27 @@
             (b"1234", b"-1", 400),
             *((b"480", number, 400) for number in invalid_numbers),
         ):
-            call = parse_requests(REQUEST.replace(old, new)).next()
+            call = parse_requests(REQUEST.replace(old, new)).next_request()
             assert call is not None
-            with self.assertRaises(Broken) as rejected:
-                words().txn(call, 0)
+            with self.assertRaises(HttpError) as rejected:
+                words().decode_txn(call, 0)
             self.assertEqual(rejected.exception.status, status)
 
     def test_a_callback_carries_result_and_load_and_a_malformed_one_is_rejected(self) -> None:
-        callback = words().callback(
+        callback = words().decode_callback(
             b'{"id":"a1","from":"s-1","state":"done","result":"\\u00e9","load":{"x0":1,"util":0.5}}'
         )
         self.assertEqual((callback.tag, callback.worker), ("a1", "s-1"))
-        self.assertEqual((callback.outcome, callback.note), (Outcome.SETTLED, False))
+        self.assertEqual((callback.outcome, callback.is_progress), (Outcome.SETTLED, False))
         self.assertEqual(callback.result, "é".encode())
         self.assertEqual(callback.report and callback.report.free_slots, 1.0)
         for body in (b"", b"[]", b"{", b'{"id":"a1"}', b'{"id":1,"from":2,"state":"running","share":"x"}'):
-            with self.assertRaises(Broken):
-                words().callback(body)
+            with self.assertRaises(HttpError):
+                words().decode_callback(body)
 
     def test_a_load_report_is_json_or_text_and_a_malformed_or_all_zero_one_is_none(self) -> None:
         for body in (b'{"x0":2,"queue":1}', b'{"load":{"x0":2,"waiting":1}}', b"x0=2, queue=1"):
-            report = words().report_in(Message(status=200, body=body))
+            report = words().extract_report(Message(status=200, body=body))
             self.assertEqual(report and (report.free_slots, report.queued_jobs), (2.0, 1.0))
         for body in (b"", b"OK", b"{", b"x0=?", b"err_rps=0,rps=0.000,waiting=0,x0=0"):
-            self.assertIsNone(words().report_in(Message(status=200, body=body)))
+            self.assertIsNone(words().extract_report(Message(status=200, body=body)))
