--- a/pathsaddle/__main__.py
+++ b/pathsaddle/__main__.py
@@ -1,6 +1,7 @@
-"""python -m pathsaddle: with no argument one real dispatcher on sockets, told by $GW_CONFIG what it is.
+"""Entry point of `python -m pathsaddle`.
 
-With an argument it is the command line, whose libraries the platform's program must not load.
+Without arguments it runs one dispatcher, configured by $GW_CONFIG. With arguments it runs the command line,
+whose libraries the dispatcher must not load.
 """
 
 import sys
@@ -11,11 +12,11 @@
     import os
     import signal
 
-    # First of all: what is imported below takes its time, and nothing has been taken yet that would need an answer.
-    for told in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(told, lambda *_: os._exit(0))
-    for untimely in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(untimely, signal.SIG_IGN)
+    # Set before the slow import below. No request has been accepted by then, so the process may exit at once.
+    for stop_signal in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(stop_signal, lambda *_: os._exit(0))
+    for ignored_signal in (signal.SIGHUP, signal.SIGUSR1):
+        signal.signal(ignored_signal, signal.SIG_IGN)
     from pathsaddle.net.service.start import main
 
 sys.exit(main())
--- a/pathsaddle/leased_versions.py
+++ b/pathsaddle/leased_versions.py
@@ -1,26 +1,31 @@
-"""Versions of the spec by rule, not by arrival: what a member may do, and when a tightening is in force.
-
-Bound: at no instant after a version was told to be in force is a job posted to, or data read in, a region
-that it forbids, unless a later version that allows it was committed before; whatever is lost, doubled, late,
-whoever stops, restarts, or is cut off, as long as no clock runs off by more than DRIFT.
-
-Why. A version has a number from a register that only grows, and the digest of its text; that is all that is
-needed of the register. Whoever goes by more than home alone holds a lease: somebody has read the register
-*after* it asked, and the lease counts from before the asking, by a clock taken to be slow. So once a number
-is committed, no lease on a lower one outlasts `surely` of a lease from then, whoever dies, and nobody need
-remember what was granted: several keepers at once do no harm. What is offered and not committed binds as far
-as it narrows, at once, and allows nothing. So a loosening waits for its commit, and a tightening doesn't.
-
-In force sooner than a lease from its commit: when all who could act on an older one say that they have it
-*committed*. A word of having the mere offer proves nothing: its sayer may start again from an older disk and
-be granted the older number once more, before the commit. After it every reading gives the new one.
-
-Home alone holds without a lease. So a version that forbids what an older one has as home can't be in force
-by the end of leases: each member of that region has to say so, and keeps what it said on disk, synced before.
-
-A spec is whatever says what `Text` does: the federation's (`federation/spec.py`), where alone means home alone,
-and the rows of `settings/active_terms.py`, where it means all that they allow. No I/O; ticks of a monotonic clock of
-each.
+"""Leases on versions: which rights a member has now, and when a version is in force.
+
+Guarantee: once a version is reported to be in force, no job is posted to a region that it forbids and no data
+is read there, unless a later version that allows the region was committed before. The guarantee holds when
+messages are lost, duplicated or late and when processes stop, restart or are partitioned, as long as no clock
+drifts by more than MAX_CLOCK_DRIFT.
+
+The register supplies a number that only grows and the digest of the version's text. A member that uses
+rights beyond its home region holds a lease. A server grants the lease by a reading of the register that
+began after the member's request, and the lease counts from before that request, by a clock that is assumed
+to be slow. Hence, once a number is committed, every lease on a lower number has ended after
+`certain_lease_end` of a lease, whichever process dies. No server has to remember the leases that it
+granted, so several servers may run at once. A proposal that is not committed yet narrows the rights at once
+and grants none. A relaxation therefore waits for its commit, and a tightening does not.
+
+A version is in force before the leases end if every member that could act on an older one has acknowledged
+that it has the version *committed*. An acknowledgement of the mere proposal would prove nothing: its sender
+could restart from an older disk and get a lease on the older number again before the commit. After the commit
+every reading of the register returns the new number.
+
+The home region needs no lease. If a version forbids something that an older one allows there, the end of the
+leases does not put it in force: each member of that region has to acknowledge it, and has to sync what it
+acknowledges to disk before.
+
+A spec is any type that implements `VersionContent`: the federation's spec (`federation/spec.py`), where a
+member without a lease may use its home region alone, and the entries of `settings/active_terms.py`, where
+it may use all that they allow. The module does no I/O. Times are ticks of the local monotonic clock of each
+process.
 """
 
 from __future__ import annotations
@@ -34,43 +39,45 @@
 from pathsaddle.fleet.quota.leases import MAX_CLOCK_DRIFT
 
 LEASE = 100_000  # ticks
-NEVER = -1 << 60
-MOST_OPEN = 8  # askings that may still be answered
+NO_LEASE = -1 << 60  # the end of a lease that was never granted, ticks
+MAX_OPEN_REQUESTS = 8  # sync requests that a reply may still answer
 
 
 def certain_lease_end(lease: int) -> int:
-    """A lease's length by a clock that may be fast: over by then for certain."""
+    """Return the ticks of a clock that may be fast after which a lease has certainly ended."""
     return -int(-lease * (1 + MAX_CLOCK_DRIFT) // 1) + 1
 
 
-def maybe(lease: int) -> int:
-    """And by one that may be slow: not over until then for certain."""
+def safe_lease_ticks(lease: int) -> int:
+    """Return the ticks of a clock that may be slow within which a lease has certainly not ended."""
     return int(lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
 
-class Text(Protocol):
-    """What a version says, as far as it is judged here."""
+class VersionContent(Protocol):
+    """The content of a version, as far as this module uses it."""
 
     def members(self) -> dict[str, str]:
-        """Member -> its region: who must have a version before it is in force."""
+        """Return the region of each member that must have a version before it is in force."""
 
     def has_member(self, name: str, here: str) -> bool:
-        """Whether that member may hold a lease in that region."""
+        """Return whether the member `name` may hold a lease in the region `here`."""
 
     def withdrawn(self, new: Any, here: str) -> bool:
-        """Whether somebody in `here` that hears nothing would, by this text, do what `new` forbids."""
+        """Return whether a member in `here` that receives nothing would do what `new` forbids."""
+
 
+class SupportsNarrowed(Protocol):
+    """Rights that can be intersected."""
 
-class Narrows(Protocol):
     def narrowed(self, other: Self, /) -> Self:
-        """What both allow."""
+        """Return the rights that both allow."""
 
 
 if TYPE_CHECKING:
-    from typing_extensions import TypeVar  # mypy's own; nothing of it is imported when this runs
+    from typing_extensions import TypeVar  # needed by mypy alone
 
-    T = TypeVar("T", bound=Text, default=Spec)
-    N = TypeVar("N", bound=Narrows)
+    T = TypeVar("T", bound=VersionContent, default=Spec)
+    N = TypeVar("N", bound=SupportsNarrowed)
 else:
     from typing import TypeVar
 
@@ -79,6 +86,8 @@
 
 @dataclass(frozen=True)
 class Version(Generic[T]):
+    """A numbered spec; two versions with one number and digest are equal."""
+
     number: int
     digest: str
     spec: T = field(compare=False, repr=False)
@@ -86,14 +95,14 @@
 
 @dataclass(frozen=True)
 class Offer(Generic[T]):
-    """A text that may become the version of that number."""
+    """A proposal: a spec that may be committed under that number."""
 
     version: Version[T]
 
 
 @dataclass(frozen=True)
 class CommitNotice:
-    """The register has this number with this digest, or a higher one."""
+    """Tells that the register has committed this number with this digest, or a higher one."""
 
     number: int
     digest: str
@@ -101,7 +110,7 @@
 
 @dataclass(frozen=True)
 class AppliedAck:
-    """`name` goes by this number, and knows that it is committed."""
+    """Acknowledges that the member `name` acts by this number and knows that it is committed."""
 
     name: str
     number: int
@@ -110,7 +119,13 @@
 
 @dataclass(frozen=True)
 class SyncRequest:
-    """Asks what is committed. echo: grows with each asking of a life."""
+    """Asks a server for the committed version.
+
+    Attributes:
+        name: The member that asks.
+        life: Its incarnation.
+        echo: The number of the request in this incarnation; it grows.
+    """
 
     name: str
     life: int
@@ -119,7 +134,7 @@
 
 @dataclass(frozen=True)
 class LeaseRenewal:
-    """What the register had after that asking came."""
+    """Answers a `SyncRequest` with what the register had after the request arrived."""
 
     name: str
     life: int
@@ -130,10 +145,19 @@
 
 @dataclass(frozen=True)
 class VersionSubscriber(Generic[T]):
-    """What one member knows; never changed, only replaced.
-
-    base: the highest committed version whose text it has. known: (number, digest) of the highest committed.
-    offers: of higher numbers than known. until: of its own clock, the end of its lease; a new life has none.
+    """The state of one member. It is immutable: each method returns the next state.
+
+    Attributes:
+        name: The member.
+        here: Its region.
+        life: Its incarnation.
+        lease: The length of a lease, ticks.
+        base: The highest committed version whose spec the member has.
+        known: Number and digest of the highest version that it knows to be committed.
+        offers: Proposals with numbers above `known`.
+        until: The end of its lease by its own clock; a new incarnation has none.
+        echo: The number of the last sync request.
+        open: Number and time of each sync request that a reply may still answer.
     """
 
     name: str
@@ -143,26 +167,29 @@
     base: Version[T]
     known: tuple[int, str]
     offers: tuple[Version[T], ...] = ()
-    until: int = NEVER
+    until: int = NO_LEASE
     echo: int = 0
     open: tuple[tuple[int, int], ...] = ()
 
     def asks(self, now: int) -> tuple[VersionSubscriber[T], SyncRequest]:
+        """Return the next state and the sync request to send."""
         echo = self.echo + 1
-        return replace(self, echo=echo, open=(*self.open, (echo, now))[-MOST_OPEN:]), SyncRequest(
+        return replace(self, echo=echo, open=(*self.open, (echo, now))[-MAX_OPEN_REQUESTS:]), SyncRequest(
             self.name, self.life, echo
         )
 
     def offered(self, version: Version[T]) -> VersionSubscriber[T]:
-        """Binds at once as far as it narrows; is kept until a commit settles its number."""
-        if (version.number, version.digest) == self.known:  # settled already: it is the one committed
+        """Add a proposal. It narrows the rights at once, until a commit decides its number."""
+        if (version.number, version.digest) == self.known:  # this very version is committed
             return self if version == self.base else replace(self, base=version)
         if version in self.offers or version.number <= self.known[0]:
             return self
         return replace(self, offers=(*self.offers, version))
 
     def committed(self, number: int, digest: str) -> VersionSubscriber[T]:
-        # The same number with another digest: what this member was started with is not what was committed.
+        """Record that a number is committed, and drop the proposals up to it."""
+        # The number of `known` may come with another digest: the member was started with another version
+        # than the committed one.
         if number < self.known[0] or (number, digest) == self.known:
             return self
         base = next((one for one in self.offers if (one.number, one.digest) == (number, digest)), self.base)
@@ -170,12 +197,13 @@
             self,
             known=(number, digest),
             base=base,
-            offers=tuple(one for one in self.offers if one.number > number),
+            offers=tuple(offer for offer in self.offers if offer.number > number),
         )
 
     def caught_up(self, version: Version[T]) -> VersionSubscriber[T]:
-        """A version that is surely committed, perhaps below the highest known: on the way to that one. Keep it on disk,
-        synced, before any word of it.
+        """Add a version that is certainly committed, even one below the highest that is known.
+
+        The caller syncs the returned state to disk before it sends anything about the version.
         """
         if version.number <= self.base.number:
             return self
@@ -184,68 +212,88 @@
         return replace(self, base=version)
 
     def told(self, commit: CommitNotice) -> tuple[VersionSubscriber[T], AppliedAck | None]:
-        """Keep what it returns on disk, synced, before the word is sent."""
+        """Record a commit, and return the acknowledgement if the member has the committed version.
+
+        The caller syncs the returned state to disk before it sends the acknowledgement.
+        """
         after = self.committed(commit.number, commit.digest)
         return after, after.has()
 
     def has(self) -> AppliedAck | None:
+        """Return the acknowledgement of the highest committed version, or None if its spec is missing."""
         if (self.base.number, self.base.digest) != self.known:
             return None
         return AppliedAck(self.name, *self.known)
 
-    def renewed(self, told: LeaseRenewal, now: int) -> VersionSubscriber[T]:
-        asked = dict(self.open).get(told.echo)
-        if asked is None or (told.name, told.life) != (self.name, self.life) or told.number < self.known[0]:
+    def renewed(self, reply: LeaseRenewal, now: int) -> VersionSubscriber[T]:
+        """Extend the lease by the reply to an open request, counted from the sending of that request."""
+        sent = dict(self.open).get(reply.echo)
+        if sent is None or (reply.name, reply.life) != (self.name, self.life) or reply.number < self.known[0]:
             return self
-        after = self.committed(told.number, told.digest)
-        until = asked + maybe(self.lease)
+        after = self.committed(reply.number, reply.digest)
+        until = sent + safe_lease_ticks(self.lease)
         if until <= self.until and after is self:
             return self
         return replace(
-            after, until=max(self.until, until), open=tuple(row for row in self.open if row[0] > told.echo)
+            after, until=max(self.until, until), open=tuple(ask for ask in self.open if ask[0] > reply.echo)
         )
 
     def ends(self) -> int:
-        """Until when it goes by `base` and more than home alone: not at all, where a higher one is known without its
-        text, or where the spec doesn't name this member.
+        """Return until when the member may use the rights of `base` that need a lease.
+
+        That is `NO_LEASE` if a higher version is known without its spec, or if the spec does not name the
+        member.
         """
         if (self.base.number, self.base.digest) != self.known or not self.base.spec.has_member(
             self.name, self.here
         ):
-            return NEVER
+            return NO_LEASE
         return self.until
 
     def leased(self, now: int) -> bool:
-        """Whether it may go by more than home alone now; asked before each use."""
+        """Return whether the member may use leased rights now; callers check it before each use."""
         return now < self.ends()
 
     def narrowest(self, right: Callable[[T], N]) -> N:
-        """Of what is known; `right`: what is asked for, of one text."""
-        found = right(self.base.spec)
+        """Return the intersection of one right over `base` and all proposals.
+
+        Args:
+            right: Returns the right that one spec grants.
+        """
+        narrowed = right(self.base.spec)
         for offer in self.offers:
-            found = found.narrowed(right(offer.spec))
-        return found
+            narrowed = narrowed.narrowed(right(offer.spec))
+        return narrowed
 
     def rule(self: VersionSubscriber[Spec], scheme: str, now: int) -> Rule:
-        """The narrowest of what is known; home alone without a lease."""
+        """Return what `base` and all proposals allow; without a lease, the home region alone."""
         rule = self.narrowest(lambda spec: spec.rule(scheme, self.here))
         return rule if self.leased(now) else rule.alone()
 
 
 def new_subscriber(name: str, here: str, life: int, lease: int, version: Version[T]) -> VersionSubscriber[T]:
-    """A life begins with the version that its disk has: any committed one."""
+    """Return the state of a new incarnation, which starts with any committed version that its disk has."""
     return VersionSubscriber(name, here, life, lease, version, (version.number, version.digest))
 
 
 @dataclass(frozen=True)
 class VersionServer(Generic[T]):
-    """Reads the register for others and tells what is in force; holds no right that another keeper lacks.
-
-    history: the texts of committed versions that it knows. since: when it learnt of the highest. rows:
-    (member, highest number that it said to have). force: the highest number told to be in force.
-    gone: members that, by the operator's word, never start again with the disk that they had.
-    begins: the lowest number that `history` is to hold. cleared: a number that was in force by this keeper's own
-    proof, and of which it still has the text; 0: none. learnt: (number, when it first knew of that or a higher one).
+    """The state of a server, which grants leases by the register and reports what is in force.
+
+    All servers are equal: none has a right that another one lacks.
+
+    Attributes:
+        lease: The length of a lease, ticks.
+        born: When the server started.
+        known: Number and digest of the highest committed version that it has read.
+        history: The committed versions whose specs it has, by number.
+        since: When it first read of the highest one.
+        rows: Each member with the highest number that it has acknowledged.
+        force: The highest number that was reported to be in force.
+        gone: Members of which the operator states that they never start again with the disk that they had.
+        begins: The lowest number that `history` is to hold.
+        cleared: A number that this server proved to be in force and whose spec it still has; 0 if none.
+        learnt: Each number with the time when the server first knew of it or of a higher one.
     """
 
     lease: int
@@ -258,122 +306,138 @@
     gone: tuple[str, ...] = ()
     begins: int = 1
     cleared: int = 0
-    learnt: tuple[tuple[int, int], ...] = field(default=(), compare=False)  # `judged_each` alone goes by it
+    learnt: tuple[tuple[int, int], ...] = field(default=(), compare=False)  # used by `judged_each` alone
 
     def reads(self, number: int, digest: str, version: Version[T] | None, now: int) -> VersionServer[T]:
-        """What the register has now, with the text where it is at hand."""
+        """Record the highest committed version of the register, with its spec if that is available."""
         history = self.history
         if (
             version is not None
             and version not in history
             and (version.number, version.digest) == (number, digest)
         ):
-            history = tuple(sorted((*history, version), key=lambda one: one.number))
+            history = tuple(sorted((*history, version), key=lambda entry: entry.number))
         if number > self.known[0]:
             return replace(
                 self, known=(number, digest), since=now, history=history, learnt=(*self.learnt, (number, now))
             )
         return replace(self, history=history) if history is not self.history else self
 
-    def answers(self, ask: SyncRequest) -> LeaseRenewal:
-        """After a reading of the register that began after the asking came."""
-        return LeaseRenewal(ask.name, ask.life, ask.echo, *self.known)
+    def answers(self, request: SyncRequest) -> LeaseRenewal:
+        """Return the reply; the last reading of the register must have begun after the request."""
+        return LeaseRenewal(request.name, request.life, request.echo, *self.known)
 
-    def hears(self, have: AppliedAck) -> VersionServer[T]:
-        if (have.number, have.digest) != self.known and not any(
-            (one.number, one.digest) == (have.number, have.digest) for one in self.history
+    def hears(self, ack: AppliedAck) -> VersionServer[T]:
+        """Record an acknowledgement, unless its version is not known to be committed."""
+        if (ack.number, ack.digest) != self.known and not any(
+            (version.number, version.digest) == (ack.number, ack.digest) for version in self.history
         ):
             return self
-        rows = dict(self.rows)
-        if rows.get(have.name, 0) >= have.number:
+        acknowledged = dict(self.rows)
+        if acknowledged.get(ack.name, 0) >= ack.number:
             return self
-        rows[have.name] = have.number
-        return replace(self, rows=tuple(sorted(rows.items())))
+        acknowledged[ack.name] = ack.number
+        return replace(self, rows=tuple(sorted(acknowledged.items())))
 
     def waits_for(self, now: int) -> tuple[str, ...]:
-        """The members without whose word, or before whose lease's end, the highest version is not in force;
-        "?" where this keeper does not know all versions that somebody may go by.
+        """Return the members for which the highest version waits before it is in force.
+
+        Each of them acked to acknowledge it, or its lease acked to end. The result is ("?",) if this server
+        does not know all versions that a member may act by.
         """
         number = self.known[0]
         if not self.history or (self.history[-1].number, self.history[-1].digest) != self.known:
             return ("?",)
-        whole = [one.number for one in self.history] == list(range(self.begins, number + 1))
-        over = now >= self.since + certain_lease_end(self.lease)
-        if not whole:
+        is_complete = [version.number for version in self.history] == list(range(self.begins, number + 1))
+        expired = now >= self.since + certain_lease_end(self.lease)
+        if not is_complete:
             return ("?",)
-        told = dict(self.rows)
-        names: dict[str, str] = {}
-        for one in self.history:
-            names.update(one.spec.members())
-        late = []
-        for name, here in sorted(names.items()):
-            has = told.get(name, 0)
-            if has >= number or name in self.gone:
+        acknowledged = dict(self.rows)
+        regions: dict[str, str] = {}
+        for version in self.history:
+            regions.update(version.spec.members())
+        missing = []
+        for name, here in sorted(regions.items()):
+            acked = acknowledged.get(name, 0)
+            if acked >= number or name in self.gone:
                 continue
-            has = max(has, self.cleared)
-            # Below where the history begins nobody can tell any more what it goes by.
-            if not over or (has < self.begins > 1) or has <= _last_withdrawn(self.history, here):
-                late.append(name)
-        return tuple(late)
+            acked = max(acked, self.cleared)
+            # The history does not show which version a member acts by that acknowledged less than its begin.
+            if not expired or (acked < self.begins > 1) or acked <= _last_withdrawn(self.history, here):
+                missing.append(name)
+        return tuple(missing)
 
     def judged(self, now: int) -> VersionServer[T]:
+        """Put the highest version in force if it waits for no member."""
         if self.force < self.known[0] and not self.waits_for(now):
             return replace(self, force=self.known[0])
         return self
 
     def judged_each(self, now: int, memo: dict[tuple[int, str], int]) -> VersionServer[T]:
-        """As `judged`, but of every version: where commits follow one another closely the highest is never had by all.
-        What makes the highest in force makes any: its number was committed before `learnt`, and who has a higher one goes
-        by what was committed later. memo: kept by the caller for one line of versions, where a number's text and all
-        below it never differ.
+        """Put the highest version in force that waits for no member, even one below the highest committed.
+
+        If commits follow one another closely, there is never a time when all members have the highest one.
+        The conditions for the highest version hold for any: its number was committed before its time in
+        `learnt`, and a member with a higher number acts by a later commit.
+
+        Args:
+            now: The time of this server's clock.
+            memo: The results of `_last_withdrawn` by number and region. The caller keeps it for one line of
+                versions, in which the spec of a number and all specs below it never change.
         """
         if not self.history or self.history[-1].number - self.begins + 1 != len(self.history):
             return self
-        top, told = self.history[-1].number, dict(self.rows)
-        over = max(
+        highest, acknowledged = self.history[-1].number, dict(self.rows)
+        expired = max(
             (number for number, at in self.learnt if now >= at + certain_lease_end(self.lease)), default=0
         )
-        first: dict[str, tuple[int, str]] = {}
-        last: object = None
-        for one in self.history:
-            members = one.spec.members()
-            if members is not last:
-                last = members
+        joined: dict[str, tuple[int, str]] = {}
+        last_members: object = None
+        for version in self.history:
+            members = version.spec.members()
+            if members is not last_members:
+                last_members = members
                 for name, here in members.items():
-                    first[name] = (first.get(name, (one.number, ""))[0], here)
+                    joined[name] = (joined.get(name, (version.number, ""))[0], here)
         behind = []
-        for name, (since, here) in sorted(first.items()):
-            has = max(told.get(name, 0), self.cleared)
-            if has < top and name not in self.gone:
-                behind.append((since, here, has))
-
-        def late(i: int, since: int, here: str, has: int) -> bool:
-            number = self.history[i].number
-            if number < since or has >= number:
+        for name, (since, here) in sorted(joined.items()):
+            acked = max(acknowledged.get(name, 0), self.cleared)
+            if acked < highest and name not in self.gone:
+                behind.append((since, here, acked))
+
+        def is_missing(index: int, since: int, here: str, acked: int) -> bool:
+            number = self.history[index].number
+            if number < since or acked >= number:
                 return False
-            if number > over or has < self.begins > 1:
+            if number > expired or acked < self.begins > 1:
                 return True
             if (number, here) not in memo:
-                memo[number, here] = _last_withdrawn(self.history[: i + 1], here)
-            return has <= memo[number, here]
+                memo[number, here] = _last_withdrawn(self.history[: index + 1], here)
+            return acked <= memo[number, here]
 
-        for i in range(len(self.history) - 1, -1, -1):
-            if self.history[i].number <= self.force:
+        for index in range(len(self.history) - 1, -1, -1):
+            if self.history[index].number <= self.force:
                 break
-            if not any(late(i, *row) for row in behind):
-                return replace(self, force=self.history[i].number)
+            if not any(is_missing(index, *row) for row in behind):
+                return replace(self, force=self.history[index].number)
         return self
 
     def cut(self, most: int) -> VersionServer[T]:
-        """Without what is below the version in force, and of the rest the latest `most`.
-
-        Sound only where `withdrawn` is the complement of an order, so transitive (the federation's is not: home alone
-        by an older version may be allowed by the next and forbidden by one after it, though that forbids nothing
-        of the next), and where a text leaves out nobody who may still go by an older one. Why: let f be in force by
-        this keeper's proof and n later. Whoever had not said f then had no lease on less, never again has one, and
-        f forbids nothing of any version x that it may go by. If n forbids something of x, then, since x is within f,
-        n forbids it of f: f in place of x finds it. So such a member counts as if it had said f (`cleared`).
-        What goes by `most` is not proven so: whoever has said nothing from there on is waited for.
+        """Drop the versions below the one in force, and keep at most the latest `most` of the rest.
+
+        This is sound only under two conditions. `withdrawn` is the complement of an order, and so
+        transitive. The federation's is not: the next version may allow a member without a lease what an
+        older one allows, and a later version may forbid it, although it forbids nothing of the next one.
+        And a spec leaves out no member that may still act by an older version.
+
+        Proof: let f be in force by this server's own proof, and let n be later. A member that had not
+        acknowledged f at that time had no lease on a lower number and never gets one again, and f forbids
+        nothing of any version x by which the member may act. If n forbids something of x, then n forbids it
+        of f, since x is within f. So a check against f in place of x finds it. Such a member therefore
+        counts as if it had acknowledged f (`cleared`).
+
+        The versions dropped because of `most` are not covered by the proof: a member that has acknowledged
+        nothing from `begins` on is waited for.
         """
         cleared = max(self.cleared, self.force)
         begins = max(self.begins, cleared, self.history[-1].number - most + 1 if self.history else 0)
@@ -383,15 +447,16 @@
             self,
             begins=begins,
             cleared=cleared,
-            history=tuple(one for one in self.history if one.number >= begins),
-            learnt=tuple(row for row in self.learnt if row[0] >= begins),
+            history=tuple(version for version in self.history if version.number >= begins),
+            learnt=tuple(entry for entry in self.learnt if entry[0] >= begins),
         )
 
 
 @lru_cache(64)
 def _last_withdrawn(history: tuple[Version[Any], ...], here: str) -> int:
-    """The highest number of a version by which somebody in `here` that hears nothing would do what the last forbids;
-    0: none.
+    """Return the highest number that lets a member in `here` without messages do what the last forbids.
+
+    The result is -1 if there is none.
     """
     new = history[-1].spec
     return next((one.number for one in history[-2::-1] if one.spec.withdrawn(new, here)), -1)
@@ -399,8 +464,13 @@
 
 @dataclass(frozen=True)
 class VersionChange:
-    """region: which is allowed no more, or newly; empty where another right of the scheme differs. key:
-    which.
+    """One difference between two specs.
+
+    Attributes:
+        scheme: The scheme, or `data.` and the name of the data.
+        region: The region that is no longer or newly allowed; empty if another right differs.
+        key: The right that differs.
+        tightens: Whether the new spec allows less.
     """
 
     scheme: str
@@ -410,48 +480,52 @@
 
 
 def compare_versions(old: Spec, new: Spec) -> list[VersionChange]:
-    """All that `new` takes away or gives, in the order of schemes and regions. Order of failing over,
-    home and copies are no
-    rights: they change with the commit, like a loosening.
+    """Return all rights that `new` withdraws or grants, by scheme and region.
+
+    The order of failover, the home and the copies are no rights: they change with the commit, like a
+    relaxation.
     """
-    found = []
+    changes = []
     for name in sorted({**old.schemes, **new.schemes}):
         if name not in old.schemes or name not in new.schemes:
-            # Outside a spec it stays where it was taken: with it each region but its own is given or taken.
-            inside = (new if name in new.schemes else old).rule(name, "")
-            found += [
+            # A job of a scheme outside the spec stays in the region that accepted it. So adding a scheme
+            # allows its regions and forbids the others, and removing it does the opposite.
+            inside_rule = (new if name in new.schemes else old).rule(name, "")
+            changes += [
                 VersionChange(name, region, "scheme", name not in new.schemes)
-                for region in sorted(inside.may)
+                for region in sorted(inside_rule.may)
             ]
-            found += [
+            changes += [
                 VersionChange(name, region, "scheme", name in new.schemes)
                 for region in sorted(new.regions)
-                if region not in inside.may
+                if region not in inside_rule.may
             ]
             continue
-        one, two = old.rule(name, ""), new.rule(name, "")
-        found += [
-            VersionChange(name, region, "may", region in one.may) for region in sorted(one.may ^ two.may)
+        old_rule, new_rule = old.rule(name, ""), new.rule(name, "")
+        changes += [
+            VersionChange(name, region, "may", region in old_rule.may)
+            for region in sorted(old_rule.may ^ new_rule.may)
         ]
-        found += [
-            VersionChange(name, "", f"when.{word}", word in one.when) for word in sorted(one.when ^ two.when)
+        changes += [
+            VersionChange(name, "", f"when.{condition}", condition in old_rule.when)
+            for condition in sorted(old_rule.when ^ new_rule.when)
         ]
-        if one.at_most != two.at_most:
-            found.append(VersionChange(name, "", "at_most", two.at_most < one.at_most))
-        if one.staleness != two.staleness:
-            far = 1 << 60
-            found.append(
+        if old_rule.at_most != new_rule.at_most:
+            changes.append(VersionChange(name, "", "at_most", new_rule.at_most < old_rule.at_most))
+        if old_rule.staleness != new_rule.staleness:
+            unlimited = 1 << 60
+            changes.append(
                 VersionChange(
                     name,
                     "",
                     "staleness",
-                    (far if two.staleness is None else two.staleness)
-                    < (far if one.staleness is None else one.staleness),
+                    (unlimited if new_rule.staleness is None else new_rule.staleness)
+                    < (unlimited if old_rule.staleness is None else old_rule.staleness),
                 )
             )
     for name in sorted({**old.data, **new.data}):
-        found += [
+        changes += [
             VersionChange(f"data.{name}", region, "may", region in old.readable(name))
             for region in sorted(old.readable(name) ^ new.readable(name))
         ]
-    return found
+    return changes
