--- a/pathsaddle/control_metrics.py
+++ b/pathsaddle/control_metrics.py
@@ -1,15 +1,15 @@
-"""What control costs a dispatcher, apart from its requests: processor time and bytes, by purpose.
+"""Processor time and bytes that control costs a dispatcher, by purpose, apart from its requests.
 
-A meter stands around the calls by which the drivers of control are entered (membership, gossip, quotas,
-consensus, settings, overload, discovery). What such a call enters in turn for another purpose counts for that
-purpose alone, so that each nanosecond is counted once. The module is free of I/O but for the clocks that are
-handed in. Memory: a dozen counters a purpose, whatever the size of the fleet.
+A meter wraps the calls that enter the drivers of control (membership, gossip, quotas, consensus, settings,
+overload, discovery). A nested call for another purpose counts for that purpose alone, so each nanosecond is
+counted once. The module does no I/O except for reading the clocks that it is given. It needs a dozen counters
+for each purpose, whatever the size of the fleet.
 
-The time is that of the thread (`time.thread_time_ns`): what other processes on the machine take is not in it,
-what the kernel does for this thread's calls is. Not in it: the event loop's own turns, and what disk threads
-do. Alternatives weighed: sampling the stack (one more thread, and a purpose of 0.1% of a core needs minutes),
-a profiler (a factor of two), and running with and without (shows the sum alone;
-`emulator/hollow/control.py` compares the meter with it).
+The time is that of the thread (`time.thread_time_ns`). It excludes what other processes on the machine take
+and includes what the kernel does for this thread's calls. It also excludes the event loop's own iterations
+and the work of disk threads. Alternatives: sampling the stack needs one more thread, and minutes to see a
+purpose of 0.1% of a core; a profiler slows the process by a factor of two; a run with and one without control
+show the sum alone (`emulator/hollow/control.py` compares the meter with it).
 
 `config/metering.py` owns the meter of a real dispatcher; every driver has a `NullMeter` until it is given
 one.
@@ -36,16 +36,16 @@
     "log",
 ]
 PURPOSES: tuple[Purpose, ...] = get_args(Purpose)
-# They grow with the requests, so that no budget of control limits them.
+# These costs grow with the requests, so no budget of control limits them.
 REQUEST_PURPOSES: tuple[Purpose, ...] = ("reports", "looks", "log")
 NS_PER_SECOND = 1_000_000_000
 NS_PER_US = 1000
-MIN_SECONDS = 1e-9  # keeps rates finite at the very begin
+MIN_SECONDS = 1e-9  # keeps rates finite right after the start
 T = TypeVar("T")
 
 
 class NullMeter:
-    """What drivers have where nobody meters them. Its calls are those of `ControlMeter`."""
+    """A meter that counts nothing, with the methods of `ControlMeter`, for drivers that are not metered."""
 
     def runs(self, purpose: Purpose, call: Callable[[], T]) -> T:
         """Make the call and return its result."""
@@ -59,7 +59,7 @@
 
 
 class SecondCost(NamedTuple):
-    """What one whole second cost."""
+    """The cost of one whole second."""
 
     ns: int = 0
     bytes_in: int = 0
@@ -67,7 +67,7 @@
 
 
 class PurposeCost:
-    """What one purpose cost since the meter's start, and the highest cost of any whole second.
+    """The cost of one purpose since the meter's start, and the highest cost of any whole second.
 
     Attributes:
         calls: Metered calls.
@@ -118,10 +118,10 @@
         self.second_ns = self.second_bytes_in = self.second_bytes_out = 0
 
     def view(self, seconds: float) -> CostView:
-        """Return the cost as `fleet show control` has it.
+        """Return the cost in the form that `fleet show control` prints.
 
         Args:
-            seconds: Since the meter's start; rates are means over all of it.
+            seconds: The time since the meter's start; rates are means over that time.
         """
         return {
             "us": self.ns // NS_PER_US,
@@ -136,7 +136,7 @@
         }
 
 
-# The members of the JSON document of `fleet show control`; one of them is a keyword of Python.
+# The members of the JSON document of `fleet show control`. A class can't declare `in`, a Python keyword.
 CostView = TypedDict(
     "CostView",
     {
@@ -154,7 +154,12 @@
 
 
 class PurposeView(CostView):
-    """The cost of one purpose in that document; txns: whether it grows with the requests."""
+    """The cost of one purpose in that document.
+
+    Attributes:
+        calls: Metered calls.
+        txns: Whether the cost grows with the requests.
+    """
 
     calls: int
     txns: bool
@@ -173,10 +178,11 @@
 
 
 class ControlMeter(NullMeter):
-    """Counts what each purpose cost.
+    """Counts the cost of each purpose.
 
-    Seconds are those of `steady_ns`, from the meter's start on. A highest cost is that of one such second, so
-    that bytes which fall on both sides of its end may be twice as many within one second of another clock.
+    Seconds are counted by `steady_ns` from the meter's start on. The highest cost is that of one such second.
+    A burst across the end of a second is split, so any other interval of one second may have up to twice as
+    much.
 
     Args:
         thread_ns: Processor time of this thread, nanoseconds.
@@ -200,13 +206,11 @@
         self.started_ns = steady_ns()
         self.second = 0
         self.second_ended: Callable[[], None] = _ignore
-        # A frame for each metered call that has not returned: its purpose, and the time that calls in it
-        # took.
+        # One entry for each metered call that has not returned: its purpose, and the time taken by metered
+        # calls within it.
         self._purposes: list[Purpose] = []
         self._nested_ns: list[int] = []
 
-    # Bytes.
-
     def came(self, purpose: Purpose, size: int) -> None:
         """Count bytes that were received."""
         self._add(purpose, 0, size, 0)
@@ -226,28 +230,26 @@
         if purpose not in REQUEST_PURPOSES:
             self.all.add(ns, bytes_in, bytes_out)
 
-    # Time.
-
     def runs(self, purpose: Purpose, call: Callable[[], T]) -> T:
-        """Make the call, count its time less what is metered within it, and return its result."""
+        """Make the call, count its time without that of metered calls in it, and return its result."""
         self._nested_ns.append(0)
         self._purposes.append(purpose)
         started_ns = self.thread_ns()
         try:
             return call()
         finally:
-            took_ns = self.thread_ns() - started_ns
+            elapsed_ns = self.thread_ns() - started_ns
             nested_ns = self._nested_ns.pop()
             self._purposes.pop()
             if self._nested_ns:
-                self._nested_ns[-1] += took_ns
+                self._nested_ns[-1] += elapsed_ns
             self.spent[purpose].calls += 1
-            self._add(purpose, max(0, took_ns - nested_ns), 0, 0)
+            self._add(purpose, max(0, elapsed_ns - nested_ns), 0, 0)
 
     async def steps(self, purpose: Purpose, work: Awaitable[T], after: Callable[[], None] = _ignore) -> T:
         """Await a coroutine and meter each of its steps, from one wait to the next.
 
-        What is thrown into it, such as its cancellation, reaches the coroutine.
+        An exception that is thrown into the wrapper, such as a cancellation, reaches the coroutine.
 
         Args:
             purpose: What the steps count for.
@@ -264,11 +266,9 @@
         """Return the purposes that a budget limits, with their costs."""
         return [(purpose, cost) for purpose, cost in self.spent.items() if purpose not in REQUEST_PURPOSES]
 
-    # The view of operators.
-
     def view(self) -> MeterView:
-        """Return the cost since the start: of all, and of each purpose that cost anything."""
-        self._add("list", 0, 0, 0)  # so that a second that has ended counts
+        """Return the total cost since the start, and that of each purpose whose cost is not zero."""
+        self._add("list", 0, 0, 0)  # closes a second that has ended
         seconds = max(MIN_SECONDS, (self.steady_ns() - self.started_ns) / 1e9)
         return {
             "seconds": round(seconds, 3),
@@ -305,8 +305,7 @@
             except GeneratorExit:
                 inner.close()
                 raise
-            except BaseException as error:  # noqa: BLE001  # thrown into the wrapper, meant for the inner one
-                # Whatever is thrown in is meant for the inner coroutine.
+            except BaseException as error:  # noqa: BLE001  # passed on to the inner coroutine
                 step = partial(inner.throw, error)
             else:
                 step = partial(inner.send, sent)
