--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -99,7 +99,8 @@
 class MessageDecoder:
     """Decodes messages by the configured names of schemes, customers, zones and machine kinds.
 
-    A new configuration makes a new instance (`with_changes`); the old one still decodes by the names as they were.
+    A new configuration makes a new instance (`with_changes`); the old one still decodes by the names as they
+    were.
     """
 
     def __init__(self, values: dict[str, Any], config: SchedulerConfig) -> None:
