--- a/pathsaddle/control_metrics.py
+++ b/pathsaddle/control_metrics.py
@@ -192,7 +192,7 @@
         spent: The cost by purpose.
         all: The cost of all purposes that a budget limits.
         second: The number of the current second, from 0.
-        second_ended: Called when a second has ended, in the first count of a later one.
+        second_ended: Called once a second has ended, when the first cost of a later second is counted.
     """
 
     def __init__(
--- a/pathsaddle/drill/stand.py
+++ b/pathsaddle/drill/stand.py
@@ -173,7 +173,7 @@
         call_scheduler(self.driver.on_list_update, codec.LIST_UPDATES[parts[2]], listed)
 
     def ignore(self, parts: list[str]) -> None:
-        """Ignore an event of streams or of peers: no scheme streams here, and dispatchers share nothing."""
+        """Ignore an event about streams or peers, as no scheme streams here and dispatchers share nothing."""
 
     def finish_batch(self) -> None:
         """Resume the txns that are due, and forget closed txns once there are many."""
@@ -208,7 +208,7 @@
         self.instances: dict[str, DispatcherInstance] = {}
         self.reply_lines: list[str] = []
         self.now = 0
-        # Those with events in this batch, in the order of the first: a set would not keep it.
+        # Instances with events in this batch, in the order of their first event, which a set would not keep.
         self.active_instances: dict[str, None] = {}
 
     def run(self) -> None:
@@ -308,7 +308,10 @@
         self._guard(number, lambda: action(instance))
 
     def _guard(self, number: str, action: Callable[[], None]) -> None:
-        """Report an exception of the scheduler to the bench, which ends the run, instead of a wrong reply."""
+        """Run `action`; report an exception of the scheduler in the reply instead of a wrong reply.
+
+        The bench ends the run when it reads the report.
+        """
         try:
             action()
         except SchedulerCallError as error:
--- a/pathsaddle/emulator/hollow/gangs.py
+++ b/pathsaddle/emulator/hollow/gangs.py
@@ -2,7 +2,7 @@
 
 Emulated: the program's own dispatchers on the virtual ground, with emulated workers, clients and list, in
 virtual time. The program carries no set over several workers: a txn has one worker at a time (`trade.Post`),
-and its slots are held against what one worker has (`Choice.need`). So a set can only come in one of two
+and its slots are held against what one worker has (`Scheduler.required_slots`). So a set can only come in one of two
 forms, and both are measured:
 
 - "one": one txn of so many slots, which one worker must have free at once;
--- a/pathsaddle/emulator/hollow/scan.py
+++ b/pathsaddle/emulator/hollow/scan.py
@@ -1,6 +1,6 @@
-"""Choice alone against workers: what a decision, a list and a change of it cost, with no socket around it.
+"""The Scheduler alone against workers: what a decision, a list and a change of it cost, with no socket around it.
 
-The program's own Loop, Choice and list parser run in this process, on virtual time. Around them stand a hollow door
+The program's own SchedulerDriver, Scheduler and list parser run in this process, on virtual time. Around them stand a hollow door
 and hollow workers: each posting is taken at once, runs for the time that it was hinted at and settles with a report.
 The path of events is the same for a seed, so counts do not depend on the machine; times are processor time of this
 thread, spent inside of the program's calls alone.
--- a/pathsaddle/emulator/hollow/starts.py
+++ b/pathsaddle/emulator/hollow/starts.py
@@ -23,7 +23,7 @@
 
 class Setting(msgspec.Struct, forbid_unknown_fields=True):
     """load: the work that comes, as a part of what all slots can do.
-    gate: whether each Choice has the overload gate beside it (`emulator.overload.gated`).
+    gate: whether each Scheduler has the overload gate beside it (`emulator.overload.gated`).
     zone_lost: whether all workers of one zone of four die at a third of the play, and come back cold after
         another.
     run: mean running time of a job, seconds. Urgent ones run as long as others.
--- a/pathsaddle/emulator/hollow/teams.py
+++ b/pathsaddle/emulator/hollow/teams.py
@@ -463,7 +463,7 @@
 
 
 def granted(door: HollowDoor) -> float:
-    """What part of a team's share this dispatcher takes to be its own to grant, as `Choice.appraise` has it."""
+    """What part of a team's share this dispatcher takes to be its own to grant, as `Scheduler.register_txn` has it."""
     return 1.15 * door.loop.scheduler.traffic_share
 
 
--- a/pathsaddle/emulator/overload/gated.py
+++ b/pathsaddle/emulator/overload/gated.py
@@ -1,4 +1,4 @@
-"""The gates of all dispatchers of one play on the virtual ground, each beside its Choice, with their mail among them.
+"""The gates of all dispatchers of one play on the virtual ground, each beside its Scheduler, with their mail among them.
 
 Records and loans go among them in this process, late by LATE and never lost: what is played here is the gate beside
 the real mechanism; troubles between members are `ground`'s and `processes`'.
@@ -36,7 +36,7 @@
 
 
 class Told(SchedulerAdmissionGate):
-    """Beside a Choice, with its mail."""
+    """Beside a Scheduler, with its mail."""
 
     def __init__(self, core: OverloadGate, limiter: QuotaLimiter, mail: Mail) -> None:
         super().__init__(core)
@@ -83,7 +83,7 @@
 
 @contextlib.contextmanager
 def gated(rate: float) -> Iterator[None]:
-    """While it holds, each Choice that is made has a gate. rate: txns a second that can be served, which budgets are
+    """While it holds, each Scheduler that is made has a gate. rate: txns a second that can be served, which budgets are
     parts of: repeats a fifth, trials a twentieth, looks as many as six a txn, since they come by threes.
     """
     mail, begin = Mail(), Scheduler.__init__
--- a/pathsaddle/emulator/overload/ground.py
+++ b/pathsaddle/emulator/overload/ground.py
@@ -1,7 +1,7 @@
 """Members, workers and clients on a ground of their own, small enough for two hundred members in seconds.
 
 The decisions under test are the program's (`pathsaddle.fleet.overload`, `fleet.quota.leases`); where a txn
-goes is plain here: the room that is believed, with looks, holding the dearest first, as `Choice` does in more
+goes is plain here: the room that is believed, with looks, holding the dearest first, as `Scheduler` does in more
 words. Everything that peers see is an event; the judge reads nothing else. One seeded generator for each
 part, so that the same clients come whatever the policy.
 """
@@ -94,7 +94,7 @@
         self.shut = [0] * count
         self.failed = [0] * count
         self.usual = 1.0
-        self.purse = 10.0  # looks, as Choice's probes: so many for each txn that comes
+        self.purse = 10.0  # looks, as the Scheduler's probes: so many for each txn that comes
         self.held: list[tuple[float, int, Try]] = []
         self.poking = False
         self.alive, self.stalled = True, False
--- a/pathsaddle/emulator/served/clients.py
+++ b/pathsaddle/emulator/served/clients.py
@@ -278,7 +278,7 @@
             )
 
     def target_of(self, wish: Wish) -> str:
-        """Each job is about something of its own: it has its own keepers among the workers (`Choice.keepers`)."""
+        """Each job is about something of its own: it has its own keepers among the workers (`Scheduler.key_workers`)."""
         return f"/{wish.scheme.name}?k={wish.number}"
 
     async def _call(
--- a/pathsaddle/jobs/admission.py
+++ b/pathsaddle/jobs/admission.py
@@ -50,7 +50,7 @@
         """Answer 202 and the job's id once it is on disk; under the same key with the same job.
 
         Raises:
-            Broken: No idempotency key (400), the key is another job's (409), the call is no request (400,
+            HttpError: No idempotency key (400), the key is another job's (409), the call is no request (400,
                 404), or the store cannot be read (503).
         """
         key, owner, digest = idempotency_key_of(call), owner_of(call), digest_of(call)
@@ -84,7 +84,7 @@
             Its request in the ledger; None where it is rejected at once.
 
         Raises:
-            Broken: The call is no request, its id is not new (409), or the store cannot be read (503).
+            HttpError: The call is no request, its id is not new (409), or the store cannot be read (503).
         """
         reason = self._refusal_reason()
         if reason is not None:
--- a/pathsaddle/jobs/cancellation.py
+++ b/pathsaddle/jobs/cancellation.py
@@ -35,7 +35,7 @@
         """Answer a wish to cancel with the job as it is then; a job that has ended stays as it is.
 
         Raises:
-            Broken: There is no such job of this tenant, or the store cannot be read.
+            HttpError: There is no such job of this tenant, or the store cannot be read.
         """
         if not self._host.is_recovered:
             send_refusal(answer, "recovering", RETRY_WHILE_RECOVERING)
--- a/pathsaddle/jobs/job_service.py
+++ b/pathsaddle/jobs/job_service.py
@@ -1,7 +1,7 @@
 """The request service with a store behind it: each step is on disk before the next byte leaves.
 
 It takes the place of the plain `TxnService` where the configuration has a `[jobs]` table. What may follow for
-a job is told by `state_machine`, which knows no I/O; what is sent, and to whom, is decided by `Choice` as
+a job is told by `state_machine`, which knows no I/O; what is sent, and to whom, is decided by `Scheduler` as
 without a store. While the store cannot be written new jobs are rejected at once with the reason, what is open
 goes on, and the log says so.
 
@@ -141,7 +141,7 @@
         """Serve a client's call; None where no request hangs on its connection.
 
         Raises:
-            Broken: The call cannot be served; its status is the answer.
+            HttpError: The call cannot be served; its status is the answer.
         """
         if not call.target.startswith(JOBS_PATH):
             return self._admission.take_call(call, answer)
--- a/pathsaddle/jobs/polling.py
+++ b/pathsaddle/jobs/polling.py
@@ -36,7 +36,7 @@
     """Return what the query of a call says.
 
     Raises:
-        Broken: `wait_ms` or `since` is no number (400).
+        HttpError: `wait_ms` or `since` is no number (400).
     """
     query = call.target.partition(b"?")[2].decode("latin-1")
     fields = dict(part.split("=", 1) for part in query.split("&") if "=" in part)
@@ -51,7 +51,7 @@
     """Return the job that a call is about.
 
     Raises:
-        Broken: There is none, or it is another tenant's (404), or the store cannot be read (503).
+        HttpError: There is none, or it is another tenant's (404), or the store cannot be read (503).
     """
     job = registry.find(job_id_of(call))
     if job is None or owner_of(call) != job.record.owner:
@@ -71,7 +71,7 @@
         """Answer a status request; one with `wait_ms` waits until the changes are past its `since`.
 
         Raises:
-            Broken: There is no such job of this tenant, or the query is malformed.
+            HttpError: There is no such job of this tenant, or the query is malformed.
         """
         if not self._host.is_recovered:
             send_refusal(answer, "recovering", RETRY_WHILE_RECOVERING)
--- a/pathsaddle/jobs/recovery.py
+++ b/pathsaddle/jobs/recovery.py
@@ -129,7 +129,7 @@
         """Ask about each lease of a job in doubt; the workers' reports become the states of its attempts.
 
         Raises:
-            Broken, ValueError: By today's settings its call is no request any more.
+            HttpError, ValueError: By today's settings its call is no request any more.
         """
         machine = job.machine
         if machine.is_cancel_requested:
--- a/pathsaddle/jobs/registry.py
+++ b/pathsaddle/jobs/registry.py
@@ -100,7 +100,7 @@
         """Return a job from memory or, where it has ended, from disk.
 
         Raises:
-            Broken: The store cannot be read (503).
+            HttpError: The store cannot be read (503).
         """
         return self.jobs.get(job_id) or self._find_on_disk(job_id)
 
@@ -110,7 +110,7 @@
         One that has not ended is in memory, or its acceptance failed.
 
         Raises:
-            Broken: The store cannot be read (503).
+            HttpError: The store cannot be read (503).
         """
         if not self.on_disk_count:
             return None
@@ -124,7 +124,7 @@
         """Whether the store holds a job that is not in memory.
 
         Raises:
-            Broken: The store cannot be read (503).
+            HttpError: The store cannot be read (503).
         """
         try:
             return bool(self.on_disk_count) and self._store.contains(job_id)
--- a/pathsaddle/jobs/run_queue.py
+++ b/pathsaddle/jobs/run_queue.py
@@ -84,7 +84,7 @@
         """Make a request of a job's stored call and open it in the ledger.
 
         Raises:
-            Broken, ValueError: By today's settings the call is no request any more.
+            HttpError, ValueError: By today's settings the call is no request any more.
         """
         call = decode_call(job.record.call)
         request = (job.request_parser or self._host.words).decode_txn(call, self._host.clock.now())
--- a/pathsaddle/jobs/submitted_call.py
+++ b/pathsaddle/jobs/submitted_call.py
@@ -52,7 +52,7 @@
     """Return the key under which the client may submit the same job again.
 
     Raises:
-        Broken: The call has no key, or none that may be one.
+        HttpError: The call has no key, or none that may be one.
     """
     key = call.text(b"idempotency-key")
     if key is None or not IDEMPOTENCY_KEY.fullmatch(key):
--- a/pathsaddle/leased_versions.py
+++ b/pathsaddle/leased_versions.py
@@ -6,12 +6,13 @@
 drifts by more than MAX_CLOCK_DRIFT.
 
 The register supplies a number that only grows and the digest of the version's text. A member that uses
-rights beyond its home region holds a lease. A server grants the lease by a reading of the register that
-began after the member's request, and the lease counts from before that request, by a clock that is assumed
-to be slow. Hence, once a number is committed, every lease on a lower number has ended after
-`certain_lease_end` of a lease, whichever process dies. No server has to remember the leases that it
-granted, so several servers may run at once. A proposal that is not committed yet narrows the rights at once
-and grants none. A relaxation therefore waits for its commit, and a tightening does not.
+rights beyond its home region holds a lease. Before a server grants the lease, it reads the register, and
+this reading begins after the member's request has arrived. The member counts the lease from the time when it
+sent the request, and assumes that its clock is slow. Hence every lease on a lower number has ended
+`certain_lease_end(lease)` ticks after a number is committed, whichever process dies. No server has to
+remember the leases that it granted, so several servers may run at once. A proposal that is not committed yet
+narrows the rights at once and grants none. A relaxation therefore waits for its commit, and a tightening
+does not.
 
 A version is in force before the leases end if every member that could act on an older one has acknowledged
 that it has the version *committed*. An acknowledgement of the mere proposal would prove nothing: its sender
@@ -44,12 +45,12 @@
 
 
 def certain_lease_end(lease: int) -> int:
-    """Return the ticks of a clock that may be fast after which a lease has certainly ended."""
+    """Return after how many ticks a lease has certainly ended, by a clock that may be fast."""
     return -int(-lease * (1 + MAX_CLOCK_DRIFT) // 1) + 1
 
 
 def safe_lease_ticks(lease: int) -> int:
-    """Return the ticks of a clock that may be slow within which a lease has certainly not ended."""
+    """Return for how many ticks a lease has certainly not ended, by a clock that may be slow."""
     return int(lease * (1 - 2 * MAX_CLOCK_DRIFT)) - 1
 
 
@@ -63,7 +64,10 @@
         """Return whether the member `name` may hold a lease in the region `here`."""
 
     def withdrawn(self, new: Any, here: str) -> bool:
-        """Return whether a member in `here` that receives nothing would do what `new` forbids."""
+        """Return whether this version allows, without a lease, something that `new` forbids.
+
+        That is what a member in the region `here` that receives no messages would go on doing.
+        """
 
 
 class SupportsNarrowed(Protocol):
@@ -188,8 +192,8 @@
 
     def committed(self, number: int, digest: str) -> VersionSubscriber[T]:
         """Record that a number is committed, and drop the proposals up to it."""
-        # The number of `known` may come with another digest: the member was started with another version
-        # than the committed one.
+        # The number may equal that of `known` and the digest may differ: then the member was started with
+        # another version under this number than the committed one.
         if number < self.known[0] or (number, digest) == self.known:
             return self
         base = next((one for one in self.offers if (one.number, one.digest) == (number, digest)), self.base)
@@ -290,7 +294,7 @@
         since: When it first read of the highest one.
         rows: Each member with the highest number that it has acknowledged.
         force: The highest number that was reported to be in force.
-        gone: Members of which the operator states that they never start again with the disk that they had.
+        gone: Members that never start again with their old disk, as the operator has stated.
         begins: The lowest number that `history` is to hold.
         cleared: A number that this server proved to be in force and whose spec it still has; 0 if none.
         learnt: Each number with the time when the server first knew of it or of a higher one.
@@ -342,8 +346,8 @@
     def waits_for(self, now: int) -> tuple[str, ...]:
         """Return the members for which the highest version waits before it is in force.
 
-        Each of them acked to acknowledge it, or its lease acked to end. The result is ("?",) if this server
-        does not know all versions that a member may act by.
+        Each of them has to acknowledge the version, or its lease has to end. The result is ("?",) if this
+        server does not know all versions that a member may act by.
         """
         number = self.known[0]
         if not self.history or (self.history[-1].number, self.history[-1].digest) != self.known:
@@ -362,7 +366,8 @@
             if acked >= number or name in self.gone:
                 continue
             acked = max(acked, self.cleared)
-            # The history does not show which version a member acts by that acknowledged less than its begin.
+            # If a member has acknowledged no number from `begins` on, the history does not show by which
+            # version it acts.
             if not expired or (acked < self.begins > 1) or acked <= _last_withdrawn(self.history, here):
                 missing.append(name)
         return tuple(missing)
@@ -425,10 +430,11 @@
     def cut(self, most: int) -> VersionServer[T]:
         """Drop the versions below the one in force, and keep at most the latest `most` of the rest.
 
-        This is sound only under two conditions. `withdrawn` is the complement of an order, and so
-        transitive. The federation's is not: the next version may allow a member without a lease what an
-        older one allows, and a later version may forbid it, although it forbids nothing of the next one.
-        And a spec leaves out no member that may still act by an older version.
+        This is sound only under two conditions. First, the relation "not `withdrawn`" is an order, and so
+        transitive. That of the federation is not: the next version may allow only with a lease what an
+        older one allows without, and a later version may forbid it, although it forbids nothing that the
+        next one allows without a lease. Second, a spec leaves out no member that may still act by an older
+        version.
 
         Proof: let f be in force by this server's own proof, and let n be later. A member that had not
         acknowledged f at that time had no lease on a lower number and never gets one again, and f forbids
@@ -454,9 +460,9 @@
 
 @lru_cache(64)
 def _last_withdrawn(history: tuple[Version[Any], ...], here: str) -> int:
-    """Return the highest number that lets a member in `here` without messages do what the last forbids.
+    """Return the highest number whose spec has rights withdrawn by the last version, or -1 if there is none.
 
-    The result is -1 if there is none.
+    `VersionContent.withdrawn` decides this, for a member in the region `here` that receives no messages.
     """
     new = history[-1].spec
     return next((one.number for one in history[-2::-1] if one.spec.withdrawn(new, here)), -1)
--- a/pathsaddle/net/memory/links.py
+++ b/pathsaddle/net/memory/links.py
@@ -146,9 +146,10 @@
         return self.count < self.max_links or not pool.count
 
     def put_back(self, pool: WorkerPool[L], link: L, now: int) -> None:
-        """Return a link to its pool after a call.
+        """Return a link to its pool after a call, or close it if it is no longer sound.
 
-        Bytes that are unread by now are left to its reader: `take` checks for them, and one check is enough.
+        Bytes that are unread by now are left to the link's reader. This method does not check for them:
+        `acquire` does so before the next call, and one check is enough.
         """
         if link.is_sound:
             link.idle_since = now
@@ -184,14 +185,20 @@
             link.end(code)
 
     def remove_worker(self, worker: str) -> None:
-        """Close the idle links to a worker that gets no more calls, and release its share of the limit."""
+        """Close the idle links to a worker that gets no more calls, and release its share of the limit.
+
+        The pool, and with it the share, stays while links are in use or calls wait for one.
+        """
         self.close_idle(worker, "worker-gone")
         pool = self.pools.get(worker)
         if pool is not None and not pool.used_count and not pool.waiters:
             del self.pools[worker]
 
     async def wait_for_link(self, pool: WorkerPool[L]) -> None:
-        """Wait until a link of the pool is free; a waiter that is woken but cancelled wakes the next one."""
+        """Wait until a slot of the pool is released; the caller must then try again to get a link.
+
+        A waiter that is cancelled after it was woken wakes the next one, so that no wake-up is lost.
+        """
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         pool.waiters.append(waiter)
         try:
@@ -209,7 +216,7 @@
                 return
 
     def close_oldest(self) -> None:
-        """Close the link of all workers that has been idle for the longest, if any is idle."""
+        """Close the link that has been idle for about the longest over all pools, if any link is idle."""
         pool = min(
             (pool for pool in self.pools.values() if pool.ready or pool.cooling),
             key=lambda pool: (pool.ready or pool.cooling)[0].idle_since,
--- a/pathsaddle/net/service/discovery.py
+++ b/pathsaddle/net/service/discovery.py
@@ -15,10 +15,11 @@
 from pathsaddle.scheduler_types import LIST_SILENCE_TIMEOUT, SECOND, ListUpdate
 
 CONNECT_TIMEOUT = SECOND
-# From the start of a call, connecting included, to its first line. Discovery refuses a call sooner than this.
-# Two calls that hang, with the delay between them, end before the list that is held expires.
+# The longest time from the start of a call, connecting included, to its first line. If discovery refuses a
+# call, it does so earlier than this. Two successive calls that hang, with the delay between them, end before
+# the current list expires.
 FIRST = 13 * SECOND // 5
-READ_SIZE_BYTES = 64 * 1024  # per read from the socket of a watch that ends
+READ_SIZE_BYTES = 64 * 1024  # the most that one read in `drain_socket` returns
 
 
 class WatchConnection:
@@ -52,7 +53,7 @@
         """Parse `data` and apply the lines that it completes.
 
         Raises:
-            Broken: The bytes are not valid HTTP.
+            HttpError: The bytes are not valid HTTP.
         """
         try:
             if self.http.feed(data) is not None:
@@ -65,7 +66,8 @@
 
     def _apply_lines(self) -> None:
         for record in self.http.records():
-            # With no list held, a heartbeat before the first line does not stand for the whole list.
+            # A heartbeat says that nothing has changed. If the call asks for the whole list (index 0), a
+            # heartbeat before the first line therefore says nothing, and it does not count.
             if self.line_count or self.requested_index or record.strip():
                 self.line_count, self.last_line_at = self.line_count + 1, asyncio.get_running_loop().time()
             if record.strip():
@@ -78,8 +80,9 @@
     def drain_socket(self) -> bool:
         """Parse everything that has arrived, and return whether a line was among it.
 
-        This includes bytes that the kernel has already copied to the ring for a reader that has not resumed
-        and, when the watch ends, never will. The read is bounded in case the peer keeps sending.
+        This includes bytes that are already in the ring, but whose reader, `_receive_updates`, has not
+        resumed yet; if the watch is being stopped, it never will. The amount read is bounded in case the peer
+        keeps sending.
         """
         received, lines_before = 0, self.line_count
         if self.sock.received_bytes > self.parsed_bytes:
@@ -125,8 +128,9 @@
     def catch_up(self) -> None:
         """Apply the updates that have arrived, before a posting is sent.
 
-        An update counts as received once discovery has written it. After the process has been stopped for a
-        while, updates lie in the socket, and a posting that was decided earlier may resume before the watch.
+        An update counts as received once discovery has written it. If the process was stopped for a while,
+        unread updates wait in the socket, and the task of a posting that was decided earlier may resume
+        before the task of the watch.
         """
         watch = self._watch
         if watch is not None and (
@@ -135,7 +139,7 @@
             try:
                 watch.drain_socket()
             except HttpError as fault:
-                logbook.no_list(why=fault)  # the reader meets the same parser and ends the watch
+                logbook.no_list(why=fault)  # the reader feeds the same parser and ends the watch
                 watch.end_code = "malformed"
 
     def move(self, address: str) -> None:
@@ -207,9 +211,9 @@
                 if sock.received_bytes > watch.parsed_bytes:  # else drain_socket has parsed them
                     watch.receive(sock.received_bytes - watch.parsed_bytes)
             except TimeoutError:
-                # After the process has been stopped for a while, the timeout fires before the bytes that
-                # have arrived are read. A server that is cut off falls silent; the scheduler still counts
-                # its later updates as received.
+                # If the process was stopped for a while, the timeout fires before the loop has read the
+                # bytes that have arrived, so read them first. A server that is cut off falls silent; the
+                # scheduler still counts its later updates as received.
                 if not watch.drain_socket() and watch.line_count == lines:
                     return watch.end_code or ("silent" if watch.http.status else "unanswered")
         return watch.end_code
--- a/pathsaddle/net/service/front.py
+++ b/pathsaddle/net/service/front.py
@@ -20,14 +20,14 @@
 
 LISTEN_BACKLOG = 1024
 WRITE_TIMEOUT = 10 * SECOND  # for a peer to read what is written to it
-MAX_UNREAD_ANSWER_BYTES = 16 * 1024  # of unread answers; beyond it no further request of the peer is handled
+MAX_UNREAD_ANSWER_BYTES = 16 * 1024  # per connection; at this size the peer's further requests wait
 REQUEST_TIMEOUT = 5 * SECOND // 2  # for a complete request, from the accept or its first byte
 LINGER_IDLE_TIMEOUT = SECOND  # of silence, after which a lingering peer is taken to have read its answer
 LINGER_TIMEOUT = 5 * SECOND  # in which a lingering connection reads and discards input
 SHUTDOWN_LINGER_TIMEOUT = 100 * MILLISECOND  # the same during the shutdown
 FIRST_BYTE_TIMEOUT = SECOND // 5  # for a new connection's first bytes; it is not evicted earlier
 CATCH_UP_DELAY = 10 * MILLISECOND  # for the reading task to catch up after a stall of the process
-# An accept fails because the process or the machine is out of descriptors or memory.
+# Accept errors which mean that the process or the machine is out of descriptors or memory.
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # An accept fails because of that connection alone; the next accept may succeed.
 CONNECTION_ERRNOS = (errno.ECONNABORTED, errno.EPROTO)
@@ -54,7 +54,7 @@
         self.front = front
         self.sock = sock
         self.peer = peer
-        self.read_bytes = 0  # bytes that the reading task has seen, of those in `sock.taken`
+        self.read_bytes = 0  # how many of the bytes in `sock.received_bytes` the reading task has seen
         self.machine = ServerProtocol()
         self.input, self.output = Ring(), Ring()
         self.entry: Entry | None = None  # the txn whose answer the client waits for
@@ -91,17 +91,18 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether input is waiting that has not been read; closing the connection would lose it.
+        """Whether unread input is waiting, which closing the connection would lose.
 
-        Without such input an idle connection is closed at once, without lingering: no answer is in transit,
-        and a request that crosses the close is reset unread, which tells its client that it was not taken.
+        Without such input an idle connection is closed at once, without lingering, since no answer is in
+        transit. A request that arrives after the close is reset unread, which tells its client that the
+        request was not taken.
         """
         return self.has_unseen or self.sock.has_unread_input()
 
     def is_awaiting_first_request(self, now: int) -> bool:
         """Return whether the connection is so new that its first request may still be in transit.
 
-        Closing it unanswered would cost the client as much as closing one that carries a request.
+        Closing it without an answer would harm the client as much as closing one that carries a request.
         """
         return not self.calls and self.lingers_since is None and now - self.last_read_at < FIRST_BYTE_TIMEOUT
 
@@ -280,8 +281,8 @@
             self.began_at is not None and now - self.began_at >= REQUEST_TIMEOUT and not self.machine.is_busy
         ):
             if self.has_unread_input:
-                # The process stalled, not the peer. One short delay only: a peer that trickles bytes must not
-                # extend it.
+                # The input has arrived but is unread, so this process stalled, not the peer. The peer gets
+                # one short delay only; otherwise it could extend the limit by trickling bytes.
                 self._events.call_later(seconds(CATCH_UP_DELAY), self._time_out_request, self.began_at)
             else:
                 self._time_out_request(self.began_at)
@@ -296,7 +297,7 @@
             self.end("silent")
 
     def eviction_priority(self, now: int) -> int:
-        """Return the eviction priority: 0 for never, else higher values first."""
+        """Return the eviction priority: 0 means never, and higher values are evicted first."""
         machine = self.machine
         if machine.is_busy or self.output:
             return 0
@@ -376,7 +377,8 @@
                 code = fault.errno or 0 if isinstance(fault, OSError) else 0
                 self.counters.add(f"accept.{errno.errorcode.get(code, 'error').lower()}")
                 logbook.accept_failed(why=fault)
-                # A peer that left before the accept costs no other peer its connection.
+                # Evict only if resources are short: a peer that left before its accept must cost no other
+                # peer its connection.
                 if code in RESOURCE_ERRNOS and not self.evict_connection():
                     self.service.workers.links.close_oldest()
                 if code not in CONNECTION_ERRNOS:
@@ -420,9 +422,11 @@
     def evict_connection(self) -> bool:
         """Evict one connection and return whether there was one to evict.
 
-        Lingering connections go first. While there are connections without a txn or callback, only those are
-        candidates, by priority; the caller retries if none is evictable yet. Otherwise hundreds of them would
-        push out the idle connections of all regular peers, which go last, the longest idle first.
+        Lingering connections go first, then unproven ones, which have carried no txn or callback yet. As long
+        as there is an unproven connection, no idle proven one is evicted, even if no unproven one is
+        evictable yet; the accept loop then retries. Otherwise hundreds of unproven connections would push
+        out the idle connections of all regular peers. Within each group, the highest priority goes first; of
+        equal priorities, the connection that has been idle for the longest.
         """
         now = self.clock.now()
         lingering = [
@@ -445,9 +449,10 @@
     def ensure_free_descriptor(self) -> bool:
         """Return whether a worker connection can have a descriptor; evict an idle client if necessary.
 
-        The first connection to each worker is allowed beyond `links.most`. Without this check, those and the
-        clients' connections together could exceed the descriptors. An evicted one is returned to the kernel
-        one event loop iteration later; until then the reserve (`SPARE` in start.py) covers it.
+        The first connection to each worker is allowed beyond `links.max_links`. Without this check, those
+        connections and the clients' together could exceed the descriptor limit. The descriptor of an evicted
+        connection is returned to the kernel one event loop iteration later; until then the reserve
+        (`SPARE_DESCRIPTORS` in start.py) covers it.
         """
         if self.service.workers.links.count + len(self.connections) >= self.descriptor_limit:
             self.evict_connection()
@@ -490,7 +495,7 @@
         is_kernel_socket = isinstance(self.sock, socket.socket)
         if is_kernel_socket:
             asyncio.get_running_loop().remove_reader(self.sock)
-        for _ in range(2):  # set up a connection accepted in this event loop iteration first
+        for _ in range(2):  # let `_accept` first set up a connection that it has just accepted
             await asyncio.sleep(0)
         self._accepting.cancel()
         try:
@@ -512,7 +517,10 @@
         )
 
     def close_idle_connections(self) -> bool:
-        """Close idle connections and return whether no client or worker waits for an answer any more."""
+        """Close idle client connections; return whether only worker connections with nothing pending remain.
+
+        No client or worker waits for an answer any more then.
+        """
         now = self.clock.now()
         for connection in list(self.connections):
             if connection.lingers_since is not None:
--- a/pathsaddle/net/service/pump.py
+++ b/pathsaddle/net/service/pump.py
@@ -20,8 +20,8 @@
     transferred; the counters tell it.
 
     Attributes:
-        given: The number of bytes that the kernel has accepted for sending.
-        taken: The number of bytes received from the peer, whether or not their reader has resumed.
+        sent_bytes: The number of bytes that the kernel has accepted for sending.
+        received_bytes: The number of bytes received from the peer, whether or not their reader has resumed.
     """
 
     __slots__ = ("received_bytes", "sent_bytes")
--- a/pathsaddle/net/service/start.py
+++ b/pathsaddle/net/service/start.py
@@ -24,9 +24,9 @@
 CONNECTION_MB = 0.02  # memory of one connection, its tasks included
 MIN_CONNECTIONS, MIN_BODY_MB = 16, 1.0  # granted however little room there is
 SWEEP_INTERVAL = SECOND // 4  # between checks of the event loop's lag, of idle connections and of memory
-LAG_WARNING_THRESHOLD = 50 * MILLISECOND  # equals the margin that runs on sockets get on each limit
-COMING = SECOND // 2  # for so long after SIGTERM new connections are expected
-MAX_DRAIN_TIME = 3 * SECOND  # for open txns after SIGTERM; SIGKILL follows 0.7 s later
+LAG_WARNING_THRESHOLD = 50 * MILLISECOND  # equals the tolerance of runs on real sockets on each time limit
+COMING = SECOND // 2  # how long after SIGTERM clients are expected to open new connections
+MAX_DRAIN_TIME = 3 * SECOND  # after SIGTERM, for open txns; SIGKILL follows 0.7 s after its end
 LATE_TXN_TIME = 350 * MILLISECOND  # of those 0.7 s: for txns that arrive after SIGTERM
 FLUSH_TIME = 100 * MILLISECOND  # of those 0.7 s: for writing the last answers
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
@@ -55,7 +55,7 @@
         self.memory_mb = config.memory_mb
         # Descriptors that the event loop and the log have open already are counted as used.
         free = config.sockets - environment.descriptors() - SPARE_DESCRIPTORS
-        # Of the memory that is left a third goes to connections, a quarter to bodies, the rest to all else.
+        # Of the free memory, a third is for connections, a quarter for bodies, and the rest for all else.
         free_mb = max(0.0, 0.9 * config.memory_mb - environment.memory_mb())
         limits = ClientLimits(
             max(MIN_CONNECTIONS, int(min(free, free_mb / 3 / CONNECTION_MB))),
@@ -120,8 +120,9 @@
         started_at = self.clock.now()
         deadline = started_at + drain_time + LATE_TXN_TIME
         self.service.stop(deadline)
-        # Clients go on using their open connections, and there may be no other dispatcher for them: when
-        # they were closed at once, 4 in 10 txns of a zone with one dispatcher failed until the next started.
+        # Clients go on using their open connections, and there may be no other dispatcher for them. In an
+        # earlier version, which closed these connections at once, 4 in 10 txns of a zone with one dispatcher
+        # failed until the next dispatcher started.
         while self.clock.now() < started_at + drain_time and (
             self.clock.now() < started_at + COMING or self.front.is_in_use()
         ):
@@ -196,7 +197,7 @@
     Raises:
         Error: The configuration can't be used.
     """
-    # Before a configuration file is in use there is none to read again.
+    # SIGHUP asks to read the configuration file again. Until one is in use, there is nothing to read again.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         uvloop.run(serve(environment))
--- a/pathsaddle/net/service/txn_service.py
+++ b/pathsaddle/net/service/txn_service.py
@@ -38,7 +38,7 @@
 
 
 class PostingWithheldError(Exception):
-    """The reason to send a posting ended between its start and its first byte."""
+    """After its start and before its first byte, a posting lost the reason to be sent; it is not sent."""
 
 
 class TxnService:
@@ -124,7 +124,7 @@
 
         Args:
             txn: The txn to decline.
-            come_back: When the client may retry, for the Retry-After header.
+            come_back: The delay in ticks for the Retry-After header; 0 for no header.
             elsewhere: Whether the client should retry at another dispatcher; its connection is then closed.
         """
         self._answer(txn, "declined", 503, b"", forms.retry_after_header(come_back), keep=not elsewhere)
@@ -178,7 +178,7 @@
             without one.
 
         Raises:
-            Broken: The request is not a valid txn.
+            HttpError: The request is not a valid txn, or its id is not new.
         """
         self._at()
         txn = self.words.decode_txn(call, self.loop.now)
@@ -298,8 +298,9 @@
                 self.counters.add("posting.withheld")
                 raise PostingWithheldError
             exchange.has_begun, exchange.sending = True, sending
-            # The remaining time counts from the first byte. Counted from the start of the posting, the worker
-            # would keep working for the connect time longer than the client waits.
+            # The remaining time is computed at the first byte, since the worker counts it from the request's
+            # arrival. Computed at the start of the posting, it would let the worker keep working longer than
+            # the client waits, by the connect time.
             headers.extend(
                 forms.posting_headers(call, posting.sent_at + exchange.timeout_ticks - self.clock.now())
             )
@@ -330,7 +331,7 @@
             if exchange.is_accepted:
                 self._start(self._send_withdrawal(exchange))
             else:
-                self._abort_request(exchange)  # before `sent` is read: no byte is sent after this
+                self._abort_request(exchange)  # before `is_sent` is read: no byte is sent after this
             self._end(exchange, Outcome.TIMED_OUT if exchange.is_sent else Outcome.MOOT)
 
     def _abort_request(self, exchange: Exchange) -> None:
--- a/pathsaddle/net/service/workers.py
+++ b/pathsaddle/net/service/workers.py
@@ -39,7 +39,7 @@
 
     def __init__(self, sock: CountingSocket) -> None:
         self.sock = sock
-        self.end_offset: int | None = None  # `sock.given` after the last byte; None before the first byte
+        self.end_offset: int | None = None  # `sock.sent_bytes` after the last byte; None before the first
 
     @property
     def is_complete(self) -> bool:
@@ -70,7 +70,7 @@
         self._method = ""  # of the current request, or of the last one
         self._previous_was_probe = False  # the request before it was a probe
         self._has_stray_answer = False  # an answer arrived that was not for the current request
-        self._read_bytes = 0  # bytes that the reading task has seen, of those in `sock.taken`
+        self._read_bytes = 0  # how many of the bytes in `sock.received_bytes` the reading task has seen
         self._sending: RequestTransmission | None = None
         self._answer: asyncio.Future[Message] | None = None
         self._event_loop = asyncio.get_running_loop()
@@ -111,7 +111,7 @@
         """Wait for the answer to the request.
 
         Raises:
-            Lost: The connection ended before the answer.
+            ConnectionLostError: The connection ended before the answer.
         """
         assert self._answer is not None
         try:
@@ -162,8 +162,8 @@
             # run.
             self.end("worker-early")
         elif self.machine.has_extra_bytes or self.input:
-            # More bytes follow the answer. It is unclear which belong to the request, so a decline proves
-            # nothing.
+            # More bytes follow the answer, so it is unclear which answer belongs to the request. Only a 202
+            # is passed on: a decline would not prove that the request has not run.
             if self._answer is not None and not self._answer.done() and answer.status == 202:
                 self._answer.set_result(answer)
             self.end("worker-more")
@@ -175,7 +175,7 @@
         return not self.has_ended
 
     def end(self, code: str) -> None:
-        """Close the connection; a request without an answer fails with `Lost`.
+        """Close the connection; a request without an answer fails with `ConnectionLostError`.
 
         Args:
             code: The reason code, for the log and the counters.
@@ -184,7 +184,8 @@
             return
         self.has_ended = True
         if self._sending is not None and not self._sending.is_complete:
-            # The close comes later. A pending write must fail now, before it can send the last byte.
+            # The socket is closed only in a later event loop iteration. A pending write must fail now, before
+            # it can send the last byte.
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.counters.add(f"link_end.{code}")
@@ -193,7 +194,7 @@
         logbook.worker_end(code=code, peer=self.peer, calls=self.calls)
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(ConnectionLostError(code))
-            self._answer.exception()  # marks it as retrieved: a failed writer raises its own error
+            self._answer.exception()  # marks it as retrieved: a failed write raises its own error instead
         self._reader.cancel()
         # After the reader has released the descriptor; otherwise a new connection could reuse its number.
         self._event_loop.call_soon(self.sock.close)
@@ -250,8 +251,8 @@
                 request. Its argument tells later whether the last byte is written.
 
         Raises:
-            NeverSent: The request has not run.
-            Lost: The request may have run.
+            RequestNotSentError: The request has not run.
+            ConnectionLostError: The request may have run.
         """
         pool = self.links.pool(worker)
         link = await self._acquire_link(worker)
--- a/pathsaddle/net/wire/forms.py
+++ b/pathsaddle/net/wire/forms.py
@@ -30,7 +30,8 @@
 
 READY, CALLBACK = b"/ready", b"/callback"
 HEALTH, LOAD = b"/health", b"/status/load"
-# Headers of one connection, or set by the dispatcher; all others of a client are forwarded to the worker.
+# Headers that concern one connection only, or that the dispatcher sets itself. All other headers of a
+# client's request are forwarded to the worker.
 NOT_FORWARDED = (
     b"connection",
     b"content-length",
@@ -61,7 +62,7 @@
     state_name: str  # the name of the state, for the counters
     outcome: Outcome | None  # set if the posting has ended
     is_progress: bool  # a progress message of a posting that has not ended
-    has_started: bool  # the worker has begun to run the posting
+    has_started: bool  # this message says that the worker has just begun to run the posting
     progress: float  # the part of the work that is done, as the worker reports it
     result: bytes
     report: LoadReport | None
@@ -141,7 +142,7 @@
         updated = copy(self)
         updated.schemes = dict(self.schemes)
         if any(customer is None or name not in self.customers for name, customer in customers.items()):
-            updated.customers = dict(self.customers)  # of hundreds: not copied where only quotas change
+            updated.customers = dict(self.customers)  # hundreds of entries: no copy if only quotas change
         for name, scheme in schemes.items():
             old = updated.schemes.get(name)
             if scheme is None:
@@ -165,7 +166,11 @@
     # From clients.
 
     def decode_txn(self, call: Message, now: int) -> Txn:
-        """Decode a client's request; raises Broken with the status to answer."""
+        """Decode a client's request.
+
+        Raises:
+            HttpError: The request is not a valid txn; `status` is the status to answer with.
+        """
         tag, kind = call.text(b"req-id"), call.text(b"req-kind")
         path = call.target.partition(b"?")[0].lstrip(b"/").partition(b"/")[0].decode("latin-1")
         scheme = self.schemes.get(path)
@@ -204,7 +209,11 @@
     # From workers.
 
     def decode_callback(self, body: bytes) -> Callback:
-        """Decode the body of a worker's callback; raises Broken."""
+        """Decode the body of a worker's callback.
+
+        Raises:
+            HttpError: The body is not a valid callback.
+        """
         try:
             message = json.loads(body)
             result = message.get("result", "")
@@ -229,8 +238,8 @@
     def decode_report(self, load: Any) -> LoadReport | None:
         """Decode a load report, an object or name=value text; None if it is malformed or all zeros.
 
-        A worker reports zeros before its first measurement. Taken as a full worker, they caused half a second
-        of declines at each start.
+        A worker reports zeros before its first measurement. If they were taken to mean that the worker is
+        full, the dispatcher would decline txns for half a second at each start.
         """
         if isinstance(load, str):
             load = parse_pairs(load)
@@ -256,7 +265,14 @@
     # From discovery.
 
     def decode_list_line(self, line: bytes) -> tuple[int, ListUpdate, list[ListRow]]:
-        """Decode a record of the watch; raises Broken."""
+        """Decode a record from the watch, the stream of changes to the worker list.
+
+        Returns:
+            The index, the kind and the entries of the record, as `decode_list` returns them.
+
+        Raises:
+            HttpError: The record is malformed.
+        """
         try:
             record = json.loads(line)
             return self.decode_list(record)
@@ -315,13 +331,17 @@
         return None
     if answer.status in (503, 504) and answer.headers.get(b"srv-declined") == b"1":
         return Outcome.FULL
-    # Of the client errors, 408 and 429 concern the moment and not the request.
+    # Of the 4xx statuses, 408 and 429 describe a temporary condition and not a fault of the request.
     is_bad_request = 400 <= answer.status < 500 and answer.status not in (408, 429)
     return Outcome.UNUSABLE if is_bad_request else Outcome.ERROR
 
 
 def probe_target(reports: bool) -> bytes:
-    """Return the request target of a probe; `reports`: whether workers answer one with a load report."""
+    """Return the request target of a probe.
+
+    Args:
+        reports: Whether workers answer a probe with a load report.
+    """
     return LOAD if reports else HEALTH
 
 
--- a/pathsaddle/net/wire/http.py
+++ b/pathsaddle/net/wire/http.py
@@ -11,7 +11,7 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 MAX_RECORD_BYTES = 4 * 1024 * 1024  # bytes of a worker list of some twenty thousand workers
-MAX_RAW_BYTES = 8 * MAX_BODY_BYTES  # body with its framing, which small chunks multiply
+MAX_RAW_BYTES = 8 * MAX_BODY_BYTES  # head, body and chunk framing; many small chunks multiply the framing
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -30,12 +30,12 @@
     505: "HTTP Version Not Supported",
 }
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string, which never spans lines
-# A repeat of these, or of a `req-` header, is rejected: which of the two values counts would be a guess.
+# A request that repeats one of these or a `req-` header is rejected: it is unclear which value counts.
 SINGLE_HEADERS = (b"host", b"content-type")
 
 
 class HttpError(Exception):
-    """The received bytes are not valid HTTP or exceed a limit.
+    """A received message is rejected: it is malformed, exceeds a limit or cannot be served.
 
     `status` is the HTTP status to answer with.
     """
@@ -70,7 +70,7 @@
         self.messages: deque[Message] = deque()
         self.partial: Message | None = None  # the message that is being received
         self.has_head = False  # whether its head is complete
-        self.raw_bytes = 0  # its raw bytes so far; the parser buffers a line until it is complete
+        self.raw_bytes = 0  # its bytes so far, with those that httptools buffers until a line is complete
         self.head_bytes = 0
         self.body_bytes = 0
         self.chunks: list[bytes] = []
@@ -168,7 +168,11 @@
         self.held_bytes += len(chunk)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; raises Broken where a header that must be unique is repeated."""
+        """Add a header.
+
+        Raises:
+            HttpError: A header that must be unique is repeated, or the head exceeds its size limit.
+        """
         assert self.partial is not None
         lower = name.lower()
         is_repeated = not self.has_head and lower in self.partial.headers
@@ -177,15 +181,19 @@
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Check the version, the framing and the announced length; raises Broken."""
+        """Check the HTTP version, the body framing and the announced body length.
+
+        Raises:
+            HttpError: One of them is invalid, not supported or over the limit.
+        """
         assert self.partial is not None
         self.has_head = True
         version, headers = self._parser.get_http_version(), self.partial.headers
         if version not in ("1.0", "1.1"):
             self._reject(505, "neither HTTP/1.0 nor HTTP/1.1")
         if (coding := headers.get(b"transfer-encoding")) is not None:
-            # Request smuggling: with two lengths, a peer that goes by the other one sees a second request in
-            # the body.
+            # Against request smuggling: if a message states its length in two ways, a peer that uses the
+            # other one sees a second request inside the body.
             if b"content-length" in headers or version == "1.0":
                 self._reject(400, "two lengths, or one that HTTP/1.0 has not")
             if coding.strip().lower() != b"chunked":
@@ -208,7 +216,7 @@
         return self.partial is not None or bool(self.messages)
 
     def take_interim_response(self) -> bytes:
-        """Return the interim response `100 Continue` if the client waits for it, and then no more."""
+        """Return the interim response `100 Continue` once if the client waits for it, else empty bytes."""
         response, self._interim_response = self._interim_response, b""
         return response
 
@@ -227,7 +235,10 @@
         self.is_discarding, self._keep_alive = True, False
 
     def error_response(self) -> bytes:
-        """Return the error response to a rejected request, once all requests before it are answered."""
+        """Return the error response to a rejected request.
+
+        Empty if no request is rejected, while a request before it is unanswered, and after the last response.
+        """
         if self.fault is None or self.is_busy or self.is_closed or self.messages:
             return b""
         self.is_busy, self._keep_alive, self._body_bytes = True, False, self.held_bytes
@@ -285,7 +296,7 @@
         """Parse received bytes and return the response if it is complete.
 
         Raises:
-            Broken: The bytes are not a response, exceed a limit, or no request was sent.
+            HttpError: The bytes are not a valid response, exceed a limit, or arrived without a request.
         """
         if not self.is_awaiting_response:
             raise HttpError(400, "received a response without a request")
@@ -303,7 +314,7 @@
             return None
         self.is_awaiting_response = False
         answer = self.messages.popleft()
-        # A second response must not be kept: the next request would take it for its own.
+        # A second response must not stay queued: it would be taken for the response to the next request.
         self.has_extra_bytes = bool(self.messages) or self.partial is not None
         self.extra_responses = [*self.messages]
         self.messages.clear()
@@ -338,7 +349,7 @@
         and yields an empty record.
 
         Raises:
-            Broken: An object exceeds MAX_RECORD_BYTES bytes.
+            HttpError: An incomplete object exceeds MAX_RECORD_BYTES bytes.
         """
         *lines, rest = bytes(self.stream_buffer).split(b"\n")
         found = []
--- a/pathsaddle/scheduler.py
+++ b/pathsaddle/scheduler.py
@@ -60,11 +60,13 @@
 MIN_BUCKET_TXNS = 8.0  # txns in excess before a customer counts as over its share
 RISK_EXPONENT = 2  # exponent by which the chance to end in time falls with the time needed
 MIN_EXPECTED_FREE_SLOTS = 0.3  # expected free slots that justify a posting
-# Probe rounds per txn; workers probed in a round, also the number of failures that suspend a zone.
+# Largest number of probe rounds per txn, and workers probed in a round. SAMPLE_WORKERS is also the number of
+# failed workers that suspends a zone.
 MAX_PROBE_ROUNDS, SAMPLE_WORKERS = 3, 3
 AGE_MIN_STANDARD_ERRORS = 2.5  # standard errors by which late reports must fit better than prompt ones
 CLAIM_WINDOW = 3  # recent rejections that are checked together for outdated reports
-# In mean txn values. Below it, chances to end in time are too coarse to compare, and all zones count as one.
+# In units of the mean txn's value. Below this price all zones count as one, because the estimated chances to
+# end in time are too coarse to compare.
 NEGLIGIBLE_CROSS_PRICE = 0.02
 # Workers for a key beyond those its traffic fills, so that a busy one has a substitute.
 SPARE_KEY_WORKERS = 2
@@ -169,10 +171,10 @@
         self.list_push_grace = (
             max(0, config.drain_grace - LIST_TIMER_SLACK) if config.is_list_pushed else FOREVER
         )
-        # With watch heartbeats (on sockets), what discovery held 6 s before this start counts as delivered
-        # from the start on, whatever the `known` list of the config says, and the data of an open watch
-        # expires without a heartbeat. Elsewhere the data stays valid while the list does not have to be
-        # requested.
+        # With watch heartbeats (on sockets), every change that discovery held 6 s before this start counts as
+        # delivered from the start on, whatever the `known` list of the config says. So the list is invalid
+        # until discovery answers, and the data of an open watch expires if no heartbeat arrives. Without
+        # watch heartbeats, the data stays valid as long as the list does not have to be requested.
         self.has_watch_heartbeats, self.list_validity = (
             config.has_watch_heartbeats,
             LIST_VALIDITY if config.has_watch_heartbeats else FOREVER,
@@ -190,8 +192,8 @@
         self.first_requests: dict[Any, int] = {}
         self.mean_value, self.recent_values = 1.0, deque[float](maxlen=96)
         self.arrival_times: deque[int] = deque(maxlen=32)  # when the last txns arrived
-        # An unanswered request may neither leave the list without news until a change counts as delivered,
-        # nor be given up before it can fail.
+        # This timeout of an unanswered request has to end before a missed change counts as delivered, but not
+        # before the request can fail by itself.
         self.list_request_timeout = max(
             LIST_SILENCE_TIMEOUT + LIST_TIMER_SLACK, config.list_poll_interval // 2
         )
@@ -278,7 +280,8 @@
         self.register_txn(txn)
         for posting in txn.postings:
             yield from self.watch_posting(txn, posting)
-        # With every connection taken by open txns, none would be left for the message that ends one of them.
+        # A txn above the limit of open txns is not posted: if open txns took every connection, none would be
+        # left for the message that ends one of them.
         while self.open_count <= self.max_open_txns and (not self.gate or self.gate.admits(txn, self)):
             until = self.post_until(txn)
             if self.now >= until:
@@ -432,7 +435,8 @@
         baseline = self.zone_baselines.get(state.worker.zone)
         zone_excess = baseline.mean if baseline is not None else 0.0
         if state.may_be_warming_up and self.uses_slow_start_turns and self.slow_start_left(state):
-            # Other dispatchers have no turn at a cold worker either, so its zone's mean does not apply.
+            # At a cold worker the other dispatchers are restricted to their turns too, so it counts as idle
+            # instead of as busy as its zone's mean.
             if report is None or report.free_slots is None:
                 return self.min_slot_count - len(state.in_flight)
             zone_excess = -self.min_slot_count
@@ -484,11 +488,11 @@
 
     def update_late_start_delay(self) -> None:
         """Update the delay above which a posting counts as queued instead of started at once."""
-        # The minimum is used, because a quarter or half of the postings measures the queues when all workers
-        # have queues.
+        # This is the minimum and not the quartile or the median, because those measure the queues when all
+        # workers have queues.
         typical = min(self.fleet_start_delays, default=20 * MILLISECOND)
-        # A limit finer than a tick took the plain network delay of other zones for a queue, where starts are
-        # seen at once.
+        # The limit is no finer than a tick: where starts are seen at once, a finer limit took the plain
+        # network delay of other zones for a queue.
         self.late_start_delay = 2 * max(typical, self.tick) + 2 * self.tick
 
     def compute_mean_run_time(self) -> float:
@@ -524,9 +528,10 @@
         These are the first eligible ones in the key's order, as many as the key's share of the traffic fills,
         and SPARE_KEY_WORKERS more. Any other worker fetches the data from a shared store and holds its slots
         meanwhile: jobs sent anywhere took a quarter longer, and once the store was saturated, jobs outside
-        the key's workers held the whole fleet. So a rejection by the worker decides, not its estimated free
-        slots. The next worker in the order replaces one that rejects; an absent or closed worker takes no
-        place.
+        the key's workers held the whole fleet. So a key's worker is passed over only if it has lately
+        rejected a posting as full, and not because of its estimated free slots. Each posting of the txn adds
+        the next worker in the order. A worker that is absent or not eligible does not count towards the
+        number.
         """
         assert txn.key is not None
         # Wide and narrow jobs stay on separate workers until more than half of a txn's allowed postings are
@@ -557,9 +562,9 @@
         """Choose the workers that serve only jobs that need a whole worker.
 
         Where a worker starts any job that fits, a job that needs all its slots waits until it is empty: 0.6 s
-        at the median, for jobs of 0.1 s. Enough workers for such jobs, and a quarter more, serve them and no
-        others but those often rejected elsewhere. They are the first of an order that is the same at every
-        dispatcher.
+        at the median, for jobs of 0.1 s. So a group of workers, a quarter more than these jobs need, serves
+        only them and the jobs that were often rejected elsewhere. The group is the first part of an order
+        that is the same at every dispatcher.
         """
         self.wide_job_workers.clear()
         # The smallest known worker is no measure: one full of other dispatchers' jobs shows few of its slots.
@@ -600,9 +605,10 @@
             (machine is None or worker.machine == machine)
             and (not txn.postings or self.can_post_to(txn, worker))
             and (not state.scheme_pauses or self.now >= state.scheme_pauses.get(txn.scheme, (0, 0))[0])
-            # A suspect gets only txns that can be posted again anywhere. Where no scheme allows that, it gets
-            # those that may run again somewhere, else any, once it has answered a probe; otherwise it would
-            # stay a suspect for good.
+            # A suspect gets only txns that may run again at any worker. If no scheme allows that, it gets
+            # referenced txns, and if there are no referenced schemes either, any txn. In these two cases it
+            # has to answer a probe first (where probes carry reports). Without any txns it would stay a
+            # suspect for good.
             and (
                 not state.is_suspect
                 or (
@@ -668,9 +674,9 @@
         ]
         self.scored_workers = loads
         if txn.scheme.semantics is Semantics.ONCE_ONLY and txn.key is None:
-            # A txn that a single error loses goes where one has lately settled: each of forty dispatchers
-            # learned of a failing worker by a txn of its own, and half of the txns lost that way were once-
-            # only.
+            # A single error loses a once-only txn, so it prefers workers where a txn has settled lately: each
+            # of forty dispatchers learned of a failing worker by a txn of its own, and half of the txns lost
+            # that way were once-only.
             proven_since = self.now - int(8 * self.mean_run_time)
             loads = [entry for entry in loads if entry[1].last_success_at > proven_since] or loads
         if self.price_cross < NEGLIGIBLE_CROSS_PRICE or txn.key is not None:
@@ -713,7 +719,7 @@
     def is_list_stale(self, now: int) -> bool:
         """Return whether a change that this dispatcher has not received may count as delivered.
 
-        Nothing is posted while this holds, because a drain could forbid it.
+        Nothing is posted while the list is stale, because the missed change could be a drain of the worker.
         """
         return self.needs_list_subscription and now >= self.list_valid_until
 
@@ -880,7 +886,7 @@
     def register_txn(self, txn: Txn) -> None:
         """Record an arriving txn: its work, key, first request time and its customer's usage."""
         txn.work_type, txn.work = self.work_type_of(txn), self.work_of(txn)
-        # The config may have changed twice since it was taken.
+        # The config may have changed twice since the txn was taken in, so `run_times` may lack its scheme.
         self.run_times.setdefault(txn.scheme, deque(maxlen=48))
         txn.retry_fingerprint = (txn.scheme, txn.customer, txn.hint, txn.slots, txn.memory)
         if txn.hint is not None:
@@ -971,7 +977,8 @@
     def in_time_until(self, txn: Txn) -> int:
         """Return the time until which a posting of the txn can still end in time."""
         scheme = txn.scheme
-        # Past its SLA time, a txn without a hint is in time only if it happens to be a long one.
+        # For a txn without a hint, half of the slack counts: after its SLA time, it is in time only if its
+        # run turns out to be a long one.
         slack = self.sla_deadline(txn) - txn.first_seen_at - scheme.sla_time - int(self.run_time_of(txn))
         return txn.first_seen_at + scheme.sla_time + max(0, slack // (1 if txn.hint is not None else 2))
 
@@ -1165,8 +1172,8 @@
             state.mark_alive(self.now)
             self.clear_zone_failures(state.worker)
             state.consecutive_failures, state.last_success_at = 0, self.now
-            # A worker that found unusable what this one has settled was itself at fault, which shows only
-            # now.
+            # If another worker answered that this txn is unusable, that worker was itself at fault. This
+            # shows only now that the txn has settled here.
             for earlier in (p for p in posting.txn.postings if p.outcome is Outcome.UNUSABLE):
                 self.eject_after_failure(self.workers[earlier.worker])
             state.initial_backlog = {
@@ -1182,9 +1189,9 @@
                 self.on_connection_broken(state.worker)
                 self.record_zone_failure(state.worker)
             else:
-                # Exponential backoff from milliseconds never binds where this dispatcher's next posting to
-                # the worker is seconds away: each of forty dispatchers met the same failing workers three to
-                # four times.
+                # An exponential backoff that starts at milliseconds has no effect if this dispatcher's next
+                # posting to the worker is seconds away: each of forty dispatchers met the same failing
+                # workers three to four times. So the backoff here follows the mean run time.
                 backoff = int(8 * self.mean_run_time)
                 state.error_backoff_until = self.now + backoff
                 state.ejected_until = max(
@@ -1212,8 +1219,8 @@
                 free_slots=0.0, queued_jobs=known_load.queued_jobs if known_load is not None else 0.0
             )
             if report is not None:
-                # Counts as a reading where answers carry reports; where only probes do, those are the less
-                # biased sample.
+                # If answers carry reports, the rejection counts as a reading of other dispatchers' load. If
+                # only probes carry reports, it does not count, because probes are the less biased sample.
                 state.others_readings.append(max(1.0, self.excess_jobs(full_report)) - len(state.in_flight))
                 self.zone_baselines.setdefault(state.worker.zone, ZoneBaseline()).add_reading(
                     self.now, state.others_readings[-1]
@@ -1398,9 +1405,11 @@
         if update is ListUpdate.FAILED or update is ListUpdate.SILENT:
             self.list_lost_at = self.list_lost_at if self.list_failures else self.now
             self.list_failures += 1
-            # Changes missed by a watch count as delivered from its last line on. A failed request proves that
-            # no list was available when it began, and the next has to end in time: a longer doubled wait
-            # broke drains. Requests after a start yield to those of other dispatchers.
+            # When a watch breaks, the time until a missed change counts as delivered runs from the watch's
+            # last line. When a request fails, it runs from the request's start, because the failure proves
+            # that no list was available then. The next request has to end within that time: a longer doubled
+            # wait broke drains. Requests after a start are less urgent and yield to those of other
+            # dispatchers.
             call_time = max(1, self.now - self.list_requested_at) if self.list_request_due < FOREVER else 0
             # An expired list with no request in flight means that this process was paused: the list counts as
             # lost.
@@ -1413,8 +1422,8 @@
             is_urgent = self.has_list or (
                 self.list_failures < 2 and (was_valid or update is ListUpdate.SILENT)
             )
-            # A refusal that came late had waited behind too many requests. Each request costs the list
-            # service as much as an answered one, even if its client no longer waits: when all dispatchers
+            # A late refusal shows that the list service has too many requests in its queue. A request whose
+            # client no longer waits costs the service as much as an answered one: when all dispatchers
             # retried within 6 s, none was answered.
             is_late = (
                 self.has_watch_heartbeats and update is ListUpdate.FAILED and call_time > LIST_ANSWER_TIMEOUT
@@ -1426,8 +1435,8 @@
             )
             if update is ListUpdate.FAILED and self.now >= self.list_move_deadline:
                 valid_until = min(valid_until, self.now - call_time + self.list_push_grace)
-            # A failed request does not make valid what was missed before it, at a start or during a pause of
-            # this process.
+            # After a start or a pause of this process, the list is already invalid, and a failed request does
+            # not make it valid again: changes may have been missed before the request.
             self.list_valid_until = valid_until if was_valid else self.list_valid_until
             min_fraction = 0.6 if is_late else 0.1
             self.list_request_due = self.now + int(
--- a/pathsaddle/scheduler_types.py
+++ b/pathsaddle/scheduler_types.py
@@ -13,15 +13,15 @@
 
 MILLISECOND = 10
 SECOND = 10_000
-# Timing of the worker list, from the operators' protocol: a watch sends a line at least every 2 s. A change
-# that a silent watch missed binds this dispatcher LIST_NOTIFIED_AFTER later, whether or not it has arrived.
-# docs/fleet.md derives the sum.
-LIST_SILENCE_TIMEOUT = 3 * SECOND  # without a line, after which a watch or a call for one counts as broken
+# Timing of the worker list, from the operators' protocol. A watch sends a line at least every 2 s. A change
+# that a silent watch missed counts as delivered to this dispatcher after LIST_NOTIFIED_AFTER, whether or not
+# it has arrived. docs/fleet.md derives how the other times add up to this one.
+LIST_SILENCE_TIMEOUT = 3 * SECOND  # a watch, or a call for one, is broken after this time without a line
 LIST_NOTIFIED_AFTER = 6 * SECOND
 LIST_ANSWER_TIMEOUT = 3 * SECOND // 2  # part of LIST_NOTIFIED_AFTER: for the answer to a repeated call
 LIST_TIMER_SLACK = SECOND // 10  # for late timers, event loop iterations and the latency of the first byte
 LIST_VALIDITY = LIST_NOTIFIED_AFTER - LIST_TIMER_SLACK
-# After a redirect, a change known to the new address binds this dispatcher 4 s later.
+# After a redirect, a change that the new address knows counts as delivered to this dispatcher 4 s later.
 LIST_VALIDITY_AFTER_MOVE = 4 * SECOND - LIST_TIMER_SLACK
 
 
@@ -122,7 +122,10 @@
         self.is_known_draining = self.listed_state is ListedState.DRAINING
 
     def update_from(self, row: Worker) -> None:
-        """Copy the listed attributes from `row`; the object itself lives as long as the process."""
+        """Copy the listed attributes from `row`.
+
+        `row` is a new object for the same worker; this object lives as long as the dispatcher's process.
+        """
         self.zone, self.cell, self.machine = row.zone, row.cell, row.machine
         self.weight, self.started_at, self.listed_state = row.weight, row.started_at, row.listed_state
         self.is_known_draining = self.listed_state is not ListedState.READY and (
@@ -168,12 +171,12 @@
     is_retry: bool = False
     postings: list[Posting] = field(default_factory=list)
     is_closed: bool = False
-    is_deadline_shortened: bool = False  # `expires_at` was moved forward by a shutdown
+    is_deadline_shortened: bool = False  # a shutdown moved `expires_at` to an earlier time
     lifecycle: Generator[Action, Any, None] | None = None
     queue_entry: tuple[tuple[float, int], int, Txn] | None = None  # its entry in the queue
     first_seen_at: int = 0  # when its client first sent it, as far as known
     retry_fingerprint: tuple[Any, ...] = ()  # attributes that a retry by its client shares with it
-    unused_share: float = 0.0  # fill level of its customer's token bucket at its arrival
+    unused_share: float = 0.0  # fraction of its customer's token bucket left when it arrived
     key_workers_full_until: int = 0  # until then no worker that caches its key has room
     key_worker_count: float = 0.0  # workers that the traffic for its key keeps busy
     is_over_share: bool = False  # exceeds its customer's share
@@ -186,7 +189,7 @@
     wait_number: int = 0  # number of the current wait; timers of earlier waits are stale
 
     def shorten_deadline(self, by: int) -> bool:
-        """Move the deadline forward to `by` for a shutdown; return whether that changed it."""
+        """Move the deadline to the earlier time `by`, for a shutdown; return False if it is not earlier."""
         if by >= self.expires_at:
             return False
         self.expires_at, self.is_deadline_shortened = by, True
@@ -241,7 +244,8 @@
 class Wait:
     """Suspend the txn until `until` or an earlier event.
 
-    It is resumed with the Posting that has changed, the Worker that has room for it, or None at `until`.
+    The txn is resumed with the Posting that has changed, with the Worker that has room for it, or with None
+    at `until` or when a shutdown shortens its deadline.
     """
 
     until: int
@@ -252,7 +256,7 @@
     """Final answer: the txn was not run, and a retry does no harm."""
 
     retry_after: int = 0
-    try_elsewhere: bool = False  # only this dispatcher's shutdown prevents it: retry at another one
+    try_elsewhere: bool = False  # only this dispatcher's shutdown prevents the txn: retry at another one
 
 
 @dataclass(slots=True, frozen=True)
@@ -298,7 +302,7 @@
     """
 
     def admits(self, txn: Txn, scheduler: Any) -> bool:
-        """Return whether the txn may have its first posting; a txn that has one is admitted."""
+        """Return whether the txn may have its first posting; always True once it has a posting."""
 
     def permits_posting(self, txn: Txn, worker: Worker, scheduler: Any) -> bool:
         """Return whether this posting may be sent now; if so, it counts as sent."""
@@ -349,7 +353,8 @@
     # Workers that are listed as gone, or omitted, without draining before still accept postings.
     delisted_workers_usable: bool = False
     max_open_txns: int = 1 << 60  # limit on simultaneously open txns
-    # The list is pushed to a local agent; a change binds this dispatcher as soon as the agent has it.
+    # The list is pushed to a local agent. A change counts as delivered to this dispatcher as soon as the
+    # agent has it, and binds one drain grace later.
     is_list_pushed: bool = False
-    # An open watch sends a line at least every 2 s; an older list is not valid any longer.
+    # An open watch sends a line at least every 2 s. Without a new line, the list expires after LIST_VALIDITY.
     has_watch_heartbeats: bool = False
--- a/pathsaddle/worker_state.py
+++ b/pathsaddle/worker_state.py
@@ -33,7 +33,8 @@
         self.last_figures: tuple[float | None, ...] = ()  # figures of the last report
         # The moment that `report` describes, and the own postings in flight at that moment.
         self.described_at, self.own_in_flight_then = -FOREVER, 0
-        # (when, load of other dispatchers under each assumed age of the reports), from the last report
+        # From the last report: (arrival time, jobs of other dispatchers minus the slots, for each of
+        # `scheduler.CANDIDATE_AGES`).
         self.others_load: tuple[int, list[float]] | None = None
         self.others_readings: deque[float] = deque(maxlen=8)  # reported jobs of others minus the slots
         self.slot_samples: deque[float] = deque(maxlen=8)  # slots, as computed from the last reports
@@ -43,27 +44,29 @@
         self.pace = 1.0
         self.slot_count = 0.0  # slots: the maximum of `slot_samples`
         self.free_slots_estimate = 0.0  # free slots, cached
-        self.free_slots_estimate_until = 0  # end of the cache entry, unless an event clears it earlier
+        self.free_slots_estimate_until = 0  # end of its validity; an event resets it to 0
         self.start_delays: deque[int] = deque(maxlen=8)  # from sending to start, of the last postings here
         self.is_probing, self.probed_at = False, 0  # a probe is in flight; when the last one was sent
         self.consecutive_failures = 0
         self.last_full_at = -FOREVER  # when it last rejected a posting as full
         self.last_success_at = -FOREVER  # when an own txn last settled there
-        # After an own posting failed with an error, once-only txns avoid the worker until then.
+        # Once-only txns avoid the worker until this moment, after an own posting failed there with an error.
         self.error_backoff_until = 0
         self.ejected_until = 0  # after failures, no posting is sent before this moment
-        # Silent for too long, and since when: one posting at a time until it shows a sign of life.
+        # The worker was silent for too long, and when that was noticed. Until it shows a sign of life, it
+        # gets one posting at a time.
         self.is_suspect, self.suspected_at = False, 0
-        # Schemes whose postings did not start here: (no posting before, times in a row).
+        # Schemes whose postings this worker did not accept in time: (no posting before, pauses in a row).
         self.scheme_pauses: dict[Scheme, tuple[int, int]] = {}
-        self.last_reached_at = 0  # when the last posting that has started was sent
+        self.last_reached_at = 0  # latest send time of a posting that has started
         self.trial_posting: Posting | None = None  # the last posting sent while it was suspect
         self.lost_trials = 0  # trial postings in a row that ended without an answer
         # (when, work, whether the worker was warming up) of the last postings
         self.recent_sends: deque[tuple[int, int, bool]] = deque()
         self.started_at: int | None = worker.started_at
         self.connection_broken_at = -FOREVER  # when a connection to it last broke or was refused
-        # One flag that each scan tests before it looks at the listed and the inferred start.
+        # False while neither a listed start nor a broken connection is known. Scans test this flag first, and
+        # look at the listed and the inferred start only if it is set.
         self.may_be_warming_up = worker.started_at is not None
         self.delisted_at = -FOREVER  # when the list last reported it as gone or omitted it
         self.inferred_restart_at = -FOREVER  # when it presumably restarted without the list saying so
@@ -109,7 +112,7 @@
         return len(self.arrivals) / max(1, now - self.arrivals[0]) if len(self.arrivals) > 7 else 0.0
 
     def bucket_size(self, traffic_share: float) -> float:
-        """Return the txns that a full bucket holds, for this dispatcher's share of the tier's traffic."""
+        """Return how many txns a full bucket holds if this share of all traffic passes this dispatcher."""
         # The minimum is there because a rate can't be told from fewer txns: at 0.5 txn/s most txns of a small
         # customer counted as over its share while it was under.
         return max(self.min_bucket_size, 4 * self.quota_rate * traffic_share * SECOND)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -148,7 +148,7 @@
 
 
 class ProbeTest(unittest.TestCase):
-    """With hundreds of dispatchers the last report of a worker is long past, and all workers tied as idle."""
+    """With hundreds of dispatchers, each had only old reports, by which all workers looked equally idle."""
 
     def test_a_posting_waits_for_probe_results_and_goes_to_the_idle_worker(self) -> None:
         host = FakeHost(workers=3, can_probe=True)
@@ -281,7 +281,10 @@
 
 
 class MisleadingReportTest(unittest.TestCase):
-    """Eleven dispatchers met at a once idle worker, queued up to sixty jobs, and left all at once."""
+    """Eleven dispatchers chose the same worker by an old report of idleness.
+
+    They queued up to sixty jobs there, and then all left it at once.
+    """
 
     def host(self, workers: int = 2, **options: object) -> FakeHost:
         options = {
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -126,8 +126,9 @@
     def test_hundreds_of_dispatchers_take_turns_with_whole_jobs(self) -> None:
         """An even share of a cold worker held no whole job, so that no dispatcher sent any.
 
-        In any window the sum must hold: the worker fails at N + 3 sqrt(N) + 3 mean jobs, N being what the
-        settings allow, and at most two thirds of that are used.
+        In any window the sum over all dispatchers must stay within the limit: the worker fails at
+        N + 3 sqrt(N) + 3 mean jobs, where N is the number that the settings allow, and the dispatchers may
+        use at most two thirds of that.
         """
         sent_at = []
         for number in range(40):
@@ -155,8 +156,9 @@
     def test_a_dozen_dispatchers_without_hints_use_a_cold_worker_and_stay_under_its_budget(self) -> None:
         """With two senders per window, a restarted worker stood idle for most of nine seconds.
 
-        Two dispatchers had a larger budget than jobs. Whole jobs in turns must keep the sum in any window at
-        its worst moment, also when estimates differ and no two agree on the number of senders.
+        The two dispatchers had more budget than jobs to send. With whole jobs sent in turns, the sum in any
+        window must stay within the budget at the window's worst moment, even if the dispatchers' estimates
+        differ and no two agree on the number of senders.
         """
         sent_at = []
         for number in range(11):
