--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -129,7 +129,7 @@
     def test_without_a_fleet_nothing_of_it_is_loaded(self):
         code = (
             "import sys; from pathsaddle.net.service import start, ground; from pathsaddle.net.memory.counters "
-            "import Counters; assert ground.Ground().fellows(Counters()) is None; "
+            "import Counters; assert ground.Environment().fellows(Counters()) is None; "
             "print([m for m in sys.modules if m.startswith('pathsaddle.fleet') or m == 'msgspec'])"
         )
         done = subprocess.run(
