--- a/pathsaddle/net/wire/birth.py
+++ b/pathsaddle/net/wire/birth.py
@@ -14,7 +14,7 @@
 
 WHERE = "GW_CONFIG"  # the environment variable with the path of the configuration file
 DEFAULT_SOCKETS = 1024  # the descriptor limit of a process on most machines
-# The smallest `limits.sockets` of a charter, and the memory that the program itself takes.
+# The smallest `limits.sockets` of an operator's file, and the memory that the program itself takes.
 MIN_SOCKETS, MIN_MEMORY_MB = 64, 21.0
 
 
@@ -122,7 +122,7 @@
 
 
 def _build(config: dict[str, Any]) -> StartConfig:
-    """Check the configuration, from the platform's file or from a charter; raises InvalidSettingError."""
+    """Check the configuration, from the platform's or the operator's file; raises InvalidSettingError."""
     settings = {} if config.get("settings") is None else config["settings"]
     seed, limits = _seed(config), SettingsSection(config.get("limits"), "limits")
     sockets, memory_mb = (
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -637,7 +637,7 @@
         worker = Worker("w")
         service.listed(ListUpdate.COMPLETE, [ListRow(worker, await self.peer(silent))])
         outcomes: list[Outcome] = []
-        service.loop.on_probe_result = lambda w, outcome, spent, report: outcomes.append(outcome)  # type: ignore
+        service.loop.on_probe_result = lambda w, outcome, spent, report: outcomes.append(outcome)  # type: ignore[method-assign]  # recorded
         service.probe(worker)
         await until(lambda: outcomes)
         self.assertEqual(outcomes, [Outcome.TIMED_OUT])
